--- a/src/main/java/org/havenford/Main.java
+++ b/src/main/java/org/havenford/Main.java
@@ -27,8 +27,7 @@
 public final class Main {
     private static final int FAILED = 1;
 
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] args) {
         logging(System.getenv());
@@ -58,14 +57,31 @@
         String version = Main.class.getPackage().getImplementationVersion();
         spec.version("havenford " + (version == null ? "(not packaged)" : version));
         spec.usageMessage().description("A controller of the havenford cluster scheduler.");
-        spec.addOption(OptionSpec.builder("--config").paramLabel("FILE").type(Path.class)
-                .description("settings of the platform, JSON").build());
-        spec.addOption(OptionSpec.builder("--operator").paramLabel("FILE").type(Path.class)
-                .description("settings of the operators, XML (see docs/operations.md)").build());
-        spec.addOption(OptionSpec.builder("--rehearse").type(boolean.class).arity("0").hidden(true)
-                .description("start, talk to itself for a moment and end; the build archives the classes that this loads").build());
-        spec.addOption(OptionSpec.builder("-h", "--help").usageHelp(true).description("show this help").build());
-        spec.addOption(OptionSpec.builder("--version").versionHelp(true).description("show the version").build());
+        spec.addOption(OptionSpec.builder("--config")
+                .paramLabel("FILE")
+                .type(Path.class)
+                .description("settings of the platform, JSON")
+                .build());
+        spec.addOption(OptionSpec.builder("--operator")
+                .paramLabel("FILE")
+                .type(Path.class)
+                .description("settings of the operators, XML (see docs/operations.md)")
+                .build());
+        spec.addOption(OptionSpec.builder("--rehearse")
+                .type(boolean.class)
+                .arity("0")
+                .hidden(true)
+                .description(
+                        "start, talk to itself for a moment and end; the build archives the classes that this loads")
+                .build());
+        spec.addOption(OptionSpec.builder("-h", "--help")
+                .usageHelp(true)
+                .description("show this help")
+                .build());
+        spec.addOption(OptionSpec.builder("--version")
+                .versionHelp(true)
+                .description("show the version")
+                .build());
         CommandLine line = new CommandLine(spec);
         line.setExecutionStrategy(Main::run);
         return line;
@@ -114,13 +130,14 @@
      * classes at the same time have been seen to crash the process in read() (docs/incidents/start-crash.md).
      */
     static void serve(Settings settings, Operator operator) throws IOException {
-        XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.builder()
-                .set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1)
-                .set(Options.WORKER_TASK_MAX_THREADS, 1)
-                .set(Options.STACK_SIZE, 1024L * 1024)
-                .set(Options.TCP_NODELAY, true)
-                .getMap());
+        XnioWorker worker = Xnio.getInstance()
+                .createWorker(OptionMap.builder()
+                        .set(Options.WORKER_IO_THREADS, 1)
+                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                        .set(Options.STACK_SIZE, 1024L * 1024)
+                        .set(Options.TCP_NODELAY, true)
+                        .getMap());
         CompletableFuture<Void> built = new CompletableFuture<>();
         worker.getIoThread().execute(() -> {
             try {
@@ -141,12 +158,18 @@
         HttpServer[] server = new HttpServer[1];
         int most = settings.maxConnections();
         int kept = Math.max(20, Math.min(60, most / 20));
-        HttpClient client = new HttpClient(loop, buffers,
+        HttpClient client = new HttpClient(
+                loop,
+                buffers,
                 () -> Math.max(kept, Math.min(most / 2, most - kept - (server[0] == null ? 0 : server[0].open()))));
         Controller controller = new Controller(loop, client, settings, operator);
         int colon = settings.bind().lastIndexOf(':');
-        server[0] = new HttpServer(worker, settings.bind().substring(0, colon),
-                Integer.parseInt(settings.bind().substring(colon + 1)), Math.max(50, most - 2 * kept), controller);
+        server[0] = new HttpServer(
+                worker,
+                settings.bind().substring(0, colon),
+                Integer.parseInt(settings.bind().substring(colon + 1)),
+                Math.max(50, most - 2 * kept),
+                controller);
         server[0].start();
         LoggerFactory.getLogger(Main.class).info("{} serves on {}", settings.node(), settings.bind());
         controller.start();
--- a/src/main/java/org/havenford/Rehearsal.java
+++ b/src/main/java/org/havenford/Rehearsal.java
@@ -15,17 +15,20 @@
  * The controller takes itself for the state service and the cloud, which answers every call with 404.
  */
 final class Rehearsal {
-    private Rehearsal() {
-    }
+    private Rehearsal() {}
 
     static int run() {
         try {
             String self = "127.0.0.1:" + freePort();
-            Main.serve(Settings.parse("{\"node_name\":\"rehearsal\",\"location\":\"a\",\"bind\":\"" + self
-                    + "\",\"cluster_listen\":\"127.0.0.1:" + freePort() + "\",\"endpoints\":{\"cloud\":\"" + self
-                    + "\",\"state\":\"" + self + "\"},\"deployment\":{\"workers\":{\"report_s\":3,\"lease_s\":20,\"cancel_s\":40},"
-                    + "\"state\":{\"rps\":100,\"write_rps\":50,\"value_kb\":8,\"txn_ops\":12},"
-                    + "\"cloud\":{\"rps\":5,\"list_lag_s\":4}}}"), Operator.DEFAULTS);
+            Main.serve(
+                    Settings.parse("{\"node_name\":\"rehearsal\",\"location\":\"a\",\"bind\":\"" + self
+                            + "\",\"cluster_listen\":\"127.0.0.1:" + freePort() + "\",\"endpoints\":{\"cloud\":\""
+                            + self
+                            + "\",\"state\":\"" + self
+                            + "\"},\"deployment\":{\"workers\":{\"report_s\":3,\"lease_s\":20,\"cancel_s\":40},"
+                            + "\"state\":{\"rps\":100,\"write_rps\":50,\"value_kb\":8,\"txn_ops\":12},"
+                            + "\"cloud\":{\"rps\":5,\"list_lag_s\":4}}}"),
+                    Operator.DEFAULTS);
             loadOwnClasses();
             Thread.sleep(1500);
             return 0;
@@ -45,15 +48,20 @@
     }
 
     private static void loadOwnClasses() throws IOException, ClassNotFoundException {
-        String jar = Rehearsal.class.getProtectionDomain().getCodeSource().getLocation().getPath();
+        String jar = Rehearsal.class
+                .getProtectionDomain()
+                .getCodeSource()
+                .getLocation()
+                .getPath();
         if (!jar.endsWith(".jar")) {
             return;
         }
         try (JarFile file = new JarFile(jar)) {
-            for (Enumeration<JarEntry> e = file.entries(); e.hasMoreElements();) {
+            for (Enumeration<JarEntry> e = file.entries(); e.hasMoreElements(); ) {
                 String name = e.nextElement().getName();
                 if (name.startsWith("org/havenford/") && name.endsWith(".class")) {
-                    Class.forName(name.substring(0, name.length() - ".class".length()).replace('/', '.'));
+                    Class.forName(
+                            name.substring(0, name.length() - ".class".length()).replace('/', '.'));
                 }
             }
         }
--- a/src/main/java/org/havenford/bookkeeping/Chunk.java
+++ b/src/main/java/org/havenford/bookkeeping/Chunk.java
@@ -35,6 +35,7 @@
     private final Int2ObjectOpenHashMap<String> late = new Int2ObjectOpenHashMap<>();
     /** Durations of finished phases, in tenths of a second. */
     private final IntArrayList fetches = new IntArrayList();
+
     private final IntArrayList runs = new IntArrayList();
     private int errors;
 
@@ -207,9 +208,18 @@
             if (!accounts.contains(c.account())) {
                 accounts.add(c.account());
             }
-            text.append(text.isEmpty() ? "" : ";").append(c.task().index() - first).append(' ').append(c.attempt()).append(' ')
-                    .append(c.machine().substring(prefix.length())).append(' ').append(c.session()).append(' ')
-                    .append(c.at().toEpochMilli() - base).append(' ').append(accounts.indexOf(c.account()));
+            text.append(text.isEmpty() ? "" : ";")
+                    .append(c.task().index() - first)
+                    .append(' ')
+                    .append(c.attempt())
+                    .append(' ')
+                    .append(c.machine().substring(prefix.length()))
+                    .append(' ')
+                    .append(c.session())
+                    .append(' ')
+                    .append(c.at().toEpochMilli() - base)
+                    .append(' ')
+                    .append(accounts.indexOf(c.account()));
         }
         JsonObject s = new JsonObject();
         s.addProperty("p", prefix == null ? "" : prefix);
@@ -236,8 +246,13 @@
         String text = Json.text(s, "c");
         for (String one : text.isEmpty() ? new String[0] : text.split(";")) {
             String[] w = one.split(" ", -1);
-            Claim c = new Claim(new TaskId(job, first + Integer.parseInt(w[0])), Long.parseLong(w[1]), prefix + w[2],
-                    Long.parseLong(w[3]), Instant.ofEpochMilli(base + Long.parseLong(w[4])), accounts.get(Integer.parseInt(w[5])));
+            Claim c = new Claim(
+                    new TaskId(job, first + Integer.parseInt(w[0])),
+                    Long.parseLong(w[1]),
+                    prefix + w[2],
+                    Long.parseLong(w[3]),
+                    Instant.ofEpochMilli(base + Long.parseLong(w[4])),
+                    accounts.get(Integer.parseInt(w[5])));
             claims.put(c.task().index(), c);
             attempts.put(c.task().index(), c.attempt());
         }
@@ -302,8 +317,12 @@
             }
             for (JsonElement e : Json.array(o, "c")) {
                 JsonArray a = e.getAsJsonArray();
-                Claim c = new Claim(new TaskId(job, a.get(0).getAsInt()), a.get(1).getAsLong(), a.get(2).getAsString(),
-                        a.get(3).getAsLong(), Instant.ofEpochMilli(a.get(4).getAsLong()),
+                Claim c = new Claim(
+                        new TaskId(job, a.get(0).getAsInt()),
+                        a.get(1).getAsLong(),
+                        a.get(2).getAsString(),
+                        a.get(3).getAsLong(),
+                        Instant.ofEpochMilli(a.get(4).getAsLong()),
                         a.size() > 5 ? a.get(5).getAsString() : "");
                 claims.put(c.task().index(), c);
             }
@@ -311,14 +330,23 @@
                 readShort(Json.child(o, "s"));
             }
             if (Json.has(o, "n")) {
-                Json.child(o, "n").entrySet().forEach(e -> attempts.put(Integer.parseInt(e.getKey()), e.getValue().getAsLong()));
+                Json.child(o, "n")
+                        .entrySet()
+                        .forEach(e -> attempts.put(
+                                Integer.parseInt(e.getKey()), e.getValue().getAsLong()));
             }
             if (Json.has(o, "l")) {
-                Json.child(o, "l").entrySet().forEach(e -> late.put(Integer.parseInt(e.getKey()), e.getValue().getAsString()));
+                Json.child(o, "l")
+                        .entrySet()
+                        .forEach(e -> late.put(
+                                Integer.parseInt(e.getKey()), e.getValue().getAsString()));
             }
             Json.array(o, "f").forEach(e -> fetches.add(e.getAsInt()));
             Json.array(o, "r").forEach(e -> runs.add(e.getAsInt()));
-        } catch (IllegalStateException | NumberFormatException | UnsupportedOperationException | IndexOutOfBoundsException e) {
+        } catch (IllegalStateException
+                | NumberFormatException
+                | UnsupportedOperationException
+                | IndexOutOfBoundsException e) {
             throw new Json.BadMessage("tasks of " + job + " can't be read");
         }
         errors = (int) Json.countOr(o, "x", 0);
--- a/src/main/java/org/havenford/bookkeeping/Heard.java
+++ b/src/main/java/org/havenford/bookkeeping/Heard.java
@@ -19,10 +19,11 @@
 public record Heard(Instant at, TreeMap<String, Status> machines) {
     /** Most machines under one key, so that it stays within the value limit. */
     public static final int MOST = 60;
+
     public static final int MOST_IMAGES = 12;
 
-    public record Status(Condition condition, List<String> images) {
-    }
+    /** Last known condition of one machine and the images in its cache. */
+    public record Status(Condition condition, List<String> images) {}
 
     /** Names fewer images where they would not fit: a hint that is shorter is still true. */
     public JsonObject toJson(int valueBytes) {
@@ -70,7 +71,9 @@
                 for (int i = 1; i < a.size(); i++) {
                     images.add(names.get(a.get(i).getAsInt()));
                 }
-                all.put(e.getKey(), new Status(Condition.valueOf(a.get(0).getAsString().toUpperCase(Locale.ROOT)), images));
+                all.put(
+                        e.getKey(),
+                        new Status(Condition.valueOf(a.get(0).getAsString().toUpperCase(Locale.ROOT)), images));
             }
         } catch (IllegalStateException | IllegalArgumentException | IndexOutOfBoundsException e) {
             throw new Json.BadMessage("what was heard of machines can't be read");
--- a/src/main/java/org/havenford/bookkeeping/Job.java
+++ b/src/main/java/org/havenford/bookkeeping/Job.java
@@ -19,12 +19,14 @@
     private final boolean cancelled;
     /** When all that the job awaits was found to be done in the store; null while it waits, or where it awaits nothing. */
     private final Instant ready;
+
     private final Chunk[] chunks;
     private int done;
     private int claimed;
     private int errors;
     /** Middles of the phases, worked out when asked for after a change. */
     private boolean mediansKnown;
+
     private Duration medianFetch;
     private Duration medianRun;
 
@@ -207,8 +209,11 @@
     }
 
     public static Job parse(JsonObject o) throws Json.BadMessage {
-        return new Job(JobSpec.parse(o), Instant.ofEpochMilli(Json.count(o, "_at")),
-                (int) Math.max(1, Json.count(o, "_chunk")), Json.flagOr(o, "_cancelled", false),
+        return new Job(
+                JobSpec.parse(o),
+                Instant.ofEpochMilli(Json.count(o, "_at")),
+                (int) Math.max(1, Json.count(o, "_chunk")),
+                Json.flagOr(o, "_cancelled", false),
                 Json.has(o, "_ready") ? Instant.ofEpochMilli(Json.count(o, "_ready")) : null);
     }
 }
--- a/src/main/java/org/havenford/bookkeeping/Keys.java
+++ b/src/main/java/org/havenford/bookkeeping/Keys.java
@@ -14,8 +14,7 @@
     public static final String BOOKINGS = "live/booking/";
     public static final String FINALS = "final/";
 
-    private Keys() {
-    }
+    private Keys() {}
 
     public static String job(String id) {
         return JOBS + id;
--- a/src/main/java/org/havenford/bookkeeping/Ledger.java
+++ b/src/main/java/org/havenford/bookkeeping/Ledger.java
@@ -27,8 +27,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
 
     /** What an owner last said of a machine, and since when it has been in that condition. */
-    private record Said(Heard.Status status, Instant at, Instant since) {
-    }
+    private record Said(Heard.Status status, Instant at, Instant since) {}
 
     /** An intent to rent, stored before the cloud is asked. */
     public record Booking(String name, String type, String zone, boolean spot, int count, Instant at) {
@@ -43,8 +42,13 @@
         }
 
         static Booking parse(String name, JsonObject o) throws Json.BadMessage {
-            return new Booking(name, Json.text(o, "t"), Json.text(o, "z"), Json.flagOr(o, "b", false),
-                    (int) Json.count(o, "n"), Instant.ofEpochMilli(Json.count(o, "at")));
+            return new Booking(
+                    name,
+                    Json.text(o, "t"),
+                    Json.text(o, "z"),
+                    Json.flagOr(o, "b", false),
+                    (int) Json.count(o, "n"),
+                    Instant.ofEpochMilli(Json.count(o, "at")));
         }
     }
 
@@ -66,9 +70,11 @@
 
     /** In order, so that all controllers go through them alike; and by id, since nothing is looked up as often. */
     private final TreeMap<String, Job> jobs = new TreeMap<>();
+
     private final Object2ObjectOpenHashMap<String, Job> jobsById = new Object2ObjectOpenHashMap<>();
     /** Jobs that wait for others. */
     private final TreeSet<String> waiting = new TreeSet<>();
+
     private final Object2ObjectOpenHashMap<String, MachineRecord> machines = new Object2ObjectOpenHashMap<>();
     private final Map<String, MachineBatch> batches = new HashMap<>();
     private final Map<String, Set<String>> batchesOf = new HashMap<>();
@@ -80,6 +86,7 @@
     private final Map<String, JsonObject> orphans = new HashMap<>();
     /** By team and account. */
     private final Map<String, Map<String, Amount>> charged = new HashMap<>();
+
     private final Map<String, Quota> quotas = new HashMap<>();
     private Observer observer;
 
@@ -236,7 +243,8 @@
         h.machines().forEach((machine, status) -> {
             Said before = said.get(machine);
             if (before == null || !before.at.isAfter(h.at())) {
-                Instant since = before != null && before.status.condition() == status.condition() ? before.since : h.at();
+                Instant since =
+                        before != null && before.status.condition() == status.condition() ? before.since : h.at();
                 said.put(machine, new Said(status, h.at(), since));
                 compose(machine);
             }
@@ -256,12 +264,19 @@
                 service = s.compareTo(service) > 0 ? s : service;
             }
             Said s = said.get(machine);
-            Condition c = switch (service) {
-                case RETIRING -> Condition.RETIRING;
-                case RETURNING -> Condition.RETURNING;
-                case IN_SERVICE -> s == null ? Condition.BOOTING : s.status.condition();
-            };
-            after = new MachineRecord(machine, b.type(), b.zone(), b.spot(), c, s == null ? b.since() : s.since,
+            Condition c =
+                    switch (service) {
+                        case RETIRING -> Condition.RETIRING;
+                        case RETURNING -> Condition.RETURNING;
+                        case IN_SERVICE -> s == null ? Condition.BOOTING : s.status.condition();
+                    };
+            after = new MachineRecord(
+                    machine,
+                    b.type(),
+                    b.zone(),
+                    b.spot(),
+                    c,
+                    s == null ? b.since() : s.since,
                     s == null ? List.of() : s.status.images());
         }
         MachineRecord before = after == null ? machines.remove(machine) : machines.put(machine, after);
--- a/src/main/java/org/havenford/bookkeeping/MachineBatch.java
+++ b/src/main/java/org/havenford/bookkeeping/MachineBatch.java
@@ -13,15 +13,20 @@
  * Machines that were rented or found together, under one key. It says no more than that they are there, and which of them
  * are to go; so hundreds can come and go with a few changes, and claims can be guarded by the key.
  */
-public record MachineBatch(String name, String type, String zone, boolean spot, Instant since, TreeMap<String, Service> machines) {
+public record MachineBatch(
+        String name, String type, String zone, boolean spot, Instant since, TreeMap<String, Service> machines) {
     /** Most machines in one batch. */
     public static final int MOST = 50;
 
+    /** Whether a machine takes claims, or is on its way back to the cloud. */
     public enum Service {
-        IN_SERVICE, RETIRING, RETURNING
+        IN_SERVICE,
+        RETIRING,
+        RETURNING
     }
 
-    public static MachineBatch of(String name, String type, String zone, boolean spot, Instant since, Collection<String> machines) {
+    public static MachineBatch of(
+            String name, String type, String zone, boolean spot, Instant since, Collection<String> machines) {
         TreeMap<String, Service> all = new TreeMap<>();
         machines.forEach(m -> all.put(m, Service.IN_SERVICE));
         return new MachineBatch(name, type, zone, spot, since, all);
@@ -56,7 +61,12 @@
         for (Map.Entry<String, JsonElement> e : Json.child(o, "m").entrySet()) {
             all.put(e.getKey(), Service.valueOf(e.getValue().getAsString().toUpperCase(Locale.ROOT)));
         }
-        return new MachineBatch(name, Json.text(o, "t"), Json.text(o, "z"), Json.flagOr(o, "b", false),
-                Instant.ofEpochMilli(Json.count(o, "at")), all);
+        return new MachineBatch(
+                name,
+                Json.text(o, "t"),
+                Json.text(o, "z"),
+                Json.flagOr(o, "b", false),
+                Instant.ofEpochMilli(Json.count(o, "at")),
+                all);
     }
 }
--- a/src/main/java/org/havenford/bookkeeping/MachineRecord.java
+++ b/src/main/java/org/havenford/bookkeeping/MachineRecord.java
@@ -4,9 +4,10 @@
 import java.util.List;
 
 /** What the store knows of a machine: from the batch it came with, and from what its owner last said of it. */
-public record MachineRecord(String name, String type, String zone, boolean spot, Condition condition, Instant since,
-        List<String> images) {
+public record MachineRecord(
+        String name, String type, String zone, boolean spot, Condition condition, Instant since, List<String> images) {
 
+    /** What is known of a machine's availability. */
     public enum Condition {
         /** Rented, has not reported yet. */
         BOOTING,
--- a/src/main/java/org/havenford/bookkeeping/Mirror.java
+++ b/src/main/java/org/havenford/bookkeeping/Mirror.java
@@ -22,6 +22,7 @@
     /** Part of this controller's requests that go to reopening the watch. */
     private static final double WATCHING = 0.25;
 
+    /** Receives the changes of the mirrored keys. */
     public interface Listener {
         /** {@code value} is null when the key is gone. */
         void changed(String key, JsonElement value, long stamp);
@@ -39,6 +40,7 @@
     private final Listener listener;
     /** Stamps of what we hold; negative for a key that was deleted at that stamp, until the watch has passed it. */
     private final Object2LongOpenHashMap<String> stamps = new Object2LongOpenHashMap<>();
+
     private boolean loaded;
     private long edition;
 
@@ -155,7 +157,8 @@
     }
 
     private void forgetTombstones() {
-        ObjectIterator<it.unimi.dsi.fastutil.objects.Object2LongMap.Entry<String>> it = stamps.object2LongEntrySet().iterator();
+        ObjectIterator<it.unimi.dsi.fastutil.objects.Object2LongMap.Entry<String>> it =
+                stamps.object2LongEntrySet().iterator();
         while (it.hasNext()) {
             long stamp = it.next().getLongValue();
             if (stamp < 0 && -stamp <= edition) {
--- a/src/main/java/org/havenford/bookkeeping/Quota.java
+++ b/src/main/java/org/havenford/bookkeeping/Quota.java
@@ -121,7 +121,9 @@
         try {
             for (Map.Entry<String, JsonElement> e : Json.child(o, SHARES).entrySet()) {
                 JsonArray pair = e.getValue().getAsJsonArray();
-                q.shares.put(e.getKey(), new Amount(pair.get(0).getAsDouble(), pair.get(1).getAsDouble()));
+                q.shares.put(
+                        e.getKey(),
+                        new Amount(pair.get(0).getAsDouble(), pair.get(1).getAsDouble()));
             }
         } catch (IllegalStateException | NumberFormatException | IndexOutOfBoundsException e) {
             throw new Json.BadMessage("shares of a limit can't be read");
--- a/src/main/java/org/havenford/bookkeeping/StateStore.java
+++ b/src/main/java/org/havenford/bookkeeping/StateStore.java
@@ -28,14 +28,17 @@
     private static final int MAX_QUEUED = 400;
     /** Part of the service's limits that the controllers use together when each keeps to its even share. */
     private static final double SAFETY = 0.92;
+
     private static final Duration ADJUST_EVERY = Duration.ofSeconds(1);
     private static final int MOST_BACK_OFF = 10;
     /** Part of an even share that is used however often the service refuses. */
     private static final double LEAST_SHARE = 0.7;
     /** How soon waiting calls are looked at again. */
     private static final Duration RETRY = Duration.ofMillis(20);
+
     private static final Duration QUIET = Duration.ofSeconds(2);
 
+    /** Classes of calls, the one that is sent first at the front. */
     public enum Urgency {
         /** Leases, and the view that depends on them. */
         LEASE,
@@ -53,9 +56,15 @@
 
     /** NOT_EXECUTED can't happen any more; UNKNOWN may have happened or may yet. */
     public enum Outcome {
-        OK, CONFLICT, ABSENT, NOT_EXECUTED, UNKNOWN, REJECTED
+        OK,
+        CONFLICT,
+        ABSENT,
+        NOT_EXECUTED,
+        UNKNOWN,
+        REJECTED
     }
 
+    /** Outcome of a call, and the body of the response where there is one. */
     public record Result(Outcome outcome, JsonObject body) {
         public boolean ok() {
             return outcome == Outcome.OK;
@@ -135,9 +144,15 @@
         }
     }
 
-    private record Pending(Urgency urgency, Instant until, String method, String path, String body, int writes, Duration timeout,
-            Consumer<Result> done) {
-    }
+    private record Pending(
+            Urgency urgency,
+            Instant until,
+            String method,
+            String path,
+            String body,
+            int writes,
+            Duration timeout,
+            Consumer<Result> done) {}
 
     private final EventLoop loop;
     private final HttpCalls calls;
@@ -153,6 +168,7 @@
     private int sharers;
     /** Our share of the limits, in even shares. */
     private double shares = 1;
+
     private boolean usedUp;
     private Instant lastRefusal = Instant.MIN;
     private Instant adjusted;
@@ -166,7 +182,14 @@
     private Instant leaseHoldOff = Instant.MIN;
 
     /** {@code nextWriteRps} is what the service's limit of changes may become without notice. */
-    public StateStore(EventLoop loop, HttpCalls calls, String address, double rps, double writeRps, double nextWriteRps, int sharers) {
+    public StateStore(
+            EventLoop loop,
+            HttpCalls calls,
+            String address,
+            double rps,
+            double writeRps,
+            double nextWriteRps,
+            int sharers) {
         this.leastShare = LEAST_SHARE * nextWriteRps / writeRps;
         this.loop = loop;
         this.calls = calls;
@@ -241,11 +264,24 @@
     public String tally() {
         StringBuilder text = new StringBuilder("requests");
         for (Urgency u : Urgency.values()) {
-            text.append(' ').append(u.name().toLowerCase(java.util.Locale.ROOT)).append(' ').append(sent[u.ordinal()]);
+            text.append(' ')
+                    .append(u.name().toLowerCase(java.util.Locale.ROOT))
+                    .append(' ')
+                    .append(sent[u.ordinal()]);
             sent[u.ordinal()] = 0;
         }
-        text.append(", changes ").append(changed).append(", conflicts ").append(conflicts).append(' ').append(conflictsOf).append(", refused ")
-                .append(refused).append(", given up ").append(givenUp).append(", waiting ").append(queued(Urgency.WORK) + queued(Urgency.CLAIM))
+        text.append(", changes ")
+                .append(changed)
+                .append(", conflicts ")
+                .append(conflicts)
+                .append(' ')
+                .append(conflictsOf)
+                .append(", refused ")
+                .append(refused)
+                .append(", given up ")
+                .append(givenUp)
+                .append(", waiting ")
+                .append(queued(Urgency.WORK) + queued(Urgency.CLAIM))
                 .append(String.format(java.util.Locale.ROOT, ", share %.2f", shares));
         changed = 0;
         conflicts = 0;
@@ -264,8 +300,14 @@
     }
 
     public void list(String prefix, String after, Consumer<Result> done) {
-        submit(Urgency.WATCH, "GET", "/store?prefix=" + prefix + (after == null ? "" : "&since=" + after) + "&limit=500",
-                null, 0, Duration.ofSeconds(4), done);
+        submit(
+                Urgency.WATCH,
+                "GET",
+                "/store?prefix=" + prefix + (after == null ? "" : "&since=" + after) + "&limit=500",
+                null,
+                0,
+                Duration.ofSeconds(4),
+                done);
     }
 
     public void commit(Txn txn, Urgency urgency, Consumer<Result> done) {
@@ -273,8 +315,14 @@
     }
 
     public void watch(String prefix, long since, Duration block, Consumer<Result> done) {
-        submit(Urgency.WATCH, "GET", "/changes?prefix=" + prefix + "&since=" + since + "&blockMs=" + block.toMillis(),
-                null, 0, block.plusSeconds(3), done);
+        submit(
+                Urgency.WATCH,
+                "GET",
+                "/changes?prefix=" + prefix + "&since=" + since + "&blockMs=" + block.toMillis(),
+                null,
+                0,
+                block.plusSeconds(3),
+                done);
     }
 
     public void createLease(Duration life, Consumer<Result> done) {
@@ -285,7 +333,13 @@
         submit(Urgency.LEASE, "POST", "/holds/" + permit + "/touch", null, 0, TIMEOUT, done);
     }
 
-    private void submit(Urgency urgency, String method, String path, String body, int writes, Duration timeout,
+    private void submit(
+            Urgency urgency,
+            String method,
+            String path,
+            String body,
+            int writes,
+            Duration timeout,
             Consumer<Result> done) {
         ArrayDeque<Pending> queue = queues.get(urgency.ordinal());
         if (queue.size() >= MAX_QUEUED) {
@@ -348,12 +402,13 @@
             return false;
         }
         // Accepting a job must not wait for a bucket that work has just emptied.
-        double left = switch (p.urgency) {
-            case USER -> 0;
-            case CLAIM -> 0.15;
-            case WORK -> 0.3;
-            default -> 0.5;
-        };
+        double left =
+                switch (p.urgency) {
+                    case USER -> 0;
+                    case CLAIM -> 0.15;
+                    case WORK -> 0.3;
+                    default -> 0.5;
+                };
         return requests.has(1 + requests.size() * left, now)
                 && (p.writes == 0 || changes.has(p.writes + changes.size() * left, now));
     }
@@ -390,7 +445,8 @@
             for (String key : Json.texts(r.body, "failed")) {
                 int first = key.indexOf('/');
                 int second = key.indexOf('/', first + 1);
-                conflictsOf.merge(second > 0 ? key.substring(first + 1, second) : key.substring(first + 1), 1, Integer::sum);
+                conflictsOf.merge(
+                        second > 0 ? key.substring(first + 1, second) : key.substring(first + 1), 1, Integer::sum);
             }
         } catch (Json.BadMessage e) {
             LOG.warn("state service: a conflict does not name its keys: {}", e.getMessage());
@@ -403,7 +459,12 @@
             try {
                 body = Json.object(reply.body());
             } catch (Json.BadMessage e) {
-                LOG.warn("state service: {} {} answered {} with a body that is {}", p.method, p.path, reply.status(), e.getMessage());
+                LOG.warn(
+                        "state service: {} {} answered {} with a body that is {}",
+                        p.method,
+                        p.path,
+                        reply.status(),
+                        e.getMessage());
                 return new Result(Outcome.UNKNOWN, null);
             }
         }
@@ -419,8 +480,13 @@
             case 503, HttpCalls.NOT_SENT:
                 return new Result(Outcome.NOT_EXECUTED, body);
             case 400:
-                LOG.error("state service: {} {} of {} bytes, {} changes, answered {}", p.method, p.path,
-                        p.body == null ? 0 : p.body.length(), p.writes, reply.body());
+                LOG.error(
+                        "state service: {} {} of {} bytes, {} changes, answered {}",
+                        p.method,
+                        p.path,
+                        p.body == null ? 0 : p.body.length(),
+                        p.writes,
+                        reply.body());
                 return new Result(Outcome.REJECTED, body);
             case 410:
                 LOG.warn("state service: {} {} answered {} {}", p.method, p.path, reply.status(), reply.body());
--- a/src/main/java/org/havenford/coordination/Controller.java
+++ b/src/main/java/org/havenford/coordination/Controller.java
@@ -33,6 +33,7 @@
     private static final int RESTS = 12;
     /** Time for a worker to hear of a cancellation, and for clocks that differ. */
     private static final Duration CANCEL_MARGIN = Duration.ofSeconds(6);
+
     private static final Duration TALLY = Duration.ofSeconds(60);
 
     private final EventLoop loop;
@@ -53,12 +54,26 @@
 
     public Controller(EventLoop loop, HttpCalls calls, Settings settings, Operator operator) {
         this.loop = loop;
-        store = new StateStore(loop, calls, settings.stateAddress(), settings.stateRps(), settings.stateWriteRps(), settings.nextWriteRps(),
+        store = new StateStore(
+                loop,
+                calls,
+                settings.stateAddress(),
+                settings.stateRps(),
+                settings.stateWriteRps(),
+                settings.nextWriteRps(),
                 settings.peers().size() + 1);
         mirror = new Mirror(loop, store, Keys.MIRRORED, ledger);
-        membership = new Membership(loop, store, mirror, settings.node(), nodes(settings),
-                membershipLife(settings, operator), this::viewChanged, this::ownedBy);
-        fleet = new Fleet(loop, calls, settings, operator, ledger, mirror, store, membership, this::endsChanged, this::wake);
+        membership = new Membership(
+                loop,
+                store,
+                mirror,
+                settings.node(),
+                nodes(settings),
+                membershipLife(settings, operator),
+                this::viewChanged,
+                this::ownedBy);
+        fleet = new Fleet(
+                loop, calls, settings, operator, ledger, mirror, store, membership, this::endsChanged, this::wake);
         scheduler = new Scheduler(loop, settings, operator, ledger, mirror, store, membership, fleet, this::wake);
         provisioner = new Provisioner(loop, calls, settings, operator, ledger, mirror, store, membership, this::wake);
         users = new Users(loop, settings, ledger, mirror, store, this::wake);
@@ -86,7 +101,10 @@
 
             @Override
             public void loaded() {
-                LOG.info("the store has been read: {} jobs, {} machines", ledger.jobs().size(), ledger.machines().size());
+                LOG.info(
+                        "the store has been read: {} jobs, {} machines",
+                        ledger.jobs().size(),
+                        ledger.machines().size());
             }
         });
         nextTally = loop.now().plus(TALLY);
@@ -130,7 +148,8 @@
     private void tick() {
         Instant due = loop.now().plus(TICK);
         loop.after(TICK, () -> {
-            lagMicros.recordValue(Math.max(0, Math.min(60_000_000L, Duration.between(due, loop.now()).toNanos() / 1000)));
+            lagMicros.recordValue(Math.max(
+                    0, Math.min(60_000_000L, Duration.between(due, loop.now()).toNanos() / 1000)));
             tick();
             round();
             provisioner.step();
@@ -159,7 +178,8 @@
         scheduler.step();
         fleet.pushChanged();
         Instant end = loop.now();
-        restUntil = end.plusNanos(Duration.between(start, end).toNanos() * RESTS).plus(BETWEEN_ROUNDS);
+        restUntil =
+                end.plusNanos(Duration.between(start, end).toNanos() * RESTS).plus(BETWEEN_ROUNDS);
     }
 
     private void tally() {
@@ -168,11 +188,19 @@
         }
         nextTally = loop.now().plus(TALLY);
         Histogram rounds = scheduler.roundMicros();
-        LOG.info("rounds {} (p50 {} us, p99 {} us), answers {} (p50 {} us, p99 {} us), timers late p99 {} us, late tasks {}, "
-                + "jobs {}, machines {}, memory {} MB", rounds.getTotalCount(), rounds.getValueAtPercentile(50),
-                rounds.getValueAtPercentile(99), answerMicros.getTotalCount(), answerMicros.getValueAtPercentile(50),
-                answerMicros.getValueAtPercentile(99), lagMicros.getValueAtPercentile(99), fleet.lateFired(),
-                ledger.jobs().size(), ledger.machines().size(),
+        LOG.info(
+                "rounds {} (p50 {} us, p99 {} us), answers {} (p50 {} us, p99 {} us), timers late p99 {} us, late tasks {}, "
+                        + "jobs {}, machines {}, memory {} MB",
+                rounds.getTotalCount(),
+                rounds.getValueAtPercentile(50),
+                rounds.getValueAtPercentile(99),
+                answerMicros.getTotalCount(),
+                answerMicros.getValueAtPercentile(50),
+                answerMicros.getValueAtPercentile(99),
+                lagMicros.getValueAtPercentile(99),
+                fleet.lateFired(),
+                ledger.jobs().size(),
+                ledger.machines().size(),
                 (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 20);
         LOG.info("store: {}", store.tally());
         rounds.reset();
@@ -186,7 +214,8 @@
     public void handle(Request request, Consumer<Response> answer) {
         Instant start = loop.now();
         route(request, response -> {
-            answerMicros.recordValue(Math.max(0, Math.min(60_000_000L, Duration.between(start, loop.now()).toNanos() / 1000)));
+            answerMicros.recordValue(Math.max(
+                    0, Math.min(60_000_000L, Duration.between(start, loop.now()).toNanos() / 1000)));
             answer.accept(response);
         });
     }
@@ -198,7 +227,9 @@
         if (path.equals("/checkin") && post) {
             answer.accept(checkin(request.body()));
         } else if (path.equals("/healthz") && get) {
-            boolean well = mirror.loaded() && membership.leaseHolds() && !ledger.types().isEmpty();
+            boolean well = mirror.loaded()
+                    && membership.leaseHolds()
+                    && !ledger.types().isEmpty();
             answer.accept(well ? Response.of(200, "{}") : Response.of(503, "{}"));
         } else if (path.equals("/submissions") && post) {
             users.submit(request.body(), answer);
--- a/src/main/java/org/havenford/coordination/Demand.java
+++ b/src/main/java/org/havenford/coordination/Demand.java
@@ -20,12 +20,10 @@
 /** How many machines of each kind the unfinished work asks for. */
 public final class Demand {
     /** A type of machine, spot or ordinary. */
-    public record Kind(String type, boolean spot) {
-    }
+    public record Kind(String type, boolean spot) {}
 
     /** Tasks of one job that should be able to run at the same time; one that is stuck needs a whole machine to begin with. */
-    record Want(JobSpec spec, double tasks, boolean stuck) {
-    }
+    record Want(JobSpec spec, double tasks, boolean stuck) {}
 
     /** A job without a running task for this long after it came is stuck: what is there does not take it. */
     private static final Duration STUCK = Duration.ofSeconds(30);
@@ -34,8 +32,7 @@
     /** Part of the wait that a class allows that is used to run its tasks one after the other. */
     private static final double FOLLOWING = 0.5;
 
-    private Demand() {
-    }
+    private Demand() {}
 
     /** Tasks of a job that fit on one machine. */
     static int slots(JobSpec s, MachineType t) {
@@ -67,7 +64,9 @@
             if (patient) {
                 Duration median = j.medianRun();
                 double run = Math.max(1, (median == null ? s.guess() : median).toMillis() / 1e3);
-                double time = j.due() == null ? 0 : Duration.between(timeOfDay, j.due()).toMillis() / 1e3 - fetch(s, ledger);
+                double time = j.due() == null
+                        ? 0
+                        : Duration.between(timeOfDay, j.due()).toMillis() / 1e3 - fetch(s, ledger);
                 if (time >= run) {
                     tasks = left / Math.max(1, Math.floor(time * 0.8 / run));
                 } else {
@@ -86,7 +85,10 @@
                 tasks = Math.min(tasks, Math.max(0, (team.cpusMax() - sofar) / s.cpus()));
                 used.put(s.team(), sofar + tasks * s.cpus());
             }
-            boolean stuck = j.pendingCount() > 0 && j.claimCount() == 0 && tasks > 0 && timeOfDay.isAfter(j.released().plus(STUCK));
+            boolean stuck = j.pendingCount() > 0
+                    && j.claimCount() == 0
+                    && tasks > 0
+                    && timeOfDay.isAfter(j.released().plus(STUCK));
             out.add(new Want(s, tasks, stuck));
         }
         return out;
@@ -108,16 +110,27 @@
 
     /** Seconds within which the class's tasks should start; 0 where nothing is said. */
     private static double startWithin(JobSpec s, Settings settings) {
-        return settings.objectives().stream().filter(o -> o.kind().equals("wait") && o.lineup().equals(s.lineup()) && o.within() != null)
-                .mapToDouble(o -> o.within().toMillis() / 1e3).min().orElse(0);
+        return settings.objectives().stream()
+                .filter(o -> o.kind().equals("wait") && o.lineup().equals(s.lineup()) && o.within() != null)
+                .mapToDouble(o -> o.within().toMillis() / 1e3)
+                .min()
+                .orElse(0);
     }
 
     private static double boot(JobSpec s, Ledger ledger) {
-        return ledger.types().values().stream().filter(s::fits).mapToDouble(t -> t.boot().toMillis() / 1e3).min().orElse(60);
+        return ledger.types().values().stream()
+                .filter(s::fits)
+                .mapToDouble(t -> t.boot().toMillis() / 1e3)
+                .min()
+                .orElse(60);
     }
 
     private static double fetch(JobSpec s, Ledger ledger) {
-        double rate = ledger.types().values().stream().filter(s::fits).mapToDouble(MachineType::fetchGbPerS).max().orElse(1);
+        double rate = ledger.types().values().stream()
+                .filter(s::fits)
+                .mapToDouble(MachineType::fetchGbPerS)
+                .max()
+                .orElse(1);
         return s.imageGb() / Math.max(0.01, rate);
     }
 
@@ -135,18 +148,22 @@
      * Spreads the wants over the kinds, cheapest first; the jobs with the least choice go first. A kind that the cloud
      * has refused counts only with what is there.
      */
-    static Object2DoubleOpenHashMap<Kind> machines(List<Want> wants, Map<String, MachineType> types,
-            Predicate<Kind> exhausted, Map<Kind, Integer> have) {
+    static Object2DoubleOpenHashMap<Kind> machines(
+            List<Want> wants, Map<String, MachineType> types, Predicate<Kind> exhausted, Map<Kind, Integer> have) {
         Object2DoubleOpenHashMap<Kind> out = new Object2DoubleOpenHashMap<>();
         List<Want> sorted = new ArrayList<>(wants);
         Set<String> onlyChoice = new HashSet<>();
         for (Want w : wants) {
-            List<MachineType> fit = types.values().stream().filter(t -> allowed(w.spec(), t, false)).toList();
+            List<MachineType> fit = types.values().stream()
+                    .filter(t -> allowed(w.spec(), t, false))
+                    .toList();
             if (fit.size() == 1) {
                 onlyChoice.add(fit.get(0).name());
             }
         }
-        sorted.sort(Comparator.comparingLong((Want w) -> types.values().stream().filter(t -> allowed(w.spec(), t, false)).count())
+        sorted.sort(Comparator.comparingLong((Want w) -> types.values().stream()
+                        .filter(t -> allowed(w.spec(), t, false))
+                        .count())
                 .thenComparing(w -> w.spec().id()));
         for (Want w : sorted) {
             JobSpec s = w.spec();
--- a/src/main/java/org/havenford/coordination/Fleet.java
+++ b/src/main/java/org/havenford/coordination/Fleet.java
@@ -74,19 +74,23 @@
     private final Map<Claim, Ending> endings = new LinkedHashMap<>();
     /** Machines that keep coming here although another node owns them: first seen, number of times. */
     private final Object2ObjectOpenHashMap<String, Instant[]> strays = new Object2ObjectOpenHashMap<>();
+
     private final Object2ObjectOpenHashMap<String, Double> imageGb = new Object2ObjectOpenHashMap<>();
     /** Machines to be looked at in the next round; the sweep looks at all. */
     private final Set<String> changed = new LinkedHashSet<>();
     /** Machines in no record that are about to be written. */
     private final Set<String> adopting = new LinkedHashSet<>();
+
     private long batches;
     private int parts = 1;
     private final List<Told> told = new ArrayList<>();
     /** Workers that were ours when this node was put to rest. */
     private final List<Probed> probed = new ArrayList<>();
+
     private final Consumer<String> endsChanged;
     /** Ages of a report, worked out once: they are compared for each machine in each round. */
     private final Duration fresh;
+
     private final Duration reachable;
     private final Duration silent;
     private Instant nextSweep = Instant.MIN;
@@ -96,8 +100,17 @@
     private boolean knownAtAll;
     private long lateFired;
 
-    public Fleet(EventLoop loop, HttpCalls calls, Settings settings, Operator operator, Ledger ledger, Mirror mirror,
-            StateStore store, Membership membership, Consumer<String> endsChanged, Runnable wake) {
+    public Fleet(
+            EventLoop loop,
+            HttpCalls calls,
+            Settings settings,
+            Operator operator,
+            Ledger ledger,
+            Mirror mirror,
+            StateStore store,
+            Membership membership,
+            Consumer<String> endsChanged,
+            Runnable wake) {
         this.endsChanged = endsChanged;
         this.fresh = settings.report().multipliedBy(2);
         this.reachable = settings.report().multipliedBy(3);
@@ -158,7 +171,10 @@
         for (String name : List.copyOf(machines.keySet())) {
             MachineState m = machines.get(name);
             // It was ours in the view before, or it would not be here.
-            boolean keeps = mine(name) && view.members().get(settings.node()).equals(known.members().get(settings.node()));
+            boolean keeps = mine(name)
+                    && view.members()
+                            .get(settings.node())
+                            .equals(known.members().get(settings.node()));
             if (!mine(name)) {
                 machines.remove(name);
                 if (m.report != null && probed.size() < PROBES) {
@@ -214,8 +230,7 @@
     // ---- reports
 
     /** What to answer a report: null for 503, a node's name for 421, or the body of a 200. */
-    public record Answer(int status, String body) {
-    }
+    public record Answer(int status, String body) {}
 
     public Answer checkin(Report r) {
         if (!membership.entitled() || !mirror.loaded()) {
@@ -240,7 +255,9 @@
         // A report that says nothing new needs no round: of a thousand machines some hundred say so each second.
         boolean news = false;
         if (r.newerThan(m.report)) {
-            news = m.report == null || m.condition != Condition.UP || r.session() != m.report.session()
+            news = m.report == null
+                    || m.condition != Condition.UP
+                    || r.session() != m.report.session()
                     || !r.tasks().equals(m.report.tasks());
             countAnswered(m, r);
             take(m, r, true);
@@ -358,16 +375,20 @@
             case RUNNING -> {
                 if (a.runFrom == null) {
                     a.runFrom = now;
-                    a.sawRunStart = a.sawFetchStart || Duration.between(c.at(), loop.timeOfDay()).compareTo(fresh) < 0;
+                    a.sawRunStart = a.sawFetchStart
+                            || Duration.between(c.at(), loop.timeOfDay()).compareTo(fresh) < 0;
                     if (a.sawRunStart) {
-                        a.fetchSeconds = a.fetchFrom == null ? 0 : Duration.between(a.fetchFrom, now).toMillis() / 1e3;
+                        a.fetchSeconds = a.fetchFrom == null
+                                ? 0
+                                : Duration.between(a.fetchFrom, now).toMillis() / 1e3;
                     }
                 }
                 cached(m, c);
             }
-            case SAVING -> {
-            }
             case EXITED -> exited(m, c, a, e.why());
+            default -> {
+                // A task that is saving still holds its resources.
+            }
         }
     }
 
@@ -381,7 +402,9 @@
         switch (why) {
             case "done" -> {
                 cached(m, c);
-                double run = a.sawRunStart && a.runFrom != null ? Duration.between(a.runFrom, loop.now()).toMillis() / 1e3 : -1;
+                double run = a.sawRunStart && a.runFrom != null
+                        ? Duration.between(a.runFrom, loop.now()).toMillis() / 1e3
+                        : -1;
                 m.failedJobs.clear();
                 end(c, new Ending(true, false, false, a.fetchSeconds, run));
             }
@@ -442,7 +465,9 @@
                 }
                 if (a.stop != null) {
                     Job j = ledger.job(c.task().job());
-                    Duration save = j == null || a.stop == StopReason.CANCELLED ? Duration.ZERO : j.spec().save();
+                    Duration save = j == null || a.stop == StopReason.CANCELLED
+                            ? Duration.ZERO
+                            : j.spec().save();
                     if (e.state() != Report.State.SAVING || a.stop == StopReason.CANCELLED) {
                         out.add(new Command(Command.Op.STOP, e.task(), e.attempt(), save));
                     }
@@ -455,8 +480,13 @@
         // What others cancelled in our blind seconds must not start: runs wait until our copy has caught up. gap.trace
         for (Claim c : membership.current() ? claims.values() : List.<Claim>of()) {
             Attempt a = m.attempt(c.task(), c.attempt());
-            if (c.session() == r.session() && !a.seen && a.stop == null && !cancelled(c)
-                    && !endings.containsKey(c) && r.find(c.task(), c.attempt()) == null && out.size() < most) {
+            if (c.session() == r.session()
+                    && !a.seen
+                    && a.stop == null
+                    && !cancelled(c)
+                    && !endings.containsKey(c)
+                    && r.find(c.task(), c.attempt()) == null
+                    && out.size() < most) {
                 out.add(new Command(Command.Op.RUN, c.task(), c.attempt(), Duration.ZERO));
             }
         }
@@ -482,7 +512,10 @@
     /** Sends what differs to the worker itself, without waiting for its next report. */
     public void push(MachineState m) {
         Instant now = loop.now();
-        if (m.directInFlight || now.isBefore(m.directNotBefore) || m.report == null || !membership.entitled()
+        if (m.directInFlight
+                || now.isBefore(m.directNotBefore)
+                || m.report == null
+                || !membership.entitled()
                 || Duration.between(m.heard, now).compareTo(reachable) > 0) {
             return;
         }
@@ -510,7 +543,9 @@
                 } catch (Json.BadMessage e) {
                     LOG.warn("{}: an answer to /do can't be read: {}", m.name, e.getMessage());
                 }
-                m.directNotBefore = reply.status() == 409 ? loop.now().plusMillis(500) : loop.now().plusMillis(20);
+                m.directNotBefore = reply.status() == 409
+                        ? loop.now().plusMillis(500)
+                        : loop.now().plusMillis(20);
             } else {
                 // The worker's next report brings the same commands; here nothing is gained by hurry.
                 m.directNotBefore = loop.now().plusSeconds(3);
@@ -589,14 +624,17 @@
             }
         }
         tell(now);
-        machines.values().removeIf(m -> ledger.machine(m.name) == null && ledger.claimsOn(m.name).isEmpty()
-                && Duration.between(later(m.renewed, m.heard.equals(Instant.MIN) ? m.renewed : m.heard), now).toMinutes() > 3);
+        machines.values()
+                .removeIf(m -> ledger.machine(m.name) == null
+                        && ledger.claimsOn(m.name).isEmpty()
+                        && Duration.between(later(m.renewed, m.heard.equals(Instant.MIN) ? m.renewed : m.heard), now)
+                                        .toMinutes()
+                                > 3);
         endings.keySet().removeIf(c -> !holds(c));
         strays.values().removeIf(s -> now.isAfter(s[1].plusSeconds(60)));
     }
 
-    private record Probed(String machine, String endpoint) {
-    }
+    private record Probed(String machine, String endpoint) {}
 
     /** While this node rests, it asks workers now and then whether it reaches them. */
     private void probe(Instant now) {
@@ -621,7 +659,9 @@
     }
 
     private Instant leaseEnd(MachineState m) {
-        return m.renewed.plusNanos((long) (settings.workerLease().toNanos() * 1.002)).plus(LEASE_MARGIN);
+        return m.renewed
+                .plusNanos((long) (settings.workerLease().toNanos() * 1.002))
+                .plus(LEASE_MARGIN);
     }
 
     public boolean usable(MachineRecord r, Instant now) {
@@ -629,8 +669,12 @@
         if (m == null) {
             return !mine(r.name());
         }
-        // Answers to /do renew no lease: what starts on a machine that only answers is killed with it. mute-machine.trace
-        return m.report != null && m.noticeUntil == null && !now.isBefore(m.refusedUntil) && now.isBefore(m.reported.plus(fresh));
+        // Answers to /do renew no lease: what starts on a machine that only answers is killed with it.
+        // mute-machine.trace
+        return m.report != null
+                && m.noticeUntil == null
+                && !now.isBefore(m.refusedUntil)
+                && now.isBefore(m.reported.plus(fresh));
     }
 
     public boolean avoided(TaskId task, String machine) {
@@ -643,8 +687,14 @@
             Attempt a = m.attempts.get(c.task());
             Job j = ledger.job(c.task().job());
             // A running task goes on: what is late there is not restarted.
-            if (a == null || a.number != c.attempt() || !a.seen || a.runFrom != null || a.fetchFrom == null
-                    || a.stop != null || j == null || j.doneCount() < operator.lateMinimumDone()
+            if (a == null
+                    || a.number != c.attempt()
+                    || !a.seen
+                    || a.runFrom != null
+                    || a.fetchFrom == null
+                    || a.stop != null
+                    || j == null
+                    || j.doneCount() < operator.lateMinimumDone()
                     || j.stored(j.chunkOf(c.task().index())).wasLate(c.task().index())) {
                 continue;
             }
@@ -657,8 +707,14 @@
             double p = Lateness.coefficient(t, fetch.plus(run));
             if (p > operator.lateThreshold()) {
                 lateFired++;
-                LOG.info("late: {} on {} has fetched for {} (medians {} and {}), p = {}", c.task(), m.name,
-                        Duration.between(a.fetchFrom, now), fetch, run, p);
+                LOG.info(
+                        "late: {} on {} has fetched for {} (medians {} and {}), p = {}",
+                        c.task(),
+                        m.name,
+                        Duration.between(a.fetchFrom, now),
+                        fetch,
+                        run,
+                        p);
                 a.stop = StopReason.LATE;
                 changed.add(m.name);
             }
@@ -698,7 +754,8 @@
         if (m.unknownSince == null) {
             m.unknownSince = loop.now();
         }
-        boolean rentalsOpen = !ledger.bookings().isEmpty() && loop.now().isBefore(m.unknownSince.plus(RENTALS_ANSWERED));
+        boolean rentalsOpen =
+                !ledger.bookings().isEmpty() && loop.now().isBefore(m.unknownSince.plus(RENTALS_ANSWERED));
         if (rentalsOpen || adopting.contains(m.name)) {
             return;
         }
@@ -716,18 +773,27 @@
             MachineState m = machines.get(name);
             if (m != null && m.report != null && ledger.machine(name) == null) {
                 Report r = m.report;
-                alike.computeIfAbsent(r.type() + "|" + r.zone() + "|" + r.spot(), k -> new ArrayList<>()).add(r);
+                alike.computeIfAbsent(r.type() + "|" + r.zone() + "|" + r.spot(), k -> new ArrayList<>())
+                        .add(r);
             }
         }
         adopting.clear();
         for (List<Report> all : alike.values()) {
             for (List<Report> part : Lists.partition(all, MachineBatch.MOST)) {
                 Report one = part.get(0);
-                String name = "a-" + settings.node() + "-" + membership.view().members().get(settings.node()) + "-" + ++batches;
-                MachineBatch batch = MachineBatch.of(name, one.type(), one.zone(), one.spot(), loop.timeOfDay(),
+                String name = "a-" + settings.node() + "-"
+                        + membership.view().members().get(settings.node()) + "-" + ++batches;
+                MachineBatch batch = MachineBatch.of(
+                        name,
+                        one.type(),
+                        one.zone(),
+                        one.spot(),
+                        loop.timeOfDay(),
                         part.stream().map(Report::machine).toList());
-                StateStore.Txn txn = new StateStore.Txn().guard(Keys.VIEW, membership.viewStamp())
-                        .guard(Keys.batch(name), 0).set(Keys.batch(name), batch.toJson());
+                StateStore.Txn txn = new StateStore.Txn()
+                        .guard(Keys.VIEW, membership.viewStamp())
+                        .guard(Keys.batch(name), 0)
+                        .set(Keys.batch(name), batch.toJson());
                 store.commit(txn, StateStore.Urgency.WORK, r -> {
                     if (r.ok()) {
                         mirror.committed(txn, r.edition());
@@ -743,14 +809,17 @@
         boolean heardLately = m.report != null && now.isBefore(m.reported.plus(fresh));
         Instant lastSign = m.report == null ? m.renewed : m.reported;
         if (heardLately) {
-            c = m.unanswered >= MOST_UNANSWERED ? Condition.SILENT
-                    : m.failedJobs.size() >= 2 || c == Condition.FAULTY ? Condition.FAULTY
-                    : m.noticeUntil != null ? Condition.DRAINING : Condition.UP;
+            c = m.unanswered >= MOST_UNANSWERED
+                    ? Condition.SILENT
+                    : m.failedJobs.size() >= 2 || c == Condition.FAULTY
+                            ? Condition.FAULTY
+                            : m.noticeUntil != null ? Condition.DRAINING : Condition.UP;
         } else if (m.report == null && r.condition().compareTo(Condition.RETIRING) < 0) {
             // Not heard yet: what the owner before us said.
             c = r.condition();
         }
-        if ((c == Condition.UP || c == Condition.DRAINING) && Duration.between(lastSign, now).compareTo(silence(m)) > 0) {
+        if ((c == Condition.UP || c == Condition.DRAINING)
+                && Duration.between(lastSign, now).compareTo(silence(m)) > 0) {
             c = Condition.SILENT;
         }
         if (c != m.condition) {
@@ -761,7 +830,8 @@
 
     /** The condition of a machine: of our own we know it before it is on record. */
     public Condition condition(MachineRecord r) {
-        MachineState m = r.condition().compareTo(Condition.RETIRING) >= 0 || !mine(r.name()) ? null : machines.get(r.name());
+        MachineState m =
+                r.condition().compareTo(Condition.RETIRING) >= 0 || !mine(r.name()) ? null : machines.get(r.name());
         return m == null ? r.condition() : m.condition;
     }
 
@@ -784,7 +854,12 @@
             for (int i = 0; i < parts && split.get(part).size() >= Heard.MOST; i++) {
                 part = (part + 1) % parts;
             }
-            split.get(part).put(m.name, new Heard.Status(m.condition, m.images == null ? ledger.machine(m.name).images() : m.images));
+            split.get(part)
+                    .put(
+                            m.name,
+                            new Heard.Status(
+                                    m.condition,
+                                    m.images == null ? ledger.machine(m.name).images() : m.images));
         }
         for (int i = 0; i < parts; i++) {
             tell(i, split.get(i), now);
@@ -800,12 +875,18 @@
             return;
         }
         // A machine that is gone need not be told of: its record says so.
-        boolean conditions = t.machines == null || what.entrySet().stream().anyMatch(
-                e -> !t.machines.containsKey(e.getKey()) || e.getValue().condition() != t.machines.get(e.getKey()).condition());
+        boolean conditions = t.machines == null
+                || what.entrySet().stream()
+                        .anyMatch(e -> !t.machines.containsKey(e.getKey())
+                                || e.getValue().condition()
+                                        != t.machines.get(e.getKey()).condition());
         if (now.isBefore(t.at.plus(conditions && !store.pressed() ? TELL_EVERY : TELL_IMAGES_EVERY))) {
             return;
         }
-        StateStore.Txn txn = new StateStore.Txn().set(Keys.heard(settings.node(), part), new Heard(loop.timeOfDay(), what).toJson(settings.valueBytes()));
+        StateStore.Txn txn = new StateStore.Txn()
+                .set(
+                        Keys.heard(settings.node(), part),
+                        new Heard(loop.timeOfDay(), what).toJson(settings.valueBytes()));
         t.inFlight = true;
         t.at = now;
         store.commit(txn, conditions ? StateStore.Urgency.WORK : StateStore.Urgency.SPARE, r -> {
--- a/src/main/java/org/havenford/coordination/Lateness.java
+++ b/src/main/java/org/havenford/coordination/Lateness.java
@@ -7,8 +7,7 @@
  * medians. The phases here are image fetch and run.
  */
 public final class Lateness {
-    private Lateness() {
-    }
+    private Lateness() {}
 
     /** p = t / (t̃ + t). */
     public static double coefficient(Duration estimate, Duration medians) {
--- a/src/main/java/org/havenford/coordination/MachineState.java
+++ b/src/main/java/org/havenford/coordination/MachineState.java
@@ -13,7 +13,10 @@
 final class MachineState {
     /** Why a task is to be stopped, although its claim still holds. */
     enum StopReason {
-        CANCELLED, LATE, PREEMPTED, DRAINED
+        CANCELLED,
+        LATE,
+        PREEMPTED,
+        DRAINED
     }
 
     /** One claimed attempt as seen from here. */
@@ -25,6 +28,7 @@
         long directToken = -1;
         /** When the phases began, where this controller saw it happen. */
         Instant fetchFrom;
+
         Instant runFrom;
         boolean sawFetchStart;
         boolean sawRunStart;
@@ -41,6 +45,7 @@
     Report report;
     /** Session and sequence of the newest report that came by itself, not as an answer to a command. */
     long checkinSession = -1;
+
     long checkinSeq = -1;
     /** Steady time of the newest report, answers to commands included. */
     Instant heard = Instant.MIN;
@@ -48,10 +53,12 @@
     Instant reported = Instant.MIN;
     /** The last moment at which any owner could have renewed the worker's lease. */
     Instant renewed;
+
     long epoch;
     long fence;
     /** A {@code run} has gone out by /do under the present fence. */
     boolean ranDirectly;
+
     boolean directInFlight;
     Instant directNotBefore = Instant.MIN;
     Instant refusedUntil = Instant.MIN;
@@ -63,9 +70,11 @@
     int unanswered;
     /** Answers to /do since the last report; each raises the worker's sequence too. */
     int directAnswers;
+
     Instant noticeUntil;
     /** Images that the machine should have cached, the latest first; null until the record's are taken over. */
     List<String> images;
+
     final Object2ObjectOpenHashMap<TaskId, Attempt> attempts = new Object2ObjectOpenHashMap<>();
     /** Jobs that failed here since the last task that completed. */
     final Set<String> failedJobs = new HashSet<>();
--- a/src/main/java/org/havenford/coordination/Membership.java
+++ b/src/main/java/org/havenford/coordination/Membership.java
@@ -29,6 +29,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
     /** Steady clocks drift apart by 0.05%; twice that, and the time that a tick may be late. */
     private static final double DRIFT = 0.001;
+
     private static final Duration MARGIN = Duration.ofMillis(150);
 
     /** Keeps the view's value within 2 KiB. */
@@ -39,24 +40,24 @@
     private static final Duration SETTLING = Duration.ofSeconds(12);
     /** Part of a member's machines that must stray before it is taken to be out of their reach. */
     private static final double OUT_OF_REACH = 0.125;
+
     private static final int LEAST_STRAYS = 2;
     private static final int MAX_KEPT = 20_000;
 
     /** Of what this program reads and writes; 1 is what came before pipelines, and says nothing of itself. */
     private static final int FORMAT = 2;
 
-    private record Member(long incarnation, long stamp) {
-    }
+    private record Member(long incarnation, long stamp) {}
 
     /** The view was found as we hold it, at this edition of the store. */
-    private record Comparison(Instant sent, long edition) {
-    }
+    private record Comparison(Instant sent, long edition) {}
 
     private final EventLoop loop;
     private final StateStore store;
     private final String node;
     /** All controllers of the deployment, and those that have been seen to read format 2. */
     private final Set<String> configured;
+
     private final Set<String> renewed = new HashSet<>();
     private final Duration life;
     private final Mirror mirror;
@@ -66,6 +67,7 @@
     private final TreeMap<String, String> wantedMoves = new TreeMap<>();
     /** Machines that were sent to their owner from here, by owner. */
     private final Map<String, Map<String, Instant>> strays = new HashMap<>();
+
     private final Object2ObjectOpenHashMap<String, String> owners = new Object2ObjectOpenHashMap<>();
     private Instant viewSince = Instant.MIN;
     private boolean wantsToWake;
@@ -77,11 +79,19 @@
     private Instant leaseUntil = Instant.MIN;
     /** Comparisons that found our view, and that our copy has yet to catch up with; the oldest first. */
     private final ArrayDeque<Comparison> compared = new ArrayDeque<>();
+
     private Instant verified = Instant.MIN;
     private Instant lastProposal = Instant.MIN;
 
     /** {@code ownedBy} tells how many machines a node owns. */
-    public Membership(EventLoop loop, StateStore store, Mirror mirror, String node, Set<String> configured, Duration life, Runnable changed,
+    public Membership(
+            EventLoop loop,
+            StateStore store,
+            Mirror mirror,
+            String node,
+            Set<String> configured,
+            Duration life,
+            Runnable changed,
             ToIntFunction<String> ownedBy) {
         this.ownedBy = ownedBy;
         this.loop = loop;
@@ -176,7 +186,9 @@
     }
 
     private static Instant until(Instant sent, Duration time) {
-        return sent.equals(Instant.MIN) ? sent : sent.plusNanos((long) (time.toNanos() * (1 - DRIFT))).minus(MARGIN);
+        return sent.equals(Instant.MIN)
+                ? sent
+                : sent.plusNanos((long) (time.toNanos() * (1 - DRIFT))).minus(MARGIN);
     }
 
     private void acquire() {
@@ -230,7 +242,9 @@
         long stamp = viewStamp;
         store.commit(new StateStore.Txn().guard(Keys.VIEW, stamp), StateStore.Urgency.LEASE, r -> {
             // Answers may overtake each other; of an older comparison nothing is learnt then.
-            if (r.ok() && stamp == viewStamp && (compared.isEmpty() || compared.peekLast().sent().isBefore(sent))
+            if (r.ok()
+                    && stamp == viewStamp
+                    && (compared.isEmpty() || compared.peekLast().sent().isBefore(sent))
                     && verified.isBefore(sent)) {
                 compared.add(new Comparison(sent, r.edition()));
             }
@@ -289,7 +303,11 @@
             viewStamp = value == null ? 0 : stamp;
             compared.clear();
             verified = Instant.MIN;
-            LOG.info("view {}: members {}, moved {}, resting {}", view.epoch(), view.members(), view.moved().size(),
+            LOG.info(
+                    "view {}: members {}, moved {}, resting {}",
+                    view.epoch(),
+                    view.members(),
+                    view.moved().size(),
                     view.resting());
             store.share(view.members().size());
             // Moved by another meanwhile, or to be decided anew among other members.
@@ -305,7 +323,8 @@
 
     /** Asks for a machine that seems unable to reach its owner; once for each set of members, or it would be handed round. */
     public void wantMove(String machine) {
-        if (wantedMoves.size() + view.moved().size() < MAX_MOVES && !view.moved().containsKey(machine)) {
+        if (wantedMoves.size() + view.moved().size() < MAX_MOVES
+                && !view.moved().containsKey(machine)) {
             wantedMoves.put(machine, node);
         }
     }
@@ -345,7 +364,9 @@
                 second = Math.max(second, part);
             }
         }
-        return worst != null && !worst.equals(node) && worstPart >= OUT_OF_REACH && second < worstPart / 2 ? worst : null;
+        return worst != null && !worst.equals(node) && worstPart >= OUT_OF_REACH && second < worstPart / 2
+                ? worst
+                : null;
     }
 
     /** One turn of the loop: proposes the wanted view if it differs from the one in force. */
@@ -357,7 +378,8 @@
         members.forEach((name, m) -> wanted.put(name, m.incarnation()));
         Long mine = wanted.get(node);
         if (mine == null || mine != permit) {
-            // The registration of a former life, carried out again, has taken our key and goes with the lease of that life.
+            // The registration of a former life, carried out again, has taken our key and goes with the lease of that
+            // life.
             // registered-by-a-former-life.trace
             registered = false;
             register();
@@ -375,7 +397,8 @@
         if (sameMembers) {
             moved.putAll(view.moved());
             moved.putAll(wantedMoves);
-            // The version before allowed more, which a smaller limit of values may not: a machine goes back to its hash's owner.
+            // The version before allowed more, which a smaller limit of values may not: a machine goes back to its
+            // hash's owner.
             while (moved.size() > MAX_MOVES) {
                 moved.pollLastEntry();
             }
--- a/src/main/java/org/havenford/coordination/Operator.java
+++ b/src/main/java/org/havenford/coordination/Operator.java
@@ -12,11 +12,25 @@
 import org.xml.sax.SAXException;
 
 /** What operators may set beyond the platform's file, in XML. See docs/operations.md. */
-public record Operator(double lateThreshold, int lateMinimumDone, Duration membershipLease, Duration roundBudget,
-        Duration idleBeforeReturn, double spareShare, Duration silentBeforeReturn, SpeedFirst speedFirst) {
+public record Operator(
+        double lateThreshold,
+        int lateMinimumDone,
+        Duration membershipLease,
+        Duration roundBudget,
+        Duration idleBeforeReturn,
+        double spareShare,
+        Duration silentBeforeReturn,
+        SpeedFirst speedFirst) {
 
-    public static final Operator DEFAULTS = new Operator(0.75, 10, Duration.ofSeconds(8), Duration.ofMillis(20),
-            Duration.ofSeconds(20), 0.15, Duration.ofSeconds(30), SpeedFirst.UNMETERED);
+    public static final Operator DEFAULTS = new Operator(
+            0.75,
+            10,
+            Duration.ofSeconds(8),
+            Duration.ofMillis(20),
+            Duration.ofSeconds(20),
+            0.15,
+            Duration.ofSeconds(30),
+            SpeedFirst.UNMETERED);
 
     /** A setting that can't be used; the text names the element. */
     public static final class BadSetting extends Exception {
@@ -30,15 +44,17 @@
     /** Where machines are rented for all work at once and returned late. */
     public enum SpeedFirst {
         /** In deployments where no team has a guarantee or a limit: nobody there counts what is used. */
-        UNMETERED, ALWAYS, NEVER
+        UNMETERED,
+        ALWAYS,
+        NEVER
     }
 
     public boolean speedFirst(Settings settings) {
         return switch (speedFirst) {
             case ALWAYS -> true;
             case NEVER -> false;
-            case UNMETERED -> settings.teams().values().stream()
-                    .noneMatch(t -> t.limited() || t.cpus() > 0 || t.cards() > 0);
+            case UNMETERED ->
+                settings.teams().values().stream().noneMatch(t -> t.limited() || t.cpus() > 0 || t.cards() > 0);
         };
     }
 
@@ -70,23 +86,86 @@
     /** Unknown elements are ignored, as unknown fields are elsewhere. */
     private Operator with(String name, String text) throws BadSetting {
         return switch (name) {
-            case "late-threshold" -> new Operator(number(name, text, 0.5, 0.999), lateMinimumDone, membershipLease,
-                    roundBudget, idleBeforeReturn, spareShare, silentBeforeReturn, speedFirst);
-            case "late-minimum-done" -> new Operator(lateThreshold, (int) number(name, text, 1, 100_000), membershipLease,
-                    roundBudget, idleBeforeReturn, spareShare, silentBeforeReturn, speedFirst);
-            case "membership-lease-s" -> new Operator(lateThreshold, lateMinimumDone,
-                    Duration.ofMillis((long) (number(name, text, 2, 60) * 1000)), roundBudget, idleBeforeReturn, spareShare,
-                    silentBeforeReturn, speedFirst);
-            case "round-budget-ms" -> new Operator(lateThreshold, lateMinimumDone, membershipLease,
-                    Duration.ofMillis((long) number(name, text, 1, 1000)), idleBeforeReturn, spareShare, silentBeforeReturn, speedFirst);
-            case "idle-before-return-s" -> new Operator(lateThreshold, lateMinimumDone, membershipLease, roundBudget,
-                    Duration.ofMillis((long) (number(name, text, 0, 86_400) * 1000)), spareShare, silentBeforeReturn, speedFirst);
-            case "spare-share" -> new Operator(lateThreshold, lateMinimumDone, membershipLease, roundBudget,
-                    idleBeforeReturn, number(name, text, 0, 10), silentBeforeReturn, speedFirst);
-            case "silent-before-return-s" -> new Operator(lateThreshold, lateMinimumDone, membershipLease, roundBudget,
-                    idleBeforeReturn, spareShare, Duration.ofMillis((long) (number(name, text, 5, 3600) * 1000)), speedFirst);
-            case "speed-first" -> new Operator(lateThreshold, lateMinimumDone, membershipLease, roundBudget, idleBeforeReturn,
-                    spareShare, silentBeforeReturn, speedFirst(name, text));
+            case "late-threshold" ->
+                new Operator(
+                        number(name, text, 0.5, 0.999),
+                        lateMinimumDone,
+                        membershipLease,
+                        roundBudget,
+                        idleBeforeReturn,
+                        spareShare,
+                        silentBeforeReturn,
+                        speedFirst);
+            case "late-minimum-done" ->
+                new Operator(
+                        lateThreshold,
+                        (int) number(name, text, 1, 100_000),
+                        membershipLease,
+                        roundBudget,
+                        idleBeforeReturn,
+                        spareShare,
+                        silentBeforeReturn,
+                        speedFirst);
+            case "membership-lease-s" ->
+                new Operator(
+                        lateThreshold,
+                        lateMinimumDone,
+                        Duration.ofMillis((long) (number(name, text, 2, 60) * 1000)),
+                        roundBudget,
+                        idleBeforeReturn,
+                        spareShare,
+                        silentBeforeReturn,
+                        speedFirst);
+            case "round-budget-ms" ->
+                new Operator(
+                        lateThreshold,
+                        lateMinimumDone,
+                        membershipLease,
+                        Duration.ofMillis((long) number(name, text, 1, 1000)),
+                        idleBeforeReturn,
+                        spareShare,
+                        silentBeforeReturn,
+                        speedFirst);
+            case "idle-before-return-s" ->
+                new Operator(
+                        lateThreshold,
+                        lateMinimumDone,
+                        membershipLease,
+                        roundBudget,
+                        Duration.ofMillis((long) (number(name, text, 0, 86_400) * 1000)),
+                        spareShare,
+                        silentBeforeReturn,
+                        speedFirst);
+            case "spare-share" ->
+                new Operator(
+                        lateThreshold,
+                        lateMinimumDone,
+                        membershipLease,
+                        roundBudget,
+                        idleBeforeReturn,
+                        number(name, text, 0, 10),
+                        silentBeforeReturn,
+                        speedFirst);
+            case "silent-before-return-s" ->
+                new Operator(
+                        lateThreshold,
+                        lateMinimumDone,
+                        membershipLease,
+                        roundBudget,
+                        idleBeforeReturn,
+                        spareShare,
+                        Duration.ofMillis((long) (number(name, text, 5, 3600) * 1000)),
+                        speedFirst);
+            case "speed-first" ->
+                new Operator(
+                        lateThreshold,
+                        lateMinimumDone,
+                        membershipLease,
+                        roundBudget,
+                        idleBeforeReturn,
+                        spareShare,
+                        silentBeforeReturn,
+                        speedFirst(name, text));
             default -> this;
         };
     }
--- a/src/main/java/org/havenford/coordination/Pipelines.java
+++ b/src/main/java/org/havenford/coordination/Pipelines.java
@@ -27,7 +27,9 @@
     private static final Logger LOG = LoggerFactory.getLogger(Pipelines.class);
 
     enum Fate {
-        OPEN, DONE, WITHDRAWN
+        OPEN,
+        DONE,
+        WITHDRAWN
     }
 
     /** Priority and due time that a job has by itself or by those that need it. */
@@ -52,9 +54,11 @@
     private final Ledger ledger;
     private final StateStore store;
     private final Runnable wake;
-    private final Cache<String, Fate> fates = CacheBuilder.newBuilder().maximumSize(20_000).build();
+    private final Cache<String, Fate> fates =
+            CacheBuilder.newBuilder().maximumSize(20_000).build();
     /** Jobs whose final state is being read, or was not there, and when to ask again. */
     private final Map<String, Instant> asked = new HashMap<>();
+
     private int reading;
 
     Pipelines(EventLoop loop, Ledger ledger, StateStore store, Runnable wake) {
--- a/src/main/java/org/havenford/coordination/Planner.java
+++ b/src/main/java/org/havenford/coordination/Planner.java
@@ -34,12 +34,11 @@
  * tasks of one chunk go to machines of one owner at a time, as owners that fill one key only get in each other's way.
  */
 public final class Planner {
-    public record Placement(TaskId task, String machine) {
-    }
+    /** A task and the machine that is to run it. */
+    public record Placement(TaskId task, String machine) {}
 
     /** What to claim, and which claims to give up so that more urgent work can start. */
-    public record Plan(List<Placement> placements, List<Claim> preempted) {
-    }
+    public record Plan(List<Placement> placements, List<Claim> preempted) {}
 
     /** Room left on a machine, claims not confirmed gone counted as taken. */
     static final class Room {
@@ -104,15 +103,22 @@
      * way by machine, owners that have left a chunk lying, chunks that others than their first owner may take, and
      * whether claims get into each other's way so much that each chunk is left to its first owner where that has room.
      */
-    public record Limits(Predicate<MachineRecord> usable, Function<MachineRecord, List<String>> images,
-            Function<MachineRecord, MachineRecord.Condition> condition, Predicate<Job> held, Predicate<Placement> avoided,
-            Predicate<Claim> ended, Function<String, List<JobSpec>> underWay, List<String> owners,
-            BiPredicate<String, String> passedOver, Predicate<String> helped, boolean crowded, BooleanSupplier outOfTime) {
-    }
+    public record Limits(
+            Predicate<MachineRecord> usable,
+            Function<MachineRecord, List<String>> images,
+            Function<MachineRecord, MachineRecord.Condition> condition,
+            Predicate<Job> held,
+            Predicate<Placement> avoided,
+            Predicate<Claim> ended,
+            Function<String, List<JobSpec>> underWay,
+            List<String> owners,
+            BiPredicate<String, String> passedOver,
+            Predicate<String> helped,
+            boolean crowded,
+            BooleanSupplier outOfTime) {}
 
     /** A room that takes tasks of the job at hand, and what the next task costs there. */
-    private record Offer(double score, Room room) {
-    }
+    private record Offer(double score, Room room) {}
 
     /** Seconds of fetching that it is worth to leave a large machine to those tasks that need one. */
     private static final double LARGER_THAN_NEEDED = 2;
@@ -150,6 +156,7 @@
     private Map<String, Pipelines.Inherited> inherited = Map.of();
     /** Room on the machines that take tasks, kept from round to round; those named in {@code stale} are worked out anew. */
     private final TreeMap<String, Room> rooms = new TreeMap<>();
+
     private final Set<String> stale = new HashSet<>();
     private boolean allStale = true;
     /** Job at which the last round ran out of time; the next one goes on there. */
@@ -217,7 +224,9 @@
 
     /** A job that has waited this long without a start goes first, whatever else there is: no kind of work starves. */
     private static boolean starving(Job j, Instant now) {
-        return j.claimCount() == 0 && j.doneCount() == 0 && now.isAfter(j.released().plus(STARVING));
+        return j.claimCount() == 0
+                && j.doneCount() == 0
+                && now.isAfter(j.released().plus(STARVING));
     }
 
     /** When a task of the job must start so that the aim of its class is met. */
@@ -230,12 +239,15 @@
             latest = due.minus(whole);
             if (now.isAfter(latest.plus(HOPELESS))) {
                 // It can't be in time any more: those that can go before it, but it is not left to the end of days.
-                latest = due.plus(Duration.between(j.submitted(), due).dividedBy(2)).minus(whole);
+                latest = due.plus(Duration.between(j.submitted(), due).dividedBy(2))
+                        .minus(whole);
                 latest = now.isAfter(latest) ? j.submitted().plus(AFTER_ALL) : latest;
             }
         }
         for (Settings.Objective o : settings.objectives()) {
-            if (o.lineup().equals(j.spec().lineup()) && o.within() != null && o.kind().equals("wait")) {
+            if (o.lineup().equals(j.spec().lineup())
+                    && o.within() != null
+                    && o.kind().equals("wait")) {
                 Instant at = j.released().plus(o.within());
                 latest = latest == null || at.isBefore(latest) ? at : latest;
             }
@@ -254,8 +266,10 @@
     private Set<String> awaited(List<Job> waiting) {
         Set<String> out = new HashSet<>();
         for (Job j : waiting) {
-            List<MachineType> fit = ledger.types().values().stream().filter(t -> (j.spec().types() == null
-                    || j.spec().types().contains(t.name())) && j.spec().fits(t)).toList();
+            List<MachineType> fit = ledger.types().values().stream()
+                    .filter(t -> (j.spec().types() == null || j.spec().types().contains(t.name()))
+                            && j.spec().fits(t))
+                    .toList();
             if (fit.size() == 1) {
                 out.add(fit.get(0).name());
             }
@@ -348,7 +362,8 @@
             }
             boolean sparing = sparing(job);
             if (sparing && !kept) {
-                // Jobs whose images take long keep the machines that have them, as far as they need them for their deadlines.
+                // Jobs whose images take long keep the machines that have them, as far as they need them for their
+                // deadlines.
                 kept = true;
                 for (Job j : order) {
                     if (sparing(j) && !limits.held().test(j)) {
@@ -356,7 +371,11 @@
                     }
                 }
             }
-            place(job, round, false, sparing ? needed(job, now) - job.claimCount() - round.placed(job) : Integer.MAX_VALUE);
+            place(
+                    job,
+                    round,
+                    false,
+                    sparing ? needed(job, now) - job.claimCount() - round.placed(job) : Integer.MAX_VALUE);
         }
         if (kept) {
             // What nobody else has taken.
@@ -393,7 +412,11 @@
     }
 
     private double fetchAlone(JobSpec s) {
-        double rate = ledger.types().values().stream().filter(s::fits).mapToDouble(MachineType::fetchGbPerS).max().orElse(1);
+        double rate = ledger.types().values().stream()
+                .filter(s::fits)
+                .mapToDouble(MachineType::fetchGbPerS)
+                .max()
+                .orElse(1);
         return s.imageGb() / Math.max(0.01, rate);
     }
 
@@ -404,14 +427,16 @@
 
     /** A job with time to spare, whose image takes long against a run: it is cheaper on few machines that have it. */
     private boolean sparing(Job j) {
-        return due(j) != null && priority(j).compareTo(JobSpec.Priority.NORMAL) >= 0
+        return due(j) != null
+                && priority(j).compareTo(JobSpec.Priority.NORMAL) >= 0
                 && fetchAlone(j.spec()) >= LONG_FETCH * runSeconds(j);
     }
 
     /** Tasks that must run side by side for the job to be in time; of one that can't be, a third. */
     private int needed(Job j, Instant now) {
         double run = runSeconds(j) * 1.15;
-        double time = Duration.between(now, due(j)).toMillis() / 1e3 - fetchAlone(j.spec()) * (j.claimCount() == 0 ? 1 : 0);
+        double time =
+                Duration.between(now, due(j)).toMillis() / 1e3 - fetchAlone(j.spec()) * (j.claimCount() == 0 ? 1 : 0);
         double turns = time < run ? 3 : Math.floor(time / run);
         return (int) Math.ceil((j.spec().tasks() - j.doneCount()) / turns);
     }
@@ -441,7 +466,9 @@
         }
         String onlyZone = null;
         if (s.together()) {
-            onlyZone = zones.isEmpty() ? bestZone(s, round.open, job.pendingCount()) : zones.keySet().iterator().next();
+            onlyZone = zones.isEmpty()
+                    ? bestZone(s, round.open, job.pendingCount())
+                    : zones.keySet().iterator().next();
         }
         Map<String, List<Offer>> offers = offers(job, round, onlyZone, warm);
         Set<TaskId> taken = round.taken.computeIfAbsent(job.id(), k -> new HashSet<>());
@@ -511,24 +538,34 @@
     /** What each owner's machines offer to tasks of a job, the best first. */
     private Map<String, List<Offer>> offers(Job job, Round round, String onlyZone, boolean warm) {
         JobSpec s = job.spec();
-        double smallest = ledger.types().values().stream().filter(s::fits).mapToDouble(MachineType::cpus).min().orElse(0);
+        double smallest = ledger.types().values().stream()
+                .filter(s::fits)
+                .mapToDouble(MachineType::cpus)
+                .min()
+                .orElse(0);
         // A large machine that others wait for is not taken while there is time to wait for a small one.
         boolean mayTakeLarge = !round.now.isBefore(latestStart(job, round.now).minus(PRESSING_BEFORE));
         Map<String, List<Offer>> offers = new TreeMap<>();
         for (Room room : round.open) {
             MachineRecord m = room.machine;
-            if (!room.fits(s) || !s.allows(room.type, m.zone(), m.spot()) || onlyZone != null && !onlyZone.equals(m.zone())
+            if (!room.fits(s)
+                    || !s.allows(room.type, m.zone(), m.spot())
+                    || onlyZone != null && !onlyZone.equals(m.zone())
                     || room.awaitedBy != null && room.awaitedBy.compareTo(priority(job)) < 0
                     || warm && !room.images.contains(s.image()) && !room.fetching.contains(s.image())
                     || !mayTakeLarge && room.type.cpus() > smallest && awaited.contains(room.type.name())) {
                 continue;
             }
-            double score = room.fetchSeconds(s) + (room.cpus - s.cpus()) / room.type.cpus()
-                    + largePenalty(room.type, smallest) + kindPenalty(s, m);
-            offers.computeIfAbsent(owner.apply(m.name()), o -> new ArrayList<>()).add(new Offer(score, room));
+            double score = room.fetchSeconds(s)
+                    + (room.cpus - s.cpus()) / room.type.cpus()
+                    + largePenalty(room.type, smallest)
+                    + kindPenalty(s, m);
+            offers.computeIfAbsent(owner.apply(m.name()), o -> new ArrayList<>())
+                    .add(new Offer(score, room));
         }
         for (List<Offer> l : offers.values()) {
-            l.sort(Comparator.comparingDouble(Offer::score).thenComparing(o -> o.room().machine.name()));
+            l.sort(Comparator.comparingDouble(Offer::score)
+                    .thenComparing(o -> o.room().machine.name()));
         }
         return offers;
     }
@@ -575,7 +612,13 @@
         return cost + left * NO_ROOM;
     }
 
-    private int fill(Chunk chunk, List<TaskId> pending, int most, JobSpec s, List<Offer> offers, Map<String, Integer> zones,
+    private int fill(
+            Chunk chunk,
+            List<TaskId> pending,
+            int most,
+            JobSpec s,
+            List<Offer> offers,
+            Map<String, Integer> zones,
             Round round) {
         int placed = 0;
         for (TaskId task : pending) {
@@ -585,7 +628,8 @@
             for (Offer o : offers) {
                 Room room = o.room();
                 String zone = room.machine.zone();
-                if (!room.fits(s) || s.apart() && zones.getOrDefault(zone, 0) + zones.getOrDefault("?", 0) >= s.zoneCap()
+                if (!room.fits(s)
+                        || s.apart() && zones.getOrDefault(zone, 0) + zones.getOrDefault("?", 0) >= s.zoneCap()
                         || room.machine.name().equals(chunk.lateOn(task.index()))
                         || round.limits.avoided().test(new Placement(task, room.machine.name()))) {
                     continue;
@@ -616,8 +660,7 @@
     }
 
     /** Claims on one machine that make room for a task, and what is lost with them. */
-    private record Victims(Room room, List<Claim> claims, long loss) {
-    }
+    private record Victims(Room room, List<Claim> claims, long loss) {}
 
     /**
      * Finds work of lower priority to stop: as little as possible of what has been done is lost, and only what can still
@@ -635,7 +678,8 @@
                 }
             }
         }
-        found.sort(Comparator.comparingLong(Victims::loss).thenComparing(v -> v.room().machine.name()));
+        found.sort(Comparator.comparingLong(Victims::loss)
+                .thenComparing(v -> v.room().machine.name()));
         int made = 0;
         for (Victims v : found) {
             if (made >= tasks) {
@@ -655,8 +699,7 @@
     }
 
     /** A room and the claims in it that work of some priority may stop, the youngest first. */
-    private record Stoppable(Room room, List<Claim> claims) {
-    }
+    private record Stoppable(Room room, List<Claim> claims) {}
 
     /** Looked for once a round: there may be dozens of jobs that press, and thousands of claims. */
     private List<Stoppable> stoppable(JobSpec.Priority than, Round round) {
@@ -712,7 +755,8 @@
             return false;
         }
         Instant due = due(j);
-        return due == null || now.plus(AGAIN).plusMillis((long) (runSeconds(j) * 1000)).isBefore(due);
+        return due == null
+                || now.plus(AGAIN).plusMillis((long) (runSeconds(j) * 1000)).isBefore(due);
     }
 
     /** The zone in which most tasks of a job that must stay together find room. */
@@ -724,7 +768,9 @@
                 fit.merge(r.machine.zone(), n, Integer::sum);
             }
         }
-        return fit.entrySet().stream().max(Map.Entry.<String, Integer>comparingByValue()
-                .thenComparing(Map.Entry.comparingByKey())).map(Map.Entry::getKey).orElse("");
+        return fit.entrySet().stream()
+                .max(Map.Entry.<String, Integer>comparingByValue().thenComparing(Map.Entry.comparingByKey()))
+                .map(Map.Entry::getKey)
+                .orElse("");
     }
 }
--- a/src/main/java/org/havenford/coordination/Provisioner.java
+++ b/src/main/java/org/havenford/coordination/Provisioner.java
@@ -47,9 +47,11 @@
     private static final Duration SIZE_EVERY = Duration.ofMillis(500);
     /** Machines that go are gathered, since each change of a batch fails the claims under way on its other machines. */
     private static final Duration TRIM_EVERY = Duration.ofSeconds(2);
+
     private static final Duration DROP_EVERY = Duration.ofSeconds(1);
     /** The cloud's limits of machines in one call. */
     private static final int MOST_RENTED = 50;
+
     private static final int MOST_RETURNED = 100;
     private static final int MOST_BOOKINGS = 3;
     /** How many times as long machines of a zone that is silent as a whole are waited for: a cut takes about a minute. */
@@ -59,6 +61,7 @@
      * thousand machines without work still report, and cost most of the processor time of a quiet hour.
      */
     private static final int IDLE_FOR_SPEED = 6;
+
     private static final Duration REFUSAL_HOLDS = Duration.ofSeconds(90);
 
     private final EventLoop loop;
@@ -82,6 +85,7 @@
     private final Set<String> busyBatches = new HashSet<>();
     /** Machines whose return the cloud has confirmed, and that are still on record. */
     private final Set<String> goneNow = new LinkedHashSet<>();
+
     private final Object2DoubleOpenHashMap<Kind> average = new Object2DoubleOpenHashMap<>();
     private final Object2DoubleOpenHashMap<Kind> sustained = new Object2DoubleOpenHashMap<>();
     private final boolean speedFirst;
@@ -99,8 +103,16 @@
     private boolean active;
     private Instant activeSince = Instant.MIN;
 
-    public Provisioner(EventLoop loop, HttpCalls calls, Settings settings, Operator operator, Ledger ledger, Mirror mirror,
-            StateStore store, Membership membership, Runnable wake) {
+    public Provisioner(
+            EventLoop loop,
+            HttpCalls calls,
+            Settings settings,
+            Operator operator,
+            Ledger ledger,
+            Mirror mirror,
+            StateStore store,
+            Membership membership,
+            Runnable wake) {
         this.loop = loop;
         this.calls = calls;
         this.settings = settings;
@@ -115,7 +127,9 @@
     }
 
     public void step() {
-        boolean first = mirror.loaded() && membership.entitled() && settings.node().equals(membership.view().first());
+        boolean first = mirror.loaded()
+                && membership.entitled()
+                && settings.node().equals(membership.view().first());
         if (!first) {
             active = false;
             return;
@@ -138,7 +152,8 @@
             // Its predecessor knew since when machines have been idle; half the time is a fair guess.
             for (MachineRecord r : ledger.machines()) {
                 if (r.condition() == Condition.UP && ledger.claimsOn(r.name()).isEmpty()) {
-                    idleSince.put(r.name(), now.minus(operator.idleBeforeReturn().dividedBy(2)));
+                    idleSince.put(
+                            r.name(), now.minus(operator.idleBeforeReturn().dividedBy(2)));
                 }
             }
         }
@@ -251,10 +266,13 @@
                 failed.add(m.machine());
             }
             // A machine that nobody has a record of: a rental that was carried out late, or whose answer was lost.
-            if (ledger.machine(m.machine()) == null && !returned.containsKey(m.machine()) && ledger.bookings().isEmpty()
+            if (ledger.machine(m.machine()) == null
+                    && !returned.containsKey(m.machine())
+                    && ledger.bookings().isEmpty()
                     && m.age().compareTo(Duration.ofSeconds(10)) > 0) {
                 LOG.info("adopting {}, which the cloud lists and is in no record", m.machine());
-                unknown.computeIfAbsent(offer(m.type(), m.zone(), m.spot()), k -> new ArrayList<>()).add(m);
+                unknown.computeIfAbsent(offer(m.type(), m.zone(), m.spot()), k -> new ArrayList<>())
+                        .add(m);
             }
         }
         StateStore.Txn adopt = new StateStore.Txn();
@@ -262,13 +280,24 @@
             if (adopt.writes() < settings.txnOps()) {
                 Listed one = alike.get(0);
                 String name = unique("l");
-                adopt.guard(Keys.batch(name), 0).set(Keys.batch(name), MachineBatch.of(name, one.type(), one.zone(), one.spot(),
-                        loop.timeOfDay().minus(one.age()),
-                        alike.stream().limit(MachineBatch.MOST).map(Listed::machine).toList()).toJson());
+                adopt.guard(Keys.batch(name), 0)
+                        .set(
+                                Keys.batch(name),
+                                MachineBatch.of(
+                                                name,
+                                                one.type(),
+                                                one.zone(),
+                                                one.spot(),
+                                                loop.timeOfDay().minus(one.age()),
+                                                alike.stream()
+                                                        .limit(MachineBatch.MOST)
+                                                        .map(Listed::machine)
+                                                        .toList())
+                                        .toJson());
             }
         }
         if (adopt.writes() > 0) {
-            write(adopt, ok -> { });
+            write(adopt, ok -> {});
         }
         lastListed.values().removeIf(at -> at.isBefore(asked.minusSeconds(600)));
         returned.values().removeIf(at -> at.isBefore(asked.minusSeconds(600)));
@@ -317,7 +346,9 @@
         private boolean takes(String machine) {
             Set<String> of = ledger.batchesOf(machine);
             long more = of.stream().filter(b -> !next.containsKey(b)).count();
-            return !of.isEmpty() && of.stream().noneMatch(busyBatches::contains) && next.size() + more <= settings.txnOps();
+            return !of.isEmpty()
+                    && of.stream().noneMatch(busyBatches::contains)
+                    && next.size() + more <= settings.txnOps();
         }
 
         boolean mark(String machine, MachineBatch.Service service) {
@@ -373,14 +404,16 @@
         switch (r.condition()) {
             case BOOTING:
                 // A new provisioner first lets the owners say what they hear.
-                if (now.isBefore(activeSince.plus(SETTLING)) || !ledger.claimsOn(r.name()).isEmpty()) {
+                if (now.isBefore(activeSince.plus(SETTLING))
+                        || !ledger.claimsOn(r.name()).isEmpty()) {
                     return null;
                 }
                 return age(r).compareTo(boot.multipliedBy(3).plusSeconds(20)) > 0 ? "it does not come up" : null;
             case FAULTY:
                 return ledger.claimsOn(r.name()).isEmpty() ? "tasks of several jobs failed on it" : null;
             case SILENT:
-                Duration patience = operator.silentBeforeReturn().multipliedBy(silentZones.contains(r.zone()) ? ZONE_PATIENCE : 1);
+                Duration patience =
+                        operator.silentBeforeReturn().multipliedBy(silentZones.contains(r.zone()) ? ZONE_PATIENCE : 1);
                 if (age(r).compareTo(settings.workerLease().plus(patience)) > 0) {
                     return "it has been silent for too long";
                 }
@@ -388,8 +421,10 @@
                 // it is no proof: the return that follows is.
                 Instant silentFrom = now.minus(age(r));
                 Instant seen = lastListed.get(r.name());
-                boolean missing = seen != null && seen.isBefore(silentFrom.plus(settings.listLag().multipliedBy(2)))
-                        && lastFullList.isAfter(silentFrom.plus(settings.listLag().multipliedBy(2)));
+                boolean missing = seen != null
+                        && seen.isBefore(silentFrom.plus(settings.listLag().multipliedBy(2)))
+                        && lastFullList.isAfter(
+                                silentFrom.plus(settings.listLag().multipliedBy(2)));
                 return missing && !lastFullList.equals(seen) ? "it is silent and no longer listed" : null;
             default:
                 return null;
@@ -403,9 +438,12 @@
             if (inFlight.contains(r.name()) || goneNow.contains(r.name())) {
                 continue;
             }
-            boolean idle = r.condition() == Condition.RETIRING && ledger.batchesOf(r.name()).stream()
-                    .allMatch(b -> mirror.edition() >= mirror.stamp(Keys.batch(b)));
-            if ((r.condition() == Condition.RETURNING || idle && ledger.claimsOn(r.name()).isEmpty()) && batch.size() < MOST_RETURNED) {
+            boolean idle = r.condition() == Condition.RETIRING
+                    && ledger.batchesOf(r.name()).stream()
+                            .allMatch(b -> mirror.edition() >= mirror.stamp(Keys.batch(b)));
+            if ((r.condition() == Condition.RETURNING
+                            || idle && ledger.claimsOn(r.name()).isEmpty())
+                    && batch.size() < MOST_RETURNED) {
                 batch.add(r);
             } else if (idle && !ledger.claimsOn(r.name()).isEmpty()) {
                 // A claim does not change the record, so one may have come first without our knowing.
@@ -452,7 +490,10 @@
             if (inFlight.contains(b.name())) {
                 continue;
             }
-            if (call("POST", "/machines", CloudMessages.rent(b.name(), b.type(), b.zone(), b.spot(), b.count()),
+            if (call(
+                    "POST",
+                    "/machines",
+                    CloudMessages.rent(b.name(), b.type(), b.zone(), b.spot(), b.count()),
                     reply -> booked(b, reply))) {
                 inFlight.add(b.name());
             }
@@ -461,7 +502,8 @@
 
     /** A name that no other controller and no other life of this one gives. */
     private String unique(String prefix) {
-        return prefix + "-" + membership.view().epoch() + "-" + membership.view().members().get(settings.node()) + "-" + ++counter;
+        return prefix + "-" + membership.view().epoch() + "-"
+                + membership.view().members().get(settings.node()) + "-" + ++counter;
     }
 
     private static String offer(String type, String zone, boolean spot) {
@@ -474,7 +516,13 @@
         if (reply.ok()) {
             try {
                 List<String> names = CloudMessages.rented(reply.body());
-                LOG.info("rented {} of {} {} in {}{}", names.size(), b.count(), b.type(), b.zone(), b.spot() ? ", spot" : "");
+                LOG.info(
+                        "rented {} of {} {} in {}{}",
+                        names.size(),
+                        b.count(),
+                        b.type(),
+                        b.zone(),
+                        b.spot() ? ", spot" : "");
                 if (names.size() < b.count()) {
                     refused.put(offer(b.type(), b.zone(), b.spot()), loop.now());
                 }
@@ -495,10 +543,14 @@
     private void record(Booking b, List<String> names) {
         String key = Keys.booking(b.name());
         StateStore.Txn txn = new StateStore.Txn().guard(key, mirror.stamp(key)).delete(key);
-        List<String> fresh = names.stream().filter(n -> ledger.machine(n) == null).toList();
+        List<String> fresh =
+                names.stream().filter(n -> ledger.machine(n) == null).toList();
         if (!fresh.isEmpty()) {
-            txn.guard(Keys.batch(b.name()), 0).set(Keys.batch(b.name()), MachineBatch.of(b.name(), b.type(), b.zone(), b.spot(),
-                    loop.timeOfDay(), fresh).toJson());
+            txn.guard(Keys.batch(b.name()), 0)
+                    .set(
+                            Keys.batch(b.name()),
+                            MachineBatch.of(b.name(), b.type(), b.zone(), b.spot(), loop.timeOfDay(), fresh)
+                                    .toJson());
         }
         write(txn, ok -> inFlight.remove(b.name()));
     }
@@ -509,18 +561,20 @@
     }
 
     private boolean exhausted(Kind k, Instant now) {
-        return ledger.types().get(k.type()).zones().stream().allMatch(z -> refusedLately(offer(k.type(), z, k.spot()), now));
+        return ledger.types().get(k.type()).zones().stream()
+                .allMatch(z -> refusedLately(offer(k.type(), z, k.spot()), now));
     }
 
     private void size(Instant now) {
         Map<Kind, Integer> have = new HashMap<>();
         for (MachineRecord r : ledger.machines()) {
             MachineType t = ledger.types().get(r.type());
-            boolean counts = switch (r.condition()) {
-                case UP, SILENT -> true;
-                case BOOTING -> t != null && age(r).compareTo(t.boot().multipliedBy(2)) < 0;
-                default -> false;
-            };
+            boolean counts =
+                    switch (r.condition()) {
+                        case UP, SILENT -> true;
+                        case BOOTING -> t != null && age(r).compareTo(t.boot().multipliedBy(2)) < 0;
+                        default -> false;
+                    };
             if (counts) {
                 have.merge(new Kind(r.type(), r.spot()), 1, Integer::sum);
             }
@@ -532,8 +586,12 @@
         // counted with patience, so that a burst does not fill the fleet with machines that come up too late for it.
         Object2DoubleOpenHashMap<Kind> full = demand(false, now, have);
         Object2DoubleOpenHashMap<Kind> least = demand(true, now, have);
-        double weight = averagedAt == null ? 1 : Math.min(1, Duration.between(averagedAt, now).toMillis() / (double) AVERAGE_OVER.toMillis());
-        double slow = averagedAt == null ? 0 : Math.min(1, Duration.between(averagedAt, now).toMillis() / (double) SUSTAINED_OVER.toMillis());
+        double weight = averagedAt == null
+                ? 1
+                : Math.min(1, Duration.between(averagedAt, now).toMillis() / (double) AVERAGE_OVER.toMillis());
+        double slow = averagedAt == null
+                ? 0
+                : Math.min(1, Duration.between(averagedAt, now).toMillis() / (double) SUSTAINED_OVER.toMillis());
         averagedAt = now;
         Map<Kind, Integer> wanted = new HashMap<>();
         for (MachineType t : ledger.types().values()) {
@@ -548,7 +606,9 @@
                 sustained.addTo(k, (need - sustained.getDouble(k)) * slow);
                 // Spot machines are kept for work that has not come yet. Ordinary ones cost three times as much: they
                 // are rented for a need that lasts longer than they take to boot.
-                double n = speedFirst || spot ? Math.max(need, average.getDouble(k) * (1 + operator.spareShare())) : sustained.getDouble(k);
+                double n = speedFirst || spot
+                        ? Math.max(need, average.getDouble(k) * (1 + operator.spareShare()))
+                        : sustained.getDouble(k);
                 wanted.put(k, (int) Math.ceil(n - 0.05));
             }
         }
@@ -566,8 +626,11 @@
     }
 
     private Object2DoubleOpenHashMap<Kind> demand(boolean patient, Instant now, Map<Kind, Integer> have) {
-        return Demand.machines(Demand.wants(ledger, settings, loop.timeOfDay(), patient), ledger.types(),
-                k -> exhausted(k, now), have);
+        return Demand.machines(
+                Demand.wants(ledger, settings, loop.timeOfDay(), patient),
+                ledger.types(),
+                k -> exhausted(k, now),
+                have);
     }
 
     private void rent(Instant now, Map<Kind, Integer> wanted, Map<Kind, Integer> have) {
@@ -586,10 +649,13 @@
             }
             List<String> zones = new ArrayList<>(ledger.types().get(k.type()).zones());
             zones.removeIf(z -> refusedLately(offer(k.type(), z, k.spot()), now));
-            zones.sort(Comparator.comparingInt((String z) -> inZone.getOrDefault(z, 0)).thenComparing(z -> z));
+            zones.sort(Comparator.comparingInt((String z) -> inZone.getOrDefault(z, 0))
+                    .thenComparing(z -> z));
             for (int i = 0; i < zones.size() && missing > 0 && bookings + txn.writes() < MOST_BOOKINGS; i++) {
                 // A need that is large is spread over the zones.
-                int count = Math.min(MOST_RENTED, missing <= MOST_RENTED / 2 ? missing : (missing + zones.size() - i - 1) / (zones.size() - i));
+                int count = Math.min(
+                        MOST_RENTED,
+                        missing <= MOST_RENTED / 2 ? missing : (missing + zones.size() - i - 1) / (zones.size() - i));
                 String name = unique("r");
                 Booking b = new Booking(name, k.type(), zones.get(i), k.spot(), count, loop.timeOfDay());
                 txn.guard(Keys.booking(name), 0).set(Keys.booking(name), b.toJson());
@@ -603,7 +669,8 @@
     }
 
     private void trim(Instant now, Map<Kind, Integer> wanted, Map<Kind, Integer> have) {
-        Duration patience = speedFirst ? operator.idleBeforeReturn().multipliedBy(IDLE_FOR_SPEED) : operator.idleBeforeReturn();
+        Duration patience =
+                speedFirst ? operator.idleBeforeReturn().multipliedBy(IDLE_FOR_SPEED) : operator.idleBeforeReturn();
         List<MachineRecord> idle = new ArrayList<>();
         for (MachineRecord r : ledger.machines()) {
             if (r.condition() != Condition.UP || !ledger.claimsOn(r.name()).isEmpty()) {
@@ -615,7 +682,8 @@
         idleSince.keySet().removeIf(n -> ledger.machine(n) == null);
         // Judged by type: what spot machines can't give just now is not to be returned because they might. Ordinary
         // machines go first, then those that have been idle longest.
-        idle.sort(Comparator.comparing(MachineRecord::spot).thenComparing(r -> idleSince.get(r.name()))
+        idle.sort(Comparator.comparing(MachineRecord::spot)
+                .thenComparing(r -> idleSince.get(r.name()))
                 .thenComparing(MachineRecord::name));
         if (now.isBefore(nextTrim)) {
             return;
@@ -626,10 +694,12 @@
         for (MachineRecord r : idle) {
             Kind s = new Kind(r.type(), true);
             Kind o = new Kind(r.type(), false);
-            int surplus = have.getOrDefault(s, 0) + have.getOrDefault(o, 0) - wanted.getOrDefault(s, 0)
-                    - wanted.getOrDefault(o, 0) - going.getOrDefault(r.type(), 0);
-            if (surplus > 0 && !inFlight.contains(r.name())
-                    && change.mark(r.name(), MachineBatch.Service.RETIRING)) {
+            int surplus = have.getOrDefault(s, 0)
+                    + have.getOrDefault(o, 0)
+                    - wanted.getOrDefault(s, 0)
+                    - wanted.getOrDefault(o, 0)
+                    - going.getOrDefault(r.type(), 0);
+            if (surplus > 0 && !inFlight.contains(r.name()) && change.mark(r.name(), MachineBatch.Service.RETIRING)) {
                 LOG.info("returning {}: idle", r.name());
                 going.merge(r.type(), 1, Integer::sum);
             }
--- a/src/main/java/org/havenford/coordination/Scheduler.java
+++ b/src/main/java/org/havenford/coordination/Scheduler.java
@@ -1,7 +1,7 @@
 package org.havenford.coordination;
 
-import com.google.gson.JsonObject;
 import com.google.common.collect.Lists;
+import com.google.gson.JsonObject;
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import java.time.Duration;
 import java.time.Instant;
@@ -43,20 +43,25 @@
     private static final Duration FOREIGN_PATIENCE = Duration.ofMillis(1500);
     /** Ends are written together, so that a job's tasks that end one after the other do not cost a change each. */
     private static final Duration GATHER = Duration.ofMillis(500);
+
     private static final Duration GATHER_PRESSED = Duration.ofSeconds(4);
     private static final Duration GATHER_SCARCE = Duration.ofSeconds(8);
     /** Claims that may wait for the store's limits: beyond, urgent work would stand in line behind what is not. */
     private static final int MOST_WAITING_CLAIMS = 3;
+
     private static final Duration REJECTED_RESTS = Duration.ofSeconds(20);
     private static final Duration COPY_PATIENCE = Duration.ofSeconds(1);
     /** After a claim has failed because of another's, each chunk is left to its first owner for a while. */
     private static final Duration CROWDED = Duration.ofSeconds(5);
+
     private static final Duration HELP_AFTER = Duration.ofMillis(1500);
     /** Under pressure room is gathered, so that one claim takes several tasks of a chunk. */
     private static final Duration PLACE_PRESSED = Duration.ofMillis(500);
+
     private static final Duration SHARES_EVERY = Duration.ofSeconds(1);
     /** Parts of an even share of a team's limit in which shares are taken. */
     private static final int LUMPS = 4;
+
     private static final int MAX_FINAL_CHUNKS = 8;
     private static final String SWEEP = "sweep";
 
@@ -76,6 +81,7 @@
     private final Object2ObjectOpenHashMap<String, Wait> waits = new Object2ObjectOpenHashMap<>();
     /** Chunks with ends to be released, and since when. */
     private final Map<String, Instant> gathering = new HashMap<>();
+
     private final List<Charge> charges = new ArrayList<>();
     private final List<Awaited> awaited = new ArrayList<>();
     private final Set<String> shortTeams = new HashSet<>();
@@ -83,14 +89,14 @@
     private final Map<String, List<JobSpec>> underWay = new HashMap<>();
     /** Chunks whose first owner had no room: first and last time that this was seen in a row. */
     private final Map<String, Instant[]> withoutRoom = new HashMap<>();
+
     private Instant crowdedUntil = Instant.MIN;
     private Instant nextPlace = Instant.MIN;
     private Instant nextShares = Instant.MIN;
     private final Map<String, Backoff> backoffs = new HashMap<>();
     private final Histogram roundMicros = new Histogram(60_000_000L, 2);
 
-    private record Backoff(int errors, Instant until) {
-    }
+    private record Backoff(int errors, Instant until) {}
 
     /** A chunk whose tasks are planned for machines of others. */
     private static final class Wait {
@@ -108,8 +114,16 @@
         }
     }
 
-    public Scheduler(EventLoop loop, Settings settings, Operator operator, Ledger ledger, Mirror mirror, StateStore store,
-            Membership membership, Fleet fleet, Runnable wake) {
+    public Scheduler(
+            EventLoop loop,
+            Settings settings,
+            Operator operator,
+            Ledger ledger,
+            Mirror mirror,
+            StateStore store,
+            Membership membership,
+            Fleet fleet,
+            Runnable wake) {
         this.loop = loop;
         this.settings = settings;
         this.operator = operator;
@@ -144,7 +158,8 @@
         pipelines();
         sweep();
         shares(start);
-        roundMicros.recordValue(Math.min(60_000_000L, Duration.between(start, loop.now()).toNanos() / 1000));
+        roundMicros.recordValue(
+                Math.min(60_000_000L, Duration.between(start, loop.now()).toNanos() / 1000));
     }
 
     /** The machine, its claims or the ends on it have changed. */
@@ -175,7 +190,8 @@
         Duration gather = store.pressed() ? gatherPressed : GATHER;
         Instant now = loop.now();
         byChunk.forEach((key, ended) -> {
-            if (!busy.contains(key) && (now.isAfter(gathering.computeIfAbsent(key, k -> now).plus(gather)) || urgent(ended))) {
+            if (!busy.contains(key)
+                    && (now.isAfter(gathering.computeIfAbsent(key, k -> now).plus(gather)) || urgent(ended))) {
                 release(key, ended);
             }
         });
@@ -187,7 +203,8 @@
         Job job = ledger.job(ended.keySet().iterator().next().task().job());
         int chunk = job.chunkOf(ended.keySet().iterator().next().task().index());
         return job.stored(chunk).doneCount() + ended.size() == job.stored(chunk).size() && job.pendingCount() == 0
-                || job.cancelled() || ended.values().stream().anyMatch(e -> !e.done());
+                || job.cancelled()
+                || ended.values().stream().anyMatch(e -> !e.done());
     }
 
     private static void apply(Map<Claim, Fleet.Ending> ended, Chunk next) {
@@ -206,7 +223,8 @@
         int index = job.chunkOf(ended.keySet().iterator().next().task().index());
         Chunk next = job.stored(index).copy();
         apply(ended, next);
-        StateStore.Txn txn = new StateStore.Txn().guard(Keys.VIEW, membership.viewStamp()).guard(key, mirror.stamp(key));
+        StateStore.Txn txn =
+                new StateStore.Txn().guard(Keys.VIEW, membership.viewStamp()).guard(key, mirror.stamp(key));
         // Users and pipelines wait for the end of a job; it must not stand behind all claims.
         StateStore.Urgency urgency = StateStore.Urgency.WORK;
         if (job.pendingCount() == 0 && job.claimCount() == ended.size()) {
@@ -223,7 +241,7 @@
             }
             txn.set(key, value);
         }
-        commit(txn, urgency, List.of(key), () -> ended.keySet().forEach(fleet.endings()::remove), r -> { });
+        commit(txn, urgency, List.of(key), () -> ended.keySet().forEach(fleet.endings()::remove), r -> {});
     }
 
     private static JsonObject end(String status, Job job) {
@@ -238,16 +256,25 @@
     }
 
     private void commit(StateStore.Txn txn, List<String> locks, Runnable onSuccess) {
-        commit(txn, StateStore.Urgency.WORK, locks, onSuccess, r -> { });
+        commit(txn, StateStore.Urgency.WORK, locks, onSuccess, r -> {});
     }
 
     /** {@code after} hears of every result, of a good one when our copy shows it. */
-    private void commit(StateStore.Txn txn, StateStore.Urgency urgency, List<String> locks, Runnable onSuccess,
+    private void commit(
+            StateStore.Txn txn,
+            StateStore.Urgency urgency,
+            List<String> locks,
+            Runnable onSuccess,
             Consumer<StateStore.Result> after) {
         commit(txn, urgency, false, locks, onSuccess, after);
     }
 
-    private void commit(StateStore.Txn txn, StateStore.Urgency urgency, boolean isClaim, List<String> locks, Runnable onSuccess,
+    private void commit(
+            StateStore.Txn txn,
+            StateStore.Urgency urgency,
+            boolean isClaim,
+            List<String> locks,
+            Runnable onSuccess,
             Consumer<StateStore.Result> after) {
         busy.addAll(locks);
         store.commit(txn, urgency, r -> {
@@ -265,7 +292,8 @@
                 outdated(r, locks);
                 return;
             }
-            // What the service calls malformed or too large would be so again: it is in the log, and other work comes first.
+            // What the service calls malformed or too large would be so again: it is in the log, and other work comes
+            // first.
             loop.after(r.outcome() == StateStore.Outcome.REJECTED ? REJECTED_RESTS : Duration.ofMillis(250), () -> {
                 busy.removeAll(locks);
                 wake.run();
@@ -290,8 +318,7 @@
     }
 
     /** Keys on which nothing is decided before our copy has reached an edition. */
-    private record Awaited(long edition, Instant until, Set<String> keys) {
-    }
+    private record Awaited(long edition, Instant until, Set<String> keys) {}
 
     private void freeAwaited(Instant now) {
         awaited.removeIf(a -> {
@@ -312,11 +339,19 @@
         nextPlace = store.pressed() ? start.plus(PLACE_PRESSED) : start;
         Instant deadline = start.plus(operator.roundBudget());
         String self = settings.node();
-        Planner.Limits limits = new Planner.Limits(m -> fleet.usable(m, start), fleet::images, fleet::condition, this::held,
-                p -> fleet.avoided(p.task(), p.machine()), fleet.endings()::containsKey,
-                m -> underWay.getOrDefault(m, List.of()), List.copyOf(membership.view().active()),
-                (key, owner) -> waits.containsKey(key) && waits.get(key).passedOver.contains(owner),
-                key -> helped(key, start), start.isBefore(crowdedUntil),
+        Planner.Limits limits = new Planner.Limits(
+                m -> fleet.usable(m, start),
+                fleet::images,
+                fleet::condition,
+                this::held,
+                p -> fleet.avoided(p.task(), p.machine()),
+                fleet.endings()::containsKey,
+                m -> underWay.getOrDefault(m, List.of()),
+                List.copyOf(membership.view().active()),
+                (key, owner) ->
+                        waits.containsKey(key) && waits.get(key).passedOver.contains(owner),
+                key -> helped(key, start),
+                start.isBefore(crowdedUntil),
                 () -> loop.now().isAfter(deadline));
         Planner.Plan plan = planner.plan(loop.timeOfDay(), limits);
         Map<String, List<Planner.Placement>> mine = new LinkedHashMap<>();
@@ -331,11 +366,14 @@
                 waits.computeIfAbsent(key, k -> new Wait()).waitFor(owner, start);
             }
         }
-        waits.entrySet().removeIf(w -> !foreign.contains(w.getKey()) && start.isAfter(w.getValue().since.plus(FOREIGN_PATIENCE.multipliedBy(4))));
+        waits.entrySet()
+                .removeIf(w -> !foreign.contains(w.getKey())
+                        && start.isAfter(w.getValue().since.plus(FOREIGN_PATIENCE.multipliedBy(4))));
         withoutRoom.values().removeIf(w -> w[1].isBefore(start.minus(HELP_AFTER)));
         for (Map.Entry<String, List<Planner.Placement>> e : mine.entrySet()) {
             if (store.queued(StateStore.Urgency.CLAIM) >= MOST_WAITING_CLAIMS) {
-                // What waits for the store's limits goes in the order in which it came: the next round decides anew who is first.
+                // What waits for the store's limits goes in the order in which it came: the next round decides anew who
+                // is first.
                 break;
             }
             claim(e.getKey(), e.getValue());
@@ -358,7 +396,8 @@
         }
         Backoff b = backoffs.get(job.id());
         if (b == null || b.errors != errors) {
-            b = new Backoff(errors, loop.now().plusMillis((long) Math.min(60_000, 500 * Math.pow(2, Math.min(10, errors - 1)))));
+            b = new Backoff(errors, loop.now().plusMillis((long)
+                    Math.min(60_000, 500 * Math.pow(2, Math.min(10, errors - 1)))));
             backoffs.put(job.id(), b);
         }
         return loop.now().isBefore(b.until);
@@ -367,7 +406,8 @@
     private void claim(String key, List<Planner.Placement> planned) {
         Job job = ledger.job(planned.get(0).task().job());
         if (job.waiting()) {
-            // The plan leaves it out; that no task starts before its job is let go rests on this and on the header's guard.
+            // The plan leaves it out; that no task starts before its job is let go rests on this and on the header's
+            // guard.
             return;
         }
         Settings.Team team = settings.teams().get(job.spec().team());
@@ -380,8 +420,10 @@
             locks.add(jobKey);
         }
         List<Planner.Placement> placements = planned;
-        StateStore.Txn txn = new StateStore.Txn().guard(Keys.VIEW, membership.viewStamp())
-                .guard(jobKey, mirror.stamp(jobKey)).guard(key, mirror.stamp(key));
+        StateStore.Txn txn = new StateStore.Txn()
+                .guard(Keys.VIEW, membership.viewStamp())
+                .guard(jobKey, mirror.stamp(jobKey))
+                .guard(key, mirror.stamp(key));
         if (limited) {
             Amount one = new Amount(job.spec().cpus(), job.spec().cards());
             int most = takeShare(team, teamKey, one, planned.size(), txn);
@@ -396,7 +438,8 @@
             }
         }
         if (spread) {
-            // Where tasks must stay together or apart, each claim of the job writes its header: so it is seen by the next.
+            // Where tasks must stay together or apart, each claim of the job writes its header: so it is seen by the
+            // next.
             txn.set(jobKey, job.header(false));
         }
         int index = job.chunkOf(planned.get(0).task().index());
@@ -417,7 +460,10 @@
             MachineState m = fleet.state(p.machine());
             MachineRecord r = ledger.machine(p.machine());
             Set<String> of = ledger.batchesOf(p.machine());
-            if (m == null || m.report == null || r == null || batches.size() + of.size() > most
+            if (m == null
+                    || m.report == null
+                    || r == null
+                    || batches.size() + of.size() > most
                     || of.stream().anyMatch(b -> busy.contains(Keys.batch(b)))) {
                 continue;
             }
@@ -428,7 +474,12 @@
                 }
             }
             machines.add(p.machine());
-            next.claim(p.task().index(), p.machine(), m.report.session(), loop.timeOfDay(), limited ? settings.node() : "");
+            next.claim(
+                    p.task().index(),
+                    p.machine(),
+                    m.report.session(),
+                    loop.timeOfDay(),
+                    limited ? settings.node() : "");
             claimed++;
         }
         if (claimed == 0) {
@@ -440,7 +491,9 @@
         }
         txn.set(key, value);
         Amount taken = new Amount(job.spec().cpus(), job.spec().cards()).times(claimed);
-        Charge charge = limited ? new Charge(team.name(), taken, job.id(), key, mirror.stamp(key), membership.viewStamp()) : null;
+        Charge charge = limited
+                ? new Charge(team.name(), taken, job.id(), key, mirror.stamp(key), membership.viewStamp())
+                : null;
         if (limited) {
             charges.add(charge);
         }
@@ -450,28 +503,37 @@
                 each.add(c.machine());
             }
         });
-        each.forEach(name -> underWay.computeIfAbsent(name, n -> new ArrayList<>()).add(job.spec()));
-        commit(txn, StateStore.Urgency.CLAIM, true, locks, () -> {
-            ended.keySet().forEach(fleet.endings()::remove);
-            loop.after(Duration.ZERO, () -> machines.forEach(name -> {
-                MachineState m = fleet.state(name);
-                if (m != null) {
-                    fleet.push(m);
-                }
-            }));
-        }, r -> {
-            each.forEach(name -> {
-                List<JobSpec> on = underWay.get(name);
-                on.remove(job.spec());
-                if (on.isEmpty()) {
-                    underWay.remove(name);
-                }
-                planner.changed(name);
-            });
-            if (limited && r.outcome() != StateStore.Outcome.UNKNOWN) {
-                charges.remove(charge);
-            }
-        });
+        each.forEach(
+                name -> underWay.computeIfAbsent(name, n -> new ArrayList<>()).add(job.spec()));
+        commit(
+                txn,
+                StateStore.Urgency.CLAIM,
+                true,
+                locks,
+                () -> {
+                    ended.keySet().forEach(fleet.endings()::remove);
+                    loop.after(
+                            Duration.ZERO,
+                            () -> machines.forEach(name -> {
+                                MachineState m = fleet.state(name);
+                                if (m != null) {
+                                    fleet.push(m);
+                                }
+                            }));
+                },
+                r -> {
+                    each.forEach(name -> {
+                        List<JobSpec> on = underWay.get(name);
+                        on.remove(job.spec());
+                        if (on.isEmpty()) {
+                            underWay.remove(name);
+                        }
+                        planner.changed(name);
+                    });
+                    if (limited && r.outcome() != StateStore.Outcome.UNKNOWN) {
+                        charges.remove(charge);
+                    }
+                });
     }
 
     // ---- teams' limits
@@ -500,8 +562,10 @@
      * gone; if it was applied before that, its claims are in our copy by now.
      */
     private void settleCharges() {
-        charges.removeIf(c -> !busy.contains(c.key) && (mirror.stamp(c.key) != c.stamp || ledger.job(c.job) == null
-                || membership.viewStamp() != c.viewStamp && membership.sawAllBeforeView()));
+        charges.removeIf(c -> !busy.contains(c.key)
+                && (mirror.stamp(c.key) != c.stamp
+                        || ledger.job(c.job) == null
+                        || membership.viewStamp() != c.viewStamp && membership.sawAllBeforeView()));
     }
 
     private Amount held(String team) {
@@ -515,7 +579,8 @@
     }
 
     private static Amount limit(Settings.Team team) {
-        return new Amount(team.cpusMax() > 0 ? team.cpusMax() : Double.MAX_VALUE / 4,
+        return new Amount(
+                team.cpusMax() > 0 ? team.cpusMax() : Double.MAX_VALUE / 4,
                 team.cardsMax() > 0 ? team.cardsMax() : Double.MAX_VALUE / 4);
     }
 
@@ -538,7 +603,8 @@
             return wanted;
         }
         Amount free = limit(team).minus(quota.dealt()).most(Amount.NONE);
-        Amount aim = held.plus(one.times(wanted)).plus(lump(team)).most(lump(team).times(LUMPS));
+        Amount aim =
+                held.plus(one.times(wanted)).plus(lump(team)).most(lump(team).times(LUMPS));
         Amount next = share.plus(aim.minus(share).most(Amount.NONE).least(free));
         int n = wanted;
         while (n > 0 && !held.plus(one.times(n)).within(next)) {
@@ -548,7 +614,11 @@
             shortTeams.add(team.name());
         }
         if (n > 0 && !held.plus(one.times(n)).within(share)) {
-            txn.set(teamKey, quota.with(settings.node(), next).withShort(settings.node(), n < wanted).toJson());
+            txn.set(
+                    teamKey,
+                    quota.with(settings.node(), next)
+                            .withShort(settings.node(), n < wanted)
+                            .toJson());
         }
         return n;
     }
@@ -591,15 +661,19 @@
             if (self.equals(membership.view().first())) {
                 for (String holder : quota.holders()) {
                     Amount theirs = ledger.charged(team.name(), holder);
-                    if (!membership.view().members().containsKey(holder) && !quota.share(holder).within(theirs)) {
-                        next = next.with(holder, theirs.least(quota.share(holder))).withShort(holder, false);
+                    if (!membership.view().members().containsKey(holder)
+                            && !quota.share(holder).within(theirs)) {
+                        next = next.with(holder, theirs.least(quota.share(holder)))
+                                .withShort(holder, false);
                     }
                 }
             }
             if (next != quota) {
-                StateStore.Txn txn = new StateStore.Txn().guard(Keys.VIEW, membership.viewStamp())
-                        .guard(key, mirror.stamp(key)).set(key, next.toJson());
-                commit(txn, List.of(key), () -> { });
+                StateStore.Txn txn = new StateStore.Txn()
+                        .guard(Keys.VIEW, membership.viewStamp())
+                        .guard(key, mirror.stamp(key))
+                        .set(key, next.toJson());
+                commit(txn, List.of(key), () -> {});
             }
         }
         shortTeams.clear();
@@ -611,10 +685,13 @@
     private void finish() {
         for (Job j : List.copyOf(ledger.jobs())) {
             boolean done = !j.cancelled() && j.doneCount() == j.spec().tasks();
-            // Our own cancellation is in our copy at once, another's claim that came just before it only with the watch: a
+            // Our own cancellation is in our copy at once, another's claim that came just before it only with the
+            // watch: a
             // claim that we don't know of would be dropped with its task still running. cancel-overtakes-claim.trace
-            boolean withdrawn = j.cancelled() && j.claimCount() == 0 && mirror.edition() >= mirror.stamp(Keys.job(j.id()));
-            if ((done || withdrawn) && settings.node().equals(membership.view().rendezvous(j.id()))
+            boolean withdrawn =
+                    j.cancelled() && j.claimCount() == 0 && mirror.edition() >= mirror.stamp(Keys.job(j.id()));
+            if ((done || withdrawn)
+                    && settings.node().equals(membership.view().rendezvous(j.id()))
                     && !busy.contains(Keys.job(j.id()))) {
                 conclude(j, done);
             }
@@ -628,7 +705,9 @@
         List<String> withdrawn = new ArrayList<>();
         for (String id : List.copyOf(ledger.waiting())) {
             Job j = ledger.job(id);
-            if (j.cancelled() || busy.contains(Keys.job(id)) || !settings.node().equals(membership.view().rendezvous(id))) {
+            if (j.cancelled()
+                    || busy.contains(Keys.job(id))
+                    || !settings.node().equals(membership.view().rendezvous(id))) {
                 continue;
             }
             switch (pipelines.fate(j)) {
@@ -636,11 +715,16 @@
                 case DONE -> {
                     String key = Keys.job(id);
                     LOG.debug("{} has all that it awaits", id);
-                    commit(new StateStore.Txn().guard(key, mirror.stamp(key)).set(key, j.readyHeader(loop.timeOfDay())),
-                            StateStore.Urgency.CLAIM, List.of(key), () -> { }, r -> { });
-                }
-                default -> {
+                    commit(
+                            new StateStore.Txn()
+                                    .guard(key, mirror.stamp(key))
+                                    .set(key, j.readyHeader(loop.timeOfDay())),
+                            StateStore.Urgency.CLAIM,
+                            List.of(key),
+                            () -> {},
+                            r -> {});
                 }
+                default -> {}
             }
         }
         // It has never been let go, so it holds no task: with the guard on its header nobody can claim one any more.
@@ -650,17 +734,21 @@
             for (String id : some) {
                 String key = Keys.job(id);
                 locks.add(key);
-                txn.guard(key, mirror.stamp(key)).set(Keys.end(id), end("withdrawn", ledger.job(id))).delete(key);
+                txn.guard(key, mirror.stamp(key))
+                        .set(Keys.end(id), end("withdrawn", ledger.job(id)))
+                        .delete(key);
                 pipelines.known(id, Pipelines.Fate.WITHDRAWN);
             }
             LOG.info("withdrawn with a job that they need: {}", some);
-            commit(txn, StateStore.Urgency.CLAIM, locks, () -> { }, r -> { });
+            commit(txn, StateStore.Urgency.CLAIM, locks, () -> {}, r -> {});
         }
     }
 
     /** Chunks of large jobs that are over. */
     private void sweep() {
-        if (ledger.orphans().isEmpty() || busy.contains(SWEEP) || !settings.node().equals(membership.view().first())) {
+        if (ledger.orphans().isEmpty()
+                || busy.contains(SWEEP)
+                || !settings.node().equals(membership.view().first())) {
             return;
         }
         StateStore.Txn txn = new StateStore.Txn();
@@ -669,7 +757,7 @@
                 txn.guard(Keys.job(path.substring(0, path.indexOf('/'))), 0).delete(Keys.TASKS + path);
             }
         }
-        commit(txn, List.of(SWEEP), () -> { });
+        commit(txn, List.of(SWEEP), () -> {});
     }
 
     private void conclude(Job j, boolean done) {
@@ -700,7 +788,11 @@
                 }
             }
         }
-        commit(txn, last || done ? StateStore.Urgency.CLAIM : StateStore.Urgency.WORK, List.of(Keys.job(j.id())),
-                () -> LOG.debug("{} concluded", j.id()), r -> { });
+        commit(
+                txn,
+                last || done ? StateStore.Urgency.CLAIM : StateStore.Urgency.WORK,
+                List.of(Keys.job(j.id())),
+                () -> LOG.debug("{} concluded", j.id()),
+                r -> {});
     }
 }
--- a/src/main/java/org/havenford/coordination/Users.java
+++ b/src/main/java/org/havenford/coordination/Users.java
@@ -42,9 +42,11 @@
     private final Runnable wake;
     /** Jobs asked for since the last comparison was sent. */
     private final Map<String, List<Consumer<Response>>> asking = new LinkedHashMap<>();
+
     private boolean comparing;
     /** Final states never change, so they can be answered from memory. */
-    private final Cache<String, String> finals = CacheBuilder.newBuilder().maximumSize(5000).build();
+    private final Cache<String, String> finals =
+            CacheBuilder.newBuilder().maximumSize(5000).build();
 
     public Users(EventLoop loop, Settings settings, Ledger ledger, Mirror mirror, StateStore store, Runnable wake) {
         this.loop = loop;
@@ -66,7 +68,8 @@
     }
 
     private static String progress(String id, String status, int done, int running) {
-        return "{\"nameId\":\"" + id + "\",\"status\":\"" + status + "\",\"done\":" + done + ",\"running\":" + running + "}";
+        return "{\"nameId\":\"" + id + "\",\"status\":\"" + status + "\",\"done\":" + done + ",\"running\":" + running
+                + "}";
     }
 
     /** Refused at once: the state service is not to be reached, or more is waiting than can be done in time. */
@@ -134,7 +137,10 @@
                 awaited(ids, at + 1, spec, accepted, answer);
             } else if (r.status() == 404) {
                 // A job that is known already stays accepted, whatever this copy of it says.
-                read(spec.id(), own -> answer.accept(own.status() == 404 ? error(422, "awaits a job that was never accepted") : own));
+                read(
+                        spec.id(),
+                        own -> answer.accept(
+                                own.status() == 404 ? error(422, "awaits a job that was never accepted") : own));
             } else {
                 answer.accept(r);
             }
@@ -167,13 +173,21 @@
             spec = given.withTypes(kept);
         }
         String id = spec.id();
-        Job job = new Job(spec, loop.timeOfDay(), Job.chunkSize(settings.valueBytes(), spec.tasks(),
-                settings.peers().size() + 1, settings.scarceChanges()), false);
-        if (job.readyHeader(loop.timeOfDay()).toString().getBytes(StandardCharsets.UTF_8).length + CANCELLED_LENGTH > settings.valueBytes()) {
-            answer.accept(error(400, "the names in this submission, and the jobs that it awaits, are too many to be kept"));
+        Job job = new Job(
+                spec,
+                loop.timeOfDay(),
+                Job.chunkSize(
+                        settings.valueBytes(), spec.tasks(), settings.peers().size() + 1, settings.scarceChanges()),
+                false);
+        if (job.readyHeader(loop.timeOfDay()).toString().getBytes(StandardCharsets.UTF_8).length + CANCELLED_LENGTH
+                > settings.valueBytes()) {
+            answer.accept(
+                    error(400, "the names in this submission, and the jobs that it awaits, are too many to be kept"));
             return;
         }
-        StateStore.Txn txn = new StateStore.Txn().guard(Keys.job(id), 0).guard(Keys.end(id), 0)
+        StateStore.Txn txn = new StateStore.Txn()
+                .guard(Keys.job(id), 0)
+                .guard(Keys.end(id), 0)
                 .set(Keys.job(id), job.header(false));
         store.commit(txn, StateStore.Urgency.USER, r -> {
             if (r.ok()) {
@@ -225,8 +239,9 @@
         comparing = true;
         Map<String, List<Consumer<Response>>> asked = new LinkedHashMap<>();
         StateStore.Txn txn = new StateStore.Txn();
-        for (Iterator<Map.Entry<String, List<Consumer<Response>>>> it = asking.entrySet().iterator();
-                it.hasNext() && asked.size() < settings.txnOps() * 4;) {
+        for (Iterator<Map.Entry<String, List<Consumer<Response>>>> it =
+                        asking.entrySet().iterator();
+                it.hasNext() && asked.size() < settings.txnOps() * 4; ) {
             Map.Entry<String, List<Consumer<Response>>> e = it.next();
             it.remove();
             if (ledger.job(e.getKey()) == null) {
@@ -347,7 +362,8 @@
                     answer.accept(Response.of(200, state(id, "withdrawn")));
                     return;
                 }
-                StateStore.Txn txn = new StateStore.Txn().guard(Keys.job(id), Json.count(r.body(), "stamp"))
+                StateStore.Txn txn = new StateStore.Txn()
+                        .guard(Keys.job(id), Json.count(r.body(), "stamp"))
                         .set(Keys.job(id), job.header(true));
                 store.commit(txn, StateStore.Urgency.USER, c -> {
                     if (c.ok()) {
--- a/src/main/java/org/havenford/coordination/View.java
+++ b/src/main/java/org/havenford/coordination/View.java
@@ -25,11 +25,13 @@
 
     public static View parse(JsonObject o) throws Json.BadMessage {
         TreeMap<String, Long> members = new TreeMap<>();
-        for (Map.Entry<String, com.google.gson.JsonElement> e : Json.child(o, "members").entrySet()) {
+        for (Map.Entry<String, com.google.gson.JsonElement> e :
+                Json.child(o, "members").entrySet()) {
             members.put(e.getKey(), e.getValue().getAsLong());
         }
         TreeMap<String, String> moved = new TreeMap<>();
-        for (Map.Entry<String, com.google.gson.JsonElement> e : Json.child(o, "moved").entrySet()) {
+        for (Map.Entry<String, com.google.gson.JsonElement> e :
+                Json.child(o, "moved").entrySet()) {
             moved.put(e.getKey(), e.getValue().getAsString());
         }
         return new View(Json.count(o, "epoch"), members, moved, new TreeSet<>(Json.texts(o, "resting")));
--- a/src/main/java/org/havenford/protocol/CloudMessages.java
+++ b/src/main/java/org/havenford/protocol/CloudMessages.java
@@ -8,19 +8,21 @@
 
 /** The cloud's requests and answers. */
 public final class CloudMessages {
+    /** State of a machine in the cloud's list. */
     public enum Status {
-        STARTING, RUNNING, FAILED
+        STARTING,
+        RUNNING,
+        FAILED
     }
 
-    public record Listed(String machine, String endpoint, String type, String zone, boolean spot, Status status,
-            Duration age) {
-    }
+    /** One machine of the cloud's list. */
+    public record Listed(
+            String machine, String endpoint, String type, String zone, boolean spot, Status status, Duration age) {}
 
-    public record Page(List<Listed> machines, boolean more) {
-    }
+    /** One page of the cloud's list of machines. */
+    public record Page(List<Listed> machines, boolean more) {}
 
-    private CloudMessages() {
-    }
+    private CloudMessages() {}
 
     public static String rent(String booking, String type, String zone, boolean spot, int count) {
         JsonObject o = new JsonObject();
@@ -48,14 +50,21 @@
         JsonObject o = Json.object(body);
         List<Listed> out = new ArrayList<>();
         for (JsonObject m : Json.objects(o, "boxes")) {
-            Status status = switch (Json.text(m, "status")) {
-                case "starting" -> Status.STARTING;
-                case "running" -> Status.RUNNING;
-                case "failed" -> Status.FAILED;
-                default -> throw new Json.BadMessage("status of a machine is unknown");
-            };
-            out.add(new Listed(Json.text(m, "nameId"), Json.textOr(m, "endpoint", ""), Json.text(m, "rig"),
-                    Json.text(m, "hall"), Json.flagOr(m, "borrowed", false), status, Json.seconds(m, "heldS")));
+            Status status =
+                    switch (Json.text(m, "status")) {
+                        case "starting" -> Status.STARTING;
+                        case "running" -> Status.RUNNING;
+                        case "failed" -> Status.FAILED;
+                        default -> throw new Json.BadMessage("status of a machine is unknown");
+                    };
+            out.add(new Listed(
+                    Json.text(m, "nameId"),
+                    Json.textOr(m, "endpoint", ""),
+                    Json.text(m, "rig"),
+                    Json.text(m, "hall"),
+                    Json.flagOr(m, "borrowed", false),
+                    status,
+                    Json.seconds(m, "heldS")));
         }
         return new Page(out, Json.flagOr(o, "truncated", false));
     }
--- a/src/main/java/org/havenford/protocol/Command.java
+++ b/src/main/java/org/havenford/protocol/Command.java
@@ -7,8 +7,11 @@
 
 /** A command to a worker about one attempt of a task. */
 public record Command(Op op, TaskId task, long attempt, Duration grace) {
+    /** What a worker is asked to do with one attempt of a task. */
     public enum Op {
-        RUN("run"), STOP("stop"), FORGET("forget");
+        RUN("run"),
+        STOP("stop"),
+        FORGET("forget");
 
         private final String wire;
 
--- a/src/main/java/org/havenford/protocol/JobSpec.java
+++ b/src/main/java/org/havenford/protocol/JobSpec.java
@@ -9,16 +9,38 @@
 import java.util.regex.Pattern;
 
 /** A job as its user described it. */
-public record JobSpec(String id, String lineup, String team, Priority priority, int tasks, double cpus, double cards,
-        double memGb, Set<String> types, String zone, boolean together, boolean apart, boolean spot, String image,
-        double imageGb, Duration guess, Duration checkpoint, Duration save, Duration deadline, Set<String> awaits) {
+public record JobSpec(
+        String id,
+        String lineup,
+        String team,
+        Priority priority,
+        int tasks,
+        double cpus,
+        double cards,
+        double memGb,
+        Set<String> types,
+        String zone,
+        boolean together,
+        boolean apart,
+        boolean spot,
+        String image,
+        double imageGb,
+        Duration guess,
+        Duration checkpoint,
+        Duration save,
+        Duration deadline,
+        Set<String> awaits) {
 
     private static final Pattern ID = Pattern.compile("j-[0-9]{1,40}");
     private static final int MAX_TASKS = 100_000;
     private static final int MAX_NAME = 200;
 
+    /** Priority of a job, the highest first. */
     public enum Priority {
-        PRODUCTION, URGENT, NORMAL, LOW;
+        PRODUCTION,
+        URGENT,
+        NORMAL,
+        LOW;
 
         static Priority parse(String s) throws Json.BadMessage {
             for (Priority p : values()) {
@@ -54,14 +76,27 @@
         if (Json.has(o, "rigs")) {
             types = new TreeSet<>(Json.texts(o, "rigs"));
         }
-        return new JobSpec(id, name(o, "lineup"), name(o, "crew"), Priority.parse(Json.text(o, "urgency")),
-                (int) tasks, positive(o, "vcpus"), Json.amount(o, "cards"), Json.amount(o, "memGb"), types,
-                Json.has(o, "hall") ? name(o, "hall") : null, flag(o, "together"),
-                flag(o, "apart"), flag(o, "borrowed"), name(o, "reel"),
-                Json.amount(o, "imageGb"), Json.seconds(o, "guessS"),
+        return new JobSpec(
+                id,
+                name(o, "lineup"),
+                name(o, "crew"),
+                Priority.parse(Json.text(o, "urgency")),
+                (int) tasks,
+                positive(o, "vcpus"),
+                Json.amount(o, "cards"),
+                Json.amount(o, "memGb"),
+                types,
+                Json.has(o, "hall") ? name(o, "hall") : null,
+                flag(o, "together"),
+                flag(o, "apart"),
+                flag(o, "borrowed"),
+                name(o, "reel"),
+                Json.amount(o, "imageGb"),
+                Json.seconds(o, "guessS"),
                 Json.seconds(o, "keyframeS"),
                 Json.seconds(o, "flushS"),
-                Json.has(o, "airtimeS") ? Json.seconds(o, "airtimeS") : null, awaits(o, id));
+                Json.has(o, "airtimeS") ? Json.seconds(o, "airtimeS") : null,
+                awaits(o, id));
     }
 
     /** The jobs that must be done before any task starts; a name that comes twice counts once. */
@@ -103,8 +138,27 @@
 
     /** Keeps of the allowed types those that exist, so that a stored job stays small. */
     public JobSpec withTypes(Set<String> kept) {
-        return new JobSpec(id, lineup, team, priority, tasks, cpus, cards, memGb, kept, zone, together, apart, spot,
-                image, imageGb, guess, checkpoint, save, deadline, awaits);
+        return new JobSpec(
+                id,
+                lineup,
+                team,
+                priority,
+                tasks,
+                cpus,
+                cards,
+                memGb,
+                kept,
+                zone,
+                together,
+                apart,
+                spot,
+                image,
+                imageGb,
+                guess,
+                checkpoint,
+                save,
+                deadline,
+                awaits);
     }
 
     public JsonObject toJson() {
@@ -150,8 +204,10 @@
     }
 
     public boolean allows(MachineType type, String inZone, boolean onSpot) {
-        return (types == null || types.contains(type.name())) && (zone == null || zone.equals(inZone))
-                && (spot || !onSpot) && fits(type);
+        return (types == null || types.contains(type.name()))
+                && (zone == null || zone.equals(inZone))
+                && (spot || !onSpot)
+                && fits(type);
     }
 
     public boolean fits(MachineType type) {
@@ -162,5 +218,4 @@
     public int zoneCap() {
         return apart ? (tasks + 1) / 2 : tasks;
     }
-
 }
--- a/src/main/java/org/havenford/protocol/Json.java
+++ b/src/main/java/org/havenford/protocol/Json.java
@@ -27,8 +27,7 @@
         }
     }
 
-    private Json() {
-    }
+    private Json() {}
 
     public static JsonObject object(String text) throws BadMessage {
         try {
@@ -42,7 +41,10 @@
                 throw new BadMessage("text after the object");
             }
             return e.getAsJsonObject();
-        } catch (JsonParseException | IOException | IllegalStateException | NumberFormatException
+        } catch (JsonParseException
+                | IOException
+                | IllegalStateException
+                | NumberFormatException
                 | StackOverflowError e) {
             throw new BadMessage("not JSON");
         }
--- a/src/main/java/org/havenford/protocol/MachineType.java
+++ b/src/main/java/org/havenford/protocol/MachineType.java
@@ -7,15 +7,30 @@
 import java.util.List;
 
 /** A type of machine that the cloud rents out. */
-public record MachineType(String name, double cpus, double cards, double memGb, double cacheGb, double fetchGbPerS,
-        double price, double spotPrice, Duration boot, List<String> zones) {
+public record MachineType(
+        String name,
+        double cpus,
+        double cards,
+        double memGb,
+        double cacheGb,
+        double fetchGbPerS,
+        double price,
+        double spotPrice,
+        Duration boot,
+        List<String> zones) {
 
     public static List<MachineType> parseAll(JsonObject o) throws Json.BadMessage {
         List<MachineType> out = new ArrayList<>();
         for (JsonObject t : Json.objects(o, "rigs")) {
-            out.add(new MachineType(Json.text(t, "name"), Json.amount(t, "vcpus"), Json.amountOr(t, "cards", 0),
-                    Json.amount(t, "memGb"), Json.amountOr(t, "localGb", 0), Json.amountOr(t, "fetchGbPerS", 0.1),
-                    Json.amountOr(t, "hourly", 0), Json.amountOr(t, "spotPrice", 0),
+            out.add(new MachineType(
+                    Json.text(t, "name"),
+                    Json.amount(t, "vcpus"),
+                    Json.amountOr(t, "cards", 0),
+                    Json.amount(t, "memGb"),
+                    Json.amountOr(t, "localGb", 0),
+                    Json.amountOr(t, "fetchGbPerS", 0.1),
+                    Json.amountOr(t, "hourly", 0),
+                    Json.amountOr(t, "spotPrice", 0),
                     Json.has(t, "bootS") ? Json.seconds(t, "bootS") : Duration.ofSeconds(60),
                     List.copyOf(Json.texts(t, "halls"))));
         }
--- a/src/main/java/org/havenford/protocol/Report.java
+++ b/src/main/java/org/havenford/protocol/Report.java
@@ -5,36 +5,60 @@
 import java.util.List;
 
 /** What a worker says of itself and its tasks. */
-public record Report(String machine, String endpoint, String type, String zone, boolean spot, long session, long seq,
-        long token, Double noticeS, List<Entry> tasks) {
+public record Report(
+        String machine,
+        String endpoint,
+        String type,
+        String zone,
+        boolean spot,
+        long session,
+        long seq,
+        long token,
+        Double noticeS,
+        List<Entry> tasks) {
 
+    /** State of one attempt of a task on its machine. */
     public enum State {
-        FETCHING, RUNNING, SAVING, EXITED
+        FETCHING,
+        RUNNING,
+        SAVING,
+        EXITED
     }
 
-    public record Entry(TaskId task, long attempt, State state, String why) {
-    }
+    /** One attempt of a task as a worker reports it. */
+    public record Entry(TaskId task, long attempt, State state, String why) {}
 
     public static Report parse(JsonObject o) throws Json.BadMessage {
         List<Entry> tasks = new ArrayList<>();
         for (JsonObject t : Json.objects(o, "shots")) {
-            State state = switch (Json.text(t, "status")) {
-                case "pulling" -> State.FETCHING;
-                case "running" -> State.RUNNING;
-                case "flushing" -> State.SAVING;
-                case "exited" -> State.EXITED;
-                default -> throw new Json.BadMessage("status of a task is unknown");
-            };
-            tasks.add(new Entry(TaskId.parse(Json.text(t, "shot")), Json.count(t, "take"), state,
-                    Json.textOr(t, "cause", "")));
+            State state =
+                    switch (Json.text(t, "status")) {
+                        case "pulling" -> State.FETCHING;
+                        case "running" -> State.RUNNING;
+                        case "flushing" -> State.SAVING;
+                        case "exited" -> State.EXITED;
+                        default -> throw new Json.BadMessage("status of a task is unknown");
+                    };
+            tasks.add(new Entry(
+                    TaskId.parse(Json.text(t, "shot")), Json.count(t, "take"), state, Json.textOr(t, "cause", "")));
         }
         String machine = Json.text(o, "box");
-        if (machine.isEmpty() || machine.length() > 100 || machine.chars().anyMatch(c -> c <= ' ' || c > '~' || c == '/')) {
+        if (machine.isEmpty()
+                || machine.length() > 100
+                || machine.chars().anyMatch(c -> c <= ' ' || c > '~' || c == '/')) {
             throw new Json.BadMessage("box is not a name");
         }
-        return new Report(machine, Json.text(o, "endpoint"), Json.text(o, "rig"), Json.text(o, "hall"),
-                Json.flagOr(o, "borrowed", false), Json.count(o, "shift"), Json.count(o, "tally"),
-                Json.count(o, "baton"), Json.has(o, "warningS") ? Json.amount(o, "warningS") : null, tasks);
+        return new Report(
+                machine,
+                Json.text(o, "endpoint"),
+                Json.text(o, "rig"),
+                Json.text(o, "hall"),
+                Json.flagOr(o, "borrowed", false),
+                Json.count(o, "shift"),
+                Json.count(o, "tally"),
+                Json.count(o, "baton"),
+                Json.has(o, "warningS") ? Json.amount(o, "warningS") : null,
+                tasks);
     }
 
     public boolean newerThan(Report other) {
--- a/src/main/java/org/havenford/protocol/Settings.java
+++ b/src/main/java/org/havenford/protocol/Settings.java
@@ -14,20 +14,37 @@
  * The file that the platform hands over. Unknown fields are ignored. The state service's limits may be lowered to those of
  * {@code state.next} at any moment: sizes are the smaller of both, {@code presentValueBytes} is what holds until then.
  */
-public record Settings(String node, String zone, String bind, String peerListen, List<Peer> peers, String cloudAddress,
-        String stateAddress, Map<String, Team> teams, Duration report, Duration workerLease, Duration cancel,
-        double stateRps, double stateWriteRps, double nextWriteRps, int valueBytes, int presentValueBytes, int txnOps, double cloudRps, Duration listLag,
-        int maxConnections, List<Objective> objectives) {
+public record Settings(
+        String node,
+        String zone,
+        String bind,
+        String peerListen,
+        List<Peer> peers,
+        String cloudAddress,
+        String stateAddress,
+        Map<String, Team> teams,
+        Duration report,
+        Duration workerLease,
+        Duration cancel,
+        double stateRps,
+        double stateWriteRps,
+        double nextWriteRps,
+        int valueBytes,
+        int presentValueBytes,
+        int txnOps,
+        double cloudRps,
+        Duration listLag,
+        int maxConnections,
+        List<Objective> objectives) {
 
     /** Changes a second and controller below which records are made as large, and releases gathered as long, as can be. */
     private static final double SCARCE = 6;
 
-    public record Peer(String node, String zone, String address) {
-    }
+    /** Another controller of the same deployment. */
+    public record Peer(String node, String zone, String address) {}
 
     /** An aim of a class of jobs; {@code within} is null for deadlines, which every job brings itself. */
-    public record Objective(String kind, String lineup, Duration within) {
-    }
+    public record Objective(String kind, String lineup, Duration within) {}
 
     /** A team's share; a limit of 0 means none. */
     public record Team(String name, double cpus, double cpusMax, double cards, double cardsMax) {
@@ -53,29 +70,50 @@
         JsonObject state = Json.child(deployment, "state");
         JsonObject next = Json.has(state, "next") ? Json.child(state, "next") : state;
         JsonObject cloud = Json.child(deployment, "cloud");
-        JsonObject resources = Json.has(deployment, "resources") ? Json.child(deployment, "resources") : new JsonObject();
+        JsonObject resources =
+                Json.has(deployment, "resources") ? Json.child(deployment, "resources") : new JsonObject();
         List<Peer> peers = new ArrayList<>();
         for (JsonObject p : Json.objects(o, "others")) {
             peers.add(new Peer(Json.text(p, "node_name"), Json.textOr(p, "location", ""), Json.text(p, "peer_addr")));
         }
         Map<String, Team> teams = new LinkedHashMap<>();
         for (JsonObject t : Json.objects(deployment, "teams")) {
-            Team team = new Team(Json.text(t, "name"), Json.amountOr(t, "cpus", 0), Json.amountOr(t, "cpus_max", 0),
-                    Json.amountOr(t, "gpus", 0), Json.amountOr(t, "gpus_max", 0));
+            Team team = new Team(
+                    Json.text(t, "name"),
+                    Json.amountOr(t, "cpus", 0),
+                    Json.amountOr(t, "cpus_max", 0),
+                    Json.amountOr(t, "gpus", 0),
+                    Json.amountOr(t, "gpus_max", 0));
             teams.put(team.name(), team);
         }
         List<Objective> objectives = new ArrayList<>();
         for (JsonObject a : Json.objects(deployment, "objectives")) {
-            objectives.add(new Objective(Json.textOr(a, "kind", ""), Json.textOr(a, "class", ""),
+            objectives.add(new Objective(
+                    Json.textOr(a, "kind", ""),
+                    Json.textOr(a, "class", ""),
                     Json.has(a, "within_s") ? Json.seconds(a, "within_s") : null));
         }
-        return new Settings(Json.text(o, "node_name"), Json.text(o, "location"), address(o, "bind"),
-                address(o, "cluster_listen"), List.copyOf(peers), address(endpoints, "cloud"),
-                address(endpoints, "state"), teams, Json.seconds(workers, "report_s"),
-                Json.seconds(workers, "lease_s"), Json.seconds(workers, "cancel_s"), positive(state, "rps"),
-                positive(state, "write_rps"), smaller(state, next, "write_rps"), (int) (smaller(state, next, "value_kb") * 1024),
-                (int) (positive(state, "value_kb") * 1024), (int) Math.max(4, smaller(state, next, "txn_ops")), positive(cloud, "rps"),
-                Json.seconds(cloud, "list_lag_s"), (int) Json.amountOr(resources, "max_connections", 1000),
+        return new Settings(
+                Json.text(o, "node_name"),
+                Json.text(o, "location"),
+                address(o, "bind"),
+                address(o, "cluster_listen"),
+                List.copyOf(peers),
+                address(endpoints, "cloud"),
+                address(endpoints, "state"),
+                teams,
+                Json.seconds(workers, "report_s"),
+                Json.seconds(workers, "lease_s"),
+                Json.seconds(workers, "cancel_s"),
+                positive(state, "rps"),
+                positive(state, "write_rps"),
+                smaller(state, next, "write_rps"),
+                (int) (smaller(state, next, "value_kb") * 1024),
+                (int) (positive(state, "value_kb") * 1024),
+                (int) Math.max(4, smaller(state, next, "txn_ops")),
+                positive(cloud, "rps"),
+                Json.seconds(cloud, "list_lag_s"),
+                (int) Json.amountOr(resources, "max_connections", 1000),
                 List.copyOf(objectives));
     }
 
--- a/src/main/java/org/havenford/transport/HttpCalls.java
+++ b/src/main/java/org/havenford/transport/HttpCalls.java
@@ -10,6 +10,7 @@
     /** Sent, no answer: it may have been carried out, or may yet be. */
     int NO_ANSWER = -1;
 
+    /** An HTTP response, or one of the substitutes {@link #NOT_SENT} and {@link #NO_ANSWER}. */
     record Reply(int status, String body) {
         public boolean ok() {
             return status == 200;
--- a/src/main/java/org/havenford/transport/HttpClient.java
+++ b/src/main/java/org/havenford/transport/HttpClient.java
@@ -41,6 +41,7 @@
     private int open;
     /** Idle connections with their hosts, the longest idle first. */
     private final LinkedHashMap<ClientConnection, String> byAge = new LinkedHashMap<>();
+
     private final Object2ObjectHashMap<String, ArrayDeque<ClientConnection>> idle = new Object2ObjectHashMap<>();
 
     /** {@code mostOpen} says how many connections there is room for at the moment. */
@@ -84,7 +85,8 @@
     private boolean makeRoom() {
         int most = mostOpen.getAsInt();
         for (int i = 0; i < MAX_EVICTED && open >= most && !byAge.isEmpty(); i++) {
-            Map.Entry<ClientConnection, String> eldest = byAge.entrySet().iterator().next();
+            Map.Entry<ClientConnection, String> eldest =
+                    byAge.entrySet().iterator().next();
             ClientConnection c = eldest.getKey();
             String address = eldest.getValue();
             byAge.remove(c);
@@ -129,29 +131,36 @@
                 loop.after(Duration.ZERO, () -> fail("too many connections"));
                 return;
             }
-            UndertowClient.getInstance().connect(new ClientCallback<>() {
-                @Override
-                public void completed(ClientConnection c) {
-                    open++;
-                    c.getCloseSetter().set(ch -> open--);
-                    if (finished) {
-                        IoUtils.safeClose(c);
-                        return;
-                    }
-                    connection = c;
-                    send();
-                }
-
-                @Override
-                public void failed(IOException e) {
-                    fail(e.toString());
-                }
-            }, URI.create("http://" + address), loop.thread(), buffers, OptionMap.EMPTY);
+            UndertowClient.getInstance()
+                    .connect(
+                            new ClientCallback<>() {
+                                @Override
+                                public void completed(ClientConnection c) {
+                                    open++;
+                                    c.getCloseSetter().set(ch -> open--);
+                                    if (finished) {
+                                        IoUtils.safeClose(c);
+                                        return;
+                                    }
+                                    connection = c;
+                                    send();
+                                }
+
+                                @Override
+                                public void failed(IOException e) {
+                                    fail(e.toString());
+                                }
+                            },
+                            URI.create("http://" + address),
+                            loop.thread(),
+                            buffers,
+                            OptionMap.EMPTY);
         }
 
         private void send() {
             sent = true;
-            ClientRequest request = new ClientRequest().setMethod(new HttpString(method)).setPath(path);
+            ClientRequest request =
+                    new ClientRequest().setMethod(new HttpString(method)).setPath(path);
             request.getRequestHeaders().put(Headers.HOST, address);
             if (body != null) {
                 request.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/json");
@@ -168,8 +177,9 @@
                 @Override
                 public void completed(ClientExchange answered) {
                     int status = answered.getResponse().getResponseCode();
-                    boolean close = "close".equalsIgnoreCase(
-                            answered.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
+                    boolean close = "close"
+                            .equalsIgnoreCase(
+                                    answered.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
                     new StringReadChannelListener(buffers) {
                         @Override
                         protected void stringDone(String text) {
--- a/src/main/java/org/havenford/transport/HttpServer.java
+++ b/src/main/java/org/havenford/transport/HttpServer.java
@@ -19,8 +19,7 @@
     public static final int MAX_BODY = 64 * 1024;
 
     /** A request; {@code body} is null when it was larger than {@link #MAX_BODY} or could not be read. */
-    public record Request(String method, String path, byte[] body) {
-    }
+    public record Request(String method, String path, byte[] body) {}
 
     /** An answer; {@code retryAfter} is null unless the caller is told when to come back. */
     public record Response(int status, String body, Duration retryAfter, boolean close) {
@@ -34,6 +33,7 @@
         }
     }
 
+    /** Answers requests; the answer may come later, from the event loop. */
     public interface Handler {
         void handle(Request request, Consumer<Response> answer);
     }
@@ -55,8 +55,10 @@
                 .setSocketOption(Options.BACKLOG, 256)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.ENABLE_STATISTICS, true)
-                .addHttpListener(port, host, exchange -> exchange.dispatch(SameThreadExecutor.INSTANCE,
-                        () -> receive(exchange, handler)))
+                .addHttpListener(
+                        port,
+                        host,
+                        exchange -> exchange.dispatch(SameThreadExecutor.INSTANCE, () -> receive(exchange, handler)))
                 .build();
     }
 
@@ -82,12 +84,14 @@
             return;
         }
         exchange.getRequestReceiver().setMaxBufferSize(MAX_BODY);
-        exchange.getRequestReceiver().receiveFullBytes(
-                (e, bytes) -> handle(e, handler, new Request(method, path, bytes.length > MAX_BODY ? null : bytes)),
-                (e, failure) -> {
-                    e.setPersistent(false);
-                    handle(e, handler, new Request(method, path, null));
-                });
+        exchange.getRequestReceiver()
+                .receiveFullBytes(
+                        (e, bytes) ->
+                                handle(e, handler, new Request(method, path, bytes.length > MAX_BODY ? null : bytes)),
+                        (e, failure) -> {
+                            e.setPersistent(false);
+                            handle(e, handler, new Request(method, path, null));
+                        });
     }
 
     private void handle(HttpServerExchange exchange, Handler handler, Request request) {
@@ -106,7 +110,10 @@
         exchange.setStatusCode(response.status());
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
         if (response.retryAfter() != null) {
-            exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Long.toString(Math.max(1, response.retryAfter().toSeconds())));
+            exchange.getResponseHeaders()
+                    .put(
+                            Headers.RETRY_AFTER,
+                            Long.toString(Math.max(1, response.retryAfter().toSeconds())));
         }
         if (response.close() || crowded()) {
             exchange.setPersistent(false);
--- a/src/test/java/org/havenford/bookkeeping/ChunkTest.java
+++ b/src/test/java/org/havenford/bookkeeping/ChunkTest.java
@@ -49,11 +49,14 @@
             c.release(70, true, true);
             int median = c.runs().getInt(c.runs().size() / 2);
             assertNull(c.copy().toJson(2048, 2048, false), "no form that the version before reads is that short");
-            assertTrue(c.copy().toJson(2048, limit, false).has("c"), "until then it stays readable for the version before");
+            assertTrue(
+                    c.copy().toJson(2048, limit, false).has("c"),
+                    "until then it stays readable for the version before");
             Chunk small = c.copy();
             String text = small.toJson(2048, limit, true).toString();
             assertTrue(text.length() <= 2048, text);
-            Chunk read = new Chunk("j-1", 64, size).read(JsonParser.parseString(text).getAsJsonObject());
+            Chunk read =
+                    new Chunk("j-1", 64, size).read(JsonParser.parseString(text).getAsJsonObject());
             assertEquals(List.copyOf(c.claims()), List.copyOf(read.claims()));
             assertEquals("host-000170", read.lateOn(70));
             assertEquals(2, read.claim(70, "host-1", 1, AT, "").attempt(), "attempts go on counting");
@@ -78,8 +81,9 @@
     /** Kept as the version in production writes it. */
     @Test
     void aRecordOfTheVersionBeforeIsReadAndWrittenAlike() throws Exception {
-        String kept = "{\"d\":[\"5\"],\"c\":[[1,2,\"host-000007\",3,1700000000000,\"workhorse-1\"],[3,1,\"host-000008\",1,1700000000500]],"
-                + "\"n\":{\"1\":2,\"3\":1},\"l\":{\"1\":\"host-000009\"},\"f\":[12],\"r\":[250,260],\"x\":1}";
+        String kept =
+                "{\"d\":[\"5\"],\"c\":[[1,2,\"host-000007\",3,1700000000000,\"workhorse-1\"],[3,1,\"host-000008\",1,1700000000500]],"
+                        + "\"n\":{\"1\":2,\"3\":1},\"l\":{\"1\":\"host-000009\"},\"f\":[12],\"r\":[250,260],\"x\":1}";
         Chunk c = new Chunk("j-1", 0, 16).read(JsonParser.parseString(kept).getAsJsonObject());
         assertEquals(kept, c.toJson(2048, 8192, false).toString());
         assertEquals(kept, c.toJson(2048, 8192, true).toString(), "what fits keeps the form that both read");
@@ -88,9 +92,10 @@
     /** A header as the version in production writes it, and what a pipeline's header keeps over a rewriting. */
     @Test
     void headersOfBothVersions() throws Exception {
-        String kept = "{\"nameId\":\"j-000412\",\"lineup\":\"train\",\"crew\":\"red\",\"shape\":\"batch\",\"urgency\":\"urgent\",\"shots\":40,"
-                + "\"vcpus\":8.0,\"cards\":0.0,\"memGb\":64.0,\"together\":false,\"apart\":true,\"borrowed\":true,\"reel\":\"img-07\",\"imageGb\":6.2,"
-                + "\"guessS\":240.0,\"keyframeS\":30.0,\"flushS\":4.0,\"airtimeS\":900.0,\"_at\":1700000000000,\"_chunk\":58}";
+        String kept =
+                "{\"nameId\":\"j-000412\",\"lineup\":\"train\",\"crew\":\"red\",\"shape\":\"batch\",\"urgency\":\"urgent\",\"shots\":40,"
+                        + "\"vcpus\":8.0,\"cards\":0.0,\"memGb\":64.0,\"together\":false,\"apart\":true,\"borrowed\":true,\"reel\":\"img-07\",\"imageGb\":6.2,"
+                        + "\"guessS\":240.0,\"keyframeS\":30.0,\"flushS\":4.0,\"airtimeS\":900.0,\"_at\":1700000000000,\"_chunk\":58}";
         Job old = Job.parse(JsonParser.parseString(kept).getAsJsonObject());
         assertEquals(kept, old.header(false).toString());
         assertTrue(!old.waiting() && old.chunkCount() == 1 && old.released().equals(old.submitted()));
@@ -100,7 +105,9 @@
         assertTrue(waits.waiting());
         assertEquals(Set.of("j-1", "j-2"), Job.parse(waits.header(true)).spec().awaits());
         Job ready = Job.parse(waits.readyHeader(AT.plusSeconds(9)));
-        assertTrue(!ready.waiting() && ready.released().equals(AT.plusSeconds(9)) && ready.due().equals(old.due()));
+        assertTrue(!ready.waiting()
+                && ready.released().equals(AT.plusSeconds(9))
+                && ready.due().equals(old.due()));
         assertTrue(!Job.parse(ready.header(false)).waiting(), "a claim of a spread job writes the header again");
     }
 
--- a/src/test/java/org/havenford/coordination/DecisionsTest.java
+++ b/src/test/java/org/havenford/coordination/DecisionsTest.java
@@ -51,23 +51,33 @@
     @Test
     void aMovedMachineGoesBackWhenItsNodeLeaves() {
         TreeMap<String, String> moved = new TreeMap<>(java.util.Map.of("host-1", "b"));
-        assertEquals("b", new View(1, new TreeMap<>(java.util.Map.of("a", 1L, "b", 2L)), moved, new TreeSet<>()).owner("host-1"));
-        assertEquals("a", new View(2, new TreeMap<>(java.util.Map.of("a", 1L)), moved, new TreeSet<>()).owner("host-1"));
+        assertEquals(
+                "b",
+                new View(1, new TreeMap<>(java.util.Map.of("a", 1L, "b", 2L)), moved, new TreeSet<>()).owner("host-1"));
+        assertEquals(
+                "a", new View(2, new TreeMap<>(java.util.Map.of("a", 1L)), moved, new TreeSet<>()).owner("host-1"));
     }
 
     @Test
     void operatorsSettingsAreChecked(@TempDir Path dir) throws Exception {
-        Operator o = Operator.read(write(dir, "<havenford><late-threshold>0.8</late-threshold><unknown>1</unknown></havenford>"));
+        Operator o = Operator.read(
+                write(dir, "<havenford><late-threshold>0.8</late-threshold><unknown>1</unknown></havenford>"));
         assertEquals(0.8, o.lateThreshold());
         assertEquals(Operator.DEFAULTS.lateMinimumDone(), o.lateMinimumDone());
-        for (String bad : new String[] {"<havenford><late-threshold>2</late-threshold></havenford>",
-            "<havenford><late-threshold>x</late-threshold></havenford>"}) {
+        for (String bad : new String[] {
+            "<havenford><late-threshold>2</late-threshold></havenford>",
+            "<havenford><late-threshold>x</late-threshold></havenford>"
+        }) {
             Operator.BadSetting e = assertThrows(Operator.BadSetting.class, () -> Operator.read(write(dir, bad)));
             assertTrue(e.getMessage().contains("late-threshold"), e.getMessage());
         }
-        assertEquals(Operator.SpeedFirst.NEVER,
-                Operator.read(write(dir, "<havenford><speed-first>never</speed-first></havenford>")).speedFirst());
-        assertThrows(Operator.BadSetting.class, () -> Operator.read(write(dir, "<havenford><speed-first>red</speed-first></havenford>")));
+        assertEquals(
+                Operator.SpeedFirst.NEVER,
+                Operator.read(write(dir, "<havenford><speed-first>never</speed-first></havenford>"))
+                        .speedFirst());
+        assertThrows(
+                Operator.BadSetting.class,
+                () -> Operator.read(write(dir, "<havenford><speed-first>red</speed-first></havenford>")));
         assertThrows(Operator.BadSetting.class, () -> Operator.read(write(dir, "<havenford>")));
         assertThrows(Operator.BadSetting.class, () -> Operator.read(write(dir, "<!DOCTYPE x><havenford/>")));
     }
--- a/src/test/java/org/havenford/protocol/MessagesTest.java
+++ b/src/test/java/org/havenford/protocol/MessagesTest.java
@@ -13,10 +13,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class MessagesTest {
-    private static final String JOB = "{\"nameId\":\"j-000412\",\"lineup\":\"train\",\"crew\":\"vision\",\"shape\":\"batch\","
-            + "\"urgency\":\"urgent\",\"shots\":16,\"vcpus\":8.0,\"cards\":0,\"memGb\":64.0,\"reel\":\"img-07\",\"imageGb\":6.2,"
-            + "\"rigs\":null,\"hall\":null,\"together\":true,\"apart\":false,\"borrowed\":true,\"guessS\":240.0,"
-            + "\"keyframeS\":0,\"flushS\":0,\"airtimeS\":900.0,\"new\":{\"x\":[1]}}";
+    private static final String JOB =
+            "{\"nameId\":\"j-000412\",\"lineup\":\"train\",\"crew\":\"vision\",\"shape\":\"batch\","
+                    + "\"urgency\":\"urgent\",\"shots\":16,\"vcpus\":8.0,\"cards\":0,\"memGb\":64.0,\"reel\":\"img-07\",\"imageGb\":6.2,"
+                    + "\"rigs\":null,\"hall\":null,\"together\":true,\"apart\":false,\"borrowed\":true,\"guessS\":240.0,"
+                    + "\"keyframeS\":0,\"flushS\":0,\"airtimeS\":900.0,\"new\":{\"x\":[1]}}";
 
     @Test
     void aJobSurvivesTheStore() throws Exception {
@@ -27,9 +28,29 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"shots,0", "shots,-1", "shots,1.5", "shots,100001", "shots,1e300", "vcpus,0", "vcpus,-2", "vcpus,1e300",
-        "memGb,-1", "cards,-1", "guessS,true", "shape,'\"ensemble\"'", "shape,'\"gang\"'", "urgency,'\"soon\"'",
-        "nameId,'\"j-1/../x\"'", "nameId,'\"k-1\"'", "lineup,null", "together,1", "airtimeS,-5", "rigs,'[1]'", "reel,'[]'"})
+    @CsvSource({
+        "shots,0",
+        "shots,-1",
+        "shots,1.5",
+        "shots,100001",
+        "shots,1e300",
+        "vcpus,0",
+        "vcpus,-2",
+        "vcpus,1e300",
+        "memGb,-1",
+        "cards,-1",
+        "guessS,true",
+        "shape,'\"ensemble\"'",
+        "shape,'\"gang\"'",
+        "urgency,'\"soon\"'",
+        "nameId,'\"j-1/../x\"'",
+        "nameId,'\"k-1\"'",
+        "lineup,null",
+        "together,1",
+        "airtimeS,-5",
+        "rigs,'[1]'",
+        "reel,'[]'"
+    })
     void aBadFieldIsNamed(String field, String value) throws Exception {
         JsonObject o = Json.object(JOB);
         o.add(field, com.google.gson.JsonParser.parseString(value));
@@ -63,7 +84,9 @@
     }
 
     private static Report report(long session, long seq) throws Json.BadMessage {
-        return Report.parse(Json.object("{\"box\":\"host-1\",\"endpoint\":\"10.0.0.1:9\",\"rig\":\"g8\",\"hall\":\"a\",\"borrowed\":false,"
-                + "\"shift\":" + session + ",\"tally\":" + seq + ",\"baton\":4294967296,\"shots\":[{\"shot\":\"j-1/0\",\"take\":1,\"status\":\"running\"}]}"));
+        return Report.parse(Json.object(
+                "{\"box\":\"host-1\",\"endpoint\":\"10.0.0.1:9\",\"rig\":\"g8\",\"hall\":\"a\",\"borrowed\":false,"
+                        + "\"shift\":" + session + ",\"tally\":" + seq
+                        + ",\"baton\":4294967296,\"shots\":[{\"shot\":\"j-1/0\",\"take\":1,\"status\":\"running\"}]}"));
     }
 }
--- a/src/test/java/org/havenford/world/Cloud.java
+++ b/src/test/java/org/havenford/world/Cloud.java
@@ -27,6 +27,7 @@
     final Set<String> gone = new HashSet<>();
     /** When each was returned. */
     final Map<String, Instant> returned = new HashMap<>();
+
     private int created;
     boolean outage;
     List<String> zones = List.of("a", "b", "c");
@@ -124,8 +125,9 @@
             String type = o.get("rig").getAsString();
             String zone = o.get("hall").getAsString();
             boolean spot = o.get("borrowed").getAsBoolean();
-            long there = world.workers.values().stream().filter(w -> !gone.contains(w.name) && w.type.equals(type)
-                    && w.zone.equals(zone) && w.spot == spot).count();
+            long there = world.workers.values().stream()
+                    .filter(w -> !gone.contains(w.name) && w.type.equals(type) && w.zone.equals(zone) && w.spot == spot)
+                    .count();
             int n = (int) Math.min(o.get("count").getAsInt(), PER_OFFER - there);
             if (n <= 0) {
                 return new Reply(503, "{\"error\":\"no capacity\"}");
--- a/src/test/java/org/havenford/world/GrownTest.java
+++ b/src/test/java/org/havenford/world/GrownTest.java
@@ -13,11 +13,15 @@
 /** What only shows at size: counts of what the state service is asked for, and that no kind of work starves. */
 class GrownTest {
     private static final int NODES = 7;
-    private static final String TEAMS = "{\"name\":\"red\",\"cpus\":1000,\"cpus_max\":4000},"
-            + "{\"name\":\"blue\",\"cpus\":400,\"cpus_max\":900}";
+    private static final String TEAMS =
+            "{\"name\":\"red\",\"cpus\":1000,\"cpus_max\":4000}," + "{\"name\":\"blue\",\"cpus\":400,\"cpus_max\":900}";
 
     private static Settings settings(int node) {
-        return Trace.settings(node, NODES, TEAMS, "{\"report_s\":6,\"lease_s\":36,\"cancel_s\":66}",
+        return Trace.settings(
+                node,
+                NODES,
+                TEAMS,
+                "{\"report_s\":6,\"lease_s\":36,\"cancel_s\":66}",
                 "{\"rps\":150,\"write_rps\":50,\"value_kb\":16,\"txn_ops\":12}");
     }
 
@@ -60,15 +64,17 @@
     }
 
     /** What a day asked of the state service, and the longest wait for a first start. */
-    private record Counts(int tasks, int requests, int changes, int conflicts, int refused, double waited) {
-    }
+    private record Counts(int tasks, int requests, int changes, int conflicts, int refused, double waited) {}
 
     /** A day with so many machines from the start, and a job a second of {@code least} tasks and up to {@code more} more. */
     private static Counts day(World world, int machines, int jobs, int least, int more, List<String> teams) {
         world.store.pageSize = 500;
         List<String> zones = world.cloud.zones;
         for (int i = 0; i < machines; i++) {
-            world.cloud.boot(i % 3 == 0 ? "large" : "small", zones.get(i % zones.size()), i % 2 == 0,
+            world.cloud.boot(
+                    i % 3 == 0 ? "large" : "small",
+                    zones.get(i % zones.size()),
+                    i % 2 == 0,
                     Duration.ofMillis(100 + world.random.nextInt(5000)));
         }
         world.runUntil(40);
@@ -77,7 +83,8 @@
         int conflicts = world.store.conflicts;
         int before = taskChanges(world);
         int total = 0;
-        // Drawn apart from the delays of messages: or each call more or less would make it another day, at times with more
+        // Drawn apart from the delays of messages: or each call more or less would make it another day, at times with
+        // more
         // work than the teams' limits take.
         SplittableRandom sizes = new SplittableRandom(jobs);
         for (int i = 0; i < jobs; i++) {
@@ -90,13 +97,26 @@
         }
         world.runUntil(100 + jobs);
         assertEquals(List.of(), world.rules.broken);
-        assertEquals(List.of(), world.users.jobs.values().stream().filter(j -> j.doneTold == null)
-                .map(j -> j.id + " of " + j.tasks + " by " + j.team + ", begun " + j.begun).toList(),
+        assertEquals(
+                List.of(),
+                world.users.jobs.values().stream()
+                        .filter(j -> j.doneTold == null)
+                        .map(j -> j.id + " of " + j.tasks + " by " + j.team + ", begun " + j.begun)
+                        .toList(),
                 () -> world.store.changesOf + " " + world.store.conflictsOf);
         assertEquals(total, world.rules.starts, () -> String.join("\n", world.log));
-        Counts counts = new Counts(total, world.store.requests - requests, taskChanges(world) - before,
-                world.store.conflicts - conflicts, world.store.refused - refused, world.users.jobs.values().stream()
-                .mapToLong(j -> Duration.between(j.submitted, j.begun).toMillis()).max().orElse(0) / 1e3);
+        Counts counts = new Counts(
+                total,
+                world.store.requests - requests,
+                taskChanges(world) - before,
+                world.store.conflicts - conflicts,
+                world.store.refused - refused,
+                world.users.jobs.values().stream()
+                                .mapToLong(j ->
+                                        Duration.between(j.submitted, j.begun).toMillis())
+                                .max()
+                                .orElse(0)
+                        / 1e3);
         String all = counts + "; changes " + world.store.changesOf + ", conflicts " + world.store.conflictsOf;
         assertTrue(counts.changes < 1.6 * total, all);
         assertTrue(counts.requests < 5 * total, all);
@@ -107,8 +127,10 @@
 
     /** Renting and returning go their own way; what counts here is what a task costs. */
     private static int taskChanges(World world) {
-        return world.store.changesOf.entrySet().stream().filter(e -> !e.getKey().contains("live/machine"))
-                .mapToInt(Map.Entry::getValue).sum();
+        return world.store.changesOf.entrySet().stream()
+                .filter(e -> !e.getKey().contains("live/machine"))
+                .mapToInt(Map.Entry::getValue)
+                .sum();
     }
 
     /** Limits a tenth as high make the service slow, not broken. */
@@ -130,8 +152,13 @@
         }
         world.runUntil(300);
         assertEquals(List.of(), world.rules.broken);
-        assertTrue(world.users.jobs.values().stream().allMatch(j -> j.doneTold != null), () -> "all jobs are done: " + world.store.requests + " " + world.store.refused + " "
-                + world.store.changesOf + " " + world.users.jobs.values().stream().map(j -> j.id + j.accepted + j.begun + j.doneTold).toList());
+        assertTrue(
+                world.users.jobs.values().stream().allMatch(j -> j.doneTold != null),
+                () -> "all jobs are done: " + world.store.requests + " " + world.store.refused + " "
+                        + world.store.changesOf + " "
+                        + world.users.jobs.values().stream()
+                                .map(j -> j.id + j.accepted + j.begun + j.doneTold)
+                                .toList());
     }
 
     /** While urgent work asks for more than there is, the rest still gets its turn, the largest jobs within four minutes. */
--- a/src/test/java/org/havenford/world/InterfaceTest.java
+++ b/src/test/java/org/havenford/world/InterfaceTest.java
@@ -43,7 +43,8 @@
         assertEquals(400, ask("POST", "/submissions", "[]").status());
         assertEquals(400, ask("POST", "/submissions", "{").status());
         assertEquals(400, ask("POST", "/submissions", job("j-1", "red", 0, 1)).status());
-        assertEquals(422, ask("POST", "/submissions", job("j-1", "nobody", 1, 1)).status());
+        assertEquals(
+                422, ask("POST", "/submissions", job("j-1", "nobody", 1, 1)).status());
         assertEquals(422, ask("POST", "/submissions", job("j-1", "red", 1, 9)).status());
         assertEquals(404, ask("GET", "/submissions/j-1", null).status());
         assertEquals(404, ask("GET", "/submissions/..%2fx", null).status());
@@ -58,24 +59,38 @@
     @Test
     void whatASubmissionMayAwait() {
         start();
-        assertEquals(400, ask("POST", "/submissions", awaiting("j-1", "\"j-2\"")).status());
-        assertEquals(400, ask("POST", "/submissions", awaiting("j-1", "[\"train\"]")).status());
+        assertEquals(
+                400, ask("POST", "/submissions", awaiting("j-1", "\"j-2\"")).status());
+        assertEquals(
+                400, ask("POST", "/submissions", awaiting("j-1", "[\"train\"]")).status());
         assertEquals(400, ask("POST", "/submissions", awaiting("j-1", "[7]")).status());
-        assertEquals(400, ask("POST", "/submissions", awaiting("j-1", "[\"j-1\"]")).status());
-        assertEquals(422, ask("POST", "/submissions", awaiting("j-1", "[\"j-2\"]")).status());
+        assertEquals(
+                400, ask("POST", "/submissions", awaiting("j-1", "[\"j-1\"]")).status());
+        assertEquals(
+                422, ask("POST", "/submissions", awaiting("j-1", "[\"j-2\"]")).status());
         assertEquals(404, ask("GET", "/submissions/j-1", null).status());
         assertEquals(201, ask("POST", "/submissions", awaiting("j-2", "null")).status());
-        assertEquals(201, ask("POST", "/submissions", awaiting("j-1", "[\"j-2\",\"j-2\"]")).status());
-        assertEquals(200, ask("POST", "/submissions", awaiting("j-1", "[\"j-2\"]")).status());
-        assertEquals(200, ask("POST", "/submissions", awaiting("j-1", "[\"j-99\"]")).status(), "known already");
-        assertEquals(422, ask("POST", "/submissions", awaiting("j-3", "[\"j-2\",\"j-98\"]")).status());
+        assertEquals(
+                201,
+                ask("POST", "/submissions", awaiting("j-1", "[\"j-2\",\"j-2\"]"))
+                        .status());
+        assertEquals(
+                200, ask("POST", "/submissions", awaiting("j-1", "[\"j-2\"]")).status());
+        assertEquals(
+                200, ask("POST", "/submissions", awaiting("j-1", "[\"j-99\"]")).status(), "known already");
+        assertEquals(
+                422,
+                ask("POST", "/submissions", awaiting("j-3", "[\"j-2\",\"j-98\"]"))
+                        .status());
         assertTrue(ask("GET", "/submissions/j-1", null).body().contains("pending"));
         ask("POST", "/submissions/j-2/abort", null);
         assertTrue(ask("GET", "/submissions/j-1", null).body().contains("withdrawn"));
-        assertEquals(201, ask("POST", "/submissions", awaiting("j-4", "[\"j-2\"]")).status(), "accepted all the same");
+        assertEquals(
+                201, ask("POST", "/submissions", awaiting("j-4", "[\"j-2\"]")).status(), "accepted all the same");
         assertTrue(ask("GET", "/submissions/j-4", null).body().contains("withdrawn"));
         world.store.outage = true;
-        assertEquals(503, ask("POST", "/submissions", awaiting("j-5", "[\"j-97\"]")).status(), "not known, so not refused");
+        assertEquals(
+                503, ask("POST", "/submissions", awaiting("j-5", "[\"j-97\"]")).status(), "not known, so not refused");
     }
 
     @Test
@@ -97,7 +112,14 @@
         start();
         world.store.outage = true;
         Reply[] out = new Reply[1];
-        world.call("users", "node-0:1", "POST", "/submissions", job("j-9", "red", 1, 1), Duration.ofSeconds(5), r -> out[0] = r);
+        world.call(
+                "users",
+                "node-0:1",
+                "POST",
+                "/submissions",
+                job("j-9", "red", 1, 1),
+                Duration.ofSeconds(5),
+                r -> out[0] = r);
         world.runUntil(world.seconds() + 0.2);
         assertEquals(503, out[0].status());
     }
