--- a/src/test/java/org/havenford/world/Rules.java
+++ b/src/test/java/org/havenford/world/Rules.java
@@ -23,6 +23,7 @@
     int starts;
     /** Starts after their job's cancellation was confirmed: counted by users, broken only after the time allowed. */
     int startsAfterCancel;
+
     private final Map<String, Instant> waiting = new HashMap<>();
     private boolean touched = true;
     private Instant waitsChecked = Instant.MIN;
@@ -73,7 +74,10 @@
                 if (o != t && on(w, o) && o.shot.equals(t.shot)) {
                     broken("ran_twice", t.shot + " on " + w.name + " and " + on.name);
                 }
-                if (j.together && on(w, o) && !w.zone.equals(on.zone) && jobOf(o.shot).equals(j.id)) {
+                if (j.together
+                        && on(w, o)
+                        && !w.zone.equals(on.zone)
+                        && jobOf(o.shot).equals(j.id)) {
                     broken("wrong_place", t.shot + " in zone " + on.zone + ", " + o.shot + " in zone " + w.zone);
                 }
                 if (on(w, o) && w.zone.equals(on.zone) && jobOf(o.shot).equals(j.id)) {
@@ -86,7 +90,8 @@
         }
         for (String a : j.awaits) {
             JsonElement end = world.store.value("final/" + a);
-            if (end == null || !end.getAsJsonObject().get("status").getAsString().equals("done")) {
+            if (end == null
+                    || !end.getAsJsonObject().get("status").getAsString().equals("done")) {
                 broken("too_early", t.shot + " starts before " + a + " is done");
             }
         }
@@ -106,14 +111,18 @@
             return;
         }
         for (Users.Job j : world.users.jobs.values()) {
-            boolean open = j.accepted && j.doneTold == null && !world.users.mayBeWithdrawn(j)
+            boolean open = j.accepted
+                    && j.doneTold == null
+                    && !world.users.mayBeWithdrawn(j)
                     && j.awaits.stream().allMatch(a -> world.store.value("final/" + a) != null);
             boolean pending = open && !j.apart && !j.together && unstarted(j);
             Settings.Team team = world.template.teams().get(j.team);
             boolean allowed = team.cpusMax() <= 0 || used.getOrDefault(j.team, 0.0) + j.cpus <= team.cpusMax() + 1e-6;
             if (!pending || !allowed || world.workers.values().stream().noneMatch(w -> hasRoom(w, j))) {
                 waiting.remove(j.id);
-            } else if (Duration.between(waiting.computeIfAbsent(j.id, k -> world.now), world.now).compareTo(WAITS_AT_MOST) > 0) {
+            } else if (Duration.between(waiting.computeIfAbsent(j.id, k -> world.now), world.now)
+                            .compareTo(WAITS_AT_MOST)
+                    > 0) {
                 broken("waited", j.id + " has waited beside fitting room");
                 waiting.remove(j.id);
             }
@@ -124,7 +133,8 @@
         for (int i = 0; i < j.tasks; i++) {
             String shot = j.id + "/" + i;
             if (!world.users.finished.contains(shot)
-                    && world.workers.values().stream().noneMatch(w -> w.tasks.values().stream().anyMatch(t -> t.shot.equals(shot)))) {
+                    && world.workers.values().stream()
+                            .noneMatch(w -> w.tasks.values().stream().anyMatch(t -> t.shot.equals(shot)))) {
                 return true;
             }
         }
@@ -132,9 +142,16 @@
     }
 
     private boolean hasRoom(Worker w, Users.Job j) {
-        double taken = w.tasks.values().stream().filter(t -> !t.status.equals("exited"))
-                .mapToDouble(t -> world.users.jobs.get(jobOf(t.shot)).cpus).sum();
-        return w.up() && !w.hung && !w.faulty && w.notice == null && (j.spot || !w.spot) && (j.zone == null || j.zone.equals(w.zone))
+        double taken = w.tasks.values().stream()
+                .filter(t -> !t.status.equals("exited"))
+                .mapToDouble(t -> world.users.jobs.get(jobOf(t.shot)).cpus)
+                .sum();
+        return w.up()
+                && !w.hung
+                && !w.faulty
+                && w.notice == null
+                && (j.spot || !w.spot)
+                && (j.zone == null || j.zone.equals(w.zone))
                 && taken + j.cpus <= Cloud.TYPES.get(w.type)[0] + 1e-6;
     }
 
@@ -152,7 +169,8 @@
                 }
                 Users.Job j = world.users.jobs.get(jobOf(t.shot));
                 used.merge(j.team, j.cpus, Double::sum);
-                if (j.cancelTold != null && Duration.between(j.cancelTold, world.now).compareTo(world.template.cancel()) > 0) {
+                if (j.cancelTold != null
+                        && Duration.between(j.cancelTold, world.now).compareTo(world.template.cancel()) > 0) {
                     broken("ran_cancelled", t.shot + " is still on " + w.name);
                 }
             }
@@ -173,7 +191,10 @@
     void unanswered(Users.Job j) {
         Instant since = j.answered.isAfter(troublesOver) ? j.answered : troublesOver;
         if (Duration.between(since, world.now).compareTo(KNOWN_WITHIN) > 0) {
-            broken("forgotten", j.id + " has had no answer since " + Duration.between(Instant.EPOCH, since).toMillis() / 1e3);
+            broken(
+                    "forgotten",
+                    j.id + " has had no answer since "
+                            + Duration.between(Instant.EPOCH, since).toMillis() / 1e3);
         }
     }
 
@@ -191,7 +212,8 @@
             groups.computeIfAbsent("class " + j.lineup, k -> new ArrayList<>()).add(j);
             groups.computeIfAbsent("team " + j.team, k -> new ArrayList<>()).add(j);
             if (j.tasks >= largest.get(j.lineup) * LARGE) {
-                groups.computeIfAbsent("largest of class " + j.lineup, k -> new ArrayList<>()).add(j);
+                groups.computeIfAbsent("largest of class " + j.lineup, k -> new ArrayList<>())
+                        .add(j);
                 Instant by = j.submitted.plus(LARGE_BEGIN_WITHIN);
                 if (j.awaits.isEmpty() && by.isBefore(world.now) && (j.begun == null || j.begun.isAfter(by))) {
                     broken("unserved", j.id + ", of the largest of its class, has not begun in time");
--- a/src/test/java/org/havenford/world/Store.java
+++ b/src/test/java/org/havenford/world/Store.java
@@ -18,14 +18,11 @@
 
 /** A stand-in for the state service. */
 final class Store implements World.Server {
-    private record Value(JsonElement v, long stamp, long permit) {
-    }
+    private record Value(JsonElement v, long stamp, long permit) {}
 
-    private record Change(long stamp, String key, JsonElement v) {
-    }
+    private record Change(long stamp, String key, JsonElement v) {}
 
-    private record Watcher(String prefix, long since, Consumer<Reply> answer) {
-    }
+    private record Watcher(String prefix, long since, Consumer<Reply> answer) {}
 
     private static final class Lease {
         Duration life;
@@ -43,11 +40,13 @@
     private final double[] changeTokens = new double[1];
     /** What the service has been asked, and what it refused for its limits. */
     int requests;
+
     int written;
     int conflicts;
     int refused;
     /** Changes made, and keys of conditions that failed, by the first two parts of the key. */
     final TreeMap<String, Integer> changesOf = new TreeMap<>();
+
     final TreeMap<String, Integer> conflictsOf = new TreeMap<>();
     private long lastLease;
     boolean outage;
@@ -55,10 +54,12 @@
     int pageSize = 7;
     /** Transactions that are answered with nothing, and applied this much later. */
     Duration lateTxn;
+
     int lateTxns;
 
     /** Limits, which may be lowered without notice. */
     int valueBytes;
+
     int txnOps = 12;
     double writeRps;
 
@@ -91,7 +92,10 @@
         world.after(Duration.between(world.now, l.until).plusMillis(20), () -> {
             if (leases.get(id) == l && !outage && !world.now.isBefore(l.until)) {
                 leases.remove(id);
-                List<String> gone = values.entrySet().stream().filter(e -> e.getValue().permit == id).map(Map.Entry::getKey).toList();
+                List<String> gone = values.entrySet().stream()
+                        .filter(e -> e.getValue().permit == id)
+                        .map(Map.Entry::getKey)
+                        .toList();
                 if (!gone.isEmpty()) {
                     edition++;
                     gone.forEach(k -> {
@@ -106,7 +110,8 @@
 
     /** Takes from a limit that allows bursts of one second's worth. */
     private boolean within(double[] bucket, double rate, double n) {
-        bucket[0] = Math.min(rate, bucket[0] + rate * Duration.between(refilled, world.now).toNanos() / 1e9);
+        bucket[0] = Math.min(
+                rate, bucket[0] + rate * Duration.between(refilled, world.now).toNanos() / 1e9);
         if (bucket[0] < n) {
             return false;
         }
@@ -120,7 +125,12 @@
             requestTokens[0] = world.template.stateRps();
             changeTokens[0] = writeRps;
         }
-        int writes = path.equals("/multi") ? JsonParser.parseString(body).getAsJsonObject().getAsJsonArray("writes").size() : 0;
+        int writes = path.equals("/multi")
+                ? JsonParser.parseString(body)
+                        .getAsJsonObject()
+                        .getAsJsonArray("writes")
+                        .size()
+                : 0;
         boolean ok = within(requestTokens, world.template.stateRps(), 1) & within(changeTokens, writeRps, writes);
         refilled = world.now;
         if (ok) {
@@ -164,7 +174,8 @@
             }
         } else if (path.equals("/holds")) {
             Lease l = new Lease();
-            l.life = Duration.ofMillis(JsonParser.parseString(body).getAsJsonObject().get("lifeMs").getAsLong());
+            l.life = Duration.ofMillis(
+                    JsonParser.parseString(body).getAsJsonObject().get("lifeMs").getAsLong());
             l.until = world.now.plus(l.life);
             leases.put(++lastLease, l);
             expireLater(lastLease);
@@ -182,12 +193,16 @@
         } else if (path.startsWith("/store/")) {
             String key = path.substring("/store/".length());
             Value v = values.get(key);
-            answer.accept(v == null ? new Reply(404, "{\"edition\":" + edition + "}") : new Reply(200, item(key, v).toString()));
+            answer.accept(
+                    v == null
+                            ? new Reply(404, "{\"edition\":" + edition + "}")
+                            : new Reply(200, item(key, v).toString()));
         } else {
             Map<String, String> q = query(path);
             JsonArray items = new JsonArray();
             boolean more = false;
-            for (Map.Entry<String, Value> e : values.tailMap(q.getOrDefault("since", ""), false).entrySet()) {
+            for (Map.Entry<String, Value> e :
+                    values.tailMap(q.getOrDefault("since", ""), false).entrySet()) {
                 if (e.getKey().startsWith(q.get("prefix"))) {
                     if (items.size() >= pageSize) {
                         more = true;
@@ -261,12 +276,21 @@
         }
         for (JsonElement e : writes) {
             JsonObject w = e.getAsJsonObject();
-            changesOf.merge((w.has("set") ? "set " : "delete ") + kind(w.get(w.has("set") ? "set" : "delete").getAsString()), 1, Integer::sum);
+            changesOf.merge(
+                    (w.has("set") ? "set " : "delete ")
+                            + kind(w.get(w.has("set") ? "set" : "delete").getAsString()),
+                    1,
+                    Integer::sum);
             if (w.has("set")) {
                 if (w.get("v").toString().length() > valueBytes) {
                     throw new AssertionError("a value beyond the limit: " + w);
                 }
-                values.put(w.get("set").getAsString(), new Value(w.get("v"), edition, w.has("permit") ? w.get("permit").getAsLong() : 0));
+                values.put(
+                        w.get("set").getAsString(),
+                        new Value(
+                                w.get("v"),
+                                edition,
+                                w.has("permit") ? w.get("permit").getAsLong() : 0));
                 changes.add(new Change(edition, w.get("set").getAsString(), w.get("v")));
             } else {
                 values.remove(w.get("delete").getAsString());
--- a/src/test/java/org/havenford/world/Trace.java
+++ b/src/test/java/org/havenford/world/Trace.java
@@ -13,8 +13,7 @@
     private static final String WORKERS = "{\"report_s\":3,\"lease_s\":20,\"cancel_s\":44}";
     private static final String STATE = "{\"rps\":300,\"write_rps\":150,\"value_kb\":8,\"txn_ops\":12}";
 
-    private Trace() {
-    }
+    private Trace() {}
 
     static Settings settings(int node, String teams) {
         return settings(node, 3, teams, WORKERS, STATE);
@@ -24,14 +23,22 @@
         StringBuilder others = new StringBuilder();
         for (int i = 0; i < nodes; i++) {
             if (i != node) {
-                others.append(others.isEmpty() ? "" : ",").append("{\"node_name\":\"node-").append(i)
-                        .append("\",\"location\":\"").append(zone(i)).append("\",\"peer_addr\":\"node-").append(i).append(":2\"}");
+                others.append(others.isEmpty() ? "" : ",")
+                        .append("{\"node_name\":\"node-")
+                        .append(i)
+                        .append("\",\"location\":\"")
+                        .append(zone(i))
+                        .append("\",\"peer_addr\":\"node-")
+                        .append(i)
+                        .append(":2\"}");
             }
         }
         try {
-            return Settings.parse("{\"node_name\":\"node-" + node + "\",\"location\":\"" + zone(node) + "\",\"bind\":\"node-"
+            return Settings.parse("{\"node_name\":\"node-" + node + "\",\"location\":\"" + zone(node)
+                    + "\",\"bind\":\"node-"
                     + node + ":1\",\"cluster_listen\":\"node-" + node + ":2\",\"others\":[" + others
-                    + "],\"endpoints\":{\"cloud\":\"cloud:1\",\"state\":\"state:1\"},\"deployment\":{\"teams\":[" + teams
+                    + "],\"endpoints\":{\"cloud\":\"cloud:1\",\"state\":\"state:1\"},\"deployment\":{\"teams\":["
+                    + teams
                     + "],\"workers\":" + workers + ",\"state\":" + state + ",\"cloud\":{\"rps\":5,\"list_lag_s\":4}}}");
         } catch (Json.BadMessage e) {
             throw new IllegalStateException(e);
@@ -58,7 +65,11 @@
             }
             String[] w = line.split("\\s+");
             switch (w[0]) {
-                case "next" -> state = STATE.replace("}", ",\"next\":{\"value_kb\":" + w[1] + ",\"txn_ops\":" + w[2] + ",\"write_rps\":" + w[3] + "}}");
+                case "next" ->
+                    state = STATE.replace(
+                            "}",
+                            ",\"next\":{\"value_kb\":" + w[1] + ",\"txn_ops\":" + w[2] + ",\"write_rps\":" + w[3]
+                                    + "}}");
                 case "nodes" -> nodes = Integer.parseInt(w[1]);
                 case "seed" -> seed = Long.parseLong(w[1]);
                 case "team" -> teams.add("{\"name\":\"" + w[1] + "\",\"cpus\":" + w[2] + ",\"cpus_max\":" + w[3] + "}");
@@ -82,7 +93,8 @@
             }
         }
         for (String[] e : events) {
-            if (e[0].equals("at") && !List.of("submit", "cancel", "ask", "repeat").contains(e[2])) {
+            if (e[0].equals("at")
+                    && !List.of("submit", "cancel", "ask", "repeat").contains(e[2])) {
                 Instant at = Instant.EPOCH.plusMillis((long) (Double.parseDouble(e[1]) * 1000));
                 world.rules.troublesOver = at.isAfter(world.rules.troublesOver) ? at : world.rules.troublesOver;
             }
@@ -95,26 +107,47 @@
         List<String> wrong = new ArrayList<>(world.rules.broken);
         for (String[] e : expectations) {
             String text = String.join(" ", List.of(e).subList(2, e.length));
-            boolean holds = switch (e[1]) {
-                case "served" -> true;
-                case "done" -> world.users.jobs.get(e[2]).doneTold != null;
-                case "cancelled" -> world.users.jobs.get(e[2]).cancelTold != null;
-                case "taken-along" -> world.users.jobs.get(e[2]).takenAlong != null;
-                case "log" -> world.log.stream().anyMatch(l -> l.contains(text));
-                case "no-log" -> world.log.stream().noneMatch(l -> l.contains(text));
-                case "no-key" -> world.store.values.keySet().stream().noneMatch(k -> k.startsWith(text));
-                case "done-by" -> world.users.jobs.get(e[2]).doneTold != null
-                        && !world.users.jobs.get(e[2]).doneTold.isAfter(Instant.EPOCH.plusSeconds(Long.parseLong(e[3])));
-                case "epochs" -> world.store.value("live/view").getAsJsonObject().get("epoch").getAsInt() <= Integer.parseInt(e[2]);
-                case "kept" -> !world.cloud.returned.getOrDefault(e[2], Instant.MAX)
-                        .isBefore(Instant.EPOCH.plusSeconds(Long.parseLong(e[3])));
-                case "resting" -> world.store.value("live/view").getAsJsonObject().getAsJsonArray("resting").size() == Integer.parseInt(e[2]);
-                case "gone" -> world.cloud.gone.contains(e[2]);
-                case "late-starts" -> world.rules.startsAfterCancel <= Integer.parseInt(e[2]);
-                case "starts" -> world.rules.starts == Integer.parseInt(e[2]);
-                case "broken" -> world.rules.broken.stream().anyMatch(b -> b.contains(" " + e[2] + ": "));
-                default -> throw new IllegalArgumentException(String.join(" ", e));
-            };
+            boolean holds =
+                    switch (e[1]) {
+                        case "served" -> true;
+                        case "done" -> world.users.jobs.get(e[2]).doneTold != null;
+                        case "cancelled" -> world.users.jobs.get(e[2]).cancelTold != null;
+                        case "taken-along" -> world.users.jobs.get(e[2]).takenAlong != null;
+                        case "log" -> world.log.stream().anyMatch(l -> l.contains(text));
+                        case "no-log" -> world.log.stream().noneMatch(l -> l.contains(text));
+                        case "no-key" -> world.store.values.keySet().stream().noneMatch(k -> k.startsWith(text));
+                        case "done-by" ->
+                            world.users.jobs.get(e[2]).doneTold != null
+                                    && !world.users
+                                            .jobs
+                                            .get(e[2])
+                                            .doneTold
+                                            .isAfter(Instant.EPOCH.plusSeconds(Long.parseLong(e[3])));
+                        case "epochs" ->
+                            world.store
+                                            .value("live/view")
+                                            .getAsJsonObject()
+                                            .get("epoch")
+                                            .getAsInt()
+                                    <= Integer.parseInt(e[2]);
+                        case "kept" ->
+                            !world.cloud
+                                    .returned
+                                    .getOrDefault(e[2], Instant.MAX)
+                                    .isBefore(Instant.EPOCH.plusSeconds(Long.parseLong(e[3])));
+                        case "resting" ->
+                            world.store
+                                            .value("live/view")
+                                            .getAsJsonObject()
+                                            .getAsJsonArray("resting")
+                                            .size()
+                                    == Integer.parseInt(e[2]);
+                        case "gone" -> world.cloud.gone.contains(e[2]);
+                        case "late-starts" -> world.rules.startsAfterCancel <= Integer.parseInt(e[2]);
+                        case "starts" -> world.rules.starts == Integer.parseInt(e[2]);
+                        case "broken" -> world.rules.broken.stream().anyMatch(b -> b.contains(" " + e[2] + ": "));
+                        default -> throw new IllegalArgumentException(String.join(" ", e));
+                    };
             if (!holds) {
                 wrong.add("expected: " + String.join(" ", List.of(e).subList(1, e.length)));
             }
@@ -135,8 +168,14 @@
             w.note(String.join(" ", List.of(e).subList(2, e.length)));
         }
         switch (e[2]) {
-            case "submit" -> w.users.submit(a, e[4], Integer.parseInt(e[5]), Double.parseDouble(e[6]),
-                    Double.parseDouble(e[7]), List.of(e).subList(8, e.length));
+            case "submit" ->
+                w.users.submit(
+                        a,
+                        e[4],
+                        Integer.parseInt(e[5]),
+                        Double.parseDouble(e[6]),
+                        Double.parseDouble(e[7]),
+                        List.of(e).subList(8, e.length));
             case "cancel" -> w.users.cancel(a, e.length > 4 ? e[4] : null);
             case "ask" -> w.users.ask(a);
             case "repeat" -> w.users.repeat(a);
@@ -181,8 +220,10 @@
             case "faulty" -> w.workers.get(a).faulty = true;
             case "slow-fetch" -> w.workers.get(a).slowFetch = Double.parseDouble(e[4]);
             case "notice" -> w.workers.get(a).notice = Double.parseDouble(e[4]);
-            case "late-commands" -> w.lateCommands.put(end(w, a), Duration.ofMillis((long) (Double.parseDouble(e[4]) * 1000)));
-            case "late-changes" -> w.lateChanges.put(end(w, a), Duration.ofMillis((long) (Double.parseDouble(e[4]) * 1000)));
+            case "late-commands" ->
+                w.lateCommands.put(end(w, a), Duration.ofMillis((long) (Double.parseDouble(e[4]) * 1000)));
+            case "late-changes" ->
+                w.lateChanges.put(end(w, a), Duration.ofMillis((long) (Double.parseDouble(e[4]) * 1000)));
             case "late-txns" -> {
                 w.store.lateTxns = Integer.parseInt(a);
                 w.store.lateTxn = Duration.ofMillis((long) (Double.parseDouble(e[4]) * 1000));
--- a/src/test/java/org/havenford/world/TraceTest.java
+++ b/src/test/java/org/havenford/world/TraceTest.java
@@ -31,20 +31,28 @@
             list.filter(p -> p.toString().endsWith(".trace")).sorted().forEach(files::add);
         }
         assertFalse(files.isEmpty());
-        return files.stream().map(f -> DynamicTest.dynamicTest(f.getFileName().toString(), () -> {
-            World[] world = new World[1];
-            List<String> wrong = Trace.play(Files.readAllLines(f), world);
-            assertEquals(List.of(), wrong, () -> String.join("\n", world[0].log));
-        }));
+        return files.stream()
+                .map(f -> DynamicTest.dynamicTest(f.getFileName().toString(), () -> {
+                    World[] world = new World[1];
+                    List<String> wrong = Trace.play(Files.readAllLines(f), world);
+                    assertEquals(List.of(), wrong, () -> String.join("\n", world[0].log));
+                }));
     }
 
     /** The checker would be worth nothing if it could not fail. */
     @Test
     void theCheckerSeesBrokenRules() {
         World[] world = new World[1];
-        List<String> wrong = Trace.play(List.of("team red 0 8", "machine large a ordinary", "machine large b ordinary",
-                "at 3 submit j-1 red 1 8 30", "at 15 forge-start host-000000 j-1/0", "at 15 forge-start host-000001 j-1/0",
-                "until 20"), world);
+        List<String> wrong = Trace.play(
+                List.of(
+                        "team red 0 8",
+                        "machine large a ordinary",
+                        "machine large b ordinary",
+                        "at 3 submit j-1 red 1 8 30",
+                        "at 15 forge-start host-000000 j-1/0",
+                        "at 15 forge-start host-000001 j-1/0",
+                        "until 20"),
+                world);
         assertTrue(wrong.stream().anyMatch(w -> w.contains("ran_twice")), wrong::toString);
         assertTrue(wrong.stream().anyMatch(w -> w.contains("quota")), wrong::toString);
     }
@@ -53,36 +61,53 @@
     Stream<DynamicTest> randomTroubles() {
         int seeds = Integer.getInteger("havenford.seeds", 12);
         long first = Long.getLong("havenford.firstSeed", 1);
-        return Stream.iterate(first, s -> s + 1).limit(seeds).map(seed -> DynamicTest.dynamicTest("seed " + seed, () -> {
-            List<String> lines = troubles(seed);
-            World[] world = new World[1];
-            List<String> wrong = Trace.play(lines, world);
-            assertEquals(List.of(), wrong, () -> String.join("\n", lines) + "\n--\n" + String.join("\n", world[0].log));
-        }));
+        return Stream.iterate(first, s -> s + 1)
+                .limit(seeds)
+                .map(seed -> DynamicTest.dynamicTest("seed " + seed, () -> {
+                    List<String> lines = troubles(seed);
+                    World[] world = new World[1];
+                    List<String> wrong = Trace.play(lines, world);
+                    assertEquals(
+                            List.of(),
+                            wrong,
+                            () -> String.join("\n", lines) + "\n--\n" + String.join("\n", world[0].log));
+                }));
     }
 
     /** A day drawn from a seed, as a trace; a seed that fails is kept as one. */
     private static List<String> troubles(long seed) {
         SplittableRandom r = new SplittableRandom(seed);
         int nodes = new int[] {3, 3, 5, 7}[r.nextInt(4)];
-        List<String> out = new ArrayList<>(List.of("seed " + seed, "nodes " + nodes, "team red 16 40", "team blue 0 0",
-                "machine large a ordinary", "machine small b ordinary", "machine large c spot", "machine small a spot"));
+        List<String> out = new ArrayList<>(List.of(
+                "seed " + seed,
+                "nodes " + nodes,
+                "team red 16 40",
+                "team blue 0 0",
+                "machine large a ordinary",
+                "machine small b ordinary",
+                "machine large c spot",
+                "machine small a spot"));
         Map<String, Integer> submitted = new TreeMap<>();
         Map<String, List<String>> awaits = new HashMap<>();
         for (int i = 0; i < 14; i++) {
             String id = "j-" + (100 + i);
             int at = 3 + r.nextInt(90);
             // A user names jobs that were accepted before.
-            List<String> earlier = submitted.entrySet().stream().filter(e -> e.getValue() + 4 < at).map(Map.Entry::getKey).toList();
+            List<String> earlier = submitted.entrySet().stream()
+                    .filter(e -> e.getValue() + 4 < at)
+                    .map(Map.Entry::getKey)
+                    .toList();
             List<String> needs = new ArrayList<>();
             for (int n = earlier.isEmpty() || r.nextInt(3) > 0 ? 0 : 1 + r.nextInt(2); n > 0; n--) {
                 needs.add(earlier.get(r.nextInt(earlier.size())));
             }
             submitted.put(id, at);
             awaits.put(id, needs);
-            out.add("at " + at + " submit " + id + " " + (r.nextBoolean() ? "red" : "blue") + " " + (1 + r.nextInt(8)) + " "
+            out.add("at " + at + " submit " + id + " " + (r.nextBoolean() ? "red" : "blue") + " " + (1 + r.nextInt(8))
+                    + " "
                     + (1 + r.nextInt(4)) + " " + (5 + r.nextInt(20)) + (r.nextInt(4) == 0 ? " apart" : "")
-                    + (r.nextInt(4) == 0 ? " ordinary" : "") + (needs.isEmpty() ? "" : " awaits=" + String.join(",", needs)));
+                    + (r.nextInt(4) == 0 ? " ordinary" : "")
+                    + (needs.isEmpty() ? "" : " awaits=" + String.join(",", needs)));
             if (r.nextInt(4) == 0) {
                 out.add("at " + (at + 3 + r.nextInt(20)) + " cancel " + id);
             } else {
@@ -157,7 +182,9 @@
                     out.add("at " + at + " repeats " + node + " " + (1 + r.nextInt(40)));
                     out.add("at " + (at + length) + " no-repeats " + node);
                 }
-                case 14 -> out.add("at " + at + " slow-calls " + node + " " + (1 + r.nextInt(6)) + " " + (1 + r.nextInt(20)) / 10.0);
+                case 14 ->
+                    out.add("at " + at + " slow-calls " + node + " " + (1 + r.nextInt(6)) + " "
+                            + (1 + r.nextInt(20)) / 10.0);
                 case 15 -> {
                     out.add("at " + at + " refuse " + node);
                     out.add("at " + at + " cancel j-" + (100 + r.nextInt(14)) + " node-" + r.nextInt(nodes));
@@ -195,8 +222,9 @@
                 calledOff.add(w[3]);
             }
         });
-        for (boolean more = true; more;) {
-            more = awaits.entrySet().stream().anyMatch(e -> e.getValue().stream().anyMatch(calledOff::contains) && calledOff.add(e.getKey()));
+        for (boolean more = true; more; ) {
+            more = awaits.entrySet().stream()
+                    .anyMatch(e -> e.getValue().stream().anyMatch(calledOff::contains) && calledOff.add(e.getKey()));
         }
         out.removeIf(l -> l.startsWith("expect done ") && calledOff.contains(l.substring("expect done ".length())));
         out.add("until 480");
--- a/src/test/java/org/havenford/world/Users.java
+++ b/src/test/java/org/havenford/world/Users.java
@@ -36,10 +36,12 @@
         Instant begun;
         /** When a question about the job was answered last. */
         Instant answered = Instant.EPOCH;
+
         String last = "";
         Instant doneTold;
         /** Told to be withdrawn with a job that it needs, without having been asked for. */
         Instant takenAlong;
+
         final List<String> awaits = new ArrayList<>();
 
         Duration run(SplittableRandom random) {
@@ -50,6 +52,7 @@
     private final World world;
     /** Jobs that were asked to be cancelled, whatever the answer. */
     final Set<String> cancelAsked = new HashSet<>();
+
     final Map<String, Job> jobs = new LinkedHashMap<>();
     /** Tasks whose result is kept. */
     final Set<String> finished = new HashSet<>();
@@ -182,7 +185,8 @@
             return;
         }
         j.answered = world.now;
-        String status = JsonParser.parseString(r.body()).getAsJsonObject().get("status").getAsString();
+        String status =
+                JsonParser.parseString(r.body()).getAsJsonObject().get("status").getAsString();
         boolean was = knew.equals("done") || knew.equals("withdrawn");
         if (was && !status.equals(knew)) {
             world.rules.broken("went_back", j.id + " was " + knew + " and is " + status);
@@ -193,10 +197,13 @@
             j.takenAlong = world.now;
         }
         Instant before = cancelledBefore(j);
-        if (before != null && !status.equals("withdrawn")
+        if (before != null
+                && !status.equals("withdrawn")
                 && Duration.between(before, asked).compareTo(world.template.cancel()) > 0) {
-            world.rules.broken("orphaned", j.id + " is " + status + ", though a job before it was cancelled at "
-                    + Duration.between(Instant.EPOCH, before).toMillis() / 1e3);
+            world.rules.broken(
+                    "orphaned",
+                    j.id + " is " + status + ", though a job before it was cancelled at "
+                            + Duration.between(Instant.EPOCH, before).toMillis() / 1e3);
         }
         if (status.equals("done") && j.doneTold == null) {
             j.doneTold = world.now;
@@ -220,7 +227,14 @@
         }
         String knew = j.last;
         Instant asked = world.now;
-        world.call("users", someNode(), "GET", "/submissions/" + id, null, Duration.ofSeconds(2), r -> told(j, knew, asked, r));
+        world.call(
+                "users",
+                someNode(),
+                "GET",
+                "/submissions/" + id,
+                null,
+                Duration.ofSeconds(2),
+                r -> told(j, knew, asked, r));
     }
 
     /** The submission once more, whatever has become of the job: an accepted one is known for good. */
@@ -250,7 +264,10 @@
         String at = node == null ? someNode() : world.nodes.get(node).settings.bind();
         world.call("users", at, "POST", "/submissions/" + id + "/abort", null, Duration.ofSeconds(5), r -> {
             if (r.status() == 200) {
-                String status = JsonParser.parseString(r.body()).getAsJsonObject().get("status").getAsString();
+                String status = JsonParser.parseString(r.body())
+                        .getAsJsonObject()
+                        .get("status")
+                        .getAsString();
                 world.note(id + " cancel answered " + status);
                 if (status.equals("withdrawn")) {
                     j.cancelTold = world.now;
--- a/src/test/java/org/havenford/world/Worker.java
+++ b/src/test/java/org/havenford/world/Worker.java
@@ -13,7 +13,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.havenford.transport.HttpCalls;
 import org.havenford.transport.HttpCalls.Reply;
 
 /** A stand-in for a worker: reports, obeys commands, keeps its lease, as the protocol says. */
@@ -49,6 +48,7 @@
     boolean faulty;
     /** Tasks started here fetch this many times as long. */
     double slowFetch = 1;
+
     private final List<Runnable> whileHung = new ArrayList<>();
     private int target;
     private boolean inFlight;
@@ -163,7 +163,13 @@
         Instant sent = world.now;
         long sentSession = session;
         String node = List.copyOf(world.nodes.keySet()).get(target);
-        world.call(address(), world.nodes.get(node).settings.bind(), "POST", "/checkin", reportBody(), Duration.ofSeconds(4),
+        world.call(
+                address(),
+                world.nodes.get(node).settings.bind(),
+                "POST",
+                "/checkin",
+                reportBody(),
+                Duration.ofSeconds(4),
                 r -> act(() -> answered(r, sent, sentSession)));
     }
 
@@ -171,7 +177,8 @@
         inFlight = false;
         if (r.status() == 200) {
             JsonObject o = JsonParser.parseString(r.body()).getAsJsonObject();
-            if (sentSession != session || o.get("baton").getAsLong() < token
+            if (sentSession != session
+                    || o.get("baton").getAsLong() < token
                     || Duration.between(sent, world.now).compareTo(Duration.ofSeconds(4)) > 0) {
                 return;
             }
@@ -181,7 +188,10 @@
         }
         if (r.status() == 421) {
             JsonObject o = JsonParser.parseString(r.body()).getAsJsonObject();
-            int next = o.has("director") ? List.copyOf(world.nodes.keySet()).indexOf(o.get("director").getAsString()) : -1;
+            int next = o.has("director")
+                    ? List.copyOf(world.nodes.keySet())
+                            .indexOf(o.get("director").getAsString())
+                    : -1;
             if (next >= 0 && next != target) {
                 target = next;
                 changed = true;
@@ -278,32 +288,41 @@
             t.cause = busy ? "busy" : "unknown";
             return;
         }
-        double cpus = job.cpus + tasks.values().stream().filter(x -> x != t && !"exited".equals(x.status))
-                .mapToDouble(x -> world.users.jobs.get(x.shot.substring(0, x.shot.indexOf('/'))).cpus).sum();
+        double cpus = job.cpus
+                + tasks.values().stream()
+                        .filter(x -> x != t && !"exited".equals(x.status))
+                        .mapToDouble(x -> world.users.jobs.get(x.shot.substring(0, x.shot.indexOf('/'))).cpus)
+                        .sum();
         if (cpus > Cloud.TYPES.get(type)[0] + 1e-6) {
             t.status = "exited";
             t.cause = "no_room";
             return;
         }
         t.status = "pulling";
-        Duration fetch = images.contains(job.image) ? Duration.ofMillis(1) : Duration.ofMillis((long) (2000 * slowFetch));
-        world.after(fetch, () -> act(() -> {
-            if (tasks.get(shot + "#" + take) == t && t.status.equals("pulling")) {
-                images.add(job.image);
-                t.status = "running";
-                changed = true;
-                world.rules.started(this, t);
-                Duration length = world.users.finished.contains(shot) ? Duration.ofMillis(1) : job.run(world.random);
-                world.after(faulty ? Duration.ofSeconds(1) : length, () -> act(() -> {
-                    if (tasks.get(shot + "#" + take) == t && t.status.equals("running")) {
-                        if (!faulty) {
-                            world.users.finished.add(shot);
-                        }
-                        exit(t, faulty ? "error" : "done");
+        Duration fetch =
+                images.contains(job.image) ? Duration.ofMillis(1) : Duration.ofMillis((long) (2000 * slowFetch));
+        world.after(
+                fetch,
+                () -> act(() -> {
+                    if (tasks.get(shot + "#" + take) == t && t.status.equals("pulling")) {
+                        images.add(job.image);
+                        t.status = "running";
+                        changed = true;
+                        world.rules.started(this, t);
+                        Duration length =
+                                world.users.finished.contains(shot) ? Duration.ofMillis(1) : job.run(world.random);
+                        world.after(
+                                faulty ? Duration.ofSeconds(1) : length,
+                                () -> act(() -> {
+                                    if (tasks.get(shot + "#" + take) == t && t.status.equals("running")) {
+                                        if (!faulty) {
+                                            world.users.finished.add(shot);
+                                        }
+                                        exit(t, faulty ? "error" : "done");
+                                    }
+                                }));
                     }
                 }));
-            }
-        }));
     }
 
     private void exit(Task t, String cause) {
--- a/src/test/java/org/havenford/world/World.java
+++ b/src/test/java/org/havenford/world/World.java
@@ -34,8 +34,7 @@
         HOLD
     }
 
-    private record Event(Instant at, long order, Runnable task) {
-    }
+    private record Event(Instant at, long order, Runnable task) {}
 
     /** A party that answers HTTP requests. */
     interface Server {
@@ -53,6 +52,7 @@
     private final Map<String, Cut> cuts = new HashMap<>();
     /** Machines that /do reaches this much later, and nodes that are told of changes this much later. */
     final Map<String, Duration> lateCommands = new HashMap<>();
+
     final Map<String, Duration> lateChanges = new HashMap<>();
     private final Map<String, List<Runnable>> held = new HashMap<>();
     /** Ends that nothing reaches, though all that they send arrives. */
@@ -69,9 +69,11 @@
     final Map<String, Duration> repeats = new HashMap<>();
     /** Calls of a controller to the state service that take this much longer, and how many of them. */
     final Map<String, Duration> slowCalls = new HashMap<>();
+
     final Map<String, Integer> slowCallsLeft = new HashMap<>();
     /** Zones that are cut off from all that is not in them. */
     private final Map<String, Cut> cutZones = new HashMap<>();
+
     private final Map<String, String> zoneOf = new HashMap<>();
     final Map<String, Node> nodes = new LinkedHashMap<>();
     private final Map<String, Node> nodeAt = new HashMap<>();
@@ -188,13 +190,21 @@
         String zone = cutBetween(from, to);
         Cut c = zone != null ? cutZones.get(zone) : cuts.get(link(from, to));
         if (c == Cut.HOLD) {
-            held.computeIfAbsent(zone != null ? zone : link(from, to), k -> new ArrayList<>()).add(delivery);
+            held.computeIfAbsent(zone != null ? zone : link(from, to), k -> new ArrayList<>())
+                    .add(delivery);
         } else if (c == null) {
             after(Duration.ofMillis(1 + random.nextInt(4 + slowLinks)), delivery);
         }
     }
 
-    void call(String from, String to, String method, String path, String body, Duration timeout, Consumer<HttpCalls.Reply> done) {
+    void call(
+            String from,
+            String to,
+            String method,
+            String path,
+            String body,
+            Duration timeout,
+            Consumer<HttpCalls.Reply> done) {
         boolean[] over = {false};
         Consumer<HttpCalls.Reply> once = r -> {
             if (!over[0]) {
@@ -228,14 +238,16 @@
             after(copy, () -> {
                 Server s = servers.get(to);
                 if (s != null) {
-                    s.request(method, path, body, reply -> { });
+                    s.request(method, path, body, reply -> {});
                 }
             });
         }
-        if (to.equals(template.stateAddress()) && slowCallsLeft.getOrDefault(from, 0) > 0 && !path.startsWith("/changes")) {
+        if (to.equals(template.stateAddress())
+                && slowCallsLeft.getOrDefault(from, 0) > 0
+                && !path.startsWith("/changes")) {
             slowCallsLeft.merge(from, -1, Integer::sum);
-            after(slowCalls.get(from), () -> servers.get(to).request(method, path, body,
-                    reply -> carry(to, from, () -> once.accept(reply))));
+            after(slowCalls.get(from), () -> servers.get(to)
+                    .request(method, path, body, reply -> carry(to, from, () -> once.accept(reply))));
             return;
         }
         carry(from, to, () -> {
@@ -245,7 +257,8 @@
                 return;
             }
             s.request(method, path, body, reply -> {
-                Runnable delivery = () -> after(lateAnswer == null ? Duration.ZERO : lateAnswer,
+                Runnable delivery = () -> after(
+                        lateAnswer == null ? Duration.ZERO : lateAnswer,
                         () -> carry(to, from, () -> once.accept(reply)));
                 if (toStore && watch && refused.containsKey(from)) {
                     refused.get(from).add(delivery);
@@ -263,6 +276,7 @@
         private Life life;
         /** It stands still: nothing that comes in or is due happens, and what it had queued has not gone out. */
         private boolean still;
+
         private boolean mute;
         private final List<Runnable> unsent = new ArrayList<>();
         private final List<Runnable> whileStill = new ArrayList<>();
@@ -334,11 +348,13 @@
                 return;
             }
             byte[] bytes = body == null ? new byte[0] : body.getBytes(StandardCharsets.UTF_8);
-            act(served, () -> served.controller.handle(new HttpServer.Request(method, path, bytes), r -> {
-                if (!served.dead) {
-                    answer.accept(new HttpCalls.Reply(r.status(), r.body()));
-                }
-            }));
+            act(
+                    served,
+                    () -> served.controller.handle(new HttpServer.Request(method, path, bytes), r -> {
+                        if (!served.dead) {
+                            answer.accept(new HttpCalls.Reply(r.status(), r.body()));
+                        }
+                    }));
         }
 
         /** One run of the process; what it had scheduled dies with it, what it had sent does not. */
@@ -350,7 +366,8 @@
 
             @Override
             public Instant now() {
-                return Instant.EPOCH.plusNanos((long) (Duration.between(started, World.this.now).toNanos() * drift));
+                return Instant.EPOCH.plusNanos(
+                        (long) (Duration.between(started, World.this.now).toNanos() * drift));
             }
 
             @Override
@@ -364,8 +381,10 @@
             }
 
             @Override
-            public void call(String address, String method, String path, String body, Duration timeout, Consumer<Reply> done) {
-                World.this.call(settings.bind(), address, method, path, body, timeout, r -> act(this, () -> done.accept(r)));
+            public void call(
+                    String address, String method, String path, String body, Duration timeout, Consumer<Reply> done) {
+                World.this.call(
+                        settings.bind(), address, method, path, body, timeout, r -> act(this, () -> done.accept(r)));
             }
         }
     }
