--- a/src/main/java/org/havenford/bookkeeping/Ledger.java
+++ b/src/main/java/org/havenford/bookkeeping/Ledger.java
@@ -74,6 +74,10 @@
     private final Object2ObjectOpenHashMap<String, Job> jobsById = new Object2ObjectOpenHashMap<>();
     /** Jobs that wait for others. */
     private final TreeSet<String> waiting = new TreeSet<>();
+    /** Waiting jobs by the jobs that they name. */
+    private final Map<String, Set<String>> dependents = new HashMap<>();
+
+    private long pipelineChanges;
 
     private final Object2ObjectOpenHashMap<String, MachineRecord> machines = new Object2ObjectOpenHashMap<>();
     private final Map<String, MachineBatch> batches = new HashMap<>();
@@ -106,6 +110,16 @@
         return waiting;
     }
 
+    /** Waiting jobs that name the given one. */
+    public Set<String> dependents(String id) {
+        return dependents.getOrDefault(id, Set.of());
+    }
+
+    /** Counts the changes of waiting jobs and of jobs that they name. */
+    public long pipelineChanges() {
+        return pipelineChanges;
+    }
+
     public Collection<MachineRecord> machines() {
         return machines.values();
     }
@@ -290,7 +304,7 @@
         if (value == null) {
             jobs.remove(id);
             jobsById.remove(id);
-            waiting.remove(id);
+            noLongerWaiting(before);
             if (before != null) {
                 before.claims().forEach(c -> unindex(c, before.spec()));
                 for (int i = 0; i < before.chunkCount(); i++) {
@@ -304,10 +318,12 @@
         Job job = Job.parse(value);
         jobs.put(id, job);
         jobsById.put(id, job);
+        noLongerWaiting(before);
         if (job.waiting()) {
-            waiting.add(id);
-        } else {
-            waiting.remove(id);
+            nowWaiting(job);
+        }
+        if (dependents.containsKey(id)) {
+            pipelineChanges++;
         }
         if (before != null) {
             for (int i = 0; i < job.chunkCount(); i++) {
@@ -324,6 +340,28 @@
         }
     }
 
+    private void nowWaiting(Job job) {
+        pipelineChanges++;
+        waiting.add(job.id());
+        for (String needed : job.spec().awaits()) {
+            dependents.computeIfAbsent(needed, k -> new TreeSet<>()).add(job.id());
+        }
+    }
+
+    private void noLongerWaiting(Job before) {
+        if (before == null || !waiting.remove(before.id())) {
+            return;
+        }
+        pipelineChanges++;
+        for (String needed : before.spec().awaits()) {
+            Set<String> of = dependents.get(needed);
+            of.remove(before.id());
+            if (of.isEmpty()) {
+                dependents.remove(needed);
+            }
+        }
+    }
+
     private void tasksChanged(String path, JsonObject value) throws Json.BadMessage {
         int slash = path.indexOf('/');
         Job job = jobsById.get(path.substring(0, slash));
--- /dev/null
+++ b/src/main/java/org/havenford/coordination/Claims.java
@@ -0,0 +1,332 @@
+package org.havenford.coordination;
+
+import com.google.gson.JsonObject;
+import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.havenford.bookkeeping.Chunk;
+import org.havenford.bookkeeping.Claim;
+import org.havenford.bookkeeping.Job;
+import org.havenford.bookkeeping.Keys;
+import org.havenford.bookkeeping.Quota.Amount;
+import org.havenford.bookkeeping.StateStore;
+import org.havenford.protocol.JobSpec;
+import org.havenford.protocol.Settings;
+
+/** Turns the planner's placements on this controller's machines into claims, one transaction a record of tasks. */
+final class Claims {
+    /** How long another owner may leave a planned task lying before its machines are left out of the plan. */
+    private static final Duration FOREIGN_PATIENCE = Duration.ofMillis(1500);
+    /** How many times that long a record that is no longer planned for others is remembered. */
+    private static final int REMEMBERED = 4;
+    /** Claims that may wait for the store's limits: beyond, urgent work would stand in line behind what is not. */
+    private static final int MAX_WAITING_CLAIMS = 3;
+    /** After a claim has failed because of another's, each record is left to its first owner for a while. */
+    private static final Duration CROWDED = Duration.ofSeconds(5);
+    /** How long a record's first owner may have no room before another takes some of it. */
+    private static final Duration HELP_AFTER = Duration.ofMillis(1500);
+    /** Under pressure room is gathered, so that one claim takes several tasks of a record. */
+    private static final Duration PLAN_EVERY_UNDER_PRESSURE = Duration.ofMillis(500);
+
+    private static final Duration FIRST_BACKOFF = Duration.ofMillis(500);
+    private static final Duration LONGEST_BACKOFF = Duration.ofMinutes(1);
+    private static final int MAX_DOUBLINGS = 10;
+    /** A transaction allows this many conditions a change. */
+    private static final int CONDITIONS_PER_CHANGE = 4;
+    /** Conditions on the view, the job, its record and the team's shares, and some to spare. */
+    private static final int OTHER_CONDITIONS = 6;
+
+    private record Backoff(int errors, Instant until) {}
+
+    /** First and last time that a record's first owner was seen without room, in a row. */
+    private record WithoutRoom(Instant first, Instant last) {}
+
+    /** A record whose tasks are planned for machines of another owner. */
+    private static final class Wait {
+        private final Set<String> passedOver = new HashSet<>();
+        private String owner;
+        private Instant since;
+
+        void waitFor(String other, Instant now) {
+            if (!other.equals(owner)) {
+                owner = other;
+                since = now;
+            } else if (now.isAfter(since.plus(FOREIGN_PATIENCE))) {
+                passedOver.add(owner);
+            }
+        }
+    }
+
+    private final SchedulingContext context;
+    private final Fleet fleet;
+    private final Planner planner;
+    private final Duration planningBudget;
+    private final TeamShares shares;
+    private final Object2ObjectOpenHashMap<String, Wait> waits = new Object2ObjectOpenHashMap<>();
+    /** Claims under way, by machine: their room is taken already. */
+    private final Map<String, List<JobSpec>> underWay = new HashMap<>();
+
+    private final Map<String, WithoutRoom> withoutRoom = new HashMap<>();
+    private final Map<String, Backoff> backoffs = new HashMap<>();
+    private Instant crowdedUntil = Instant.MIN;
+    private Instant nextPlan = Instant.MIN;
+
+    Claims(SchedulingContext context, Fleet fleet, Planner planner, Duration planningBudget, TeamShares shares) {
+        this.context = context;
+        this.fleet = fleet;
+        this.planner = planner;
+        this.planningBudget = planningBudget;
+        this.shares = shares;
+    }
+
+    /** Plans, claims what is planned for this controller's machines, and stops what makes room for more urgent work. */
+    void step(Instant start) {
+        if (start.isBefore(nextPlan)) {
+            return;
+        }
+        nextPlan = context.store().pressed() ? start.plus(PLAN_EVERY_UNDER_PRESSURE) : start;
+        Planner.Plan plan = planner.plan(context.loop().timeOfDay(), limits(start));
+        Map<String, List<Planner.Placement>> own = ownPlacements(plan, start);
+        withoutRoom.values().removeIf(w -> w.last().isBefore(start.minus(HELP_AFTER)));
+        for (List<Planner.Placement> ofOneRecord : own.values()) {
+            if (context.store().queued(StateStore.Urgency.CLAIM) >= MAX_WAITING_CLAIMS) {
+                // The queue keeps its order; the next round decides anew who is first.
+                break;
+            }
+            claim(ofOneRecord);
+        }
+        plan.preempted().forEach(fleet::preempt);
+    }
+
+    private Planner.Limits limits(Instant start) {
+        Instant deadline = start.plus(planningBudget);
+        return new Planner.Limits(
+                m -> fleet.usable(m, start),
+                fleet::images,
+                fleet::condition,
+                this::backsOff,
+                p -> fleet.avoided(p.task(), p.machine()),
+                fleet.endings()::containsKey,
+                m -> underWay.getOrDefault(m, List.of()),
+                List.copyOf(context.membership().view().active()),
+                (key, owner) ->
+                        waits.containsKey(key) && waits.get(key).passedOver.contains(owner),
+                key -> helped(key, start),
+                start.isBefore(crowdedUntil),
+                () -> context.loop().now().isAfter(deadline));
+    }
+
+    /** Placements on our machines by record; what is planned for other owners is waited for. */
+    private Map<String, List<Planner.Placement>> ownPlacements(Planner.Plan plan, Instant start) {
+        Map<String, List<Planner.Placement>> own = new LinkedHashMap<>();
+        Set<String> foreign = new HashSet<>();
+        for (Planner.Placement p : plan.placements()) {
+            Job job = context.ledger().job(p.task().job());
+            String key = Keys.tasks(job.id(), job.chunkOf(p.task().index()));
+            String owner = context.membership().owner(p.machine());
+            if (context.node().equals(owner)) {
+                own.computeIfAbsent(key, k -> new ArrayList<>()).add(p);
+            } else if (foreign.add(key) && !context.store().pressed()) {
+                waits.computeIfAbsent(key, k -> new Wait()).waitFor(owner, start);
+            }
+        }
+        Duration remembered = FOREIGN_PATIENCE.multipliedBy(REMEMBERED);
+        waits.entrySet()
+                .removeIf(w -> !foreign.contains(w.getKey())
+                        && start.isAfter(w.getValue().since.plus(remembered)));
+        return own;
+    }
+
+    /** Whether a record's first owner has had no room for so long that another may take some of it. */
+    private boolean helped(String key, Instant now) {
+        WithoutRoom before = withoutRoom.get(key);
+        Instant first = before == null ? now : before.first();
+        withoutRoom.put(key, new WithoutRoom(first, now));
+        return now.isAfter(first.plus(HELP_AFTER));
+    }
+
+    /** Whether the tasks of a job have failed so often that the next attempt has to wait. */
+    private boolean backsOff(Job job) {
+        int errors = job.errors();
+        if (errors == 0) {
+            backoffs.remove(job.id());
+            return false;
+        }
+        Backoff backoff = backoffs.get(job.id());
+        if (backoff == null || backoff.errors() != errors) {
+            backoff = new Backoff(errors, context.loop().now().plus(backoffAfter(errors)));
+            backoffs.put(job.id(), backoff);
+        }
+        return context.loop().now().isBefore(backoff.until());
+    }
+
+    private static Duration backoffAfter(int errors) {
+        Duration doubled = FIRST_BACKOFF.multipliedBy(1L << Math.min(MAX_DOUBLINGS, errors - 1));
+        return doubled.compareTo(LONGEST_BACKOFF) > 0 ? LONGEST_BACKOFF : doubled;
+    }
+
+    /** A claim while it is put together. */
+    private static final class Draft {
+        private final Job job;
+        private final int index;
+        private final String key;
+        private final StateStore.Txn txn = new StateStore.Txn();
+        private final List<String> locks = new ArrayList<>();
+        private final Map<Claim, Fleet.Ending> ended = new HashMap<>();
+        private final Set<String> machines = new HashSet<>();
+        private Chunk chunk;
+        private int claimed;
+        private TeamShares.Charge charge;
+
+        Draft(Job job, int index) {
+            this.job = job;
+            this.index = index;
+            this.key = Keys.tasks(job.id(), index);
+            locks.add(key);
+        }
+
+        Amount perTask() {
+            return new Amount(job.spec().cpus(), job.spec().cards());
+        }
+
+        /** Machines of the new claims, one for each. */
+        List<String> claimedMachines() {
+            List<String> each = new ArrayList<>();
+            for (Claim c : chunk.claims()) {
+                if (job.claim(c.task().index()) != c) {
+                    each.add(c.machine());
+                }
+            }
+            return each;
+        }
+    }
+
+    private void claim(List<Planner.Placement> planned) {
+        Job job = context.ledger().job(planned.get(0).task().job());
+        if (job.waiting()) {
+            // The plan leaves it out. That no task starts before its job is released rests on this and on the guard of
+            // the header.
+            return;
+        }
+        Draft draft = new Draft(job, job.chunkOf(planned.get(0).task().index()));
+        String key = draft.key;
+        String header = Keys.job(job.id());
+        draft.txn
+                .guard(Keys.VIEW, context.membership().viewStamp())
+                .guard(header, context.stamp(header))
+                .guard(key, context.stamp(key));
+        Settings.Team team = context.settings().teams().get(job.spec().team());
+        boolean limited = team != null && team.limited();
+        int allowed = limited ? takeShare(draft, team, planned.size()) : planned.size();
+        if (job.spec().together() || job.spec().apart()) {
+            // Where tasks must stay together or apart, each claim of the job writes its header: so it is seen by the
+            // next.
+            draft.locks.add(header);
+            draft.txn.set(header, job.header(false));
+        }
+        if (draft.locks.stream().anyMatch(context.writer()::isLocked)) {
+            return;
+        }
+        fill(draft, planned.subList(0, allowed), limited);
+        JsonObject value = draft.claimed == 0 ? null : context.toJson(draft.chunk);
+        if (value == null) {
+            return;
+        }
+        draft.txn.set(key, value);
+        if (limited) {
+            Amount taken = draft.perTask().times(draft.claimed);
+            long viewStamp = context.membership().viewStamp();
+            draft.charge = new TeamShares.Charge(team.name(), taken, job.id(), key, context.stamp(key), viewStamp);
+            shares.add(draft.charge);
+        }
+        commit(draft);
+    }
+
+    private int takeShare(Draft draft, Settings.Team team, int wanted) {
+        int allowed = shares.take(team, draft.perTask(), wanted, draft.txn);
+        if (draft.txn.writes() > 0) {
+            draft.locks.add(Keys.team(team.name()));
+        }
+        return allowed;
+    }
+
+    /** Adds the claims, and the ends that are known of the same record, to the draft. */
+    private void fill(Draft draft, List<Planner.Placement> placements, boolean limited) {
+        int index = draft.index;
+        draft.chunk = draft.job.chunk(index).copy();
+        for (Claim c : draft.job.chunk(index).claims()) {
+            Fleet.Ending ending = fleet.endings().get(c);
+            if (ending != null) {
+                draft.ended.put(c, ending);
+            }
+        }
+        TaskReleases.apply(draft.ended, draft.chunk);
+        Set<String> batches = new HashSet<>();
+        int maxBatches = context.settings().txnOps() * CONDITIONS_PER_CHANGE - OTHER_CONDITIONS;
+        for (Planner.Placement p : placements) {
+            MachineState state = fleet.state(p.machine());
+            Set<String> batchesOf = context.ledger().batchesOf(p.machine());
+            if (state == null
+                    || state.report == null
+                    || context.ledger().machine(p.machine()) == null
+                    || batches.size() + batchesOf.size() > maxBatches
+                    || batchesOf.stream().anyMatch(b -> context.writer().isLocked(Keys.batch(b)))) {
+                continue;
+            }
+            // A machine that is to go changes its batch.
+            for (String batch : batchesOf) {
+                if (batches.add(batch)) {
+                    draft.txn.guard(Keys.batch(batch), context.stamp(Keys.batch(batch)));
+                }
+            }
+            draft.machines.add(p.machine());
+            String account = limited ? context.node() : "";
+            Instant now = context.loop().timeOfDay();
+            draft.chunk.claim(p.task().index(), p.machine(), state.report.session(), now, account);
+            draft.claimed++;
+        }
+    }
+
+    private void commit(Draft draft) {
+        JobSpec spec = draft.job.spec();
+        List<String> claimedMachines = draft.claimedMachines();
+        claimedMachines.forEach(
+                name -> underWay.computeIfAbsent(name, n -> new ArrayList<>()).add(spec));
+        Runnable onSuccess = () -> {
+            draft.ended.keySet().forEach(fleet.endings()::remove);
+            context.loop().after(Duration.ZERO, () -> draft.machines.forEach(this::push));
+        };
+        context.writer().commit(draft.txn, StateStore.Urgency.CLAIM, draft.locks, onSuccess, result -> {
+            claimedMachines.forEach(name -> noLongerUnderWay(name, spec));
+            if (draft.charge != null && result.outcome() != StateStore.Outcome.UNKNOWN) {
+                shares.remove(draft.charge);
+            }
+            if (result.outcome() == StateStore.Outcome.CONFLICT) {
+                crowdedUntil = context.loop().now().plus(CROWDED);
+            }
+        });
+    }
+
+    private void push(String machine) {
+        MachineState state = fleet.state(machine);
+        if (state != null) {
+            fleet.push(state);
+        }
+    }
+
+    private void noLongerUnderWay(String machine, JobSpec spec) {
+        List<JobSpec> on = underWay.get(machine);
+        on.remove(spec);
+        if (on.isEmpty()) {
+            underWay.remove(machine);
+        }
+        planner.changed(machine);
+    }
+}
--- a/src/main/java/org/havenford/coordination/Controller.java
+++ b/src/main/java/org/havenford/coordination/Controller.java
@@ -74,9 +74,14 @@
                 this::ownedBy);
         fleet = new Fleet(
                 loop, calls, settings, operator, ledger, mirror, store, membership, this::endsChanged, this::wake);
-        scheduler = new Scheduler(loop, settings, operator, ledger, mirror, store, membership, fleet, this::wake);
+        GuardedWriter writer = new GuardedWriter(loop, store, mirror, settings.valueBytes(), this::wake);
+        FinalStates finalStates = new FinalStates(loop, store, this::wake);
+        SchedulingContext context =
+                new SchedulingContext(loop, settings, ledger, mirror, store, membership, writer, finalStates);
+        Pipelines pipelines = new Pipelines(context);
+        scheduler = new Scheduler(context, operator, fleet, pipelines);
         provisioner = new Provisioner(loop, calls, settings, operator, ledger, mirror, store, membership, this::wake);
-        users = new Users(loop, settings, ledger, mirror, store, this::wake);
+        users = new Users(context, pipelines, this::wake);
         ledger.observer(new Ledger.Observer() {
             @Override
             public void viewChanged(JsonObject view, long stamp) {
--- a/src/main/java/org/havenford/coordination/Demand.java
+++ b/src/main/java/org/havenford/coordination/Demand.java
@@ -55,7 +55,7 @@
         List<Want> out = new ArrayList<>();
         Map<String, Double> used = new HashMap<>();
         for (Job j : ledger.jobs()) {
-            if (j.cancelled() || j.waiting() && !soon(j, ledger)) {
+            if (j.cancelled() || j.waiting()) {
                 continue;
             }
             JobSpec s = j.spec();
@@ -94,20 +94,6 @@
         return out;
     }
 
-    /**
-     * Whether a waiting job is about to be let go: all that it awaits is over or has its last tasks running. A machine takes
-     * about as long to boot as those still run. pipeline-rents-ahead.trace
-     */
-    private static boolean soon(Job waiting, Ledger ledger) {
-        for (String id : waiting.spec().awaits()) {
-            Job j = ledger.job(id);
-            if (j != null && (j.cancelled() || j.waiting() || j.pendingCount() > 0)) {
-                return false;
-            }
-        }
-        return true;
-    }
-
     /** Seconds within which the class's tasks should start; 0 where nothing is said. */
     private static double startWithin(JobSpec s, Settings settings) {
         return settings.objectives().stream()
--- /dev/null
+++ b/src/main/java/org/havenford/coordination/GuardedWriter.java
@@ -0,0 +1,139 @@
+package org.havenford.coordination;
+
+import com.google.gson.JsonElement;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.havenford.bookkeeping.Mirror;
+import org.havenford.bookkeeping.StateStore;
+import org.havenford.protocol.Json;
+import org.havenford.transport.EventLoop;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Commits transactions, and locks the keys that they decide on within this controller: from the sending of a transaction
+ * until its outcome is known and our replica shows it, nothing else is decided on these keys.
+ */
+final class GuardedWriter {
+    private static final Logger LOG = LoggerFactory.getLogger(GuardedWriter.class);
+    /** After a transaction that was not executed, or whose outcome is unknown. */
+    private static final Duration RETRY = Duration.ofMillis(250);
+    /** What the service calls malformed or too large would be so again: other work comes first. */
+    private static final Duration REJECTED_RETRY = Duration.ofSeconds(20);
+    /** How long keys stay locked for a replica that does not catch up. */
+    private static final Duration REPLICA_PATIENCE = Duration.ofSeconds(1);
+
+    /** Keys on which nothing is decided before our replica has reached an edition. */
+    private record AwaitedEdition(long edition, Instant until, Set<String> keys) {}
+
+    private final EventLoop loop;
+    private final StateStore store;
+    private final Mirror mirror;
+    private final int nextValueBytes;
+    private final Runnable wake;
+    private final Set<String> locked = new HashSet<>();
+    private final List<AwaitedEdition> awaitedEditions = new ArrayList<>();
+    private boolean limitsLowered;
+
+    GuardedWriter(EventLoop loop, StateStore store, Mirror mirror, int nextValueBytes, Runnable wake) {
+        this.loop = loop;
+        this.store = store;
+        this.mirror = mirror;
+        this.nextValueBytes = nextValueBytes;
+        this.wake = wake;
+    }
+
+    boolean isLocked(String key) {
+        return locked.contains(key);
+    }
+
+    /**
+     * Whether the service has refused a value larger than its limit to come. The limits fall only after the upgrade of
+     * all controllers, so from then on all of them read what this version writes.
+     */
+    boolean limitsLowered() {
+        return limitsLowered;
+    }
+
+    /** Unlocks what was locked until our replica has caught up. */
+    void unlockCaughtUp(Instant now) {
+        awaitedEditions.removeIf(a -> {
+            boolean over = mirror.edition() >= a.edition() || now.isAfter(a.until());
+            if (over) {
+                locked.removeAll(a.keys());
+            }
+            return over;
+        });
+    }
+
+    void commit(StateStore.Txn txn, StateStore.Urgency urgency, Collection<String> locks, Runnable onSuccess) {
+        commit(txn, urgency, locks, onSuccess, r -> {});
+    }
+
+    /**
+     * Commits a transaction. {@code onSuccess} is run before our replica shows it; {@code after} is told every outcome, a good one
+     * when our replica shows it.
+     */
+    void commit(
+            StateStore.Txn txn,
+            StateStore.Urgency urgency,
+            Collection<String> locks,
+            Runnable onSuccess,
+            Consumer<StateStore.Result> after) {
+        locked.addAll(locks);
+        store.commit(txn, urgency, result -> {
+            if (result.ok()) {
+                onSuccess.run();
+                mirror.committed(txn, result.edition());
+                after.accept(result);
+                unlock(locks);
+                return;
+            }
+            after.accept(result);
+            switch (result.outcome()) {
+                case CONFLICT -> lockUntilCaughtUp(result, locks);
+                case REJECTED -> {
+                    boolean shorterFormHelps = !limitsLowered && largestValue(txn) > nextValueBytes;
+                    limitsLowered |= shorterFormHelps;
+                    loop.after(shorterFormHelps ? RETRY : REJECTED_RETRY, () -> unlock(locks));
+                }
+                default -> loop.after(RETRY, () -> unlock(locks));
+            }
+        });
+    }
+
+    private void unlock(Collection<String> locks) {
+        locked.removeAll(locks);
+        wake.run();
+    }
+
+    private static int largestValue(StateStore.Txn txn) {
+        int largest = 0;
+        for (JsonElement value : txn.values()) {
+            if (value != null) {
+                largest = Math.max(largest, value.toString().getBytes(StandardCharsets.UTF_8).length);
+            }
+        }
+        return largest;
+    }
+
+    /** Our replica lacks what made the conflict. Until the watch has brought it, a new decision would only fail again. */
+    private void lockUntilCaughtUp(StateStore.Result result, Collection<String> locks) {
+        Set<String> keys = new HashSet<>(locks);
+        try {
+            keys.addAll(Json.texts(result.body(), "failed"));
+        } catch (Json.BadMessage e) {
+            LOG.warn("state service: a conflict does not name its keys: {}", e.getMessage());
+        }
+        keys.removeIf(k -> !locks.contains(k) && locked.contains(k));
+        locked.addAll(keys);
+        awaitedEditions.add(new AwaitedEdition(result.edition(), loop.now().plus(REPLICA_PATIENCE), keys));
+    }
+}
--- /dev/null
+++ b/src/main/java/org/havenford/coordination/JobQueries.java
@@ -0,0 +1,169 @@
+package org.havenford.coordination;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.havenford.bookkeeping.FinalState;
+import org.havenford.bookkeeping.Job;
+import org.havenford.bookkeeping.Keys;
+import org.havenford.bookkeeping.StateStore;
+import org.havenford.bookkeeping.StateStore.Outcome;
+import org.havenford.protocol.Json;
+import org.havenford.transport.HttpServer.Response;
+
+/**
+ * Answers questions about jobs. Whatever is not yet final is answered from our replica only once a comparison of stamps has
+ * shown that the replica holds the present header; one comparison serves all who wait for it. What the replica lacks, or
+ * holds in an older version, is read from the store.
+ */
+final class JobQueries {
+    /** A transaction allows this many conditions a change. */
+    private static final int CONDITIONS_PER_CHANGE = 4;
+
+    private final SchedulingContext context;
+    private final Pipelines pipelines;
+    /** Jobs asked for since the last comparison was sent. */
+    private final Map<String, List<Consumer<Response>>> waiting = new LinkedHashMap<>();
+
+    private boolean comparing;
+
+    JobQueries(SchedulingContext context, Pipelines pipelines) {
+        this.context = context;
+        this.pipelines = pipelines;
+    }
+
+    /** Answers with the present state of a job; 404 if it was never accepted. */
+    void query(String id, Consumer<Response> answer) {
+        FinalState known = context.finalStates().known(id);
+        if (known != null) {
+            answer.accept(UserResponses.ended(id, known));
+        } else if (context.ledger().job(id) == null) {
+            readFromStore(id, answer);
+        } else {
+            waiting.computeIfAbsent(id, k -> new ArrayList<>()).add(answer);
+            compare();
+        }
+    }
+
+    private void compare() {
+        if (comparing || waiting.isEmpty()) {
+            return;
+        }
+        Map<String, List<Consumer<Response>>> batch = nextBatch();
+        if (batch.isEmpty()) {
+            return;
+        }
+        StateStore.Txn txn = new StateStore.Txn();
+        Map<String, Job> compared = new HashMap<>();
+        for (String id : batch.keySet()) {
+            txn.guard(Keys.job(id), context.stamp(Keys.job(id)));
+            compared.put(id, context.ledger().job(id));
+        }
+        comparing = true;
+        context.store().commit(txn, StateStore.Urgency.USER, result -> {
+            comparing = false;
+            boolean answered = result.ok() || result.outcome() == Outcome.CONFLICT;
+            Set<String> stale = answered ? stale(result, batch.keySet()) : Set.of();
+            batch.forEach((id, answers) -> {
+                if (!answered) {
+                    answers.forEach(a -> a.accept(UserResponses.retryLater()));
+                } else if (stale.contains(Keys.job(id))) {
+                    answers.forEach(a -> readFromStore(id, a));
+                } else {
+                    Response response = unfinished(compared.get(id));
+                    answers.forEach(a -> a.accept(response));
+                }
+            });
+            compare();
+        });
+    }
+
+    private Map<String, List<Consumer<Response>>> nextBatch() {
+        Map<String, List<Consumer<Response>>> batch = new LinkedHashMap<>();
+        int most = context.settings().txnOps() * CONDITIONS_PER_CHANGE;
+        Iterator<Map.Entry<String, List<Consumer<Response>>>> entries =
+                waiting.entrySet().iterator();
+        while (entries.hasNext() && batch.size() < most) {
+            Map.Entry<String, List<Consumer<Response>>> entry = entries.next();
+            entries.remove();
+            if (context.ledger().job(entry.getKey()) == null) {
+                entry.getValue().forEach(a -> readFromStore(entry.getKey(), a));
+            } else {
+                batch.put(entry.getKey(), entry.getValue());
+            }
+        }
+        return batch;
+    }
+
+    /** Headers that have changed since our replica's; all of them, if the service does not say. */
+    private static Set<String> stale(StateStore.Result result, Set<String> asked) {
+        Set<String> stale = new HashSet<>();
+        if (result.ok()) {
+            return stale;
+        }
+        try {
+            stale.addAll(Json.texts(result.body(), "failed"));
+        } catch (Json.BadMessage e) {
+            stale.clear();
+        }
+        if (stale.isEmpty()) {
+            asked.forEach(id -> stale.add(Keys.job(id)));
+        }
+        return stale;
+    }
+
+    /** The header first, the final state second: a job that ends in between is found by the second call. */
+    void readFromStore(String id, Consumer<Response> answer) {
+        context.store().get(Keys.job(id), StateStore.Urgency.USER, result -> {
+            if (result.ok()) {
+                answer.accept(unfinished(result));
+            } else if (result.outcome() == Outcome.ABSENT) {
+                readFinalState(id, answer);
+            } else {
+                answer.accept(UserResponses.retryLater());
+            }
+        });
+    }
+
+    /** Answers with how a job ended; 404 if there is no final state. */
+    void readFinalState(String id, Consumer<Response> answer) {
+        context.store().get(Keys.end(id), StateStore.Urgency.USER, result -> {
+            if (result.ok()) {
+                FinalState state = context.finalStates().parsed(id, result);
+                answer.accept(state == null ? UserResponses.retryLater() : UserResponses.ended(id, state));
+            } else if (result.outcome() == Outcome.ABSENT) {
+                answer.accept(UserResponses.unknownJob());
+            } else {
+                answer.accept(UserResponses.retryLater());
+            }
+        });
+    }
+
+    private Response unfinished(StateStore.Result header) {
+        try {
+            return unfinished(Job.parse(Json.child(header.body(), "v")));
+        } catch (Json.BadMessage e) {
+            return UserResponses.retryLater();
+        }
+    }
+
+    /** What a header says that is the present one; how many tasks run and are done is taken from our replica. */
+    private Response unfinished(Job header) {
+        Job job = context.ledger().job(header.id());
+        int done = job == null ? 0 : job.doneCount();
+        int running = job == null ? 0 : job.claimCount();
+        if (header.cancelled()) {
+            return UserResponses.beingCancelled(header.id(), done);
+        }
+        if (header.waiting() && !pipelines.mayBeCalledPending(header)) {
+            return UserResponses.retryLater();
+        }
+        return UserResponses.unfinished(header.id(), done, running);
+    }
+}
--- a/src/main/java/org/havenford/coordination/Membership.java
+++ b/src/main/java/org/havenford/coordination/Membership.java
@@ -163,6 +163,11 @@
         return entitled() && loop.now().isBefore(until(verified(), life.dividedBy(2)));
     }
 
+    /** Whether the replica of the store holds all that was committed until so long ago. */
+    public boolean replicaIsYoungerThan(Duration age) {
+        return loop.now().isBefore(until(verified(), age));
+    }
+
     /** When the latest comparison was sent that our copy has caught up with. */
     private Instant verified() {
         while (!compared.isEmpty() && compared.peek().edition() <= mirror.edition()) {
--- a/src/main/java/org/havenford/coordination/Pipelines.java
+++ b/src/main/java/org/havenford/coordination/Pipelines.java
@@ -1,160 +1,164 @@
 package org.havenford.coordination;
 
-import com.google.common.cache.Cache;
-import com.google.common.cache.CacheBuilder;
-import java.time.Duration;
+import com.google.common.collect.Lists;
 import java.time.Instant;
+import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.HashMap;
+import java.util.Collection;
+import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
+import java.util.Set;
+import org.havenford.bookkeeping.FinalState;
 import org.havenford.bookkeeping.Job;
 import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Ledger;
 import org.havenford.bookkeeping.StateStore;
-import org.havenford.protocol.JobSpec;
-import org.havenford.protocol.Json;
-import org.havenford.transport.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Jobs that await others. What has become of those is read from their final states, which are in the store for good and in
- * no copy; while a header stands the job is not over. What has once been read never changes, so it is remembered.
+ * Releases jobs whose needed jobs are all finally done, and withdraws those of which a needed job is cancelled. Both are
+ * guarded by the stamp of the job's header; claims are guarded by it as well, so no task starts before the release.
  */
 final class Pipelines {
     private static final Logger LOG = LoggerFactory.getLogger(Pipelines.class);
+    /** Withdrawals of a wide cascade leave room in the queue for claims. */
+    private static final int MAX_WITHDRAWALS_UNDER_WAY = 2;
+    /** A withdrawal sets the final state and deletes the header. */
+    private static final int CHANGES_PER_WITHDRAWAL = 2;
 
-    enum Fate {
-        OPEN,
+    /** What is known of the jobs that a waiting job needs. */
+    enum Outlook {
+        /** Each of them is finally done in the store. */
         DONE,
+        /** Some are not over; none that is known here is cancelled. */
+        OPEN,
+        /** The end of one has yet to be read from the store. */
+        UNKNOWN,
+        /** One, directly or through others, is cancelled: it can never be done, nor can what needs it. */
         WITHDRAWN
     }
 
-    /** Priority and due time that a job has by itself or by those that need it. */
-    record Inherited(JobSpec.Priority priority, Instant due) {
-        static Inherited own(Job j) {
-            return new Inherited(j.spec().priority(), j.due());
-        }
-
-        Inherited with(JobSpec.Priority other, Instant otherDue) {
-            JobSpec.Priority p = other.compareTo(priority) < 0 ? other : priority;
-            Instant d = due == null || otherDue != null && otherDue.isBefore(due) ? otherDue : due;
-            return new Inherited(p, d);
-        }
-    }
-
-    /** Reads at a time, so that a wide pipeline does not crowd out other work. */
-    private static final int MOST_READS = 8;
-    /** A job that is in neither place is one whose header our copy has yet to show. */
-    private static final Duration AGAIN = Duration.ofMillis(300);
-
-    private final EventLoop loop;
-    private final Ledger ledger;
-    private final StateStore store;
-    private final Runnable wake;
-    private final Cache<String, Fate> fates =
-            CacheBuilder.newBuilder().maximumSize(20_000).build();
-    /** Jobs whose final state is being read, or was not there, and when to ask again. */
-    private final Map<String, Instant> asked = new HashMap<>();
-
-    private int reading;
+    private final SchedulingContext context;
+    private int withdrawalsUnderWay;
 
-    Pipelines(EventLoop loop, Ledger ledger, StateStore store, Runnable wake) {
-        this.loop = loop;
-        this.ledger = ledger;
-        this.store = store;
-        this.wake = wake;
+    Pipelines(SchedulingContext context) {
+        this.context = context;
     }
 
-    void known(String id, Fate fate) {
-        fates.put(id, fate);
-    }
-
-    /** What the jobs that a waiting one needs make of it: done only when each of them is finally done. */
-    Fate fate(Job waiting) {
-        Fate all = Fate.DONE;
-        for (String id : waiting.spec().awaits()) {
-            Fate one = fateOf(id);
-            if (one == Fate.WITHDRAWN) {
+    /**
+     * The outlook of a job that needs the given ones. A cancelled header can only become a withdrawn job, and a job that
+     * needs a withdrawn one can only be withdrawn; so {@code WITHDRAWN} is certain however old our replica is.
+     */
+    Outlook outlook(Collection<String> needed) {
+        Outlook all = Outlook.DONE;
+        Set<String> seen = new HashSet<>(needed);
+        ArrayDeque<String> unvisited = new ArrayDeque<>(needed);
+        while (!unvisited.isEmpty()) {
+            String id = unvisited.poll();
+            Job job = context.ledger().job(id);
+            Outlook one = job == null ? ended(id) : job.cancelled() ? Outlook.WITHDRAWN : Outlook.OPEN;
+            if (one == Outlook.WITHDRAWN) {
                 return one;
             }
-            all = one == Fate.OPEN ? one : all;
+            all = one.compareTo(all) > 0 ? one : all;
+            if (job != null && job.waiting()) {
+                for (String further : job.spec().awaits()) {
+                    if (seen.add(further)) {
+                        unvisited.add(further);
+                    }
+                }
+            }
         }
         return all;
     }
 
-    private Fate fateOf(String id) {
-        Job j = ledger.job(id);
-        if (j != null) {
-            // A cancelled header can only become a withdrawn job.
-            return j.cancelled() ? Fate.WITHDRAWN : Fate.OPEN;
-        }
-        Fate known = fates.getIfPresent(id);
-        if (known == null) {
-            read(id);
-        }
-        return known == null ? Fate.OPEN : known;
-    }
-
-    private void read(String id) {
-        Instant next = asked.get(id);
-        if (reading >= MOST_READS || next != null && loop.now().isBefore(next)) {
-            return;
+    /** The outlook of a job whose header is gone, or not here yet; what is unknown is read. */
+    private Outlook ended(String id) {
+        FinalState state = context.finalStates().known(id);
+        if (state == null) {
+            context.finalStates().read(id);
+            return Outlook.UNKNOWN;
         }
-        reading++;
-        asked.put(id, Instant.MAX);
-        store.get(Keys.end(id), StateStore.Urgency.CLAIM, r -> {
-            reading--;
-            Fate fate = r.ok() ? parse(id, r) : null;
-            if (fate != null) {
-                asked.remove(id);
-                known(id, fate);
-                wake.run();
-            } else {
-                asked.put(id, loop.now().plus(AGAIN));
-                loop.after(AGAIN, wake);
-            }
-        });
+        return state.status() == FinalState.Status.DONE ? Outlook.DONE : Outlook.WITHDRAWN;
     }
 
-    private static Fate parse(String id, StateStore.Result r) {
-        try {
-            return Json.text(Json.child(r.body(), "v"), "status").equals("done") ? Fate.DONE : Fate.WITHDRAWN;
-        } catch (Json.BadMessage e) {
-            LOG.error("the final state of {} can't be read: {}", id, e.getMessage());
-            return null;
-        }
+    /**
+     * Whether a waiting job may be called pending. A cancellation that our replica does not show yet must be so young that
+     * the time for cancellations is not over; after an outage the replica may lack older ones.
+     */
+    boolean mayBeCalledPending(Job waiting) {
+        Outlook outlook = outlook(waiting.spec().awaits());
+        return (outlook == Outlook.OPEN || outlook == Outlook.DONE)
+                && context.membership()
+                        .replicaIsYoungerThan(context.settings().cancel().dividedBy(2));
     }
 
     /**
-     * What unfinished jobs inherit from those that wait for them: the highest priority, and the time by which they must be
-     * done so that what comes after them can be in time. A job names only jobs accepted before it, so the latest go first.
+     * When a job could start whose needed jobs are all done: the end of the last of them, or now where the version that ended one did not
+     * store it; not before its submission.
      */
-    static Map<String, Inherited> inherited(Ledger ledger) {
-        Map<String, Inherited> out = new HashMap<>();
-        if (ledger.waiting().isEmpty()) {
-            return out;
+    Instant releaseTime(Collection<String> needed, Instant submitted) {
+        Instant latest = submitted;
+        for (String id : needed) {
+            FinalState state = context.finalStates().known(id);
+            if (state == null || state.endedAt() == null) {
+                return context.loop().timeOfDay();
+            }
+            latest = state.endedAt().isAfter(latest) ? state.endedAt() : latest;
         }
-        List<Job> waiting = new ArrayList<>();
-        for (String id : ledger.waiting()) {
-            Job j = ledger.job(id);
-            if (!j.cancelled()) {
-                waiting.add(j);
+        return latest;
+    }
+
+    /** Releases and withdraws what this member is responsible for; each job is looked after by one member. */
+    void step() {
+        List<Job> withdrawn = new ArrayList<>();
+        for (String id : List.copyOf(context.ledger().waiting())) {
+            Job job = context.ledger().job(id);
+            if (job.cancelled()) {
+                continue;
+            }
+            // Every member finds out, so that each can answer users and knows the rest at a take-over.
+            Outlook outlook = outlook(job.spec().awaits());
+            if (context.writer().isLocked(Keys.job(id)) || !context.responsibleFor(job)) {
+                continue;
+            }
+            if (outlook == Outlook.WITHDRAWN) {
+                withdrawn.add(job);
+            } else if (outlook == Outlook.DONE) {
+                release(job);
             }
         }
-        waiting.sort(Comparator.comparing(Job::submitted).thenComparing(Job::id).reversed());
-        for (Job later : waiting) {
-            Inherited of = out.getOrDefault(later.id(), Inherited.own(later));
-            Instant by = of.due() == null ? null : of.due().minus(later.spec().guess());
-            for (String id : later.spec().awaits()) {
-                Job before = ledger.job(id);
-                if (before != null) {
-                    out.put(id, out.getOrDefault(id, Inherited.own(before)).with(of.priority(), by));
-                }
+        for (List<Job> jobs :
+                Lists.partition(withdrawn, Math.max(1, context.settings().txnOps() / CHANGES_PER_WITHDRAWAL))) {
+            if (withdrawalsUnderWay < MAX_WITHDRAWALS_UNDER_WAY) {
+                withdraw(jobs);
             }
         }
-        return out;
+    }
+
+    private void release(Job job) {
+        String key = Keys.job(job.id());
+        LOG.debug("{} has all that it awaits", job.id());
+        Instant at = releaseTime(job.spec().awaits(), job.submitted());
+        StateStore.Txn txn = new StateStore.Txn().guard(key, context.stamp(key)).set(key, job.readyHeader(at));
+        context.writer().commit(txn, StateStore.Urgency.CLAIM, List.of(key), () -> {});
+    }
+
+    /** They were never released, so they hold no task, and with the guards on their headers none can be claimed any more. */
+    private void withdraw(List<Job> jobs) {
+        StateStore.Txn txn = new StateStore.Txn();
+        List<String> keys = new ArrayList<>();
+        for (Job job : jobs) {
+            String key = Keys.job(job.id());
+            FinalState state =
+                    FinalState.of(FinalState.Status.WITHDRAWN, job.spec().tasks());
+            keys.add(key);
+            txn.guard(key, context.stamp(key))
+                    .set(Keys.end(job.id()), state.toJson())
+                    .delete(key);
+        }
+        LOG.info("withdrawn with a job that they need: {}", keys);
+        withdrawalsUnderWay++;
+        context.writer().commit(txn, StateStore.Urgency.CLAIM, keys, () -> {}, result -> withdrawalsUnderWay--);
     }
 }
--- a/src/main/java/org/havenford/coordination/Planner.java
+++ b/src/main/java/org/havenford/coordination/Planner.java
@@ -152,8 +152,7 @@
     private final boolean speedFirst;
     private final UnaryOperator<String> owner;
     private Set<String> awaited = Set.of();
-    /** What jobs have from those that wait for them; of others there is nothing here. */
-    private Map<String, Pipelines.Inherited> inherited = Map.of();
+    private final Inheritance inheritance;
     /** Room on the machines that take tasks, kept from round to round; those named in {@code stale} are worked out anew. */
     private final TreeMap<String, Room> rooms = new TreeMap<>();
 
@@ -167,6 +166,7 @@
         this.owner = owner;
         this.settings = settings;
         this.speedFirst = operator.speedFirst(settings);
+        this.inheritance = new Inheritance(ledger);
     }
 
     /**
@@ -180,19 +180,17 @@
         return m.spot() ? 0 : ORDINARY;
     }
 
-    private JobSpec.Priority priority(Job j) {
-        Pipelines.Inherited i = inherited.get(j.id());
-        return i == null ? j.spec().priority() : i.priority();
+    private JobSpec.Priority priority(Job job) {
+        return inheritance.priority(job);
     }
 
-    private Instant due(Job j) {
-        Pipelines.Inherited i = inherited.get(j.id());
-        return i == null ? j.due() : i.due();
+    private Instant due(Job job) {
+        return inheritance.due(job);
     }
 
     /** Jobs with work left, the one to be served first at the front. */
     public List<Job> order(Instant now) {
-        inherited = Pipelines.inherited(ledger);
+        inheritance.refresh();
         Map<String, double[]> within = new HashMap<>();
         List<Job> open = new ArrayList<>();
         for (Job j : ledger.jobs()) {
--- /dev/null
+++ b/src/main/java/org/havenford/coordination/TaskReleases.java
@@ -0,0 +1,129 @@
+package org.havenford.coordination;
+
+import com.google.gson.JsonObject;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.havenford.bookkeeping.Chunk;
+import org.havenford.bookkeeping.Claim;
+import org.havenford.bookkeeping.FinalState;
+import org.havenford.bookkeeping.Job;
+import org.havenford.bookkeeping.Keys;
+import org.havenford.bookkeeping.StateStore;
+import org.havenford.protocol.TaskId;
+
+/**
+ * Writes the ends of attempts, gathered by record, so that tasks of a job that end one after the other do not cost a change
+ * each.
+ */
+final class TaskReleases {
+    private static final Duration GATHER = Duration.ofMillis(500);
+    private static final Duration GATHER_PRESSED = Duration.ofSeconds(4);
+    private static final Duration GATHER_SCARCE = Duration.ofSeconds(8);
+
+    private final SchedulingContext context;
+    private final Fleet fleet;
+    private final Duration gatherPressed;
+    /** Records with ends to be written, and since when. */
+    private final Map<String, Instant> gathering = new HashMap<>();
+
+    TaskReleases(SchedulingContext context, Fleet fleet) {
+        this.context = context;
+        this.fleet = fleet;
+        this.gatherPressed = context.settings().scarceChanges() ? GATHER_SCARCE : GATHER_PRESSED;
+    }
+
+    /** Writes the records that were gathered for long enough, or that somebody waits for. */
+    void step() {
+        if (fleet.endings().isEmpty()) {
+            return;
+        }
+        Map<String, Map<Claim, Fleet.Ending>> byChunk = byChunk();
+        Duration gather = context.store().pressed() ? gatherPressed : GATHER;
+        Instant now = context.loop().now();
+        byChunk.forEach((key, ended) -> {
+            if (!context.writer().isLocked(key)) {
+                Instant since = gathering.computeIfAbsent(key, k -> now);
+                if (now.isAfter(since.plus(gather)) || urgent(ended)) {
+                    write(key, ended);
+                }
+            }
+        });
+        gathering.keySet().retainAll(byChunk.keySet());
+    }
+
+    private Map<String, Map<Claim, Fleet.Ending>> byChunk() {
+        Map<String, Map<Claim, Fleet.Ending>> byChunk = new LinkedHashMap<>();
+        fleet.endings().forEach((claim, ending) -> {
+            TaskId task = claim.task();
+            Job job = context.ledger().job(task.job());
+            if (job != null && claim.equals(job.claim(task.index()))) {
+                String key = Keys.tasks(task.job(), job.chunkOf(task.index()));
+                byChunk.computeIfAbsent(key, k -> new LinkedHashMap<>()).put(claim, ending);
+            }
+        });
+        return byChunk;
+    }
+
+    private Job jobOf(Map<Claim, Fleet.Ending> ended) {
+        return context.ledger().job(ended.keySet().iterator().next().task().job());
+    }
+
+    /** Ends that somebody waits for: the last of a job's tasks, and those that have to start again. */
+    private boolean urgent(Map<Claim, Fleet.Ending> ended) {
+        Job job = jobOf(ended);
+        Chunk chunk =
+                job.stored(job.chunkOf(ended.keySet().iterator().next().task().index()));
+        return chunk.doneCount() + ended.size() == chunk.size() && job.pendingCount() == 0
+                || job.cancelled()
+                || ended.values().stream().anyMatch(e -> !e.done());
+    }
+
+    /** Applies ends to a record. */
+    static void apply(Map<Claim, Fleet.Ending> ended, Chunk chunk) {
+        ended.forEach((claim, e) -> {
+            int task = claim.task().index();
+            if (e.done()) {
+                chunk.finish(task, e.fetchSeconds(), e.runSeconds());
+            } else {
+                chunk.release(task, e.late(), e.failed());
+            }
+        });
+    }
+
+    private void write(String key, Map<Claim, Fleet.Ending> ended) {
+        Job job = jobOf(ended);
+        int index = job.chunkOf(ended.keySet().iterator().next().task().index());
+        Chunk next = job.stored(index).copy();
+        apply(ended, next);
+        StateStore.Txn txn = new StateStore.Txn()
+                .guard(Keys.VIEW, context.membership().viewStamp())
+                .guard(key, context.stamp(key));
+        boolean ends = job.chunkCount() == 1 && next.complete() && !job.cancelled();
+        FinalState state = context.done(job);
+        if (ends) {
+            String header = Keys.job(job.id());
+            txn.guard(header, context.stamp(header));
+            txn.delete(key).delete(header).set(Keys.end(job.id()), state.toJson());
+        } else {
+            JsonObject value = context.toJson(next);
+            if (value == null) {
+                // Too large for now, as the version before wrote it; it goes when more of its tasks have ended.
+                return;
+            }
+            txn.set(key, value);
+        }
+        // Users and pipelines wait for the end of a job; it must not stand behind all claims.
+        boolean last = job.pendingCount() == 0 && job.claimCount() == ended.size();
+        StateStore.Urgency urgency = last ? StateStore.Urgency.CLAIM : StateStore.Urgency.WORK;
+        context.writer().commit(txn, urgency, List.of(key), () -> {
+            ended.keySet().forEach(fleet.endings()::remove);
+            if (ends) {
+                context.finalStates().put(job.id(), state);
+            }
+        });
+    }
+}
--- /dev/null
+++ b/src/main/java/org/havenford/coordination/TeamShares.java
@@ -0,0 +1,181 @@
+package org.havenford.coordination;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.havenford.bookkeeping.Keys;
+import org.havenford.bookkeeping.Quota;
+import org.havenford.bookkeeping.Quota.Amount;
+import org.havenford.bookkeeping.StateStore;
+import org.havenford.protocol.Settings;
+
+/**
+ * This controller's shares of the teams' limits. Each claim is guarded by the stamp of the shares, and charged to the share
+ * of the controller that makes it; only that controller adds to what is charged to it, so it knows the sum, or more. All
+ * claims of a team are then within the shares, and those within the limit.
+ */
+final class TeamShares {
+    private static final Duration REBALANCE_EVERY = Duration.ofSeconds(1);
+    /** Parts of an even share of a team's limit in which shares are taken. */
+    private static final int LUMPS = 4;
+    /** Part of what this controller can spare that it gives back while another is short. */
+    private static final double GIVEN_BACK = 0.5;
+    /** Stands for no limit, and leaves room for sums. */
+    private static final double UNLIMITED = Double.MAX_VALUE / 4;
+
+    /** Claims under way, or without an answer: they count until they are seen or ruled out. */
+    record Charge(String team, Amount amount, String job, String key, long stamp, long viewStamp) {}
+
+    private final SchedulingContext context;
+    private final List<Charge> charges = new ArrayList<>();
+    private final Set<String> shortTeams = new HashSet<>();
+    private Instant nextRebalance = Instant.MIN;
+
+    TeamShares(SchedulingContext context) {
+        this.context = context;
+    }
+
+    void add(Charge charge) {
+        charges.add(charge);
+    }
+
+    void remove(Charge charge) {
+        charges.remove(charge);
+    }
+
+    /**
+     * A transaction without an answer can't be applied any more once its chunk or the view has another stamp, or its job is
+     * gone; if it was applied before that, its claims are in our replica by now.
+     */
+    void settle() {
+        Membership membership = context.membership();
+        charges.removeIf(c -> !context.writer().isLocked(c.key())
+                && (context.stamp(c.key()) != c.stamp()
+                        || context.ledger().job(c.job()) == null
+                        || membership.viewStamp() != c.viewStamp() && membership.sawAllBeforeView()));
+    }
+
+    private Amount held(String team) {
+        Amount sum = context.ledger().charged(team, context.node());
+        for (Charge c : charges) {
+            if (c.team().equals(team)) {
+                sum = sum.plus(c.amount());
+            }
+        }
+        return sum;
+    }
+
+    private static Amount limit(Settings.Team team) {
+        return new Amount(
+                team.cpusMax() > 0 ? team.cpusMax() : UNLIMITED, team.cardsMax() > 0 ? team.cardsMax() : UNLIMITED);
+    }
+
+    /**
+     * How many of the wanted claims our share of the team's limit allows. The guard on the shares, and where needed a
+     * larger share taken from what is free, become part of the claim's transaction.
+     */
+    int take(Settings.Team team, Amount one, int wanted, StateStore.Txn txn) {
+        String key = Keys.team(team.name());
+        if (context.writer().isLocked(key) || !context.membership().sawAllBeforeView()) {
+            // A former life of this node may have made claims that our replica does not show yet.
+            return 0;
+        }
+        txn.guard(key, context.stamp(key));
+        Quota quota = context.ledger().quota(team.name());
+        Amount held = held(team.name());
+        Amount share = quota.share(context.node());
+        if (held.plus(one.times(wanted)).within(share)) {
+            return wanted;
+        }
+        Amount free = limit(team).minus(quota.dealt()).most(Amount.NONE);
+        Amount aim =
+                held.plus(one.times(wanted)).plus(lump(team)).most(lump(team).times(LUMPS));
+        Amount next = share.plus(aim.minus(share).most(Amount.NONE).least(free));
+        int allowed = wanted;
+        while (allowed > 0 && !held.plus(one.times(allowed)).within(next)) {
+            allowed--;
+        }
+        if (allowed < wanted) {
+            shortTeams.add(team.name());
+        }
+        if (allowed > 0 && !held.plus(one.times(allowed)).within(share)) {
+            Quota taken = quota.with(context.node(), next).withShort(context.node(), allowed < wanted);
+            txn.set(key, taken.toJson());
+        }
+        return allowed;
+    }
+
+    /** What a controller takes beyond its need, so that not each claim has to write the shares. */
+    private Amount lump(Settings.Team team) {
+        int members = Math.max(1, context.membership().view().members().size());
+        double part = 1.0 / (LUMPS * members);
+        return new Amount(team.cpusMax() * part, team.cardsMax() * part);
+    }
+
+    /**
+     * Gives back what can be spared while another controller is short, and what controllers held that are gone. Each change
+     * of the shares fails the team's claims that are under way, so there are none without need.
+     */
+    void rebalance(Instant now) {
+        if (now.isBefore(nextRebalance) || !context.membership().sawAllBeforeView()) {
+            return;
+        }
+        nextRebalance = now.plus(REBALANCE_EVERY);
+        for (Settings.Team team : context.settings().teams().values()) {
+            String key = Keys.team(team.name());
+            if (team.limited() && !context.writer().isLocked(key)) {
+                rebalance(team, key);
+            }
+        }
+        shortTeams.clear();
+    }
+
+    private void rebalance(Settings.Team team, String key) {
+        Quota quota = context.ledger().quota(team.name());
+        Quota next = withOwnShare(team, quota);
+        if (context.node().equals(context.membership().view().first())) {
+            next = withoutFormerMembers(team, quota, next);
+        }
+        if (next != quota) {
+            StateStore.Txn txn = new StateStore.Txn()
+                    .guard(Keys.VIEW, context.membership().viewStamp())
+                    .guard(key, context.stamp(key))
+                    .set(key, next.toJson());
+            context.writer().commit(txn, StateStore.Urgency.WORK, List.of(key), () -> {});
+        }
+    }
+
+    private Quota withOwnShare(Settings.Team team, Quota quota) {
+        String self = context.node();
+        Quota next = quota;
+        Amount held = held(team.name());
+        Amount share = quota.share(self);
+        boolean isShort = shortTeams.contains(team.name());
+        if (isShort != quota.shortOf().contains(self)) {
+            next = next.withShort(self, isShort);
+        }
+        boolean othersShort = quota.shortOf().stream().anyMatch(n -> !n.equals(self));
+        Amount spare = share.minus(held).most(Amount.NONE);
+        if (othersShort && !isShort && !spare.within(Amount.NONE)) {
+            // A part of it, or all where it is little: tasks of our own come in as well.
+            boolean little = spare.within(lump(team));
+            next = next.with(self, little ? held.least(share) : share.minus(spare.times(GIVEN_BACK)));
+        }
+        return next;
+    }
+
+    private Quota withoutFormerMembers(Settings.Team team, Quota quota, Quota changed) {
+        Quota next = changed;
+        for (String holder : quota.holders()) {
+            Amount charged = context.ledger().charged(team.name(), holder);
+            boolean isMember = context.membership().view().members().containsKey(holder);
+            if (!isMember && !quota.share(holder).within(charged)) {
+                next = next.with(holder, charged.least(quota.share(holder))).withShort(holder, false);
+            }
+        }
+        return next;
+    }
+}
--- a/src/test/java/org/havenford/world/Cloud.java
+++ b/src/test/java/org/havenford/world/Cloud.java
@@ -28,6 +28,9 @@
     /** When each was returned. */
     final Map<String, Instant> returned = new HashMap<>();
 
+    /** When the first machine was rented, by kind: spot or ordinary. */
+    final Map<String, Instant> firstRented = new HashMap<>();
+
     private int created;
     boolean outage;
     List<String> zones = List.of("a", "b", "c");
@@ -137,6 +140,7 @@
                 names.add(boot(type, zone, spot, Duration.ofMillis(15_000 + world.random.nextInt(10_000))).name);
             }
             bookings.put(booking, names);
+            firstRented.putIfAbsent(spot ? "spot" : "ordinary", world.now);
         }
         JsonArray a = new JsonArray();
         names.forEach(a::add);
--- a/src/test/java/org/havenford/world/Trace.java
+++ b/src/test/java/org/havenford/world/Trace.java
@@ -135,6 +135,11 @@
                                     .returned
                                     .getOrDefault(e[2], Instant.MAX)
                                     .isBefore(Instant.EPOCH.plusSeconds(Long.parseLong(e[3])));
+                        case "first-rented" ->
+                            !world.cloud
+                                    .firstRented
+                                    .getOrDefault(e[2], Instant.MAX)
+                                    .isBefore(Instant.EPOCH.plusSeconds(Long.parseLong(e[3])));
                         case "resting" ->
                             world.store
                                             .value("live/view")
