--- /dev/null
+++ b/src/test/java/org/havenford/coordination/StoredValuesTest.java
@@ -0,0 +1,181 @@
+package org.havenford.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.google.gson.JsonElement;
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParser;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
+import org.havenford.bookkeeping.Chunk;
+import org.havenford.bookkeeping.FinalState;
+import org.havenford.bookkeeping.Heard;
+import org.havenford.bookkeeping.Job;
+import org.havenford.bookkeeping.Keys;
+import org.havenford.bookkeeping.Ledger;
+import org.havenford.bookkeeping.MachineBatch;
+import org.havenford.bookkeeping.Quota;
+import org.havenford.protocol.MachineType;
+import org.junit.jupiter.api.Test;
+
+/** Values that earlier versions have stored are read, and written back so that those versions can read them. */
+class StoredValuesTest {
+    private static final Path SAMPLES = Path.of("src/test/resources/samples");
+    private static final int LARGE = 16 * 1024;
+
+    private static Map<String, JsonObject> samples(String file) throws IOException {
+        Map<String, JsonObject> samples = new LinkedHashMap<>();
+        for (String line : Files.readAllLines(SAMPLES.resolve(file))) {
+            int space = line.indexOf(' ');
+            samples.put(
+                    line.substring(0, space),
+                    JsonParser.parseString(line.substring(space + 1)).getAsJsonObject());
+        }
+        return samples;
+    }
+
+    /** The value as this version writes it after reading it; null for kinds that nobody but their writer rewrites. */
+    private static JsonElement rewritten(String key, Map<String, JsonObject> samples) throws Exception {
+        JsonObject value = samples.get(key);
+        if (key.startsWith(Keys.JOBS)) {
+            Job job = Job.parse(value);
+            return job.header(job.cancelled());
+        } else if (key.startsWith(Keys.TASKS)) {
+            String[] path = key.substring(Keys.TASKS.length()).split("/");
+            Job job = Job.parse(samples.get(Keys.job(path[0])));
+            Chunk read = job.fresh(Integer.parseInt(path[1])).read(value);
+            return read.toJson(value.has("s") ? 2048 : LARGE, LARGE, true);
+        } else if (key.startsWith(Keys.MACHINES)) {
+            return MachineBatch.parse(key.substring(Keys.MACHINES.length()), value)
+                    .toJson();
+        } else if (key.startsWith(Keys.HEARD)) {
+            return Heard.parse(value).toJson(LARGE);
+        } else if (key.startsWith(Keys.TEAMS)) {
+            return Quota.parse(value).toJson();
+        } else if (key.equals(Keys.VIEW)) {
+            return View.parse(value).toJson();
+        } else if (key.equals(Keys.TYPES)) {
+            return MachineType.toJson(MachineType.parseAll(value));
+        } else if (key.startsWith(Keys.FINALS)) {
+            return FinalState.parse(value).toJson();
+        }
+        return null;
+    }
+
+    private static void assertRewrittenAlike(String file) throws Exception {
+        Map<String, JsonObject> samples = samples(file);
+        Set<String> kinds = new TreeSet<>();
+        for (Map.Entry<String, JsonObject> sample : samples.entrySet()) {
+            JsonElement rewritten = rewritten(sample.getKey(), samples);
+            if (rewritten != null) {
+                kinds.add(sample.getKey().replaceAll("^(final|live/[a-z]+).*", "$1"));
+                // Read from text, as the store gives it back.
+                assertEquals(sample.getValue(), JsonParser.parseString(rewritten.toString()), sample.getKey());
+            }
+        }
+        assertEquals(
+                Set.of(
+                        "final",
+                        "live/heard",
+                        "live/job",
+                        "live/machine",
+                        "live/tasks",
+                        "live/team",
+                        "live/types",
+                        "live/view"),
+                kinds);
+    }
+
+    @Test
+    void valuesOfFormat1AreWrittenBackAlike() throws Exception {
+        assertRewrittenAlike("format-1.txt");
+    }
+
+    @Test
+    void valuesOfTheVersionInProductionAreWrittenBackAlike() throws Exception {
+        assertRewrittenAlike("format-2.txt");
+    }
+
+    /** The replica takes up every key, bookings and members included. */
+    @Test
+    void theReplicaReadsEveryKey() throws Exception {
+        for (String file : List.of("format-1.txt", "format-2.txt")) {
+            List<String> members = new ArrayList<>();
+            List<JsonObject> views = new ArrayList<>();
+            Ledger ledger = new Ledger();
+            ledger.observer(observer(members, views));
+            long stamp = 0;
+            for (Map.Entry<String, JsonObject> sample : samples(file).entrySet()) {
+                ledger.changed(sample.getKey(), sample.getValue(), ++stamp);
+            }
+            assertEquals(5, members.size());
+            assertEquals(1, views.size());
+            assertFalse(ledger.bookings().isEmpty());
+            assertEquals(90, ledger.job("j-3").spec().tasks());
+            assertTrue(ledger.job("j-3").claimCount() > 30);
+            assertTrue(ledger.machines().size() > 5);
+            assertEquals(2, ledger.types().size());
+        }
+    }
+
+    private static Ledger.Observer observer(List<String> members, List<JsonObject> views) {
+        return new Ledger.Observer() {
+            @Override
+            public void viewChanged(JsonObject view, long stamp) {
+                views.add(view);
+            }
+
+            @Override
+            public void memberChanged(String node, JsonObject member, long stamp) {
+                members.add(node);
+            }
+
+            @Override
+            public void machineChanged(String machine) {}
+
+            @Override
+            public void settled() {}
+
+            @Override
+            public void loaded() {}
+        };
+    }
+
+    /** What is new in a final state is left out unless it is needed, and may be lost. */
+    @Test
+    void finalStatesAreUnderstoodByEarlierVersionsAndBack() throws Exception {
+        FinalState plain = FinalState.of(FinalState.Status.DONE, 7);
+        assertEquals("{\"status\":\"done\",\"tasks\":7}", plain.toJson().toString());
+        FinalState awaited = new FinalState(FinalState.Status.DONE, 7, Instant.ofEpochMilli(1_700_000_000_000L));
+        assertEquals(awaited, FinalState.parse(awaited.toJson()));
+        JsonObject known = awaited.toJson();
+        known.keySet().retainAll(Set.of("status", "tasks"));
+        assertEquals(plain, FinalState.parse(known));
+        assertNull(FinalState.parse(known).endedAt());
+    }
+
+    /** The header of a job that awaits others; it is rewritten by claims, cancellations and the release. */
+    @Test
+    void headersOfPipelinesKeepTheirFields() throws Exception {
+        Map<String, JsonObject> samples = samples("format-2.txt");
+        Job released = Job.parse(samples.get("live/job/j-9"));
+        assertFalse(released.waiting());
+        assertEquals(Set.of("j-7"), released.spec().awaits());
+        JsonObject cancelled = released.header(true);
+        assertNotNull(cancelled.get("_ready"));
+        assertEquals(released.released(), Job.parse(cancelled).released());
+        assertTrue(Job.parse(samples.get("live/job/j-8")).waiting());
+    }
+}
