--- /dev/null
+++ b/src/test/java/org/havenford/world/FormatOne.java
@@ -0,0 +1,70 @@
+package org.havenford.world;
+
+import com.google.gson.JsonArray;
+import com.google.gson.JsonElement;
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParser;
+import java.util.Set;
+import org.havenford.transport.HttpCalls.Reply;
+
+/**
+ * What of this program's stored values the version before format 2 knows: all else is lost when it writes, and unseen when
+ * it reads. A controller behind it stands for one of that version.
+ */
+final class FormatOne {
+    private static final Set<String> SINCE_FORMAT_2 = Set.of("format", "awaits", "_ready");
+    private static final String TASKS = "live/tasks/";
+    private static final String SHORT_FORM = "s";
+
+    private FormatOne() {}
+
+    /** A transaction as that version would have written it. */
+    static String written(String body) {
+        JsonObject txn = JsonParser.parseString(body).getAsJsonObject();
+        for (JsonElement write : txn.getAsJsonArray("writes")) {
+            JsonObject o = write.getAsJsonObject();
+            if (o.has("set")) {
+                strip(o.get("set").getAsString(), o.get("v"));
+            }
+        }
+        return txn.toString();
+    }
+
+    private static void strip(String key, JsonElement value) {
+        SINCE_FORMAT_2.forEach(value.getAsJsonObject()::remove);
+        if (key.startsWith("final/")) {
+            value.getAsJsonObject().remove("at");
+        }
+    }
+
+    /** An answer of the state service as that version understands it; what it can't read breaks the trace. */
+    static Reply read(World world, String node, Reply reply) {
+        if (reply.status() != 200 || !reply.body().startsWith("{")) {
+            return reply;
+        }
+        JsonObject body = JsonParser.parseString(reply.body()).getAsJsonObject();
+        for (String list : new String[] {"items", "log"}) {
+            JsonArray entries = body.has(list) ? body.getAsJsonArray(list) : new JsonArray();
+            for (JsonElement e : entries) {
+                readEntry(world, node, e.getAsJsonObject());
+            }
+        }
+        if (body.has("k")) {
+            readEntry(world, node, body);
+        }
+        return new Reply(200, body.toString());
+    }
+
+    private static void readEntry(World world, String node, JsonObject entry) {
+        if (!entry.has("v")) {
+            return;
+        }
+        String key = entry.get(entry.has("k") ? "k" : "set").getAsString();
+        JsonElement value = entry.get("v").deepCopy();
+        if (key.startsWith(TASKS) && value.getAsJsonObject().has(SHORT_FORM)) {
+            world.rules.broken("unreadable", key + " is in a form that " + node + " can't read");
+        }
+        strip(key, value);
+        entry.add("v", value);
+    }
+}
--- a/src/test/java/org/havenford/world/Store.java
+++ b/src/test/java/org/havenford/world/Store.java
@@ -62,6 +62,10 @@
 
     int txnOps = 12;
     double writeRps;
+    /** Whether a value beyond the limit is answered with 400 and counted; else it fails the test. */
+    boolean refusesTooLarge;
+
+    int tooLarge;
 
     void lower() {
         valueBytes = world.template.valueBytes();
@@ -261,6 +265,10 @@
                 return new Reply(400, "{\"error\":\"no such lease\"}");
             }
         }
+        if (refusesTooLarge && largest(writes) > valueBytes) {
+            tooLarge++;
+            return new Reply(400, "{\"error\":\"too large\"}");
+        }
         if (!failed.isEmpty()) {
             conflicts++;
             JsonObject refused = new JsonObject();
@@ -301,6 +309,15 @@
         return new Reply(200, "{\"edition\":" + edition + "}");
     }
 
+    private static int largest(JsonArray writes) {
+        int largest = 0;
+        for (JsonElement e : writes) {
+            JsonObject w = e.getAsJsonObject();
+            largest = Math.max(largest, w.has("v") ? w.get("v").toString().length() : 0);
+        }
+        return largest;
+    }
+
     private void notifyWatchers() {
         watchers.removeIf(w -> tell(w, false));
     }
--- a/src/test/java/org/havenford/world/Trace.java
+++ b/src/test/java/org/havenford/world/Trace.java
@@ -57,6 +57,7 @@
         List<String[]> expectations = new ArrayList<>();
         double until = 120;
         int nodes = 3;
+        boolean old = false;
         String state = STATE;
         for (String raw : lines) {
             String line = raw.replaceFirst("#.*", "").strip();
@@ -70,6 +71,7 @@
                             "}",
                             ",\"next\":{\"value_kb\":" + w[1] + ",\"txn_ops\":" + w[2] + ",\"write_rps\":" + w[3]
                                     + "}}");
+                case "version" -> old = w[1].equals("format-1");
                 case "nodes" -> nodes = Integer.parseInt(w[1]);
                 case "seed" -> seed = Long.parseLong(w[1]);
                 case "team" -> teams.add("{\"name\":\"" + w[1] + "\",\"cpus\":" + w[2] + ",\"cpus_max\":" + w[3] + "}");
@@ -83,7 +85,8 @@
         World world = new World(seed, settings(0, nodes, teamText, WORKERS, state));
         out[0] = world;
         for (int i = 0; i < nodes; i++) {
-            world.addNode(settings(i, nodes, teamText, WORKERS, state));
+            Settings before = old ? settings(i, nodes, teamText, WORKERS, STATE) : null;
+            world.addNode(settings(i, nodes, teamText, WORKERS, state), before);
         }
         for (String[] e : events) {
             if (e[0].equals("machine")) {
@@ -140,6 +143,7 @@
                                     .firstRented
                                     .getOrDefault(e[2], Instant.MAX)
                                     .isBefore(Instant.EPOCH.plusSeconds(Long.parseLong(e[3])));
+                        case "too-large" -> world.store.tooLarge <= Integer.parseInt(e[2]);
                         case "resting" ->
                             world.store
                                             .value("live/view")
@@ -186,6 +190,7 @@
             case "repeat" -> w.users.repeat(a);
             case "crash" -> w.nodes.get(a).crash();
             case "start" -> w.nodes.get(a).start();
+            case "upgrade" -> w.nodes.get(a).upgrade();
             case "cut" -> w.cut(end(w, a), end(w, e[4]), World.Cut.valueOf(e[5].toUpperCase(java.util.Locale.ROOT)));
             case "heal" -> w.heal(end(w, a), end(w, e[4]));
             case "outage" -> {
@@ -210,6 +215,10 @@
             case "serve" -> w.serve(end(w, a));
             case "slow-links" -> w.slowLinks = (int) (Double.parseDouble(a) * 1000);
             case "lower-limits" -> w.store.lower();
+            case "lower-limits-refusing" -> {
+                w.store.lower();
+                w.store.refusesTooLarge = true;
+            }
             case "mute" -> w.mute.add(end(w, a));
             case "speaks" -> w.mute.remove(end(w, a));
             case "deaf" -> w.deaf.add(end(w, a));
--- a/src/test/java/org/havenford/world/World.java
+++ b/src/test/java/org/havenford/world/World.java
@@ -281,10 +281,21 @@
         private final List<Runnable> unsent = new ArrayList<>();
         private final List<Runnable> whileStill = new ArrayList<>();
 
+        /** It runs the version before format 2, which knows nothing of limits to come. */
+        private boolean old;
+
+        private Settings oldSettings;
+
         Node(Settings settings) {
             this.settings = settings;
         }
 
+        /** Its process is ended, and comes back with this version when it is started again. */
+        void upgrade() {
+            crash();
+            old = false;
+        }
+
         void start() {
             if (life != null) {
                 return;
@@ -362,7 +373,9 @@
             private boolean dead;
             private final double drift = 1 + (random.nextDouble() - 0.5) * 0.001;
             private final Instant started = World.this.now;
-            private final Controller controller = new Controller(this, this, settings, Operator.DEFAULTS);
+            private final boolean isOld = old;
+            private final Controller controller =
+                    new Controller(this, this, isOld ? oldSettings : settings, Operator.DEFAULTS);
 
             @Override
             public Instant now() {
@@ -383,14 +396,25 @@
             @Override
             public void call(
                     String address, String method, String path, String body, Duration timeout, Consumer<Reply> done) {
+                boolean translated = isOld && address.equals(template.stateAddress());
+                String sent = translated && path.equals("/multi") ? FormatOne.written(body) : body;
+                Consumer<Reply> heard =
+                        r -> done.accept(translated ? FormatOne.read(World.this, settings.node(), r) : r);
                 World.this.call(
-                        settings.bind(), address, method, path, body, timeout, r -> act(this, () -> done.accept(r)));
+                        settings.bind(), address, method, path, sent, timeout, r -> act(this, () -> heard.accept(r)));
             }
         }
     }
 
     void addNode(Settings s) {
+        addNode(s, null);
+    }
+
+    /** A controller of this version or, where {@code oldSettings} are given, of the one before until it is upgraded. */
+    void addNode(Settings s, Settings oldSettings) {
         Node n = new Node(s);
+        n.old = oldSettings != null;
+        n.oldSettings = oldSettings;
         nodes.put(s.node(), n);
         nodeAt.put(s.bind(), n);
         lies(s.bind(), s.zone());
