--- a/src/main/java/org/havenford/coordination/Claims.java
+++ b/src/main/java/org/havenford/coordination/Claims.java
@@ -181,6 +181,7 @@
         private final List<String> locks = new ArrayList<>();
         private final Map<Claim, Fleet.Ending> ended = new HashMap<>();
         private final Set<String> machines = new HashSet<>();
+        private final boolean firstAfterRelease;
         private Chunk chunk;
         private int claimed;
         private TeamShares.Charge charge;
@@ -190,6 +191,7 @@
             this.index = index;
             this.key = Keys.tasks(job.id(), index);
             locks.add(key);
+            firstAfterRelease = !job.spec().awaits().isEmpty() && job.claimCount() == 0 && job.doneCount() == 0;
         }
 
         Amount perTask() {
@@ -302,6 +304,10 @@
         Runnable onSuccess = () -> {
             draft.ended.keySet().forEach(fleet.endings()::remove);
             context.loop().after(Duration.ZERO, () -> draft.machines.forEach(this::push));
+            if (draft.firstAfterRelease) {
+                context.pipelineMetrics()
+                        .firstClaim(draft.job.released(), context.loop().timeOfDay());
+            }
         };
         context.writer().commit(draft.txn, StateStore.Urgency.CLAIM, draft.locks, onSuccess, result -> {
             claimedMachines.forEach(name -> noLongerUnderWay(name, spec));
--- a/src/main/java/org/havenford/coordination/Controller.java
+++ b/src/main/java/org/havenford/coordination/Controller.java
@@ -45,6 +45,7 @@
     private final Scheduler scheduler;
     private final Provisioner provisioner;
     private final Users users;
+    private final PipelineMetrics pipelineMetrics = new PipelineMetrics();
     private final Histogram answerMicros = new Histogram(60_000_000L, 2);
     private final Histogram lagMicros = new Histogram(60_000_000L, 2);
     private boolean roundDue;
@@ -76,8 +77,8 @@
                 loop, calls, settings, operator, ledger, mirror, store, membership, this::endsChanged, this::wake);
         GuardedWriter writer = new GuardedWriter(loop, store, mirror, settings.valueBytes(), this::wake);
         FinalStates finalStates = new FinalStates(loop, store, this::wake);
-        SchedulingContext context =
-                new SchedulingContext(loop, settings, ledger, mirror, store, membership, writer, finalStates);
+        SchedulingContext context = new SchedulingContext(
+                loop, settings, ledger, mirror, store, membership, writer, finalStates, pipelineMetrics);
         Pipelines pipelines = new Pipelines(context);
         scheduler = new Scheduler(context, operator, fleet, pipelines);
         provisioner = new Provisioner(loop, calls, settings, operator, ledger, mirror, store, membership, this::wake);
@@ -208,6 +209,7 @@
                 ledger.machines().size(),
                 (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 20);
         LOG.info("store: {}", store.tally());
+        LOG.info("pipelines: {}", pipelineMetrics.summary());
         rounds.reset();
         answerMicros.reset();
         lagMicros.reset();
--- a/src/main/java/org/havenford/coordination/Pipelines.java
+++ b/src/main/java/org/havenford/coordination/Pipelines.java
@@ -141,7 +141,8 @@
         LOG.debug("{} has all that it awaits", job.id());
         Instant at = releaseTime(job.spec().awaits(), job.submitted());
         StateStore.Txn txn = new StateStore.Txn().guard(key, context.stamp(key)).set(key, job.readyHeader(at));
-        context.writer().commit(txn, StateStore.Urgency.CLAIM, List.of(key), () -> {});
+        context.writer().commit(txn, StateStore.Urgency.CLAIM, List.of(key), () -> context.pipelineMetrics()
+                .released(at, context.loop().timeOfDay()));
     }
 
     /** They were never released, so they hold no task, and with the guards on their headers none can be claimed any more. */
--- a/src/main/java/org/havenford/coordination/SchedulingContext.java
+++ b/src/main/java/org/havenford/coordination/SchedulingContext.java
@@ -19,7 +19,8 @@
         StateStore store,
         Membership membership,
         GuardedWriter writer,
-        FinalStates finalStates) {
+        FinalStates finalStates,
+        PipelineMetrics pipelineMetrics) {
 
     String node() {
         return settings.node();
