--- a/src/test/java/org/havenford/world/InterfaceTest.java
+++ b/src/test/java/org/havenford/world/InterfaceTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.time.Duration;
+import java.util.ArrayList;
 import java.util.List;
 import org.havenford.transport.HttpCalls.Reply;
 import org.junit.jupiter.api.Test;
@@ -93,6 +94,60 @@
                 503, ask("POST", "/submissions", awaiting("j-5", "[\"j-97\"]")).status(), "not known, so not refused");
     }
 
+    /** Sixty names are more than one transaction can compare. */
+    @Test
+    void aLongListOfAwaitedJobsIsReadInSeveralCalls() {
+        start();
+        List<String> names = new ArrayList<>();
+        for (int i = 100; i < 160; i++) {
+            names.add("\"j-" + i + "\"");
+            assertEquals(
+                    201, ask("POST", "/submissions", job("j-" + i, "red", 1, 1)).status());
+        }
+        // Over, so that after a start they are found in the store alone.
+        for (int i = 100; i < 160; i++) {
+            ask("POST", "/submissions/j-" + i + "/abort", null);
+        }
+        restart();
+        int requests = world.store.requests;
+        assertEquals(
+                201,
+                ask("POST", "/submissions", awaiting("j-1", names.toString())).status());
+        assertTrue(world.store.requests - requests >= 3, "24 names a call");
+        assertTrue(ask("GET", "/submissions/j-1", null).body().contains("withdrawn"));
+        names.add(30, "\"j-99\"");
+        restart();
+        assertEquals(
+                422,
+                ask("POST", "/submissions", awaiting("j-2", names.toString())).status());
+        assertEquals(404, ask("GET", "/submissions/j-2", null).status());
+        world.store.outage = true;
+        assertEquals(
+                503,
+                ask("POST", "/submissions", awaiting("j-3", names.toString())).status());
+    }
+
+    /** A repeat of an accepted job is answered with its state, whatever became of the jobs it names. */
+    @Test
+    void aRepeatIsKnownWhateverBecameOfItsNeeds() {
+        start();
+        assertEquals(201, ask("POST", "/submissions", job("j-1", "red", 1, 1)).status());
+        assertEquals(
+                201, ask("POST", "/submissions", awaiting("j-2", "[\"j-1\"]")).status());
+        ask("POST", "/submissions/j-1/abort", null);
+        restart();
+        Reply again = ask("POST", "/submissions", awaiting("j-2", "[\"j-1\"]"));
+        assertEquals(200, again.status());
+        assertTrue(again.body().contains("withdrawn"), again.body());
+        assertTrue(ask("POST", "/submissions/j-2/abort", null).body().contains("withdrawn"));
+    }
+
+    private void restart() {
+        world.nodes.get("node-0").crash();
+        world.nodes.get("node-0").start();
+        world.runUntil(world.seconds() + 12);
+    }
+
     @Test
     void aRepeatIsAnsweredWithTheStateAlsoWhenTheJobIsOver() {
         start();
