--- a/src/main/java/org/havenford/Main.java
+++ b/src/main/java/org/havenford/Main.java
@@ -29,6 +29,7 @@
 
     private Main() {}
 
+    /** Starts a controller, or does what the options say. */
     public static void main(String[] args) {
         logging(System.getenv());
         int code = commandLine().execute(args);
--- a/src/main/java/org/havenford/bookkeeping/Chunk.java
+++ b/src/main/java/org/havenford/bookkeeping/Chunk.java
@@ -39,12 +39,14 @@
     private final IntArrayList runs = new IntArrayList();
     private int errors;
 
+    /** A record of tasks that were never claimed. */
     public Chunk(String job, int first, int size) {
         this.job = job;
         this.first = first;
         this.size = size;
     }
 
+    /** An independent copy, to be changed and stored. */
     public Chunk copy() {
         Chunk c = new Chunk(job, first, size);
         c.done.or(done);
@@ -57,38 +59,47 @@
         return c;
     }
 
+    /** Number of tasks in this record. */
     public int size() {
         return size;
     }
 
+    /** Claims of tasks that are not known to have ended, by task. */
     public Collection<Claim> claims() {
         return claims.values();
     }
 
+    /** The claim of a task, or null. */
     public Claim claim(int task) {
         return claims.get(task);
     }
 
+    /** Number of tasks that are done. */
     public int doneCount() {
         return done.cardinality();
     }
 
+    /** Whether all tasks are done. */
     public boolean complete() {
         return done.cardinality() == size;
     }
 
+    /** Whether a task was restarted for lateness. */
     public boolean wasLate(int task) {
         return late.containsKey(task);
     }
 
+    /** The machine on which a task was late, or null. */
     public String lateOn(int task) {
         return late.get(task);
     }
 
+    /** Durations of image fetches, in tenths of a second. */
     public IntArrayList fetches() {
         return fetches;
     }
 
+    /** Durations of runs, in tenths of a second. */
     public IntArrayList runs() {
         return runs;
     }
@@ -98,6 +109,7 @@
         return errors;
     }
 
+    /** Tasks that are neither done nor claimed. */
     public List<TaskId> pending() {
         List<TaskId> out = new ArrayList<>();
         for (int i = first; i < first + size; i++) {
@@ -108,10 +120,12 @@
         return out;
     }
 
+    /** Number of tasks that are neither done nor claimed. */
     public int pendingCount() {
         return size - done.cardinality() - claims.size();
     }
 
+    /** Claims a task for a session of a machine, as its next attempt. */
     public Claim claim(int task, String machine, long session, Instant at, String account) {
         long attempt = attempts.get(task) + 1;
         attempts.put(task, attempt);
@@ -120,6 +134,7 @@
         return c;
     }
 
+    /** Marks a task as done; seconds are negative where they were not seen. */
     public void finish(int task, double fetchSeconds, double runSeconds) {
         claims.remove(task);
         attempts.remove(task);
@@ -133,6 +148,7 @@
         }
     }
 
+    /** Gives a claim up, so that the task can be claimed again. */
     public void release(int task, boolean forLateness, boolean failed) {
         Claim c = claims.remove(task);
         if (c != null && forLateness) {
@@ -258,6 +274,7 @@
         }
     }
 
+    /** The usual form of the stored value, whatever its size. */
     public JsonObject toJson() {
         JsonObject o = new JsonObject();
         JsonArray d = new JsonArray();
--- a/src/main/java/org/havenford/bookkeeping/Heard.java
+++ b/src/main/java/org/havenford/bookkeeping/Heard.java
@@ -61,6 +61,7 @@
         return o;
     }
 
+    /** Reads a stored value. */
     public static Heard parse(JsonObject o) throws Json.BadMessage {
         List<String> names = Json.texts(o, "i");
         TreeMap<String, Status> all = new TreeMap<>();
--- a/src/main/java/org/havenford/bookkeeping/Job.java
+++ b/src/main/java/org/havenford/bookkeeping/Job.java
@@ -30,6 +30,7 @@
     private Duration medianFetch;
     private Duration medianRun;
 
+    /** A job that was just accepted, or one that awaits no other. */
     public Job(JobSpec spec, Instant submitted, int chunkSize, boolean cancelled) {
         this(spec, submitted, chunkSize, cancelled, null);
     }
@@ -55,18 +56,22 @@
         return Math.min(chunkSize(valueBytes), Math.max(scarceChanges ? 2 * LEAST_CHUNK : LEAST_CHUNK, even));
     }
 
+    /** The job as its user described it. */
     public JobSpec spec() {
         return spec;
     }
 
+    /** The id that its user chose. */
     public String id() {
         return spec.id();
     }
 
+    /** When the job was accepted, by the clock of the controller that accepted it. */
     public Instant submitted() {
         return submitted;
     }
 
+    /** Whether the job's cancellation was confirmed to its user. */
     public boolean cancelled() {
         return cancelled;
     }
@@ -81,10 +86,12 @@
         return ready == null ? submitted : ready;
     }
 
+    /** Number of records that hold the job's tasks. */
     public int chunkCount() {
         return chunks.length;
     }
 
+    /** Index of the record that holds a task. */
     public int chunkOf(int task) {
         return task / chunkSize;
     }
@@ -94,15 +101,18 @@
         return chunks[index];
     }
 
+    /** The record, a fresh one if none of its tasks was ever claimed. */
     public Chunk chunk(int index) {
         return chunks[index] == null ? fresh(index) : chunks[index];
     }
 
+    /** A record in which no task was ever claimed. */
     public Chunk fresh(int index) {
         int first = index * chunkSize;
         return new Chunk(id(), first, Math.min(chunkSize, spec.tasks() - first));
     }
 
+    /** Puts a record in place of the one before; null if it was deleted. */
     public void replace(int index, Chunk chunk) {
         count(chunks[index], -1);
         chunks[index] = chunk;
@@ -118,15 +128,18 @@
         }
     }
 
+    /** The claim of a task, or null. */
     public Claim claim(int task) {
         Chunk c = task < spec.tasks() ? chunks[chunkOf(task)] : null;
         return c == null ? null : c.claim(task);
     }
 
+    /** Number of tasks that are done. */
     public int doneCount() {
         return done;
     }
 
+    /** All claims of the job's tasks. */
     public List<Claim> claims() {
         List<Claim> out = new ArrayList<>();
         for (Chunk c : chunks) {
@@ -137,14 +150,17 @@
         return out;
     }
 
+    /** Number of claimed tasks. */
     public int claimCount() {
         return claimed;
     }
 
+    /** Number of tasks that are neither done nor claimed. */
     public int pendingCount() {
         return spec.tasks() - done - claimed;
     }
 
+    /** Failures since the last success, summed over the records. */
     public int errors() {
         return errors;
     }
@@ -190,6 +206,7 @@
         return spec.deadline() == null ? null : submitted.plus(spec.deadline());
     }
 
+    /** The stored header, cancelled or not. */
     public JsonObject header(boolean withCancel) {
         JsonObject o = spec.toJson();
         o.addProperty("_at", submitted.toEpochMilli());
@@ -208,6 +225,7 @@
         return new Job(spec, submitted, chunkSize, cancelled, at).header(cancelled);
     }
 
+    /** Reads a stored header of this version or of an earlier one. */
     public static Job parse(JsonObject o) throws Json.BadMessage {
         return new Job(
                 JobSpec.parse(o),
--- a/src/main/java/org/havenford/bookkeeping/Keys.java
+++ b/src/main/java/org/havenford/bookkeeping/Keys.java
@@ -16,35 +16,43 @@
 
     private Keys() {}
 
+    /** Key of a job's header. */
     public static String job(String id) {
         return JOBS + id;
     }
 
+    /** Key of a record of tasks. */
     public static String tasks(String job, int chunk) {
         return TASKS + job + "/" + chunk;
     }
 
+    /** Key of a batch of machines. */
     public static String batch(String name) {
         return MACHINES + name;
     }
 
+    /** Key of what an owner last heard of some of its machines. */
     public static String heard(String node, int part) {
         return HEARD + node + "/" + part;
     }
 
+    /** Key of the shares of a team's limit. */
     public static String team(String name) {
         // Names come from the settings and may hold anything; keys hold no spaces.
         return TEAMS + name.replaceAll("[^A-Za-z0-9_.-]", "_");
     }
 
+    /** Key of a member's registration, attached to its lease. */
     public static String member(String node) {
         return MEMBERS + node;
     }
 
+    /** Key of an intent to rent. */
     public static String booking(String name) {
         return BOOKINGS + name;
     }
 
+    /** Key of a job's final state. */
     public static String end(String job) {
         return FINALS + job;
     }
--- a/src/main/java/org/havenford/bookkeeping/Ledger.java
+++ b/src/main/java/org/havenford/bookkeeping/Ledger.java
@@ -31,6 +31,7 @@
 
     /** An intent to rent, stored before the cloud is asked. */
     public record Booking(String name, String type, String zone, boolean spot, int count, Instant at) {
+        /** The stored value. */
         public JsonObject toJson() {
             JsonObject o = new JsonObject();
             o.addProperty("t", type);
@@ -54,15 +55,19 @@
 
     /** Hears of keys that concern membership, and of every end of a batch of changes. */
     public interface Observer {
+        /** The stored view has changed. */
         void viewChanged(JsonObject view, long stamp);
 
+        /** A member has registered; {@code member} is null when its registration is gone. */
         void memberChanged(String node, JsonObject member, long stamp);
 
         /** The claims on a machine, or its record, have changed, or what is wanted of them. */
         void machineChanged(String machine);
 
+        /** A batch of changes has been told. */
         void settled();
 
+        /** All keys have been read. */
         void loaded();
     }
 
@@ -94,18 +99,22 @@
     private final Map<String, Quota> quotas = new HashMap<>();
     private Observer observer;
 
+    /** Sets who is told of changes. */
     public void observer(Observer o) {
         observer = o;
     }
 
+    /** Jobs that are not over, by id. */
     public Collection<Job> jobs() {
         return jobs.values();
     }
 
+    /** A job that is not over, or null. */
     public Job job(String id) {
         return jobsById.get(id);
     }
 
+    /** Jobs that wait for others. */
     public Collection<String> waiting() {
         return waiting;
     }
@@ -120,10 +129,12 @@
         return pipelineChanges;
     }
 
+    /** All machines on record. */
     public Collection<MachineRecord> machines() {
         return machines.values();
     }
 
+    /** What is known of a machine, or null. */
     public MachineRecord machine(String name) {
         return machines.get(name);
     }
@@ -133,26 +144,32 @@
         return batchesOf.getOrDefault(machine, Set.of());
     }
 
+    /** A batch of machines, or null. */
     public MachineBatch batch(String name) {
         return batches.get(name);
     }
 
+    /** Claims on a machine, by task. */
     public Map<TaskId, Claim> claimsOn(String machine) {
         return claims.getOrDefault(machine, Map.of());
     }
 
+    /** Machines with claims. */
     public Collection<String> claimedMachines() {
         return List.copyOf(claims.keySet());
     }
 
+    /** Intents to rent that are not settled. */
     public Collection<Booking> bookings() {
         return bookings.values();
     }
 
+    /** Records of tasks, as ID/CHUNK, whose job is over or not read yet. */
     public Collection<String> orphans() {
         return orphans.keySet();
     }
 
+    /** What the cloud offers, by name. */
     public Map<String, MachineType> types() {
         return types;
     }
@@ -171,6 +188,7 @@
         return charged.getOrDefault(team, Map.of()).getOrDefault(account, Amount.NONE);
     }
 
+    /** The shares of a team's limit. */
     public Quota quota(String team) {
         return quotas.getOrDefault(Keys.team(team), NO_QUOTA);
     }
--- a/src/main/java/org/havenford/bookkeeping/MachineBatch.java
+++ b/src/main/java/org/havenford/bookkeeping/MachineBatch.java
@@ -25,6 +25,7 @@
         RETURNING
     }
 
+    /** A batch whose machines are all in service. */
     public static MachineBatch of(
             String name, String type, String zone, boolean spot, Instant since, Collection<String> machines) {
         TreeMap<String, Service> all = new TreeMap<>();
@@ -32,18 +33,21 @@
         return new MachineBatch(name, type, zone, spot, since, all);
     }
 
+    /** The batch with one machine's service changed. */
     public MachineBatch with(String machine, Service service) {
         TreeMap<String, Service> next = new TreeMap<>(machines);
         next.put(machine, service);
         return new MachineBatch(name, type, zone, spot, since, next);
     }
 
+    /** The batch without some machines. */
     public MachineBatch without(Collection<String> gone) {
         TreeMap<String, Service> next = new TreeMap<>(machines);
         next.keySet().removeAll(gone);
         return new MachineBatch(name, type, zone, spot, since, next);
     }
 
+    /** The stored value. */
     public JsonObject toJson() {
         JsonObject o = new JsonObject();
         o.addProperty("t", type);
@@ -56,6 +60,7 @@
         return o;
     }
 
+    /** Reads a stored value. */
     public static MachineBatch parse(String name, JsonObject o) throws Json.BadMessage {
         TreeMap<String, Service> all = new TreeMap<>();
         for (Map.Entry<String, JsonElement> e : Json.child(o, "m").entrySet()) {
--- a/src/main/java/org/havenford/bookkeeping/Mirror.java
+++ b/src/main/java/org/havenford/bookkeeping/Mirror.java
@@ -44,6 +44,7 @@
     private boolean loaded;
     private long edition;
 
+    /** A replica of the keys with the prefix; it is empty until started. */
     public Mirror(EventLoop loop, StateStore store, String prefix, Listener listener) {
         this.loop = loop;
         this.store = store;
@@ -51,10 +52,12 @@
         this.listener = listener;
     }
 
+    /** Begins to read the keys. */
     public void start() {
         load(null, 0, new Object2LongOpenHashMap<>());
     }
 
+    /** Whether all keys have been read. */
     public boolean loaded() {
         return loaded;
     }
@@ -64,6 +67,7 @@
         return edition;
     }
 
+    /** Stamp of a key in this replica; 0 if the key does not exist. */
     public long stamp(String key) {
         return Math.max(0, stamps.getLong(key));
     }
--- a/src/main/java/org/havenford/bookkeeping/Quota.java
+++ b/src/main/java/org/havenford/bookkeeping/Quota.java
@@ -20,26 +20,32 @@
         public static final Amount NONE = new Amount(0, 0);
         private static final double GRAIN = 1e-6;
 
+        /** The sum. */
         public Amount plus(Amount o) {
             return new Amount(cpus + o.cpus, cards + o.cards);
         }
 
+        /** The difference. */
         public Amount minus(Amount o) {
             return new Amount(cpus - o.cpus, cards - o.cards);
         }
 
+        /** A multiple. */
         public Amount times(double n) {
             return new Amount(cpus * n, cards * n);
         }
 
+        /** The smaller of both in each part. */
         public Amount least(Amount o) {
             return new Amount(Math.min(cpus, o.cpus), Math.min(cards, o.cards));
         }
 
+        /** The larger of both in each part. */
         public Amount most(Amount o) {
             return new Amount(Math.max(cpus, o.cpus), Math.max(cards, o.cards));
         }
 
+        /** Whether no part exceeds the other's. */
         public boolean within(Amount o) {
             return cpus <= o.cpus + GRAIN && cards <= o.cards + GRAIN;
         }
@@ -51,14 +57,17 @@
     private final TreeMap<String, Amount> shares = new TreeMap<>();
     private final TreeSet<String> shortOf = new TreeSet<>();
 
+    /** The share of a controller. */
     public Amount share(String node) {
         return shares.getOrDefault(node, Amount.NONE);
     }
 
+    /** Controllers that hold a share. */
     public Iterable<String> holders() {
         return shares.keySet();
     }
 
+    /** The sum of all shares. */
     public Amount dealt() {
         Amount sum = Amount.NONE;
         for (Amount a : shares.values()) {
@@ -67,6 +76,7 @@
         return sum;
     }
 
+    /** Controllers whose share does not suffice. */
     public Set<String> shortOf() {
         return shortOf;
     }
@@ -100,6 +110,7 @@
         return q;
     }
 
+    /** The stored value. */
     public JsonObject toJson() {
         JsonObject all = new JsonObject();
         shares.forEach((node, a) -> {
@@ -116,6 +127,7 @@
         return o;
     }
 
+    /** Reads a stored value. */
     public static Quota parse(JsonObject o) throws Json.BadMessage {
         Quota q = new Quota();
         try {
--- a/src/main/java/org/havenford/bookkeeping/StateStore.java
+++ b/src/main/java/org/havenford/bookkeeping/StateStore.java
@@ -66,10 +66,12 @@
 
     /** Outcome of a call, and the body of the response where there is one. */
     public record Result(Outcome outcome, JsonObject body) {
+        /** Whether the call was carried out. */
         public boolean ok() {
             return outcome == Outcome.OK;
         }
 
+        /** The store's edition that the response names, or 0. */
         public long edition() {
             try {
                 return body == null ? 0 : Json.countOr(body, "edition", 0);
@@ -86,6 +88,7 @@
         private final List<String> keys = new ArrayList<>();
         private final List<JsonElement> values = new ArrayList<>();
 
+        /** Adds a condition: the key has this stamp; 0 means that it does not exist. */
         public Txn guard(String key, long stamp) {
             JsonObject g = new JsonObject();
             g.addProperty("k", key);
@@ -94,10 +97,12 @@
             return this;
         }
 
+        /** Adds a change that sets a key. */
         public Txn set(String key, JsonElement value) {
             return set(key, value, 0);
         }
 
+        /** Adds a change that sets a key and attaches it to a lease. */
         public Txn set(String key, JsonElement value, long permit) {
             JsonObject w = new JsonObject();
             w.addProperty("set", key);
@@ -111,6 +116,7 @@
             return this;
         }
 
+        /** Adds a change that deletes a key. */
         public Txn delete(String key) {
             JsonObject w = new JsonObject();
             w.addProperty("delete", key);
@@ -120,18 +126,22 @@
             return this;
         }
 
+        /** Number of changes. */
         public int writes() {
             return writes.size();
         }
 
+        /** Number of conditions. */
         public int guards() {
             return guards.size();
         }
 
+        /** Keys that are changed, in order. */
         public List<String> keys() {
             return keys;
         }
 
+        /** Values that are set, in the order of the keys; null for a deletion. */
         public List<JsonElement> values() {
             return values;
         }
@@ -291,14 +301,17 @@
         return text.toString();
     }
 
+    /** Calls of a class that wait for this controller's share of the limits. */
     public int queued(Urgency urgency) {
         return queues.get(urgency.ordinal()).size();
     }
 
+    /** Reads a key. */
     public void get(String key, Urgency urgency, Consumer<Result> done) {
         submit(urgency, "GET", "/store/" + key, null, 0, TIMEOUT, done);
     }
 
+    /** Reads a page of keys with a prefix, beginning after the given key, or at the first if null. */
     public void list(String prefix, String after, Consumer<Result> done) {
         submit(
                 Urgency.WATCH,
@@ -310,10 +323,12 @@
                 done);
     }
 
+    /** Commits a transaction. */
     public void commit(Txn txn, Urgency urgency, Consumer<Result> done) {
         submit(urgency, "POST", "/multi", txn.text(), txn.writes(), TIMEOUT, done);
     }
 
+    /** Waits for changes of keys with a prefix after an edition. */
     public void watch(String prefix, long since, Duration block, Consumer<Result> done) {
         submit(
                 Urgency.WATCH,
@@ -325,10 +340,12 @@
                 done);
     }
 
+    /** Creates a lease. */
     public void createLease(Duration life, Consumer<Result> done) {
         submit(Urgency.LEASE, "POST", "/holds", "{\"lifeMs\":" + life.toMillis() + "}", 0, TIMEOUT, done);
     }
 
+    /** Renews a lease. */
     public void renewLease(long permit, Consumer<Result> done) {
         submit(Urgency.LEASE, "POST", "/holds/" + permit + "/touch", null, 0, TIMEOUT, done);
     }
--- a/src/main/java/org/havenford/bookkeeping/TokenBucket.java
+++ b/src/main/java/org/havenford/bookkeeping/TokenBucket.java
@@ -10,6 +10,7 @@
     private double tokens;
     private Instant last;
 
+    /** A full bucket for {@code rate} tokens a second that holds what comes in {@code burstSeconds}. */
     public TokenBucket(double rate, double burstSeconds, Instant now) {
         this.rate = rate;
         this.burstSeconds = burstSeconds;
@@ -17,6 +18,7 @@
         this.last = now;
     }
 
+    /** Changes the rate. */
     public void rate(double newRate) {
         rate = newRate;
     }
@@ -37,6 +39,7 @@
         return tokens >= Math.min(n, size()) - 1e-9;
     }
 
+    /** Takes tokens; their number may become negative. */
     public void take(double n) {
         tokens -= n;
     }
--- a/src/main/java/org/havenford/coordination/Controller.java
+++ b/src/main/java/org/havenford/coordination/Controller.java
@@ -53,6 +53,7 @@
     private Instant nextTally;
     private Instant lastComplaint = Instant.MIN;
 
+    /** Puts a controller together; nothing happens before {@link #start}. */
     public Controller(EventLoop loop, HttpCalls calls, Settings settings, Operator operator) {
         this.loop = loop;
         store = new StateStore(
@@ -132,6 +133,7 @@
         return all;
     }
 
+    /** Begins to read the store, to register, and to decide. */
     public void start() {
         mirror.start();
         membership.start();
--- a/src/main/java/org/havenford/coordination/Fleet.java
+++ b/src/main/java/org/havenford/coordination/Fleet.java
@@ -100,6 +100,7 @@
     private boolean knownAtAll;
     private long lateFired;
 
+    /** A fleet that knows no machines yet. */
     public Fleet(
             EventLoop loop,
             HttpCalls calls,
@@ -146,6 +147,7 @@
         changed.add(machine);
     }
 
+    /** What this controller knows of a machine that it owns, or null. */
     public MachineState state(String machine) {
         return machines.get(machine);
     }
@@ -232,6 +234,7 @@
     /** What to answer a report: null for 503, a node's name for 421, or the body of a 200. */
     public record Answer(int status, String body) {}
 
+    /** Answers a worker's report. */
     public Answer checkin(Report r) {
         if (!membership.entitled() || !mirror.loaded()) {
             return new Answer(503, "{\"error\":\"not entitled\"}");
@@ -664,6 +667,7 @@
                 .plus(LEASE_MARGIN);
     }
 
+    /** Whether a machine can be given new tasks. */
     public boolean usable(MachineRecord r, Instant now) {
         MachineState m = machines.get(r.name());
         if (m == null) {
@@ -677,6 +681,7 @@
                 && now.isBefore(m.reported.plus(fresh));
     }
 
+    /** Whether a task should not be tried again on a machine. */
     public boolean avoided(TaskId task, String machine) {
         MachineState m = machines.get(machine);
         return m != null && m.avoid.contains(task);
@@ -743,6 +748,7 @@
         }
     }
 
+    /** How many tasks were restarted for lateness. */
     public long lateFired() {
         return lateFired;
     }
--- a/src/main/java/org/havenford/coordination/Membership.java
+++ b/src/main/java/org/havenford/coordination/Membership.java
@@ -103,6 +103,7 @@
         this.changed = changed;
     }
 
+    /** Begins to acquire a lease and to register. */
     public void start() {
         acquire();
     }
@@ -115,6 +116,7 @@
         return renewed.containsAll(configured);
     }
 
+    /** The view in force, as our replica shows it. */
     public View view() {
         return view;
     }
@@ -137,10 +139,12 @@
         return mirror.edition() >= viewStamp;
     }
 
+    /** Stamp of the view in force. */
     public long viewStamp() {
         return viewStamp;
     }
 
+    /** Duration of the membership lease. */
     public Duration life() {
         return life;
     }
@@ -176,6 +180,7 @@
         return verified;
     }
 
+    /** Whether the membership lease is certain to hold. */
     public boolean leaseHolds() {
         return loop.now().isBefore(leaseUntil);
     }
@@ -185,6 +190,7 @@
         return incarnation != null && incarnation == permit && permit != 0;
     }
 
+    /** Whether a node's incarnation is in the view. */
     public boolean isMember(String other, long incarnation) {
         Long current = view.members().get(other);
         return current != null && current == incarnation;
@@ -278,6 +284,7 @@
         });
     }
 
+    /** A registration has changed; null if it is gone. */
     public void memberChanged(String name, JsonObject value, long stamp) {
         try {
             if (value == null) {
@@ -293,6 +300,7 @@
         }
     }
 
+    /** The stored view has changed. */
     public void viewChanged(JsonObject value, long stamp) {
         try {
             View next = value == null ? View.empty() : View.parse(value);
--- a/src/main/java/org/havenford/coordination/Operator.java
+++ b/src/main/java/org/havenford/coordination/Operator.java
@@ -49,6 +49,7 @@
         NEVER
     }
 
+    /** Whether money matters less than speed on this deployment. */
     public boolean speedFirst(Settings settings) {
         return switch (speedFirst) {
             case ALWAYS -> true;
@@ -58,6 +59,7 @@
         };
     }
 
+    /** Reads and checks operators' settings. */
     public static Operator read(Path file) throws IOException, BadSetting {
         Element root;
         try {
--- a/src/main/java/org/havenford/coordination/Planner.java
+++ b/src/main/java/org/havenford/coordination/Planner.java
@@ -161,6 +161,7 @@
     /** Job at which the last round ran out of time; the next one goes on there. */
     private String resumeAt;
 
+    /** A planner over a replica; {@code owner} names the controller that owns a machine. */
     public Planner(Ledger ledger, Settings settings, Operator operator, UnaryOperator<String> owner) {
         this.ledger = ledger;
         this.owner = owner;
@@ -280,6 +281,7 @@
         stale.add(machine);
     }
 
+    /** All machines have to be looked at anew. */
     public void allChanged() {
         allStale = true;
     }
--- a/src/main/java/org/havenford/coordination/Provisioner.java
+++ b/src/main/java/org/havenford/coordination/Provisioner.java
@@ -103,6 +103,7 @@
     private boolean active;
     private Instant activeSince = Instant.MIN;
 
+    /** A provisioner that acts once this member is the first of the view. */
     public Provisioner(
             EventLoop loop,
             HttpCalls calls,
@@ -126,6 +127,7 @@
         this.budget = new TokenBucket(settings.cloudRps() * 0.8, 1, loop.now());
     }
 
+    /** Compares the demand with the fleet, and rents or returns machines. */
     public void step() {
         boolean first = mirror.loaded()
                 && membership.entitled()
--- a/src/main/java/org/havenford/coordination/View.java
+++ b/src/main/java/org/havenford/coordination/View.java
@@ -19,10 +19,12 @@
 public record View(long epoch, TreeMap<String, Long> members, TreeMap<String, String> moved, TreeSet<String> resting) {
     private static final HashFunction HASH = Hashing.murmur3_128(0x68617665);
 
+    /** The view before the first member has joined. */
     public static View empty() {
         return new View(0, new TreeMap<>(), new TreeMap<>(), new TreeSet<>());
     }
 
+    /** Reads the stored view. */
     public static View parse(JsonObject o) throws Json.BadMessage {
         TreeMap<String, Long> members = new TreeMap<>();
         for (Map.Entry<String, com.google.gson.JsonElement> e :
@@ -37,6 +39,7 @@
         return new View(Json.count(o, "epoch"), members, moved, new TreeSet<>(Json.texts(o, "resting")));
     }
 
+    /** The stored value. */
     public JsonObject toJson() {
         JsonObject o = new JsonObject();
         o.addProperty("epoch", epoch);
@@ -61,6 +64,7 @@
         return highest(machine, active());
     }
 
+    /** The member with the highest hash for a name, resting ones included. */
     public String rendezvous(String name) {
         return highest(name, members.keySet());
     }
--- a/src/main/java/org/havenford/protocol/CloudMessages.java
+++ b/src/main/java/org/havenford/protocol/CloudMessages.java
@@ -24,6 +24,7 @@
 
     private CloudMessages() {}
 
+    /** Body of a rental request. */
     public static String rent(String booking, String type, String zone, boolean spot, int count) {
         JsonObject o = new JsonObject();
         o.addProperty("booking", booking);
@@ -34,10 +35,12 @@
         return o.toString();
     }
 
+    /** Names of the machines that a rental has brought. */
     public static List<String> rented(String body) throws Json.BadMessage {
         return Json.texts(Json.object(body), "boxes");
     }
 
+    /** Body of a request to return machines. */
     public static String giveBack(List<String> machines) {
         JsonArray a = new JsonArray();
         machines.forEach(a::add);
@@ -46,6 +49,7 @@
         return o.toString();
     }
 
+    /** Reads a page of the machine list. */
     public static Page page(String body) throws Json.BadMessage {
         JsonObject o = Json.object(body);
         List<Listed> out = new ArrayList<>();
--- a/src/main/java/org/havenford/protocol/Command.java
+++ b/src/main/java/org/havenford/protocol/Command.java
@@ -20,6 +20,7 @@
         }
     }
 
+    /** Body of an answer to a report. */
     public static String reply(long token, List<Command> commands) {
         JsonObject o = new JsonObject();
         o.addProperty("baton", token);
@@ -27,6 +28,7 @@
         return o.toString();
     }
 
+    /** Body of direct commands. */
     public static String direct(long token, long session, List<Command> commands) {
         JsonObject o = new JsonObject();
         o.addProperty("baton", token);
--- a/src/main/java/org/havenford/protocol/JobSpec.java
+++ b/src/main/java/org/havenford/protocol/JobSpec.java
@@ -56,10 +56,12 @@
         }
     }
 
+    /** Whether an id has the form that users' ids have. */
     public static boolean validId(String id) {
         return ID.matcher(id).matches();
     }
 
+    /** Reads a submission, or the description in a stored header. */
     public static JobSpec parse(JsonObject o) throws Json.BadMessage {
         String id = Json.text(o, "nameId");
         if (!validId(id)) {
@@ -161,6 +163,7 @@
                 awaits);
     }
 
+    /** The description as it is stored. */
     public JsonObject toJson() {
         JsonObject o = new JsonObject();
         o.addProperty("nameId", id);
@@ -203,6 +206,7 @@
         return d.toNanos() / 1e9;
     }
 
+    /** Whether a task may run on such a machine. */
     public boolean allows(MachineType type, String inZone, boolean onSpot) {
         return (types == null || types.contains(type.name()))
                 && (zone == null || zone.equals(inZone))
@@ -210,6 +214,7 @@
                 && fits(type);
     }
 
+    /** Whether a task fits an empty machine. */
     public boolean fits(MachineType type) {
         return cpus <= type.cpus() && cards <= type.cards() && memGb <= type.memGb();
     }
--- a/src/main/java/org/havenford/protocol/Json.java
+++ b/src/main/java/org/havenford/protocol/Json.java
@@ -22,6 +22,7 @@
     public static final class BadMessage extends Exception {
         private static final long serialVersionUID = 1L;
 
+        /** {@code message} says what is wrong with which field. */
         public BadMessage(String message) {
             super(message);
         }
@@ -29,6 +30,7 @@
 
     private Json() {}
 
+    /** Parses a text that must be one JSON object. */
     public static JsonObject object(String text) throws BadMessage {
         try {
             JsonReader reader = new JsonReader(new StringReader(text));
@@ -55,6 +57,7 @@
         return e == null || e.isJsonNull() ? null : e;
     }
 
+    /** Whether a field is present and not null. */
     public static boolean has(JsonObject o, String field) {
         return present(o, field) != null;
     }
@@ -70,6 +73,7 @@
         return e.getAsJsonPrimitive();
     }
 
+    /** A text that must be present. */
     public static String text(JsonObject o, String field) throws BadMessage {
         JsonPrimitive p = primitive(o, field);
         if (!p.isString()) {
@@ -78,10 +82,12 @@
         return p.getAsString();
     }
 
+    /** A text, or {@code otherwise} where it is absent. */
     public static String textOr(JsonObject o, String field, String otherwise) throws BadMessage {
         return has(o, field) ? text(o, field) : otherwise;
     }
 
+    /** A boolean, or {@code otherwise} where it is absent. */
     public static boolean flagOr(JsonObject o, String field, boolean otherwise) throws BadMessage {
         if (!has(o, field)) {
             return otherwise;
@@ -93,6 +99,7 @@
         return p.getAsBoolean();
     }
 
+    /** A number from 0 on that must be present. */
     public static double amount(JsonObject o, String field) throws BadMessage {
         JsonPrimitive p = primitive(o, field);
         if (!p.isNumber()) {
@@ -105,14 +112,17 @@
         return d;
     }
 
+    /** A number from 0 on, or {@code otherwise} where it is absent. */
     public static double amountOr(JsonObject o, String field, double otherwise) throws BadMessage {
         return has(o, field) ? amount(o, field) : otherwise;
     }
 
+    /** A duration in seconds that must be present. */
     public static Duration seconds(JsonObject o, String field) throws BadMessage {
         return Duration.ofNanos((long) (amount(o, field) * 1e9));
     }
 
+    /** A whole number from 0 on that must be present. */
     public static long count(JsonObject o, String field) throws BadMessage {
         JsonPrimitive p = primitive(o, field);
         if (!p.isNumber()) {
@@ -143,10 +153,12 @@
         return !s.isEmpty() && s.length() <= 18;
     }
 
+    /** A whole number from 0 on, or {@code otherwise} where it is absent. */
     public static long countOr(JsonObject o, String field, long otherwise) throws BadMessage {
         return has(o, field) ? count(o, field) : otherwise;
     }
 
+    /** An object that must be present. */
     public static JsonObject child(JsonObject o, String field) throws BadMessage {
         JsonElement e = present(o, field);
         if (e == null || !e.isJsonObject()) {
@@ -155,6 +167,7 @@
         return e.getAsJsonObject();
     }
 
+    /** An array; an empty one where it is absent. */
     public static JsonArray array(JsonObject o, String field) throws BadMessage {
         JsonElement e = present(o, field);
         if (e == null) {
@@ -166,6 +179,7 @@
         return e.getAsJsonArray();
     }
 
+    /** An array of objects; an empty one where it is absent. */
     public static List<JsonObject> objects(JsonObject o, String field) throws BadMessage {
         List<JsonObject> out = new ArrayList<>();
         for (JsonElement e : array(o, field)) {
@@ -177,6 +191,7 @@
         return out;
     }
 
+    /** An array of texts; an empty one where it is absent. */
     public static List<String> texts(JsonObject o, String field) throws BadMessage {
         List<String> out = new ArrayList<>();
         for (JsonElement e : array(o, field)) {
--- a/src/main/java/org/havenford/protocol/MachineType.java
+++ b/src/main/java/org/havenford/protocol/MachineType.java
@@ -19,6 +19,7 @@
         Duration boot,
         List<String> zones) {
 
+    /** Reads the cloud's answer, or its stored copy. */
     public static List<MachineType> parseAll(JsonObject o) throws Json.BadMessage {
         List<MachineType> out = new ArrayList<>();
         for (JsonObject t : Json.objects(o, "rigs")) {
@@ -37,6 +38,7 @@
         return out;
     }
 
+    /** The stored value, in the cloud's own form. */
     public static JsonObject toJson(Iterable<MachineType> types) {
         JsonArray rigs = new JsonArray();
         for (MachineType t : types) {
@@ -60,6 +62,7 @@
         return out;
     }
 
+    /** Price of an hour. */
     public double hourly(boolean spot) {
         return spot ? spotPrice : price;
     }
--- a/src/main/java/org/havenford/protocol/Report.java
+++ b/src/main/java/org/havenford/protocol/Report.java
@@ -28,6 +28,7 @@
     /** One attempt of a task as a worker reports it. */
     public record Entry(TaskId task, long attempt, State state, String why) {}
 
+    /** Reads a worker's report. */
     public static Report parse(JsonObject o) throws Json.BadMessage {
         List<Entry> tasks = new ArrayList<>();
         for (JsonObject t : Json.objects(o, "shots")) {
@@ -61,10 +62,12 @@
                 tasks);
     }
 
+    /** Whether this report was made after another of the same machine. */
     public boolean newerThan(Report other) {
         return other == null || session > other.session || session == other.session && seq > other.seq;
     }
 
+    /** The entry of an attempt, or null. */
     public Entry find(TaskId task, long attempt) {
         for (Entry e : tasks) {
             if (e.attempt() == attempt && e.task().equals(task)) {
--- a/src/main/java/org/havenford/protocol/Settings.java
+++ b/src/main/java/org/havenford/protocol/Settings.java
@@ -48,6 +48,7 @@
 
     /** A team's share; a limit of 0 means none. */
     public record Team(String name, double cpus, double cpusMax, double cards, double cardsMax) {
+        /** Whether the team has a limit. */
         public boolean limited() {
             return cpusMax > 0 || cardsMax > 0;
         }
@@ -58,10 +59,12 @@
         return nextWriteRps / (peers.size() + 1) < SCARCE;
     }
 
+    /** Reads and checks a settings file. */
     public static Settings read(Path file) throws IOException, Json.BadMessage {
         return parse(Files.readString(file));
     }
 
+    /** Reads and checks settings. */
     public static Settings parse(String text) throws Json.BadMessage {
         JsonObject o = Json.object(text);
         JsonObject endpoints = Json.child(o, "endpoints");
--- a/src/main/java/org/havenford/protocol/TaskId.java
+++ b/src/main/java/org/havenford/protocol/TaskId.java
@@ -2,6 +2,7 @@
 
 /** Task 3 of job j-000412 is {@code j-000412/3}. */
 public record TaskId(String job, int index) implements Comparable<TaskId> {
+    /** Reads an id of the form j-000412/3. */
     public static TaskId parse(String s) throws Json.BadMessage {
         int slash = s.indexOf('/');
         if (slash < 1 || !JobSpec.validId(s.substring(0, slash))) {
--- a/src/main/java/org/havenford/transport/EventLoop.java
+++ b/src/main/java/org/havenford/transport/EventLoop.java
@@ -8,10 +8,12 @@
  * with each other, and they do not jump when the time of day is corrected.
  */
 public interface EventLoop {
+    /** The steady clock. */
     Instant now();
 
     /** Time of day, off by at most the bound that the settings name. Never used for leases. */
     Instant timeOfDay();
 
+    /** Runs a task on this loop after a delay. */
     void after(Duration delay, Runnable task);
 }
--- a/src/main/java/org/havenford/transport/HttpCalls.java
+++ b/src/main/java/org/havenford/transport/HttpCalls.java
@@ -12,10 +12,12 @@
 
     /** An HTTP response, or one of the substitutes {@link #NOT_SENT} and {@link #NO_ANSWER}. */
     record Reply(int status, String body) {
+        /** Whether the status is 200. */
         public boolean ok() {
             return status == 200;
         }
     }
 
+    /** Sends a request; {@code done} is told the response, or that there was none in time. */
     void call(String address, String method, String path, String body, Duration timeout, Consumer<Reply> done);
 }
--- a/src/main/java/org/havenford/transport/HttpServer.java
+++ b/src/main/java/org/havenford/transport/HttpServer.java
@@ -23,6 +23,7 @@
 
     /** An answer; {@code retryAfter} is null unless the caller is told when to come back. */
     public record Response(int status, String body, Duration retryAfter, boolean close) {
+        /** A response with a status and a body. */
         public static Response of(int status, String body) {
             return new Response(status, body, null, false);
         }
@@ -35,6 +36,7 @@
 
     /** Answers requests; the answer may come later, from the event loop. */
     public interface Handler {
+        /** Answers one request. */
         void handle(Request request, Consumer<Response> answer);
     }
 
@@ -44,6 +46,7 @@
     private final Undertow server;
     private final int maxConnections;
 
+    /** A server that listens once it is started. */
     public HttpServer(XnioWorker worker, String host, int port, int maxConnections, Handler handler) {
         this.maxConnections = maxConnections;
         server = Undertow.builder()
@@ -62,6 +65,7 @@
                 .build();
     }
 
+    /** Begins to listen. */
     public void start() {
         server.start();
     }
--- a/src/main/java/org/havenford/transport/XnioLoop.java
+++ b/src/main/java/org/havenford/transport/XnioLoop.java
@@ -14,10 +14,12 @@
     private final XnioIoThread thread;
     private final long origin = System.nanoTime();
 
+    /** An event loop on an I/O thread. */
     public XnioLoop(XnioIoThread thread) {
         this.thread = thread;
     }
 
+    /** The thread that runs the loop. */
     public XnioIoThread thread() {
         return thread;
     }
