--- a/src/main/java/org/havenford/coordination/JobEnds.java
+++ b/src/main/java/org/havenford/coordination/JobEnds.java
@@ -1,7 +1,9 @@
 package org.havenford.coordination;
 
+import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Set;
 import org.havenford.bookkeeping.FinalState;
 import org.havenford.bookkeeping.Job;
 import org.havenford.bookkeeping.Keys;
@@ -57,20 +59,58 @@
         if (last || !done) {
             stored.subList(0, Math.min(stored.size(), room)).forEach(index -> deleteChunk(job, index, txn));
         }
-        FinalState state = done
-                ? context.done(job)
-                : FinalState.of(FinalState.Status.WITHDRAWN, job.spec().tasks());
+        List<String> locks = new ArrayList<>(List.of(header));
         boolean ends = last || done;
+        Runnable onSuccess = () -> {};
         if (ends) {
-            txn.set(Keys.end(job.id()), state.toJson()).delete(header);
+            FinalState.Status status = done ? FinalState.Status.DONE : FinalState.Status.WITHDRAWN;
+            onSuccess = addEnd(job, status, txn, locks);
         }
         StateStore.Urgency urgency = ends ? StateStore.Urgency.CLAIM : StateStore.Urgency.WORK;
-        context.writer().commit(txn, urgency, List.of(header), () -> {
-            if (ends) {
-                LOG.debug("{} ended", job.id());
-                context.finalStates().put(job.id(), state);
+        context.writer().commit(txn, urgency, locks, onSuccess);
+    }
+
+    /**
+     * Adds the end of a job to a transaction that is guarded by its header, and returns what is to be done once it is
+     * committed. Jobs that wait for nothing else are released by the same transaction, as far as its limit allows: they then
+     * need not wait until the member that looks after them has read the final state.
+     */
+    Runnable addEnd(Job job, FinalState.Status status, StateStore.Txn txn, List<String> locks) {
+        Instant now = context.loop().timeOfDay();
+        Set<String> dependents = context.ledger().dependents(job.id());
+        boolean done = status == FinalState.Status.DONE;
+        FinalState state = new FinalState(status, job.spec().tasks(), done && !dependents.isEmpty() ? now : null);
+        txn.set(Keys.end(job.id()), state.toJson()).delete(Keys.job(job.id()));
+        if (done) {
+            for (String id : dependents) {
+                if (txn.writes() < context.settings().txnOps() && waitsOnlyFor(id, job.id())) {
+                    String key = Keys.job(id);
+                    txn.guard(key, context.stamp(key))
+                            .set(key, context.ledger().job(id).readyHeader(now));
+                    locks.add(key);
+                }
+            }
+        }
+        return () -> {
+            LOG.debug("{} ended", job.id());
+            context.finalStates().put(job.id(), state);
+        };
+    }
+
+    /** Whether all that a waiting job needs besides the given one is known to be done. */
+    private boolean waitsOnlyFor(String waitingId, String lastNeeded) {
+        Job waiting = context.ledger().job(waitingId);
+        if (waiting.cancelled() || context.writer().isLocked(Keys.job(waitingId))) {
+            return false;
+        }
+        for (String id : waiting.spec().awaits()) {
+            FinalState state = context.finalStates().known(id);
+            boolean done = state != null && state.status() == FinalState.Status.DONE;
+            if (!done && !id.equals(lastNeeded)) {
+                return false;
             }
-        });
+        }
+        return true;
     }
 
     private static List<Integer> storedChunks(Job job) {
--- a/src/main/java/org/havenford/coordination/Scheduler.java
+++ b/src/main/java/org/havenford/coordination/Scheduler.java
@@ -28,8 +28,8 @@
         planner = new Planner(context.ledger(), context.settings(), operator, context.membership()::owner);
         shares = new TeamShares(context);
         claims = new Claims(context, fleet, planner, operator.roundBudget(), shares);
-        releases = new TaskReleases(context, fleet);
         ends = new JobEnds(context);
+        releases = new TaskReleases(context, fleet, ends);
     }
 
     /** Durations of the rounds, in microseconds. */
--- a/src/main/java/org/havenford/coordination/SchedulingContext.java
+++ b/src/main/java/org/havenford/coordination/SchedulingContext.java
@@ -2,7 +2,6 @@
 
 import com.google.gson.JsonObject;
 import org.havenford.bookkeeping.Chunk;
-import org.havenford.bookkeeping.FinalState;
 import org.havenford.bookkeeping.Job;
 import org.havenford.bookkeeping.Ledger;
 import org.havenford.bookkeeping.Mirror;
@@ -36,12 +35,6 @@
         return node().equals(membership.view().rendezvous(job.id()));
     }
 
-    /** The final state of a job that is done; the time of its end is stored only where waiting jobs need it. */
-    FinalState done(Job job) {
-        boolean awaited = !ledger.dependents(job.id()).isEmpty();
-        return new FinalState(FinalState.Status.DONE, job.spec().tasks(), awaited ? loop.timeOfDay() : null);
-    }
-
     /**
      * The value to store for a record of tasks; null while no form fits. The short form is written once every controller
      * has been seen to read it.
--- a/src/main/java/org/havenford/coordination/TaskReleases.java
+++ b/src/main/java/org/havenford/coordination/TaskReleases.java
@@ -3,6 +3,7 @@
 import com.google.gson.JsonObject;
 import java.time.Duration;
 import java.time.Instant;
+import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -26,13 +27,15 @@
 
     private final SchedulingContext context;
     private final Fleet fleet;
+    private final JobEnds jobEnds;
     private final Duration gatherPressed;
     /** Records with ends to be written, and since when. */
     private final Map<String, Instant> gathering = new HashMap<>();
 
-    TaskReleases(SchedulingContext context, Fleet fleet) {
+    TaskReleases(SchedulingContext context, Fleet fleet, JobEnds jobEnds) {
         this.context = context;
         this.fleet = fleet;
+        this.jobEnds = jobEnds;
         this.gatherPressed = context.settings().scarceChanges() ? GATHER_SCARCE : GATHER_PRESSED;
     }
 
@@ -103,11 +106,13 @@
                 .guard(Keys.VIEW, context.membership().viewStamp())
                 .guard(key, context.stamp(key));
         boolean ends = job.chunkCount() == 1 && next.complete() && !job.cancelled();
-        FinalState state = context.done(job);
+        List<String> locks = new ArrayList<>(List.of(key));
+        Runnable onEnd = () -> {};
         if (ends) {
             String header = Keys.job(job.id());
             txn.guard(header, context.stamp(header));
-            txn.delete(key).delete(header).set(Keys.end(job.id()), state.toJson());
+            txn.delete(key);
+            onEnd = jobEnds.addEnd(job, FinalState.Status.DONE, txn, locks);
         } else {
             JsonObject value = context.toJson(next);
             if (value == null) {
@@ -119,11 +124,10 @@
         // Users and pipelines wait for the end of a job; it must not stand behind all claims.
         boolean last = job.pendingCount() == 0 && job.claimCount() == ended.size();
         StateStore.Urgency urgency = last ? StateStore.Urgency.CLAIM : StateStore.Urgency.WORK;
-        context.writer().commit(txn, urgency, List.of(key), () -> {
+        Runnable afterEnd = onEnd;
+        context.writer().commit(txn, urgency, locks, () -> {
             ended.keySet().forEach(fleet.endings()::remove);
-            if (ends) {
-                context.finalStates().put(job.id(), state);
-            }
+            afterEnd.run();
         });
     }
 }
