--- a/src/main/java/org/havenford/bookkeeping/Keys.java
+++ b/src/main/java/org/havenford/bookkeeping/Keys.java
@@ -2,14 +2,14 @@
 
 /** Where things are kept in the state service. All but the final states are mirrored by every controller. */
 public final class Keys {
-    public static final String MIRRORED = "live/";
+    public static final String REPLICATED = "live/";
     public static final String VIEW = "live/view";
     public static final String TYPES = "live/types";
     public static final String MEMBERS = "live/member/";
     public static final String JOBS = "live/job/";
     public static final String TASKS = "live/tasks/";
     public static final String MACHINES = "live/machine/";
-    public static final String HEARD = "live/heard/";
+    public static final String MACHINE_STATUSES = "live/heard/";
     public static final String TEAMS = "live/team/";
     public static final String BOOKINGS = "live/booking/";
     public static final String FINALS = "final/";
@@ -31,9 +31,9 @@
         return MACHINES + name;
     }
 
-    /** Key of what an owner last heard of some of its machines. */
-    public static String heard(String node, int part) {
-        return HEARD + node + "/" + part;
+    /** Key of the status of some machines of an owner. */
+    public static String machineStatuses(String node, int part) {
+        return MACHINE_STATUSES + node + "/" + part;
     }
 
     /** Key of the shares of a team's limit. */
--- a/src/main/java/org/havenford/bookkeeping/Ledger.java
+++ b/src/main/java/org/havenford/bookkeeping/Ledger.java
@@ -23,11 +23,11 @@
 import org.slf4j.LoggerFactory;
 
 /** The mirrored keys in the terms of the field: jobs, tasks, machines, bookings. */
-public final class Ledger implements Mirror.Listener {
+public final class Ledger implements Replica.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
 
     /** What an owner last said of a machine, and since when it has been in that condition. */
-    private record Said(Heard.Status status, Instant at, Instant since) {}
+    private record Said(MachineStatuses.Status status, Instant at, Instant since) {}
 
     /** An intent to rent, stored before the cloud is asked. */
     public record Booking(String name, String type, String zone, boolean spot, int count, Instant at) {
@@ -215,9 +215,9 @@
         } else if (key.startsWith(Keys.MACHINES)) {
             String name = key.substring(Keys.MACHINES.length());
             batchChanged(name, value == null ? null : MachineBatch.parse(name, value));
-        } else if (key.startsWith(Keys.HEARD)) {
+        } else if (key.startsWith(Keys.MACHINE_STATUSES)) {
             if (value != null) {
-                heard(Heard.parse(value));
+                heard(MachineStatuses.parse(value));
             }
         } else if (key.startsWith(Keys.BOOKINGS)) {
             String name = key.substring(Keys.BOOKINGS.length());
@@ -271,7 +271,7 @@
         touched.forEach(this::compose);
     }
 
-    private void heard(Heard h) {
+    private void heard(MachineStatuses h) {
         h.machines().forEach((machine, status) -> {
             Said before = said.get(machine);
             if (before == null || !before.at.isAfter(h.at())) {
--- a/src/main/java/org/havenford/bookkeeping/Heard.java
+++ b/src/main/java/org/havenford/bookkeeping/MachineStatuses.java
@@ -13,21 +13,21 @@
 import org.havenford.protocol.Json;
 
 /**
- * What an owner says of some of its machines, under one key: hints for the other controllers and for a successor. No
+ * The status of some machines of an owner, under one key: hints for the other controllers and for a successor. No
  * claim, release or return rests on it alone.
  */
-public record Heard(Instant at, TreeMap<String, Status> machines) {
+public record MachineStatuses(Instant at, TreeMap<String, Status> machines) {
     /** Most machines under one key, so that it stays within the value limit. */
-    public static final int MOST = 60;
+    public static final int MAX_MACHINES = 60;
 
-    public static final int MOST_IMAGES = 12;
+    public static final int MAX_IMAGES = 12;
 
     /** Last known condition of one machine and the images in its cache. */
     public record Status(Condition condition, List<String> images) {}
 
     /** Names fewer images where they would not fit: a hint that is shorter is still true. */
     public JsonObject toJson(int valueBytes) {
-        for (int images = MOST_IMAGES; images > 0; images--) {
+        for (int images = MAX_IMAGES; images > 0; images--) {
             JsonObject o = toJsonWith(images);
             if (o.toString().length() <= valueBytes) {
                 return o;
@@ -36,7 +36,7 @@
         return toJsonWith(0);
     }
 
-    private JsonObject toJsonWith(int mostImages) {
+    private JsonObject toJsonWith(int maxImages) {
         JsonObject o = new JsonObject();
         o.addProperty("at", at.toEpochMilli());
         List<String> names = new ArrayList<>();
@@ -44,7 +44,7 @@
         machines.forEach((machine, s) -> {
             JsonArray a = new JsonArray();
             a.add(s.condition.name().toLowerCase(Locale.ROOT));
-            for (String image : s.images.subList(0, Math.min(mostImages, s.images.size()))) {
+            for (String image : s.images.subList(0, Math.min(maxImages, s.images.size()))) {
                 int i = names.indexOf(image);
                 if (i < 0) {
                     i = names.size();
@@ -62,7 +62,7 @@
     }
 
     /** Reads a stored value. */
-    public static Heard parse(JsonObject o) throws Json.BadMessage {
+    public static MachineStatuses parse(JsonObject o) throws Json.BadMessage {
         List<String> names = Json.texts(o, "i");
         TreeMap<String, Status> all = new TreeMap<>();
         try {
@@ -79,6 +79,6 @@
         } catch (IllegalStateException | IllegalArgumentException | IndexOutOfBoundsException e) {
             throw new Json.BadMessage("what was heard of machines can't be read");
         }
-        return new Heard(Instant.ofEpochMilli(Json.count(o, "at")), all);
+        return new MachineStatuses(Instant.ofEpochMilli(Json.count(o, "at")), all);
     }
 }
--- a/src/main/java/org/havenford/bookkeeping/Mirror.java
+++ b/src/main/java/org/havenford/bookkeeping/Replica.java
@@ -15,8 +15,8 @@
  * A copy of all keys below one prefix: read page by page at the start, then kept by a watch. Changes reach the
  * listener in the order of their stamps for every key; those of our own transactions at once when they are answered.
  */
-public final class Mirror {
-    private static final Logger LOG = LoggerFactory.getLogger(Mirror.class);
+public final class Replica {
+    private static final Logger LOG = LoggerFactory.getLogger(Replica.class);
     /** A quiet store says after this long that nothing has changed; entitlement rests on hearing so. */
     private static final Duration BLOCK = Duration.ofSeconds(2);
     /** Part of this controller's requests that go to reopening the watch. */
@@ -45,7 +45,7 @@
     private long edition;
 
     /** A replica of the keys with the prefix; it is empty until started. */
-    public Mirror(EventLoop loop, StateStore store, String prefix, Listener listener) {
+    public Replica(EventLoop loop, StateStore store, String prefix, Listener listener) {
         this.loop = loop;
         this.store = store;
         this.prefix = prefix;
--- a/src/main/java/org/havenford/coordination/Controller.java
+++ b/src/main/java/org/havenford/coordination/Controller.java
@@ -10,7 +10,7 @@
 import org.HdrHistogram.Histogram;
 import org.havenford.bookkeeping.Keys;
 import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.Mirror;
+import org.havenford.bookkeeping.Replica;
 import org.havenford.bookkeeping.StateStore;
 import org.havenford.protocol.Json;
 import org.havenford.protocol.Report;
@@ -39,7 +39,7 @@
     private final EventLoop loop;
     private final Ledger ledger = new Ledger();
     private final StateStore store;
-    private final Mirror mirror;
+    private final Replica replica;
     private final Membership membership;
     private final Fleet fleet;
     private final Scheduler scheduler;
@@ -64,25 +64,25 @@
                 settings.stateWriteRps(),
                 settings.nextWriteRps(),
                 settings.peers().size() + 1);
-        mirror = new Mirror(loop, store, Keys.MIRRORED, ledger);
+        replica = new Replica(loop, store, Keys.REPLICATED, ledger);
         membership = new Membership(
                 loop,
                 store,
-                mirror,
+                replica,
                 settings.node(),
                 nodes(settings),
                 membershipLife(settings, operator),
                 this::viewChanged,
                 this::ownedBy);
         fleet = new Fleet(
-                loop, calls, settings, operator, ledger, mirror, store, membership, this::endsChanged, this::wake);
-        GuardedWriter writer = new GuardedWriter(loop, store, mirror, settings.valueBytes(), this::wake);
+                loop, calls, settings, operator, ledger, replica, store, membership, this::endsChanged, this::wake);
+        GuardedWriter writer = new GuardedWriter(loop, store, replica, settings.valueBytes(), this::wake);
         FinalStates finalStates = new FinalStates(loop, store, this::wake);
         SchedulingContext context = new SchedulingContext(
-                loop, settings, ledger, mirror, store, membership, writer, finalStates, pipelineMetrics);
+                loop, settings, ledger, replica, store, membership, writer, finalStates, pipelineMetrics);
         Pipelines pipelines = new Pipelines(context);
         scheduler = new Scheduler(context, operator, fleet, pipelines);
-        provisioner = new Provisioner(loop, calls, settings, operator, ledger, mirror, store, membership, this::wake);
+        provisioner = new Provisioner(loop, calls, settings, operator, ledger, replica, store, membership, this::wake);
         users = new Users(context, pipelines, this::wake);
         ledger.observer(new Ledger.Observer() {
             @Override
@@ -135,7 +135,7 @@
 
     /** Begins to read the store, to register, and to decide. */
     public void start() {
-        mirror.start();
+        replica.start();
         membership.start();
         tick();
     }
@@ -236,7 +236,7 @@
         if (path.equals("/checkin") && post) {
             answer.accept(checkin(request.body()));
         } else if (path.equals("/healthz") && get) {
-            boolean well = mirror.loaded()
+            boolean well = replica.loaded()
                     && membership.leaseHolds()
                     && !ledger.types().isEmpty();
             answer.accept(well ? Response.of(200, "{}") : Response.of(503, "{}"));
--- a/src/main/java/org/havenford/coordination/Fleet.java
+++ b/src/main/java/org/havenford/coordination/Fleet.java
@@ -1,6 +1,5 @@
 package org.havenford.coordination;
 
-import com.google.common.collect.Lists;
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import java.time.Duration;
 import java.time.Instant;
@@ -10,17 +9,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.havenford.bookkeeping.Claim;
-import org.havenford.bookkeeping.Heard;
 import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Keys;
 import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.MachineBatch;
 import org.havenford.bookkeeping.MachineRecord;
 import org.havenford.bookkeeping.MachineRecord.Condition;
-import org.havenford.bookkeeping.Mirror;
+import org.havenford.bookkeeping.Replica;
 import org.havenford.bookkeeping.StateStore;
 import org.havenford.coordination.MachineState.Attempt;
 import org.havenford.coordination.MachineState.StopReason;
@@ -44,11 +39,6 @@
     private static final int MAX_COMMANDS = 200;
     private static final int MAX_DIRECT = 40;
     private static final Duration SWEEP = Duration.ofMillis(500);
-    private static final Duration TELL_EVERY = Duration.ofSeconds(2);
-    private static final Duration TELL_IMAGES_EVERY = Duration.ofSeconds(8);
-    private static final Duration RENTALS_ANSWERED = Duration.ofSeconds(5);
-    private static final int PROBES = 3;
-    private static final Duration GATHER = Duration.ofMillis(150);
     private static final Duration SEARCHING = Duration.ofSeconds(10);
     private static final int MOST_UNANSWERED = 2;
     private static final Duration LEASE_MARGIN = Duration.ofMillis(1500);
@@ -65,7 +55,7 @@
     private final Settings settings;
     private final Operator operator;
     private final Ledger ledger;
-    private final Mirror mirror;
+    private final Replica replica;
     private final StateStore store;
     private final Membership membership;
     private final Runnable wake;
@@ -78,14 +68,10 @@
     private final Object2ObjectOpenHashMap<String, Double> imageGb = new Object2ObjectOpenHashMap<>();
     /** Machines to be looked at in the next round; the sweep looks at all. */
     private final Set<String> changed = new LinkedHashSet<>();
-    /** Machines in no record that are about to be written. */
-    private final Set<String> adopting = new LinkedHashSet<>();
 
-    private long batches;
-    private int parts = 1;
-    private final List<Told> told = new ArrayList<>();
-    /** Workers that were ours when this node was put to rest. */
-    private final List<Probed> probed = new ArrayList<>();
+    private final MachineStatusPublisher statusPublisher;
+    private final MachineAdoption adoption;
+    private final RestingProbe restingProbe;
 
     private final Consumer<String> endsChanged;
     /** Ages of a report, worked out once: they are compared for each machine in each round. */
@@ -94,8 +80,6 @@
     private final Duration reachable;
     private final Duration silent;
     private Instant nextSweep = Instant.MIN;
-    private Instant nextProbe = Instant.MIN;
-    private int probesAnswered;
     private View known = View.empty();
     private boolean knownAtAll;
     private long lateFired;
@@ -107,7 +91,7 @@
             Settings settings,
             Operator operator,
             Ledger ledger,
-            Mirror mirror,
+            Replica replica,
             StateStore store,
             Membership membership,
             Consumer<String> endsChanged,
@@ -121,10 +105,13 @@
         this.settings = settings;
         this.operator = operator;
         this.ledger = ledger;
-        this.mirror = mirror;
+        this.replica = replica;
         this.store = store;
         this.membership = membership;
         this.wake = wake;
+        this.statusPublisher = new MachineStatusPublisher(loop, settings, ledger, replica, store);
+        this.adoption = new MachineAdoption(loop, ledger, replica, store, membership, settings.node());
+        this.restingProbe = new RestingProbe(calls, ledger, membership, settings.node());
     }
 
     private boolean mine(String machine) {
@@ -167,9 +154,7 @@
     /** After each change of the view: forgets machines that went elsewhere, takes up those that came. */
     public void viewChanged() {
         View view = membership.view();
-        if (!view.resting().contains(settings.node()) || !known.resting().contains(settings.node())) {
-            probed.clear();
-        }
+        restingProbe.viewChanged(known.resting().contains(settings.node()));
         for (String name : List.copyOf(machines.keySet())) {
             MachineState m = machines.get(name);
             // It was ours in the view before, or it would not be here.
@@ -179,9 +164,7 @@
                             .equals(known.members().get(settings.node()));
             if (!mine(name)) {
                 machines.remove(name);
-                if (m.report != null && probed.size() < PROBES) {
-                    probed.add(new Probed(name, m.report.endpoint()));
-                }
+                restingProbe.lost(m);
             } else if (!keeps) {
                 machines.put(name, takeOver(name));
             } else {
@@ -204,7 +187,6 @@
         }
         known = view;
         knownAtAll = true;
-        probesAnswered = 0;
         nextSweep = Instant.MIN;
     }
 
@@ -236,7 +218,7 @@
 
     /** Answers a worker's report. */
     public Answer checkin(Report r) {
-        if (!membership.entitled() || !mirror.loaded()) {
+        if (!membership.entitled() || !replica.loaded()) {
             return new Answer(503, "{\"error\":\"not entitled\"}");
         }
         if (!mine(r.machine())) {
@@ -338,7 +320,7 @@
             }
         }
         if (record == null) {
-            adopt(m, r);
+            adoption.reported(m, r);
         } else {
             judge(m, record, loop.now());
         }
@@ -590,11 +572,11 @@
 
     /** One turn of the loop over the owned machines: lease ends, lateness, records. */
     public void step() {
-        if (!mirror.loaded() || !membership.entitled()) {
+        if (!replica.loaded() || !membership.entitled()) {
             return;
         }
         Instant now = loop.now();
-        probe(now);
+        restingProbe.step(now);
         if (now.isBefore(nextSweep)) {
             return;
         }
@@ -626,7 +608,7 @@
                 changed.add(m.name);
             }
         }
-        tell(now);
+        statusPublisher.publish(machines.values(), now);
         machines.values()
                 .removeIf(m -> ledger.machine(m.name) == null
                         && ledger.claimsOn(m.name).isEmpty()
@@ -637,30 +619,6 @@
         strays.values().removeIf(s -> now.isAfter(s[1].plusSeconds(60)));
     }
 
-    private record Probed(String machine, String endpoint) {}
-
-    /** While this node rests, it asks workers now and then whether it reaches them. */
-    private void probe(Instant now) {
-        if (!membership.view().resting().contains(settings.node()) || now.isBefore(nextProbe)) {
-            return;
-        }
-        nextProbe = now.plusSeconds(2);
-        // A machine that is gone never answers; waiting for it, a node rested for good. rests-while-machines-go.trace
-        probed.removeIf(p -> ledger.machine(p.machine()) == null);
-        if (probed.isEmpty()) {
-            membership.wantToWake();
-        }
-        for (Probed p : probed) {
-            calls.call(p.endpoint(), "GET", "/status", null, Duration.ofSeconds(1), reply -> {
-                if (reply.ok() && ++probesAnswered >= 2 * probed.size()) {
-                    membership.wantToWake();
-                } else if (!reply.ok()) {
-                    probesAnswered = 0;
-                }
-            });
-        }
-    }
-
     private Instant leaseEnd(MachineState m) {
         return m.renewed
                 .plusNanos((long) (settings.workerLease().toNanos() * 1.002))
@@ -753,62 +711,6 @@
         return lateFired;
     }
 
-    // ---- records
-
-    /** A machine that is in no record. One that was just rented will be, as soon as the rental has been answered. */
-    private void adopt(MachineState m, Report r) {
-        if (m.unknownSince == null) {
-            m.unknownSince = loop.now();
-        }
-        boolean rentalsOpen =
-                !ledger.bookings().isEmpty() && loop.now().isBefore(m.unknownSince.plus(RENTALS_ANSWERED));
-        if (rentalsOpen || adopting.contains(m.name)) {
-            return;
-        }
-        LOG.info("adopting {}, which reports and is in no record", m.name);
-        if (adopting.isEmpty()) {
-            // Many machines may be found at once; they are written together.
-            loop.after(GATHER, this::writeAdopted);
-        }
-        adopting.add(m.name);
-    }
-
-    private void writeAdopted() {
-        Map<String, List<Report>> alike = new TreeMap<>();
-        for (String name : adopting) {
-            MachineState m = machines.get(name);
-            if (m != null && m.report != null && ledger.machine(name) == null) {
-                Report r = m.report;
-                alike.computeIfAbsent(r.type() + "|" + r.zone() + "|" + r.spot(), k -> new ArrayList<>())
-                        .add(r);
-            }
-        }
-        adopting.clear();
-        for (List<Report> all : alike.values()) {
-            for (List<Report> part : Lists.partition(all, MachineBatch.MOST)) {
-                Report one = part.get(0);
-                String name = "a-" + settings.node() + "-"
-                        + membership.view().members().get(settings.node()) + "-" + ++batches;
-                MachineBatch batch = MachineBatch.of(
-                        name,
-                        one.type(),
-                        one.zone(),
-                        one.spot(),
-                        loop.timeOfDay(),
-                        part.stream().map(Report::machine).toList());
-                StateStore.Txn txn = new StateStore.Txn()
-                        .guard(Keys.VIEW, membership.viewStamp())
-                        .guard(Keys.batch(name), 0)
-                        .set(Keys.batch(name), batch.toJson());
-                store.commit(txn, StateStore.Urgency.WORK, r -> {
-                    if (r.ok()) {
-                        mirror.committed(txn, r.edition());
-                    }
-                });
-            }
-        }
-    }
-
     /** How one of our machines is. */
     private void judge(MachineState m, MachineRecord r, Instant now) {
         Condition c = m.condition;
@@ -841,76 +743,6 @@
         return m == null ? r.condition() : m.condition;
     }
 
-    /** Tells the others how our machines are, some under each key, and only those keys where something has changed. */
-    private void tell(Instant now) {
-        List<MachineState> all = new ArrayList<>();
-        for (MachineState m : machines.values()) {
-            if (m.condition != Condition.BOOTING && ledger.machine(m.name) != null) {
-                all.add(m);
-            }
-        }
-        // Parts only grow in number, so that few machines change their part.
-        parts = Math.max(parts, (all.size() + Heard.MOST * 3 / 4 - 1) / (Heard.MOST * 3 / 4));
-        List<TreeMap<String, Heard.Status>> split = new ArrayList<>();
-        for (int i = 0; i < parts; i++) {
-            split.add(new TreeMap<>());
-        }
-        for (MachineState m : all) {
-            int part = (m.name.hashCode() & Integer.MAX_VALUE) % parts;
-            for (int i = 0; i < parts && split.get(part).size() >= Heard.MOST; i++) {
-                part = (part + 1) % parts;
-            }
-            split.get(part)
-                    .put(
-                            m.name,
-                            new Heard.Status(
-                                    m.condition,
-                                    m.images == null ? ledger.machine(m.name).images() : m.images));
-        }
-        for (int i = 0; i < parts; i++) {
-            tell(i, split.get(i), now);
-        }
-    }
-
-    private void tell(int part, TreeMap<String, Heard.Status> what, Instant now) {
-        while (told.size() <= part) {
-            told.add(new Told());
-        }
-        Told t = told.get(part);
-        if (t.inFlight || what.equals(t.machines)) {
-            return;
-        }
-        // A machine that is gone need not be told of: its record says so.
-        boolean conditions = t.machines == null
-                || what.entrySet().stream()
-                        .anyMatch(e -> !t.machines.containsKey(e.getKey())
-                                || e.getValue().condition()
-                                        != t.machines.get(e.getKey()).condition());
-        if (now.isBefore(t.at.plus(conditions && !store.pressed() ? TELL_EVERY : TELL_IMAGES_EVERY))) {
-            return;
-        }
-        StateStore.Txn txn = new StateStore.Txn()
-                .set(
-                        Keys.heard(settings.node(), part),
-                        new Heard(loop.timeOfDay(), what).toJson(settings.valueBytes()));
-        t.inFlight = true;
-        t.at = now;
-        store.commit(txn, conditions ? StateStore.Urgency.WORK : StateStore.Urgency.SPARE, r -> {
-            t.inFlight = false;
-            if (r.ok()) {
-                t.machines = what;
-                mirror.committed(txn, r.edition());
-            }
-        });
-    }
-
-    /** What was last told under one key. */
-    private static final class Told {
-        private TreeMap<String, Heard.Status> machines;
-        private Instant at = Instant.MIN;
-        private boolean inFlight;
-    }
-
     /**
      * After this a machine is on record as silent. A worker that has lost its controller tries others one after the other
      * for a while: no record is written for it meanwhile.
--- a/src/main/java/org/havenford/coordination/GuardedWriter.java
+++ b/src/main/java/org/havenford/coordination/GuardedWriter.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.havenford.bookkeeping.Mirror;
+import org.havenford.bookkeeping.Replica;
 import org.havenford.bookkeeping.StateStore;
 import org.havenford.protocol.Json;
 import org.havenford.transport.EventLoop;
@@ -35,17 +35,17 @@
 
     private final EventLoop loop;
     private final StateStore store;
-    private final Mirror mirror;
+    private final Replica replica;
     private final int nextValueBytes;
     private final Runnable wake;
     private final Set<String> locked = new HashSet<>();
     private final List<AwaitedEdition> awaitedEditions = new ArrayList<>();
     private boolean limitsLowered;
 
-    GuardedWriter(EventLoop loop, StateStore store, Mirror mirror, int nextValueBytes, Runnable wake) {
+    GuardedWriter(EventLoop loop, StateStore store, Replica replica, int nextValueBytes, Runnable wake) {
         this.loop = loop;
         this.store = store;
-        this.mirror = mirror;
+        this.replica = replica;
         this.nextValueBytes = nextValueBytes;
         this.wake = wake;
     }
@@ -65,7 +65,7 @@
     /** Unlocks what was locked until our replica has caught up. */
     void unlockCaughtUp(Instant now) {
         awaitedEditions.removeIf(a -> {
-            boolean over = mirror.edition() >= a.edition() || now.isAfter(a.until());
+            boolean over = replica.edition() >= a.edition() || now.isAfter(a.until());
             if (over) {
                 locked.removeAll(a.keys());
             }
@@ -91,7 +91,7 @@
         store.commit(txn, urgency, result -> {
             if (result.ok()) {
                 onSuccess.run();
-                mirror.committed(txn, result.edition());
+                replica.committed(txn, result.edition());
                 after.accept(result);
                 unlock(locks);
                 return;
--- a/src/main/java/org/havenford/coordination/JobEnds.java
+++ b/src/main/java/org/havenford/coordination/JobEnds.java
@@ -44,7 +44,7 @@
     private boolean isWithdrawn(Job job) {
         return job.cancelled()
                 && job.claimCount() == 0
-                && context.mirror().edition() >= context.stamp(Keys.job(job.id()));
+                && context.replica().edition() >= context.stamp(Keys.job(job.id()));
     }
 
     /** A job of many records is taken down bit by bit; its header goes last, together with the final state. */
--- /dev/null
+++ b/src/main/java/org/havenford/coordination/MachineAdoption.java
@@ -0,0 +1,105 @@
+package org.havenford.coordination;
+
+import com.google.common.collect.Lists;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.havenford.bookkeeping.Keys;
+import org.havenford.bookkeeping.Ledger;
+import org.havenford.bookkeeping.MachineBatch;
+import org.havenford.bookkeeping.Replica;
+import org.havenford.bookkeeping.StateStore;
+import org.havenford.protocol.Report;
+import org.havenford.transport.EventLoop;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Puts machines on record that report and are in no record, such as those of a rental that was carried out late. */
+final class MachineAdoption {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineAdoption.class);
+    /** How long the answer to a rental may take that puts the machine on record. */
+    private static final Duration RENTALS_ANSWERED = Duration.ofSeconds(5);
+    /** Many machines may be found at once; they are written together. */
+    private static final Duration GATHER = Duration.ofMillis(150);
+
+    /** Machines that can be in one batch. */
+    private record Kind(String type, String zone, boolean spot) {}
+
+    private final EventLoop loop;
+    private final Ledger ledger;
+    private final Replica replica;
+    private final StateStore store;
+    private final Membership membership;
+    private final String node;
+    private final Map<String, Report> found = new LinkedHashMap<>();
+    private long batches;
+
+    MachineAdoption(
+            EventLoop loop, Ledger ledger, Replica replica, StateStore store, Membership membership, String node) {
+        this.loop = loop;
+        this.ledger = ledger;
+        this.replica = replica;
+        this.store = store;
+        this.membership = membership;
+        this.node = node;
+    }
+
+    /** A machine has reported that is in no record. One that was just rented will be, once the rental is answered. */
+    void reported(MachineState state, Report report) {
+        Instant now = loop.now();
+        if (state.unknownSince == null) {
+            state.unknownSince = now;
+        }
+        boolean rentalsOpen = !ledger.bookings().isEmpty() && now.isBefore(state.unknownSince.plus(RENTALS_ANSWERED));
+        if (rentalsOpen || found.containsKey(state.name)) {
+            return;
+        }
+        LOG.info("adopting {}, which reports and is in no record", state.name);
+        if (found.isEmpty()) {
+            loop.after(GATHER, this::write);
+        }
+        found.put(state.name, report);
+    }
+
+    private void write() {
+        Map<String, List<Report>> alike = new TreeMap<>();
+        for (Report report : found.values()) {
+            boolean owned = node.equals(membership.owner(report.machine()));
+            if (owned && ledger.machine(report.machine()) == null) {
+                Kind kind = new Kind(report.type(), report.zone(), report.spot());
+                alike.computeIfAbsent(kind.toString(), k -> new ArrayList<>()).add(report);
+            }
+        }
+        found.clear();
+        for (List<Report> reports : alike.values()) {
+            for (List<Report> batch : Lists.partition(reports, MachineBatch.MOST)) {
+                write(batch);
+            }
+        }
+    }
+
+    private void write(List<Report> reports) {
+        Long incarnation = membership.view().members().get(node);
+        if (incarnation == null) {
+            return;
+        }
+        String name = "a-" + node + "-" + incarnation + "-" + ++batches;
+        Report first = reports.get(0);
+        List<String> machines = reports.stream().map(Report::machine).toList();
+        MachineBatch batch =
+                MachineBatch.of(name, first.type(), first.zone(), first.spot(), loop.timeOfDay(), machines);
+        StateStore.Txn txn = new StateStore.Txn()
+                .guard(Keys.VIEW, membership.viewStamp())
+                .guard(Keys.batch(name), 0)
+                .set(Keys.batch(name), batch.toJson());
+        store.commit(txn, StateStore.Urgency.WORK, result -> {
+            if (result.ok()) {
+                replica.committed(txn, result.edition());
+            }
+        });
+    }
+}
--- /dev/null
+++ b/src/main/java/org/havenford/coordination/MachineStatusPublisher.java
@@ -0,0 +1,124 @@
+package org.havenford.coordination;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.havenford.bookkeeping.Keys;
+import org.havenford.bookkeeping.Ledger;
+import org.havenford.bookkeeping.MachineRecord.Condition;
+import org.havenford.bookkeeping.MachineStatuses;
+import org.havenford.bookkeeping.Replica;
+import org.havenford.bookkeeping.StateStore;
+import org.havenford.protocol.Settings;
+import org.havenford.transport.EventLoop;
+
+/**
+ * Stores the status of this controller's machines for the other controllers and for a successor: some machines under each
+ * key, and only those keys where something has changed.
+ */
+final class MachineStatusPublisher {
+    private static final Duration PUBLISH_EVERY = Duration.ofSeconds(2);
+    /** Where only cached images have changed, or changes are scarce. */
+    private static final Duration PUBLISH_IMAGES_EVERY = Duration.ofSeconds(8);
+    /** Machines under one key to begin with; the rest of the room is for those that come later. */
+    private static final int USUAL_MACHINES = MachineStatuses.MAX_MACHINES * 3 / 4;
+
+    /** What was last stored under one key. */
+    private static final class Part {
+        private Map<String, MachineStatuses.Status> stored;
+        private Instant at = Instant.MIN;
+        private boolean inFlight;
+    }
+
+    private final EventLoop loop;
+    private final Settings settings;
+    private final Ledger ledger;
+    private final Replica replica;
+    private final StateStore store;
+    private final List<Part> parts = new ArrayList<>();
+
+    MachineStatusPublisher(EventLoop loop, Settings settings, Ledger ledger, Replica replica, StateStore store) {
+        this.loop = loop;
+        this.settings = settings;
+        this.ledger = ledger;
+        this.replica = replica;
+        this.store = store;
+        parts.add(new Part());
+    }
+
+    /** Publishes what has changed of the given machines. */
+    void publish(Iterable<MachineState> machines, Instant now) {
+        List<MachineState> known = new ArrayList<>();
+        for (MachineState m : machines) {
+            if (m.condition != Condition.BOOTING && ledger.machine(m.name) != null) {
+                known.add(m);
+            }
+        }
+        // Parts only grow in number, so that few machines change their part.
+        while (parts.size() * USUAL_MACHINES < known.size()) {
+            parts.add(new Part());
+        }
+        List<TreeMap<String, MachineStatuses.Status>> split = split(known);
+        for (int i = 0; i < parts.size(); i++) {
+            publish(i, split.get(i), now);
+        }
+    }
+
+    private List<TreeMap<String, MachineStatuses.Status>> split(List<MachineState> machines) {
+        List<TreeMap<String, MachineStatuses.Status>> split = new ArrayList<>();
+        for (int i = 0; i < parts.size(); i++) {
+            split.add(new TreeMap<>());
+        }
+        for (MachineState m : machines) {
+            int part = (m.name.hashCode() & Integer.MAX_VALUE) % parts.size();
+            for (int i = 0; i < parts.size() && split.get(part).size() >= MachineStatuses.MAX_MACHINES; i++) {
+                part = (part + 1) % parts.size();
+            }
+            List<String> images = m.images == null ? ledger.machine(m.name).images() : m.images;
+            split.get(part).put(m.name, new MachineStatuses.Status(m.condition, images));
+        }
+        return split;
+    }
+
+    private void publish(int index, TreeMap<String, MachineStatuses.Status> statuses, Instant now) {
+        Part part = parts.get(index);
+        if (part.inFlight || statuses.equals(part.stored)) {
+            return;
+        }
+        boolean conditionsChanged = conditionsChanged(statuses, part);
+        Duration every = conditionsChanged && !store.pressed() ? PUBLISH_EVERY : PUBLISH_IMAGES_EVERY;
+        if (now.isBefore(part.at.plus(every))) {
+            return;
+        }
+        MachineStatuses value = new MachineStatuses(loop.timeOfDay(), statuses);
+        StateStore.Txn txn = new StateStore.Txn()
+                .set(Keys.machineStatuses(settings.node(), index), value.toJson(settings.valueBytes()));
+        part.inFlight = true;
+        part.at = now;
+        StateStore.Urgency urgency = conditionsChanged ? StateStore.Urgency.WORK : StateStore.Urgency.SPARE;
+        store.commit(txn, urgency, result -> {
+            part.inFlight = false;
+            if (result.ok()) {
+                part.stored = statuses;
+                replica.committed(txn, result.edition());
+            }
+        });
+    }
+
+    /** A machine that is gone does not count: its record says so. */
+    private static boolean conditionsChanged(Map<String, MachineStatuses.Status> statuses, Part part) {
+        if (part.stored == null) {
+            return true;
+        }
+        for (Map.Entry<String, MachineStatuses.Status> e : statuses.entrySet()) {
+            MachineStatuses.Status before = part.stored.get(e.getKey());
+            if (before == null || before.condition() != e.getValue().condition()) {
+                return true;
+            }
+        }
+        return false;
+    }
+}
--- a/src/main/java/org/havenford/coordination/Membership.java
+++ b/src/main/java/org/havenford/coordination/Membership.java
@@ -14,7 +14,7 @@
 import java.util.TreeSet;
 import java.util.function.ToIntFunction;
 import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Mirror;
+import org.havenford.bookkeeping.Replica;
 import org.havenford.bookkeeping.StateStore;
 import org.havenford.protocol.Json;
 import org.havenford.transport.EventLoop;
@@ -60,7 +60,7 @@
 
     private final Set<String> renewed = new HashSet<>();
     private final Duration life;
-    private final Mirror mirror;
+    private final Replica replica;
     private final Runnable changed;
     private final ToIntFunction<String> ownedBy;
     private final TreeMap<String, Member> members = new TreeMap<>();
@@ -87,7 +87,7 @@
     public Membership(
             EventLoop loop,
             StateStore store,
-            Mirror mirror,
+            Replica replica,
             String node,
             Set<String> configured,
             Duration life,
@@ -96,7 +96,7 @@
         this.ownedBy = ownedBy;
         this.loop = loop;
         this.store = store;
-        this.mirror = mirror;
+        this.replica = replica;
         this.node = node;
         this.configured = configured;
         this.life = life;
@@ -136,7 +136,7 @@
 
     /** Whether the copy of the store holds all that was written before the present view. */
     public boolean sawAllBeforeView() {
-        return mirror.edition() >= viewStamp;
+        return replica.edition() >= viewStamp;
     }
 
     /** Stamp of the view in force. */
@@ -174,7 +174,7 @@
 
     /** When the latest comparison was sent that our copy has caught up with. */
     private Instant verified() {
-        while (!compared.isEmpty() && compared.peek().edition() <= mirror.edition()) {
+        while (!compared.isEmpty() && compared.peek().edition() <= replica.edition()) {
             verified = compared.poll().sent();
         }
         return verified;
@@ -277,7 +277,7 @@
                 loop.after(Duration.ofMillis(300), this::acquire);
             } else if (r.ok()) {
                 registered = true;
-                mirror.committed(txn, r.edition());
+                replica.committed(txn, r.edition());
             } else {
                 loop.after(Duration.ofMillis(300), this::register);
             }
@@ -384,7 +384,7 @@
 
     /** One turn of the loop: proposes the wanted view if it differs from the one in force. */
     public void step() {
-        if (!mirror.loaded() || !registered || !leaseHolds() || proposing) {
+        if (!replica.loaded() || !registered || !leaseHolds() || proposing) {
             return;
         }
         TreeMap<String, Long> wanted = new TreeMap<>();
@@ -442,7 +442,7 @@
         store.commit(txn, StateStore.Urgency.LEASE, r -> {
             proposing = false;
             if (r.ok()) {
-                mirror.committed(txn, r.edition());
+                replica.committed(txn, r.edition());
             }
         });
     }
--- a/src/main/java/org/havenford/coordination/Provisioner.java
+++ b/src/main/java/org/havenford/coordination/Provisioner.java
@@ -20,7 +20,7 @@
 import org.havenford.bookkeeping.MachineBatch;
 import org.havenford.bookkeeping.MachineRecord;
 import org.havenford.bookkeeping.MachineRecord.Condition;
-import org.havenford.bookkeeping.Mirror;
+import org.havenford.bookkeeping.Replica;
 import org.havenford.bookkeeping.StateStore;
 import org.havenford.bookkeeping.TokenBucket;
 import org.havenford.coordination.Demand.Kind;
@@ -69,7 +69,7 @@
     private final Settings settings;
     private final Operator operator;
     private final Ledger ledger;
-    private final Mirror mirror;
+    private final Replica replica;
     private final StateStore store;
     private final Membership membership;
     private final Runnable wake;
@@ -110,7 +110,7 @@
             Settings settings,
             Operator operator,
             Ledger ledger,
-            Mirror mirror,
+            Replica replica,
             StateStore store,
             Membership membership,
             Runnable wake) {
@@ -119,7 +119,7 @@
         this.settings = settings;
         this.operator = operator;
         this.ledger = ledger;
-        this.mirror = mirror;
+        this.replica = replica;
         this.store = store;
         this.membership = membership;
         this.wake = wake;
@@ -129,7 +129,7 @@
 
     /** Compares the demand with the fleet, and rents or returns machines. */
     public void step() {
-        boolean first = mirror.loaded()
+        boolean first = replica.loaded()
                 && membership.entitled()
                 && settings.node().equals(membership.view().first());
         if (!first) {
@@ -184,7 +184,7 @@
         txn.guard(Keys.VIEW, membership.viewStamp());
         store.commit(txn, StateStore.Urgency.WORK, r -> {
             if (r.ok()) {
-                mirror.committed(txn, r.edition());
+                replica.committed(txn, r.edition());
             }
             after.accept(r.ok());
             wake.run();
@@ -381,7 +381,7 @@
             StateStore.Txn txn = new StateStore.Txn();
             next.forEach((name, batch) -> {
                 String key = Keys.batch(name);
-                txn.guard(key, mirror.stamp(key));
+                txn.guard(key, replica.stamp(key));
                 if (batch.machines().isEmpty()) {
                     txn.delete(key);
                 } else {
@@ -442,7 +442,7 @@
             }
             boolean idle = r.condition() == Condition.RETIRING
                     && ledger.batchesOf(r.name()).stream()
-                            .allMatch(b -> mirror.edition() >= mirror.stamp(Keys.batch(b)));
+                            .allMatch(b -> replica.edition() >= replica.stamp(Keys.batch(b)));
             if ((r.condition() == Condition.RETURNING
                             || idle && ledger.claimsOn(r.name()).isEmpty())
                     && batch.size() < MOST_RETURNED) {
@@ -514,7 +514,7 @@
 
     private void booked(Booking b, HttpCalls.Reply reply) {
         String key = Keys.booking(b.name());
-        StateStore.Txn txn = new StateStore.Txn().guard(key, mirror.stamp(key)).delete(key);
+        StateStore.Txn txn = new StateStore.Txn().guard(key, replica.stamp(key)).delete(key);
         if (reply.ok()) {
             try {
                 List<String> names = CloudMessages.rented(reply.body());
@@ -544,7 +544,7 @@
     /** The batch takes the booking's place in one transaction. */
     private void record(Booking b, List<String> names) {
         String key = Keys.booking(b.name());
-        StateStore.Txn txn = new StateStore.Txn().guard(key, mirror.stamp(key)).delete(key);
+        StateStore.Txn txn = new StateStore.Txn().guard(key, replica.stamp(key)).delete(key);
         List<String> fresh =
                 names.stream().filter(n -> ledger.machine(n) == null).toList();
         if (!fresh.isEmpty()) {
--- a/src/main/java/org/havenford/coordination/Scheduler.java
+++ b/src/main/java/org/havenford/coordination/Scheduler.java
@@ -39,7 +39,7 @@
 
     /** Runs a round, if this controller is entitled to act. */
     public void step() {
-        if (!context.mirror().loaded() || !context.membership().entitled()) {
+        if (!context.replica().loaded() || !context.membership().entitled()) {
             return;
         }
         Instant start = context.loop().now();
--- a/src/main/java/org/havenford/coordination/SchedulingContext.java
+++ b/src/main/java/org/havenford/coordination/SchedulingContext.java
@@ -5,7 +5,7 @@
 import org.havenford.bookkeeping.FinalState;
 import org.havenford.bookkeeping.Job;
 import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.Mirror;
+import org.havenford.bookkeeping.Replica;
 import org.havenford.bookkeeping.StateStore;
 import org.havenford.protocol.Settings;
 import org.havenford.transport.EventLoop;
@@ -15,7 +15,7 @@
         EventLoop loop,
         Settings settings,
         Ledger ledger,
-        Mirror mirror,
+        Replica replica,
         StateStore store,
         Membership membership,
         GuardedWriter writer,
@@ -28,7 +28,7 @@
 
     /** The stamp that our replica holds of a key; 0 where the key does not exist. */
     long stamp(String key) {
-        return mirror.stamp(key);
+        return replica.stamp(key);
     }
 
     /** Whether this member looks after a job; each job is looked after by one member. */
--- a/src/main/java/org/havenford/coordination/Submissions.java
+++ b/src/main/java/org/havenford/coordination/Submissions.java
@@ -199,7 +199,7 @@
                 if (withdrawn != null) {
                     context.finalStates().put(id, withdrawn);
                 }
-                context.mirror().committed(txn, result.edition());
+                context.replica().committed(txn, result.edition());
                 answer.accept(UserResponses.accepted(id));
                 wake.run();
             } else if (result.outcome() == Outcome.CONFLICT) {
--- a/src/main/java/org/havenford/coordination/Users.java
+++ b/src/main/java/org/havenford/coordination/Users.java
@@ -32,7 +32,7 @@
 
     /** Refused at once: the state service is not to be reached, or more is waiting than can be done in time. */
     private boolean overloaded() {
-        return !context.mirror().loaded() || context.store().queued(StateStore.Urgency.USER) > MAX_QUEUED;
+        return !context.replica().loaded() || context.store().queued(StateStore.Urgency.USER) > MAX_QUEUED;
     }
 
     /** POST /submissions; {@code body} is null when it was too large or incomplete. */
@@ -109,7 +109,7 @@
         StateStore.Txn txn = new StateStore.Txn().guard(key, stamp).set(key, job.header(true));
         context.store().commit(txn, StateStore.Urgency.USER, result -> {
             if (result.ok()) {
-                context.mirror().committed(txn, result.edition());
+                context.replica().committed(txn, result.edition());
                 answer.accept(UserResponses.cancelled(job.id()));
                 wake.run();
             } else if (result.outcome() == Outcome.CONFLICT && attempts > 1) {
--- a/src/test/java/org/havenford/coordination/StoredValuesTest.java
+++ b/src/test/java/org/havenford/coordination/StoredValuesTest.java
@@ -21,11 +21,11 @@
 import java.util.TreeSet;
 import org.havenford.bookkeeping.Chunk;
 import org.havenford.bookkeeping.FinalState;
-import org.havenford.bookkeeping.Heard;
 import org.havenford.bookkeeping.Job;
 import org.havenford.bookkeeping.Keys;
 import org.havenford.bookkeeping.Ledger;
 import org.havenford.bookkeeping.MachineBatch;
+import org.havenford.bookkeeping.MachineStatuses;
 import org.havenford.bookkeeping.Quota;
 import org.havenford.protocol.MachineType;
 import org.junit.jupiter.api.Test;
@@ -60,8 +60,8 @@
         } else if (key.startsWith(Keys.MACHINES)) {
             return MachineBatch.parse(key.substring(Keys.MACHINES.length()), value)
                     .toJson();
-        } else if (key.startsWith(Keys.HEARD)) {
-            return Heard.parse(value).toJson(LARGE);
+        } else if (key.startsWith(Keys.MACHINE_STATUSES)) {
+            return MachineStatuses.parse(value).toJson(LARGE);
         } else if (key.startsWith(Keys.TEAMS)) {
             return Quota.parse(value).toJson();
         } else if (key.equals(Keys.VIEW)) {
