--- a/src/main/java/org/havenford/coordination/Demand.java
+++ b/src/main/java/org/havenford/coordination/Demand.java
@@ -23,7 +23,7 @@
     public record Kind(String type, boolean spot) {}
 
     /** Tasks of one job that should be able to run at the same time; one that is stuck needs a whole machine to begin with. */
-    record Want(JobSpec spec, double tasks, boolean stuck) {}
+    record TaskDemand(JobSpec spec, double tasks, boolean stuck) {}
 
     /** A job without a running task for this long after it came is stuck: what is there does not take it. */
     private static final Duration STUCK = Duration.ofSeconds(30);
@@ -51,8 +51,8 @@
      * after the other while there is time, and one without need not have a machine boot for a task that an earlier one
      * will have made room for by then.
      */
-    static List<Want> wants(Ledger ledger, Settings settings, Instant timeOfDay, boolean patient) {
-        List<Want> out = new ArrayList<>();
+    static List<TaskDemand> taskDemands(Ledger ledger, Settings settings, Instant timeOfDay, boolean patient) {
+        List<TaskDemand> out = new ArrayList<>();
         Map<String, Double> used = new HashMap<>();
         for (Job j : ledger.jobs()) {
             if (j.cancelled() || j.waiting()) {
@@ -89,7 +89,7 @@
                     && j.claimCount() == 0
                     && tasks > 0
                     && timeOfDay.isAfter(j.released().plus(STUCK));
-            out.add(new Want(s, tasks, stuck));
+            out.add(new TaskDemand(s, tasks, stuck));
         }
         return out;
     }
@@ -131,28 +131,31 @@
     }
 
     /**
-     * Spreads the wants over the kinds, cheapest first; the jobs with the least choice go first. A kind that the cloud
+     * Spreads the taskDemands over the kinds, cheapest first; the jobs with the least choice go first. A kind that the cloud
      * has refused counts only with what is there.
      */
     static Object2DoubleOpenHashMap<Kind> machines(
-            List<Want> wants, Map<String, MachineType> types, Predicate<Kind> exhausted, Map<Kind, Integer> have) {
+            List<TaskDemand> taskDemands,
+            Map<String, MachineType> types,
+            Predicate<Kind> exhausted,
+            Map<Kind, Integer> have) {
         Object2DoubleOpenHashMap<Kind> out = new Object2DoubleOpenHashMap<>();
-        List<Want> sorted = new ArrayList<>(wants);
+        List<TaskDemand> sorted = new ArrayList<>(taskDemands);
         Set<String> onlyChoice = new HashSet<>();
-        for (Want w : wants) {
+        for (TaskDemand demand : taskDemands) {
             List<MachineType> fit = types.values().stream()
-                    .filter(t -> allowed(w.spec(), t, false))
+                    .filter(t -> allowed(demand.spec(), t, false))
                     .toList();
             if (fit.size() == 1) {
                 onlyChoice.add(fit.get(0).name());
             }
         }
-        sorted.sort(Comparator.comparingLong((Want w) -> types.values().stream()
-                        .filter(t -> allowed(w.spec(), t, false))
+        sorted.sort(Comparator.comparingLong((TaskDemand demand) -> types.values().stream()
+                        .filter(t -> allowed(demand.spec(), t, false))
                         .count())
-                .thenComparing(w -> w.spec().id()));
-        for (Want w : sorted) {
-            JobSpec s = w.spec();
+                .thenComparing(demand -> demand.spec().id()));
+        for (TaskDemand demand : sorted) {
+            JobSpec s = demand.spec();
             List<Kind> kinds = new ArrayList<>();
             for (MachineType t : types.values()) {
                 for (boolean spot : new boolean[] {true, false}) {
@@ -164,13 +167,13 @@
             // What others can't do without is dearer than its price.
             kinds.sort(Comparator.comparingDouble((Kind k) -> cost(s, types.get(k.type()), k.spot())
                     * (kinds.size() > 2 && onlyChoice.contains(k.type()) ? AWAITED : 1)));
-            double tasks = w.tasks();
+            double tasks = demand.tasks();
             for (Kind k : kinds) {
                 int slots = slots(s, types.get(k.type()));
                 double need = tasks / slots;
                 if (exhausted.test(k)) {
                     need = Math.min(need, Math.max(0, have.getOrDefault(k, 0) - out.getDouble(k)));
-                } else if (w.stuck()) {
+                } else if (demand.stuck()) {
                     // A small part of a machine would be rounded down to none for good. lone-ordinary-task.trace
                     need = Math.max(need, 1 - out.getDouble(k));
                 }
--- a/src/main/java/org/havenford/coordination/Fleet.java
+++ b/src/main/java/org/havenford/coordination/Fleet.java
@@ -62,8 +62,8 @@
     private final Object2ObjectOpenHashMap<String, MachineState> machines = new Object2ObjectOpenHashMap<>();
     /** By claim, not by task: an end must never be taken for that of a later attempt. */
     private final Map<Claim, Ending> endings = new LinkedHashMap<>();
-    /** Machines that keep coming here although another node owns them: first seen, number of times. */
-    private final Object2ObjectOpenHashMap<String, Instant[]> strays = new Object2ObjectOpenHashMap<>();
+
+    private final MisdirectedWorkers misdirected;
 
     private final Object2ObjectOpenHashMap<String, Double> imageGb = new Object2ObjectOpenHashMap<>();
     /** Machines to be looked at in the next round; the sweep looks at all. */
@@ -80,8 +80,8 @@
     private final Duration reachable;
     private final Duration silent;
     private Instant nextSweep = Instant.MIN;
-    private View known = View.empty();
-    private boolean knownAtAll;
+    private View previousView = View.empty();
+    private boolean sawAView;
     private long lateFired;
 
     /** A fleet that knows no machines yet. */
@@ -111,6 +111,7 @@
         this.wake = wake;
         this.statusPublisher = new MachineStatusPublisher(loop, settings, ledger, replica, store);
         this.adoption = new MachineAdoption(loop, ledger, replica, store, membership, settings.node());
+        this.misdirected = new MisdirectedWorkers(membership, settings.workerLease());
         this.restingProbe = new RestingProbe(calls, ledger, membership, settings.node());
     }
 
@@ -154,14 +155,14 @@
     /** After each change of the view: forgets machines that went elsewhere, takes up those that came. */
     public void viewChanged() {
         View view = membership.view();
-        restingProbe.viewChanged(known.resting().contains(settings.node()));
+        restingProbe.viewChanged(previousView.resting().contains(settings.node()));
         for (String name : List.copyOf(machines.keySet())) {
             MachineState m = machines.get(name);
             // It was ours in the view before, or it would not be here.
             boolean keeps = mine(name)
                     && view.members()
                             .get(settings.node())
-                            .equals(known.members().get(settings.node()));
+                            .equals(previousView.members().get(settings.node()));
             if (!mine(name)) {
                 machines.remove(name);
                 restingProbe.lost(m);
@@ -185,8 +186,8 @@
                 machines.put(name, takeOver(name));
             }
         }
-        known = view;
-        knownAtAll = true;
+        previousView = view;
+        sawAView = true;
         nextSweep = Instant.MIN;
     }
 
@@ -194,9 +195,9 @@
         // Until when may someone else have renewed the worker's lease? An owner that left the view had lost its own
         // lease before; one that is still a member, or that we know nothing of, may not have seen the new view for as
         // long as its entitlement can last.
-        String before = known.owner(name);
-        Long incarnation = before == null ? null : known.members().get(before);
-        boolean gone = knownAtAll && before != null && !membership.isMember(before, incarnation);
+        String before = previousView.owner(name);
+        Long incarnation = before == null ? null : previousView.members().get(before);
+        boolean gone = sawAView && before != null && !membership.isMember(before, incarnation);
         MachineState m = new MachineState(name, gone ? loop.now() : loop.now().plus(membership.life()));
         m.epoch = membership.view().epoch();
         MachineRecord r = ledger.machine(name);
@@ -222,10 +223,10 @@
             return new Answer(503, "{\"error\":\"not entitled\"}");
         }
         if (!mine(r.machine())) {
-            stray(r.machine());
+            misdirected.reported(r.machine(), loop.now());
             return new Answer(421, "{\"director\":\"" + membership.owner(r.machine()) + "\"}");
         }
-        strays.remove(r.machine());
+        misdirected.arrived(r.machine());
         MachineState m = owned(r.machine());
         if (r.session() < m.checkinSession || r.session() == m.checkinSession && r.seq() <= m.checkinSeq) {
             // A copy that comes late. Its worker waits for no answer; counted as a renewal, it would put off the moment
@@ -275,24 +276,6 @@
         return a.isAfter(b) ? a : b;
     }
 
-    private void stray(String machine) {
-        // A worker that is sent to its owner and comes back has not reached it. Moving the machine costs an epoch, so
-        // it is asked for only after several rounds; by then an owner that many don't reach has been put to rest.
-        Instant now = loop.now();
-        Instant[] seen = strays.get(machine);
-        if (seen == null || now.isAfter(seen[1].plusSeconds(15))) {
-            strays.put(machine, new Instant[] {now, now, null});
-            return;
-        }
-        seen[1] = now;
-        // One visit means nothing: a new machine asks anybody, and each change of view sends workers on.
-        membership.strayed(machine, membership.owner(machine));
-        if (now.isAfter(seen[0].plus(settings.workerLease().dividedBy(3)))) {
-            membership.wantMove(machine);
-            strays.remove(machine);
-        }
-    }
-
     private void take(MachineState m, Report r, boolean fromCheckin) {
         Report before = m.report;
         m.report = r;
@@ -616,7 +599,7 @@
                                         .toMinutes()
                                 > 3);
         endings.keySet().removeIf(c -> !holds(c));
-        strays.values().removeIf(s -> now.isAfter(s[1].plusSeconds(60)));
+        misdirected.forgetOld(now);
     }
 
     private Instant leaseEnd(MachineState m) {
--- a/src/main/java/org/havenford/coordination/Membership.java
+++ b/src/main/java/org/havenford/coordination/Membership.java
@@ -35,13 +35,13 @@
     /** Keeps the view's value within 2 KiB. */
     private static final int MAX_MOVES = 40;
     /** A worker that is sent to its owner and comes back within this has not reached it. */
-    private static final Duration STRAYING = Duration.ofSeconds(8);
+    private static final Duration MISDIRECTED_WITHIN = Duration.ofSeconds(8);
     /** After a change of the view workers need time to find their owners. */
     private static final Duration SETTLING = Duration.ofSeconds(12);
     /** Part of a member's machines that must stray before it is taken to be out of their reach. */
     private static final double OUT_OF_REACH = 0.125;
 
-    private static final int LEAST_STRAYS = 2;
+    private static final int LEAST_MISDIRECTED = 2;
     private static final int MAX_KEPT = 20_000;
 
     /** Of what this program reads and writes; 1 is what came before pipelines, and says nothing of itself. */
@@ -66,7 +66,7 @@
     private final TreeMap<String, Member> members = new TreeMap<>();
     private final TreeMap<String, String> wantedMoves = new TreeMap<>();
     /** Machines that were sent to their owner from here, by owner. */
-    private final Map<String, Map<String, Instant>> strays = new HashMap<>();
+    private final Map<String, Map<String, Instant>> misdirected = new HashMap<>();
 
     private final Object2ObjectOpenHashMap<String, String> owners = new Object2ObjectOpenHashMap<>();
     private Instant viewSince = Instant.MIN;
@@ -310,7 +310,7 @@
             }
             view = next;
             owners.clear();
-            strays.clear();
+            misdirected.clear();
             viewSince = loop.now();
             wantsToWake &= view.resting().contains(node);
             viewStamp = value == null ? 0 : stamp;
@@ -343,8 +343,8 @@
     }
 
     /** A machine came here although another member owns it. */
-    public void strayed(String machine, String owner) {
-        strays.computeIfAbsent(owner, o -> new HashMap<>()).put(machine, loop.now());
+    public void reportedElsewhere(String machine, String owner) {
+        misdirected.computeIfAbsent(owner, o -> new HashMap<>()).put(machine, loop.now());
     }
 
     /** This member rests, and has found that it reaches workers again. */
@@ -358,21 +358,21 @@
      */
     private String outOfReach() {
         Instant now = loop.now();
-        if (view.active().size() < 2 || now.isBefore(viewSince.plus(SETTLING)) || strays.isEmpty()) {
+        if (view.active().size() < 2 || now.isBefore(viewSince.plus(SETTLING)) || misdirected.isEmpty()) {
             return null;
         }
         String worst = null;
         double worstPart = 0;
         double second = 0;
         for (String owner : view.active()) {
-            Map<String, Instant> of = strays.getOrDefault(owner, new HashMap<>());
-            of.values().removeIf(at -> now.isAfter(at.plus(STRAYING)));
+            Map<String, Instant> of = misdirected.getOrDefault(owner, new HashMap<>());
+            of.values().removeIf(at -> now.isAfter(at.plus(MISDIRECTED_WITHIN)));
             int owned = ownedBy.applyAsInt(owner);
             double part = of.size() / (double) Math.max(1, owned);
             if (part > worstPart) {
                 second = worstPart;
                 worstPart = part;
-                worst = of.size() >= LEAST_STRAYS ? owner : null;
+                worst = of.size() >= LEAST_MISDIRECTED ? owner : null;
             } else {
                 second = Math.max(second, part);
             }
--- a/src/main/java/org/havenford/coordination/Planner.java
+++ b/src/main/java/org/havenford/coordination/Planner.java
@@ -40,8 +40,8 @@
     /** What to claim, and which claims to give up so that more urgent work can start. */
     public record Plan(List<Placement> placements, List<Claim> preempted) {}
 
-    /** Room left on a machine, claims not confirmed gone counted as taken. */
-    static final class Room {
+    /** FreeCapacity left on a machine, claims not confirmed gone counted as taken. */
+    static final class FreeCapacity {
         final MachineRecord machine;
         final MachineType type;
         double cpus;
@@ -54,7 +54,7 @@
         /** Images that claims on this machine may still be fetching. */
         final Set<String> fetching = new HashSet<>(4);
 
-        Room(MachineRecord machine, MachineType type, List<String> images) {
+        FreeCapacity(MachineRecord machine, MachineType type, List<String> images) {
             this.machine = machine;
             this.type = type;
             cpus = type.cpus();
@@ -118,7 +118,7 @@
             BooleanSupplier outOfTime) {}
 
     /** A room that takes tasks of the job at hand, and what the next task costs there. */
-    private record Offer(double score, Room room) {}
+    private record Offer(double score, FreeCapacity room) {}
 
     /** Seconds of fetching that it is worth to leave a large machine to those tasks that need one. */
     private static final double LARGER_THAN_NEEDED = 2;
@@ -153,8 +153,8 @@
     private final UnaryOperator<String> owner;
     private Set<String> awaited = Set.of();
     private final Inheritance inheritance;
-    /** Room on the machines that take tasks, kept from round to round; those named in {@code stale} are worked out anew. */
-    private final TreeMap<String, Room> rooms = new TreeMap<>();
+    /** FreeCapacity on the machines that take tasks, kept from round to round; those named in {@code stale} are worked out anew. */
+    private final TreeMap<String, FreeCapacity> rooms = new TreeMap<>();
 
     private final Set<String> stale = new HashSet<>();
     private boolean allStale = true;
@@ -295,7 +295,7 @@
             }
         }
         for (String name : stale) {
-            Room room = room(name, limits);
+            FreeCapacity room = room(name, limits);
             if (room == null) {
                 rooms.remove(name);
             } else {
@@ -305,13 +305,13 @@
         stale.clear();
     }
 
-    private Room room(String name, Limits limits) {
+    private FreeCapacity room(String name, Limits limits) {
         MachineRecord m = ledger.machine(name);
         MachineType type = m == null ? null : ledger.types().get(m.type());
         if (type == null || limits.condition().apply(m) != MachineRecord.Condition.UP) {
             return null;
         }
-        Room room = new Room(m, type, limits.images().apply(m));
+        FreeCapacity room = new FreeCapacity(m, type, limits.images().apply(m));
         for (Claim c : ledger.claimsOn(name).values()) {
             Job j = ledger.job(c.task().job());
             // A task known to have ended leaves its room at once; its release is written with others, a moment later.
@@ -342,8 +342,8 @@
             }
             resumeAt = null;
         }
-        List<Room> open = new ArrayList<>();
-        for (Room r : rooms.values()) {
+        List<FreeCapacity> open = new ArrayList<>();
+        for (FreeCapacity r : rooms.values()) {
             if (r.cpus > 1e-6 && limits.usable().test(r.machine)) {
                 r.awaitedBy = null;
                 open.add(r);
@@ -392,14 +392,14 @@
     private static final class Round {
         private final Instant now;
         private final Limits limits;
-        private final List<Room> open;
+        private final List<FreeCapacity> open;
         private final Plan out;
         private final Map<String, Amount> used = new HashMap<>();
         private final Map<String, String> ownerOf = new HashMap<>();
         private final Map<String, Set<TaskId>> taken = new HashMap<>();
         private final Map<JobSpec.Priority, List<Stoppable>> stoppable = new EnumMap<>(JobSpec.Priority.class);
 
-        Round(Instant now, Limits limits, List<Room> open, Plan out) {
+        Round(Instant now, Limits limits, List<FreeCapacity> open, Plan out) {
             this.now = now;
             this.limits = limits;
             this.open = open;
@@ -546,7 +546,7 @@
         // A large machine that others wait for is not taken while there is time to wait for a small one.
         boolean mayTakeLarge = !round.now.isBefore(latestStart(job, round.now).minus(PRESSING_BEFORE));
         Map<String, List<Offer>> offers = new TreeMap<>();
-        for (Room room : round.open) {
+        for (FreeCapacity room : round.open) {
             MachineRecord m = room.machine;
             if (!room.fits(s)
                     || !s.allows(room.type, m.zone(), m.spot())
@@ -626,7 +626,7 @@
                 break;
             }
             for (Offer o : offers) {
-                Room room = o.room();
+                FreeCapacity room = o.room();
                 String zone = room.machine.zone();
                 if (!room.fits(s)
                         || s.apart() && zones.getOrDefault(zone, 0) + zones.getOrDefault("?", 0) >= s.zoneCap()
@@ -660,7 +660,7 @@
     }
 
     /** Claims on one machine that make room for a task, and what is lost with them. */
-    private record Victims(Room room, List<Claim> claims, long loss) {}
+    private record Victims(FreeCapacity room, List<Claim> claims, long loss) {}
 
     /**
      * Finds work of lower priority to stop: as little as possible of what has been done is lost, and only what can still
@@ -699,12 +699,12 @@
     }
 
     /** A room and the claims in it that work of some priority may stop, the youngest first. */
-    private record Stoppable(Room room, List<Claim> claims) {}
+    private record Stoppable(FreeCapacity room, List<Claim> claims) {}
 
     /** Looked for once a round: there may be dozens of jobs that press, and thousands of claims. */
     private List<Stoppable> stoppable(JobSpec.Priority than, Round round) {
         List<Stoppable> out = new ArrayList<>();
-        for (Room room : rooms.values()) {
+        for (FreeCapacity room : rooms.values()) {
             List<Claim> young = null;
             for (Claim c : room.claims) {
                 if (spare(c, than, round.now)) {
@@ -722,7 +722,7 @@
 
     private Victims victims(Stoppable in, JobSpec s, Instant now) {
         List<Claim> victims = new ArrayList<>(4);
-        Room room = in.room();
+        FreeCapacity room = in.room();
         double cpus = room.cpus;
         double cards = room.cards;
         double mem = room.mem;
@@ -760,9 +760,9 @@
     }
 
     /** The zone in which most tasks of a job that must stay together find room. */
-    private static String bestZone(JobSpec s, List<Room> open, int pending) {
+    private static String bestZone(JobSpec s, List<FreeCapacity> open, int pending) {
         Map<String, Integer> fit = new HashMap<>();
-        for (Room r : open) {
+        for (FreeCapacity r : open) {
             if (s.allows(r.type, r.machine.zone(), r.machine.spot()) && r.fits(s)) {
                 int n = (int) Math.min(pending, r.cpus / s.cpus() + 1e-6);
                 fit.merge(r.machine.zone(), n, Integer::sum);
--- a/src/main/java/org/havenford/coordination/Provisioner.java
+++ b/src/main/java/org/havenford/coordination/Provisioner.java
@@ -629,7 +629,7 @@
 
     private Object2DoubleOpenHashMap<Kind> demand(boolean patient, Instant now, Map<Kind, Integer> have) {
         return Demand.machines(
-                Demand.wants(ledger, settings, loop.timeOfDay(), patient),
+                Demand.taskDemands(ledger, settings, loop.timeOfDay(), patient),
                 ledger.types(),
                 k -> exhausted(k, now),
                 have);
--- a/src/test/java/org/havenford/coordination/PipelineDecisionsTest.java
+++ b/src/test/java/org/havenford/coordination/PipelineDecisionsTest.java
@@ -91,10 +91,10 @@
         put(header("j-1", "red", "normal", 60, List.of("j-9"), -1));
         put(header("j-2", "red", "normal", 50, List.of(), -1));
         put(header("j-3", "red", "normal", 40, List.of(), -1));
-        List<Demand.Want> wants = Demand.wants(ledger, settings, NOW, false);
+        List<Demand.TaskDemand> demands = Demand.taskDemands(ledger, settings, NOW, false);
         assertEquals(
-                List.of("j-2", "j-3"), wants.stream().map(w -> w.spec().id()).toList());
-        assertTrue(wants.stream().allMatch(w -> w.tasks() == 1), wants::toString);
+                List.of("j-2", "j-3"), demands.stream().map(d -> d.spec().id()).toList());
+        assertTrue(demands.stream().allMatch(d -> d.tasks() == 1), demands::toString);
     }
 
     /** Submitted long ago, a job starves only when it has waited for so long since its release. */
