--- a/src/main/java/org/havenford/coordination/Membership.java
+++ b/src/main/java/org/havenford/coordination/Membership.java
@@ -14,7 +14,7 @@
 import java.util.TreeSet;
 import java.util.function.ToIntFunction;
 import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Mirror;
+import org.havenford.bookkeeping.Replica;
 import org.havenford.bookkeeping.StateStore;
 import org.havenford.protocol.Json;
 import org.havenford.transport.EventLoop;
@@ -35,13 +35,13 @@
     /** Keeps the view's value within 2 KiB. */
     private static final int MAX_MOVES = 40;
     /** A worker that is sent to its owner and comes back within this has not reached it. */
-    private static final Duration STRAYING = Duration.ofSeconds(8);
+    private static final Duration MISDIRECTED_WITHIN = Duration.ofSeconds(8);
     /** After a change of the view workers need time to find their owners. */
     private static final Duration SETTLING = Duration.ofSeconds(12);
     /** Part of a member's machines that must stray before it is taken to be out of their reach. */
     private static final double OUT_OF_REACH = 0.125;
 
-    private static final int LEAST_STRAYS = 2;
+    private static final int LEAST_MISDIRECTED = 2;
     private static final int MAX_KEPT = 20_000;
 
     /** Of what this program reads and writes; 1 is what came before pipelines, and says nothing of itself. */
@@ -60,13 +60,13 @@
 
     private final Set<String> renewed = new HashSet<>();
     private final Duration life;
-    private final Mirror mirror;
+    private final Replica replica;
     private final Runnable changed;
     private final ToIntFunction<String> ownedBy;
     private final TreeMap<String, Member> members = new TreeMap<>();
     private final TreeMap<String, String> wantedMoves = new TreeMap<>();
     /** Machines that were sent to their owner from here, by owner. */
-    private final Map<String, Map<String, Instant>> strays = new HashMap<>();
+    private final Map<String, Map<String, Instant>> misdirected = new HashMap<>();
 
     private final Object2ObjectOpenHashMap<String, String> owners = new Object2ObjectOpenHashMap<>();
     private Instant viewSince = Instant.MIN;
@@ -87,7 +87,7 @@
     public Membership(
             EventLoop loop,
             StateStore store,
-            Mirror mirror,
+            Replica replica,
             String node,
             Set<String> configured,
             Duration life,
@@ -96,7 +96,7 @@
         this.ownedBy = ownedBy;
         this.loop = loop;
         this.store = store;
-        this.mirror = mirror;
+        this.replica = replica;
         this.node = node;
         this.configured = configured;
         this.life = life;
@@ -136,7 +136,7 @@
 
     /** Whether the copy of the store holds all that was written before the present view. */
     public boolean sawAllBeforeView() {
-        return mirror.edition() >= viewStamp;
+        return replica.edition() >= viewStamp;
     }
 
     /** Stamp of the view in force. */
@@ -174,7 +174,7 @@
 
     /** When the latest comparison was sent that our copy has caught up with. */
     private Instant verified() {
-        while (!compared.isEmpty() && compared.peek().edition() <= mirror.edition()) {
+        while (!compared.isEmpty() && compared.peek().edition() <= replica.edition()) {
             verified = compared.poll().sent();
         }
         return verified;
@@ -277,7 +277,7 @@
                 loop.after(Duration.ofMillis(300), this::acquire);
             } else if (r.ok()) {
                 registered = true;
-                mirror.committed(txn, r.edition());
+                replica.committed(txn, r.edition());
             } else {
                 loop.after(Duration.ofMillis(300), this::register);
             }
@@ -310,7 +310,7 @@
             }
             view = next;
             owners.clear();
-            strays.clear();
+            misdirected.clear();
             viewSince = loop.now();
             wantsToWake &= view.resting().contains(node);
             viewStamp = value == null ? 0 : stamp;
@@ -343,8 +343,8 @@
     }
 
     /** A machine came here although another member owns it. */
-    public void strayed(String machine, String owner) {
-        strays.computeIfAbsent(owner, o -> new HashMap<>()).put(machine, loop.now());
+    public void reportedElsewhere(String machine, String owner) {
+        misdirected.computeIfAbsent(owner, o -> new HashMap<>()).put(machine, loop.now());
     }
 
     /** This member rests, and has found that it reaches workers again. */
@@ -358,21 +358,21 @@
      */
     private String outOfReach() {
         Instant now = loop.now();
-        if (view.active().size() < 2 || now.isBefore(viewSince.plus(SETTLING)) || strays.isEmpty()) {
+        if (view.active().size() < 2 || now.isBefore(viewSince.plus(SETTLING)) || misdirected.isEmpty()) {
             return null;
         }
         String worst = null;
         double worstPart = 0;
         double second = 0;
         for (String owner : view.active()) {
-            Map<String, Instant> of = strays.getOrDefault(owner, new HashMap<>());
-            of.values().removeIf(at -> now.isAfter(at.plus(STRAYING)));
+            Map<String, Instant> of = misdirected.getOrDefault(owner, new HashMap<>());
+            of.values().removeIf(at -> now.isAfter(at.plus(MISDIRECTED_WITHIN)));
             int owned = ownedBy.applyAsInt(owner);
             double part = of.size() / (double) Math.max(1, owned);
             if (part > worstPart) {
                 second = worstPart;
                 worstPart = part;
-                worst = of.size() >= LEAST_STRAYS ? owner : null;
+                worst = of.size() >= LEAST_MISDIRECTED ? owner : null;
             } else {
                 second = Math.max(second, part);
             }
@@ -384,7 +384,7 @@
 
     /** One turn of the loop: proposes the wanted view if it differs from the one in force. */
     public void step() {
-        if (!mirror.loaded() || !registered || !leaseHolds() || proposing) {
+        if (!replica.loaded() || !registered || !leaseHolds() || proposing) {
             return;
         }
         TreeMap<String, Long> wanted = new TreeMap<>();
@@ -442,7 +442,7 @@
         store.commit(txn, StateStore.Urgency.LEASE, r -> {
             proposing = false;
             if (r.ok()) {
-                mirror.committed(txn, r.edition());
+                replica.committed(txn, r.edition());
             }
         });
     }
