--- a/src/test/java/org/havenford/world/Trace.java
+++ b/src/test/java/org/havenford/world/Trace.java
@@ -242,6 +242,10 @@
                 w.store.lateTxns = Integer.parseInt(a);
                 w.store.lateTxn = Duration.ofMillis((long) (Double.parseDouble(e[4]) * 1000));
             }
+            case "forge-cancelled" -> {
+                w.users.cancelAsked.add(a);
+                w.users.jobs.get(a).cancelTold = w.now;
+            }
             case "forge-start" -> {
                 // Not a trouble but a broken controller: shows that the checker sees what it should.
                 Worker.Task t = new Worker.Task();
--- a/src/test/java/org/havenford/world/TraceTest.java
+++ b/src/test/java/org/havenford/world/TraceTest.java
@@ -57,6 +57,38 @@
         assertTrue(wrong.stream().anyMatch(w -> w.contains("quota")), wrong::toString);
     }
 
+    /** A start before the needed job is over, by a controller that is broken. */
+    @Test
+    void theCheckerSeesAStartThatIsTooEarly() {
+        World[] world = new World[1];
+        List<String> wrong = Trace.play(
+                List.of(
+                        "team red 0 0",
+                        "machine large a ordinary",
+                        "at 3 submit j-1 red 1 8 60",
+                        "at 5 submit j-2 red 1 1 5 awaits=j-1",
+                        "at 15 forge-start host-000000 j-2/0",
+                        "until 20"),
+                world);
+        assertTrue(wrong.stream().anyMatch(w -> w.contains("too_early")), wrong::toString);
+    }
+
+    /** A user is told of a cancellation that nobody has stored: what needs the job stays pending for too long. */
+    @Test
+    void theCheckerSeesAnOrphanedJob() {
+        World[] world = new World[1];
+        List<String> wrong = Trace.play(
+                List.of(
+                        "team red 0 0",
+                        "machine small a ordinary",
+                        "at 3 submit j-1 red 1 4 200",
+                        "at 5 submit j-2 red 1 1 5 awaits=j-1",
+                        "at 10 forge-cancelled j-1",
+                        "until 70"),
+                world);
+        assertTrue(wrong.stream().anyMatch(w -> w.contains("orphaned")), wrong::toString);
+    }
+
     @TestFactory
     Stream<DynamicTest> randomTroubles() {
         int seeds = Integer.getInteger("havenford.seeds", 12);
