--- a/src/test/java/org/havenford/world/InterfaceTest.java
+++ b/src/test/java/org/havenford/world/InterfaceTest.java
@@ -3,9 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
 import org.havenford.transport.HttpCalls.Reply;
 import org.junit.jupiter.api.Test;
 
@@ -94,6 +99,28 @@
                 503, ask("POST", "/submissions", awaiting("j-5", "[\"j-97\"]")).status(), "not known, so not refused");
     }
 
+    /** The README's own lines, with a team of these settings. */
+    @Test
+    void thePipelineOfTheReadme() throws IOException {
+        start();
+        String readme = Files.readString(Path.of("README.md"));
+        Matcher job = Pattern.compile("JOB='(.*)'").matcher(readme);
+        assertTrue(job.find());
+        String fields = job.group(1).replace("desk", "red");
+        List<String> bodies = new ArrayList<>();
+        Matcher lines = Pattern.compile("curl -d \"(.*)\" http").matcher(readme);
+        while (lines.find()) {
+            bodies.add(lines.group(1).replace("\\\"", "\"").replace("$JOB", fields));
+        }
+        assertEquals(2, bodies.size());
+        for (String body : bodies) {
+            assertEquals(201, ask("POST", "/submissions", body).status(), body);
+        }
+        assertTrue(ask("GET", "/submissions/j-2", null).body().contains("pending"));
+        assertTrue(ask("POST", "/submissions/j-1/abort", null).body().contains("withdrawn"));
+        assertTrue(ask("GET", "/submissions/j-2", null).body().contains("withdrawn"));
+    }
+
     /** Sixty names are more than one transaction can compare. */
     @Test
     void aLongListOfAwaitedJobsIsReadInSeveralCalls() {
