--- /dev/null
+++ b/src/main/java/org/havenford/coordination/FreeCapacity.java
@@ -0,0 +1,78 @@
+package org.havenford.coordination;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.havenford.bookkeeping.Claim;
+import org.havenford.bookkeeping.MachineRecord;
+import org.havenford.protocol.JobSpec;
+import org.havenford.protocol.MachineType;
+
+/** What is left on a machine; claims that are not confirmed gone count as taken. */
+final class FreeCapacity {
+    /** Amounts are decimal numbers: what differs by less than this is equal. */
+    private static final double EPSILON = 1e-6;
+    /** Least rate of image fetches that is reckoned with, in GB a second. */
+    private static final double SLOWEST_FETCH = 0.01;
+    /** Part of a fetch that is left, on average, when another task has begun it. */
+    private static final double LEFT_OF_FETCH = 0.6;
+
+    final MachineRecord machine;
+    final MachineType type;
+    final Set<String> images;
+    final List<Claim> claims = new ArrayList<>();
+    /** Images that claims on this machine may still be fetching. */
+    final Set<String> fetching = new HashSet<>(4);
+
+    double cpus;
+    double cards;
+    double mem;
+    /** Work of this priority is about to take what room there is; it is not for lower work meanwhile. */
+    JobSpec.Priority awaitedBy;
+
+    FreeCapacity(MachineRecord machine, MachineType type, List<String> images) {
+        this.machine = machine;
+        this.type = type;
+        this.images = Set.copyOf(images);
+        cpus = type.cpus();
+        cards = type.cards();
+        mem = type.memGb();
+    }
+
+    boolean fits(JobSpec s) {
+        return s.cpus() <= cpus + EPSILON && s.cards() <= cards + EPSILON && s.memGb() <= mem + EPSILON;
+    }
+
+    void take(JobSpec s) {
+        cpus -= s.cpus();
+        cards -= s.cards();
+        mem -= s.memGb();
+        if (!images.contains(s.image())) {
+            fetching.add(s.image());
+        }
+    }
+
+    void give(JobSpec s) {
+        cpus += s.cpus();
+        cards += s.cards();
+        mem += s.memGb();
+    }
+
+    /** How many more tasks fit. */
+    int slots(JobSpec s) {
+        double n = cpus / s.cpus();
+        n = s.cards() > 0 ? Math.min(n, cards / s.cards()) : n;
+        n = s.memGb() > 0 ? Math.min(n, mem / s.memGb()) : n;
+        return (int) (n + EPSILON);
+    }
+
+    /** Seconds until a task that is claimed now has its image. */
+    double fetchSeconds(JobSpec s) {
+        if (images.contains(s.image())) {
+            return 0;
+        }
+        double alone = s.imageGb() / Math.max(SLOWEST_FETCH, type.fetchGbPerS());
+        return fetching.contains(s.image()) ? alone * LEFT_OF_FETCH : alone * (1 + fetching.size());
+    }
+}
--- a/src/main/java/org/havenford/coordination/Planner.java
+++ b/src/main/java/org/havenford/coordination/Planner.java
@@ -40,64 +40,6 @@
     /** What to claim, and which claims to give up so that more urgent work can start. */
     public record Plan(List<Placement> placements, List<Claim> preempted) {}
 
-    /** FreeCapacity left on a machine, claims not confirmed gone counted as taken. */
-    static final class FreeCapacity {
-        final MachineRecord machine;
-        final MachineType type;
-        double cpus;
-        double cards;
-        double mem;
-        final Set<String> images;
-        final List<Claim> claims = new ArrayList<>();
-        /** Work of this priority is about to take what room there is; it is not for lower work meanwhile. */
-        JobSpec.Priority awaitedBy;
-        /** Images that claims on this machine may still be fetching. */
-        final Set<String> fetching = new HashSet<>(4);
-
-        FreeCapacity(MachineRecord machine, MachineType type, List<String> images) {
-            this.machine = machine;
-            this.type = type;
-            cpus = type.cpus();
-            cards = type.cards();
-            mem = type.memGb();
-            this.images = Set.copyOf(images);
-        }
-
-        boolean fits(JobSpec s) {
-            return s.cpus() <= cpus + 1e-6 && s.cards() <= cards + 1e-6 && s.memGb() <= mem + 1e-6;
-        }
-
-        void take(JobSpec s) {
-            cpus -= s.cpus();
-            cards -= s.cards();
-            mem -= s.memGb();
-            if (!images.contains(s.image())) {
-                fetching.add(s.image());
-            }
-        }
-
-        void give(JobSpec s) {
-            cpus += s.cpus();
-            cards += s.cards();
-            mem += s.memGb();
-        }
-
-        int slots(JobSpec s) {
-            double n = cpus / s.cpus();
-            n = s.cards() > 0 ? Math.min(n, cards / s.cards()) : n;
-            n = s.memGb() > 0 ? Math.min(n, mem / s.memGb()) : n;
-            return (int) (n + 1e-6);
-        }
-
-        double fetchSeconds(JobSpec s) {
-            if (images.contains(s.image())) {
-                return 0;
-            }
-            double alone = s.imageGb() / Math.max(0.01, type.fetchGbPerS());
-            return fetching.contains(s.image()) ? alone * 0.6 : alone * (1 + fetching.size());
-        }
-    }
-
     /**
      * What the planner is told besides the ledger: how machines are, tasks that have ended without a release, claims under
      * way by machine, owners that have left a chunk lying, chunks that others than their first owner may take, and
@@ -136,10 +78,6 @@
     /** The same for a task that finds no room there. */
     private static final double NO_ROOM = 30;
 
-    private static final Duration HOPELESS = Duration.ofSeconds(2);
-    private static final Duration AFTER_ALL = Duration.ofMinutes(5);
-    private static final Duration STARVING = Duration.ofSeconds(90);
-
     private static final Duration PRESSING_BEFORE = Duration.ofSeconds(7);
     private static final Duration PRESSING_AFTER = Duration.ofSeconds(20);
     /** Work of more than this is not stopped for other work. */
@@ -152,8 +90,8 @@
     private final boolean speedFirst;
     private final UnaryOperator<String> owner;
     private Set<String> awaited = Set.of();
-    private final Inheritance inheritance;
-    /** FreeCapacity on the machines that take tasks, kept from round to round; those named in {@code stale} are worked out anew. */
+    private final JobOrder order;
+    /** What is left on the machines that take tasks, kept from round to round; those named in {@code stale} are worked out anew. */
     private final TreeMap<String, FreeCapacity> rooms = new TreeMap<>();
 
     private final Set<String> stale = new HashSet<>();
@@ -167,7 +105,7 @@
         this.owner = owner;
         this.settings = settings;
         this.speedFirst = operator.speedFirst(settings);
-        this.inheritance = new Inheritance(ledger);
+        this.order = new JobOrder(ledger, settings);
     }
 
     /**
@@ -182,76 +120,11 @@
     }
 
     private JobSpec.Priority priority(Job job) {
-        return inheritance.priority(job);
+        return order.priority(job);
     }
 
     private Instant due(Job job) {
-        return inheritance.due(job);
-    }
-
-    /** Jobs with work left, the one to be served first at the front. */
-    public List<Job> order(Instant now) {
-        inheritance.refresh();
-        Map<String, double[]> within = new HashMap<>();
-        List<Job> open = new ArrayList<>();
-        for (Job j : ledger.jobs()) {
-            if (!j.cancelled() && !j.waiting()) {
-                open.add(j);
-            }
-        }
-        open.sort(Comparator.comparing(Job::submitted).thenComparing(Job::id));
-        Set<String> guaranteed = new HashSet<>();
-        for (Job j : open) {
-            Settings.Team team = settings.teams().get(j.spec().team());
-            double[] used = within.computeIfAbsent(j.spec().team(), t -> new double[2]);
-            used[0] += j.spec().cpus() * (j.spec().tasks() - j.doneCount());
-            used[1] += j.spec().cards() * (j.spec().tasks() - j.doneCount());
-            if (team != null && team.cpus() > 0 && used[0] <= team.cpus() + 1e-6 && used[1] <= team.cards() + 1e-6) {
-                guaranteed.add(j.id());
-            }
-        }
-        Map<String, Instant> latest = new HashMap<>();
-        open.forEach(j -> latest.put(j.id(), latestStart(j, now)));
-        open.removeIf(j -> j.pendingCount() == 0);
-        open.sort(Comparator.comparing((Job j) -> !starving(j, now))
-                .thenComparing(j -> !guaranteed.contains(j.id()))
-                .thenComparing(this::priority)
-                .thenComparing(j -> latest.get(j.id()))
-                .thenComparing(Job::id));
-        return open;
-    }
-
-    /** A job that has waited this long without a start goes first, whatever else there is: no kind of work starves. */
-    private static boolean starving(Job j, Instant now) {
-        return j.claimCount() == 0
-                && j.doneCount() == 0
-                && now.isAfter(j.released().plus(STARVING));
-    }
-
-    /** When a task of the job must start so that the aim of its class is met. */
-    private Instant latestStart(Job j, Instant now) {
-        Duration run = j.medianRun();
-        Instant latest = null;
-        Instant due = due(j);
-        if (due != null) {
-            Duration whole = run == null ? j.spec().guess() : run;
-            latest = due.minus(whole);
-            if (now.isAfter(latest.plus(HOPELESS))) {
-                // It can't be in time any more: those that can go before it, but it is not left to the end of days.
-                latest = due.plus(Duration.between(j.submitted(), due).dividedBy(2))
-                        .minus(whole);
-                latest = now.isAfter(latest) ? j.submitted().plus(AFTER_ALL) : latest;
-            }
-        }
-        for (Settings.Objective o : settings.objectives()) {
-            if (o.lineup().equals(j.spec().lineup())
-                    && o.within() != null
-                    && o.kind().equals("wait")) {
-                Instant at = j.released().plus(o.within());
-                latest = latest == null || at.isBefore(latest) ? at : latest;
-            }
-        }
-        return latest == null ? j.released().plus(Duration.ofSeconds(120)) : latest;
+        return order.due(job);
     }
 
     private double largePenalty(MachineType type, double smallest) {
@@ -331,12 +204,12 @@
         if (rooms.isEmpty()) {
             return out;
         }
-        List<Job> order = order(now);
-        awaited = awaited(order);
+        List<Job> jobs = order.order(now);
+        awaited = awaited(jobs);
         int from = 0;
         if (resumeAt != null) {
-            for (int i = 0; i < order.size(); i++) {
-                if (order.get(i).id().equals(resumeAt)) {
+            for (int i = 0; i < jobs.size(); i++) {
+                if (jobs.get(i).id().equals(resumeAt)) {
                     from = i;
                 }
             }
@@ -351,8 +224,8 @@
         }
         Round round = new Round(now, limits, open, out);
         boolean kept = false;
-        for (int k = 0; k < order.size(); k++) {
-            Job job = order.get((from + k) % order.size());
+        for (int k = 0; k < jobs.size(); k++) {
+            Job job = jobs.get((from + k) % jobs.size());
             if (k > 0 && limits.outOfTime().getAsBoolean()) {
                 resumeAt = job.id();
                 return out;
@@ -365,7 +238,7 @@
                 // Jobs whose images take long keep the machines that have them, as far as they need them for their
                 // deadlines.
                 kept = true;
-                for (Job j : order) {
+                for (Job j : jobs) {
                     if (sparing(j) && !limits.held().test(j)) {
                         place(j, round, true, needed(j, now) - j.claimCount());
                     }
@@ -379,7 +252,7 @@
         }
         if (kept) {
             // What nobody else has taken.
-            for (Job j : order) {
+            for (Job j : jobs) {
                 if (sparing(j) && !limits.held().test(j) && !limits.outOfTime().getAsBoolean()) {
                     place(j, round, true, Integer.MAX_VALUE);
                 }
@@ -420,21 +293,16 @@
         return s.imageGb() / Math.max(0.01, rate);
     }
 
-    private static double runSeconds(Job j) {
-        Duration median = j.medianRun();
-        return Math.max(0.5, (median == null ? j.spec().guess() : median).toMillis() / 1e3);
-    }
-
     /** A job with time to spare, whose image takes long against a run: it is cheaper on few machines that have it. */
     private boolean sparing(Job j) {
         return due(j) != null
                 && priority(j).compareTo(JobSpec.Priority.NORMAL) >= 0
-                && fetchAlone(j.spec()) >= LONG_FETCH * runSeconds(j);
+                && fetchAlone(j.spec()) >= LONG_FETCH * JobOrder.runSeconds(j);
     }
 
     /** Tasks that must run side by side for the job to be in time; of one that can't be, a third. */
     private int needed(Job j, Instant now) {
-        double run = runSeconds(j) * 1.15;
+        double run = JobOrder.runSeconds(j) * 1.15;
         double time =
                 Duration.between(now, due(j)).toMillis() / 1e3 - fetchAlone(j.spec()) * (j.claimCount() == 0 ? 1 : 0);
         double turns = time < run ? 3 : Math.floor(time / run);
@@ -544,7 +412,8 @@
                 .min()
                 .orElse(0);
         // A large machine that others wait for is not taken while there is time to wait for a small one.
-        boolean mayTakeLarge = !round.now.isBefore(latestStart(job, round.now).minus(PRESSING_BEFORE));
+        boolean mayTakeLarge =
+                !round.now.isBefore(order.latestStart(job, round.now).minus(PRESSING_BEFORE));
         Map<String, List<Offer>> offers = new TreeMap<>();
         for (FreeCapacity room : round.open) {
             MachineRecord m = room.machine;
@@ -655,7 +524,7 @@
         if (priority(job).compareTo(JobSpec.Priority.NORMAL) >= 0) {
             return false;
         }
-        Instant latest = latestStart(job, now);
+        Instant latest = order.latestStart(job, now);
         return now.isAfter(latest.minus(PRESSING_BEFORE)) && now.isBefore(latest.plus(PRESSING_AFTER));
     }
 
@@ -756,7 +625,9 @@
         }
         Instant due = due(j);
         return due == null
-                || now.plus(AGAIN).plusMillis((long) (runSeconds(j) * 1000)).isBefore(due);
+                || now.plus(AGAIN)
+                        .plusMillis((long) (JobOrder.runSeconds(j) * 1000))
+                        .isBefore(due);
     }
 
     /** The zone in which most tasks of a job that must stay together find room. */
--- a/src/test/java/org/havenford/coordination/PipelineDecisionsTest.java
+++ b/src/test/java/org/havenford/coordination/PipelineDecisionsTest.java
@@ -70,8 +70,8 @@
     }
 
     private List<String> order(Instant now) throws Exception {
-        Planner planner = new Planner(ledger, Settings.parse(SETTINGS), Operator.DEFAULTS, m -> "n");
-        return planner.order(now).stream().map(Job::id).toList();
+        JobOrder order = new JobOrder(ledger, Settings.parse(SETTINGS));
+        return order.order(now).stream().map(Job::id).toList();
     }
 
     /** A waiting job of the same team, submitted earlier, would use up the guarantee of 8 CPUs. */
