--- a/src/main/java/org/havenford/bookkeeping/StateStore.java
+++ b/src/main/java/org/havenford/bookkeeping/StateStore.java
@@ -7,8 +7,11 @@
 import java.time.Instant;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.TreeMap;
+import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.havenford.protocol.Json;
 import org.havenford.transport.EventLoop;
@@ -26,6 +29,11 @@
     private static final Logger LOG = LoggerFactory.getLogger(StateStore.class);
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
     private static final int MAX_QUEUED = 400;
+    /** How long a call waits for its turn; users ask again sooner than other work. */
+    private static final Duration PATIENCE = Duration.ofSeconds(5);
+
+    private static final Duration USER_PATIENCE = Duration.ofMillis(1500);
+    private static final BooleanSupplier ALWAYS_CURRENT = () -> true;
     /** Part of the service's limits that the controllers use together when each keeps to its even share. */
     private static final double SAFETY = 0.92;
 
@@ -54,11 +62,12 @@
         SPARE
     }
 
-    /** NOT_EXECUTED can't happen any more; UNKNOWN may have happened or may yet. */
+    /** NOT_EXECUTED and STALE can't happen any more, STALE was not even sent; UNKNOWN may have happened or may yet. */
     public enum Outcome {
         OK,
         CONFLICT,
         ABSENT,
+        STALE,
         NOT_EXECUTED,
         UNKNOWN,
         REJECTED
@@ -85,6 +94,7 @@
     public static final class Txn {
         private final JsonArray guards = new JsonArray();
         private final JsonArray writes = new JsonArray();
+        private final Map<String, Long> guarded = new LinkedHashMap<>();
         private final List<String> keys = new ArrayList<>();
         private final List<JsonElement> values = new ArrayList<>();
 
@@ -94,6 +104,7 @@
             g.addProperty("k", key);
             g.addProperty("stamp", stamp);
             guards.add(g);
+            guarded.put(key, stamp);
             return this;
         }
 
@@ -131,6 +142,11 @@
             return writes.size();
         }
 
+        /** Guarded keys, and the stamps that they must have. */
+        public Map<String, Long> guarded() {
+            return guarded;
+        }
+
         /** Number of conditions. */
         public int guards() {
             return guards.size();
@@ -162,6 +178,7 @@
             String body,
             int writes,
             Duration timeout,
+            BooleanSupplier current,
             Consumer<Result> done) {}
 
     private final EventLoop loop;
@@ -187,6 +204,7 @@
     private final TreeMap<String, Integer> conflictsOf = new TreeMap<>();
     private long refused;
     private long givenUp;
+    private long stale;
     private int refusedInARow;
     private Instant holdOff = Instant.MIN;
     private Instant leaseHoldOff = Instant.MIN;
@@ -290,6 +308,8 @@
                 .append(refused)
                 .append(", given up ")
                 .append(givenUp)
+                .append(", stale ")
+                .append(stale)
                 .append(", waiting ")
                 .append(queued(Urgency.WORK) + queued(Urgency.CLAIM))
                 .append(String.format(java.util.Locale.ROOT, ", share %.2f", shares));
@@ -298,6 +318,7 @@
         conflictsOf.clear();
         refused = 0;
         givenUp = 0;
+        stale = 0;
         return text.toString();
     }
 
@@ -325,7 +346,16 @@
 
     /** Commits a transaction. */
     public void commit(Txn txn, Urgency urgency, Consumer<Result> done) {
-        submit(urgency, "POST", "/multi", txn.text(), txn.writes(), TIMEOUT, done);
+        commit(txn, urgency, ALWAYS_CURRENT, done);
+    }
+
+    /**
+     * Commits a transaction that may have to wait for its turn. If {@code current} then says that its guards are known to
+     * fail, it is not sent and its outcome is {@code STALE}: a conflict would cost as many changes as a success.
+     */
+    public void commit(Txn txn, Urgency urgency, BooleanSupplier current, Consumer<Result> done) {
+        Instant until = loop.now().plus(patience(urgency));
+        submit(new Pending(urgency, until, "POST", "/multi", txn.text(), txn.writes(), TIMEOUT, current, done));
     }
 
     /** Waits for changes of keys with a prefix after an edition. */
@@ -358,13 +388,21 @@
             int writes,
             Duration timeout,
             Consumer<Result> done) {
-        ArrayDeque<Pending> queue = queues.get(urgency.ordinal());
+        Instant until = loop.now().plus(patience(urgency));
+        submit(new Pending(urgency, until, method, path, body, writes, timeout, ALWAYS_CURRENT, done));
+    }
+
+    private static Duration patience(Urgency urgency) {
+        return urgency == Urgency.USER ? USER_PATIENCE : PATIENCE;
+    }
+
+    private void submit(Pending call) {
+        ArrayDeque<Pending> queue = queues.get(call.urgency.ordinal());
         if (queue.size() >= MAX_QUEUED) {
-            loop.after(Duration.ZERO, () -> done.accept(new Result(Outcome.NOT_EXECUTED, null)));
+            loop.after(Duration.ZERO, () -> call.done.accept(new Result(Outcome.NOT_EXECUTED, null)));
             return;
         }
-        Duration patience = urgency == Urgency.USER ? Duration.ofMillis(1500) : Duration.ofSeconds(5);
-        queue.add(new Pending(urgency, loop.now().plus(patience), method, path, body, writes, timeout, done));
+        queue.add(call);
         if (!pumping) {
             pump();
         }
@@ -393,6 +431,11 @@
                     break;
                 }
                 queue.poll();
+                if (!p.current.getAsBoolean()) {
+                    stale++;
+                    p.done.accept(new Result(Outcome.STALE, null));
+                    continue;
+                }
                 requests.take(1);
                 changes.take(p.writes);
                 send(p);
--- a/src/main/java/org/havenford/coordination/GuardedWriter.java
+++ b/src/main/java/org/havenford/coordination/GuardedWriter.java
@@ -8,8 +8,10 @@
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import org.havenford.bookkeeping.Keys;
 import org.havenford.bookkeeping.Replica;
 import org.havenford.bookkeeping.StateStore;
 import org.havenford.protocol.Json;
@@ -88,7 +90,7 @@
             Runnable onSuccess,
             Consumer<StateStore.Result> after) {
         locked.addAll(locks);
-        store.commit(txn, urgency, result -> {
+        store.commit(txn, urgency, () -> isCurrent(txn), result -> {
             if (result.ok()) {
                 onSuccess.run();
                 replica.committed(txn, result.edition());
@@ -99,6 +101,7 @@
             after.accept(result);
             switch (result.outcome()) {
                 case CONFLICT -> lockUntilCaughtUp(result, locks);
+                case STALE -> unlock(locks);
                 case REJECTED -> {
                     boolean shorterFormHelps = !limitsLowered && largestValue(txn) > nextValueBytes;
                     limitsLowered |= shorterFormHelps;
@@ -109,6 +112,17 @@
         });
     }
 
+    /** Whether our replica still holds what the transaction was decided on; what others have changed would fail it. */
+    private boolean isCurrent(StateStore.Txn txn) {
+        for (Map.Entry<String, Long> guard : txn.guarded().entrySet()) {
+            String key = guard.getKey();
+            if (key.startsWith(Keys.REPLICATED) && replica.stamp(key) != guard.getValue()) {
+                return false;
+            }
+        }
+        return true;
+    }
+
     private void unlock(Collection<String> locks) {
         locked.removeAll(locks);
         wake.run();
--- /dev/null
+++ b/src/test/java/org/havenford/bookkeeping/StateStoreTest.java
@@ -0,0 +1,90 @@
+package org.havenford.bookkeeping;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.google.gson.JsonObject;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.PriorityQueue;
+import java.util.function.Consumer;
+import org.havenford.bookkeeping.StateStore.Outcome;
+import org.havenford.bookkeeping.StateStore.Urgency;
+import org.havenford.transport.EventLoop;
+import org.havenford.transport.HttpCalls;
+import org.junit.jupiter.api.Test;
+
+/** How calls wait for their turn at the state service. */
+class StateStoreTest {
+    private record Timer(Instant at, Runnable task) {}
+
+    private static final class Loop implements EventLoop {
+        private Instant now = Instant.EPOCH;
+        private final PriorityQueue<Timer> timers = new PriorityQueue<>(Comparator.comparing(Timer::at));
+
+        @Override
+        public Instant now() {
+            return now;
+        }
+
+        @Override
+        public Instant timeOfDay() {
+            return now;
+        }
+
+        @Override
+        public void after(Duration delay, Runnable task) {
+            timers.add(new Timer(now.plus(delay), task));
+        }
+
+        void run(Duration time) {
+            Instant end = now.plus(time);
+            while (!timers.isEmpty() && !timers.peek().at().isAfter(end)) {
+                Timer t = timers.poll();
+                now = t.at();
+                t.task().run();
+            }
+            now = end;
+        }
+    }
+
+    private final Loop loop = new Loop();
+    private final List<String> sent = new ArrayList<>();
+    /** Answers every call at once. */
+    private final HttpCalls calls = new HttpCalls() {
+        @Override
+        public void call(
+                String address, String method, String path, String body, Duration timeout, Consumer<Reply> done) {
+            sent.add(body);
+            done.accept(new Reply(200, "{\"edition\":7}"));
+        }
+    };
+
+    /** Five changes a second for this controller alone. */
+    private final StateStore store = new StateStore(loop, calls, "state:1", 100, 5, 5, 1);
+
+    private static StateStore.Txn changes(int n) {
+        StateStore.Txn txn = new StateStore.Txn();
+        for (int i = 0; i < n; i++) {
+            txn.set("live/x/" + i, new JsonObject());
+        }
+        return txn;
+    }
+
+    /** What would only fail is not sent when its turn comes; what is behind it goes in its place. */
+    @Test
+    void aTransactionThatHasBecomeStaleIsNotSent() {
+        List<Outcome> outcomes = new ArrayList<>();
+        boolean[] current = {true};
+        store.commit(changes(4), Urgency.CLAIM, r -> outcomes.add(r.outcome()));
+        store.commit(changes(2), Urgency.CLAIM, () -> current[0], r -> outcomes.add(r.outcome()));
+        store.commit(changes(1), Urgency.CLAIM, r -> outcomes.add(r.outcome()));
+        assertEquals(List.of(Outcome.OK), outcomes, "the others wait for the limit");
+        current[0] = false;
+        loop.run(Duration.ofSeconds(3));
+        assertEquals(List.of(Outcome.OK, Outcome.STALE, Outcome.OK), outcomes);
+        assertEquals(2, sent.size());
+    }
+}
