--- a/src/test/java/org/havenford/world/TraceTest.java
+++ b/src/test/java/org/havenford/world/TraceTest.java
@@ -15,6 +15,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import java.util.function.LongFunction;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.Test;
@@ -91,12 +92,21 @@
 
     @TestFactory
     Stream<DynamicTest> randomTroubles() {
-        int seeds = Integer.getInteger("havenford.seeds", 12);
+        return drawn(Integer.getInteger("havenford.seeds", 12), TraceTest::troubles);
+    }
+
+    /** The same while the controllers come back one by one with this version, whereupon the store's limits fall. */
+    @TestFactory
+    Stream<DynamicTest> randomTroublesAmidAnUpgrade() {
+        return drawn(Integer.getInteger("havenford.seeds", 12) / 2, TraceTest::upgrade);
+    }
+
+    private static Stream<DynamicTest> drawn(int seeds, LongFunction<List<String>> day) {
         long first = Long.getLong("havenford.firstSeed", 1);
         return Stream.iterate(first, s -> s + 1)
                 .limit(seeds)
                 .map(seed -> DynamicTest.dynamicTest("seed " + seed, () -> {
-                    List<String> lines = troubles(seed);
+                    List<String> lines = day.apply(seed);
                     World[] world = new World[1];
                     List<String> wrong = Trace.play(lines, world);
                     assertEquals(
@@ -106,10 +116,31 @@
                 }));
     }
 
+    /** Nothing new is asked of the service before all controllers have the new version. */
+    private static List<String> upgrade(long seed) {
+        SplittableRandom r = new SplittableRandom(-seed);
+        int nodes = new int[] {3, 5, 7}[r.nextInt(3)];
+        List<String> out = new ArrayList<>(List.of("version format-1", "next 2 4 75"));
+        int at = 6 + r.nextInt(6);
+        for (int n = 0; n < nodes; n++) {
+            out.add("at " + at + " upgrade node-" + n);
+            out.add("at " + at + "." + (3 + r.nextInt(6)) + " start node-" + n);
+            at += 2 + r.nextInt(5);
+        }
+        out.add("at " + (at + 2 + r.nextInt(20)) + " lower-limits");
+        out.addAll(troubles(seed, nodes, at));
+        return out;
+    }
+
     /** A day drawn from a seed, as a trace; a seed that fails is kept as one. */
     private static List<String> troubles(long seed) {
+        int nodes = new int[] {3, 3, 5, 7}[new SplittableRandom(seed).nextInt(4)];
+        return troubles(seed, nodes, 0);
+    }
+
+    private static List<String> troubles(long seed, int nodes, int pipelinesFrom) {
         SplittableRandom r = new SplittableRandom(seed);
-        int nodes = new int[] {3, 3, 5, 7}[r.nextInt(4)];
+        r.nextInt(4);
         List<String> out = new ArrayList<>(List.of(
                 "seed " + seed,
                 "nodes " + nodes,
@@ -133,6 +164,9 @@
             for (int n = earlier.isEmpty() || r.nextInt(3) > 0 ? 0 : 1 + r.nextInt(2); n > 0; n--) {
                 needs.add(earlier.get(r.nextInt(earlier.size())));
             }
+            if (at <= pipelinesFrom) {
+                needs.clear();
+            }
             submitted.put(id, at);
             awaits.put(id, needs);
             out.add("at " + at + " submit " + id + " " + (r.nextBoolean() ? "red" : "blue") + " " + (1 + r.nextInt(8))
