--- a/src/test/java/org/havenford/world/Store.java
+++ b/src/test/java/org/havenford/world/Store.java
@@ -56,6 +56,8 @@
     Duration lateTxn;
 
     int lateTxns;
+    /** Transactions that are applied at once and left unanswered. */
+    int lostAnswers;
 
     /** Limits, which may be lowered without notice. */
     int valueBytes;
@@ -169,7 +171,10 @@
         if (outage) {
             answer.accept(new Reply(503, "{\"error\":\"trouble\"}"));
         } else if (path.equals("/multi")) {
-            if (lateTxns > 0) {
+            if (lostAnswers > 0) {
+                lostAnswers--;
+                txn(body);
+            } else if (lateTxns > 0) {
                 // Given up on by its sender, applied all the same.
                 lateTxns--;
                 world.after(lateTxn, () -> txn(body));
--- a/src/test/java/org/havenford/world/Trace.java
+++ b/src/test/java/org/havenford/world/Trace.java
@@ -238,6 +238,8 @@
                 w.lateCommands.put(end(w, a), Duration.ofMillis((long) (Double.parseDouble(e[4]) * 1000)));
             case "late-changes" ->
                 w.lateChanges.put(end(w, a), Duration.ofMillis((long) (Double.parseDouble(e[4]) * 1000)));
+            case "lost-answers" -> w.store.lostAnswers = Integer.parseInt(a);
+            case "close-looks" -> w.users.closeLooks = a.equals("on");
             case "late-txns" -> {
                 w.store.lateTxns = Integer.parseInt(a);
                 w.store.lateTxn = Duration.ofMillis((long) (Double.parseDouble(e[4]) * 1000));
--- a/src/test/java/org/havenford/world/TraceTest.java
+++ b/src/test/java/org/havenford/world/TraceTest.java
@@ -90,6 +90,37 @@
         assertTrue(wrong.stream().anyMatch(w -> w.contains("orphaned")), wrong::toString);
     }
 
+    /** Jobs of one task, four a second for two minutes, a quarter of them cancelled, while a controller ends. */
+    @Test
+    void oneTaskJobsFourASecondAQuarterCancelled() {
+        List<String> lines = new ArrayList<>(List.of(
+                "team red 8 40",
+                "team blue 0 0",
+                "machine large a ordinary",
+                "machine large b ordinary",
+                "machine large c ordinary",
+                "at 50 crash node-0",
+                "at 53 start node-0",
+                "at 90 outage on",
+                "at 94 outage off",
+                "until 260",
+                "expect served"));
+        SplittableRandom r = new SplittableRandom(4);
+        for (int i = 0; i < 480; i++) {
+            String id = "j-" + (1000 + i);
+            double at = 8 + i * 0.25;
+            lines.add(
+                    "at " + at + " submit " + id + " " + (i % 2 == 0 ? "red" : "blue") + " 1 1 " + (2 + r.nextInt(5)));
+            if (i % 4 == 3) {
+                lines.add("at " + (at + 0.1 + r.nextInt(60) / 10.0) + " cancel " + id);
+            } else {
+                lines.add("expect done " + id);
+            }
+        }
+        World[] world = new World[1];
+        assertEquals(List.of(), Trace.play(lines, world), () -> String.join("\n", world[0].log));
+    }
+
     @TestFactory
     Stream<DynamicTest> randomTroubles() {
         return drawn(Integer.getInteger("havenford.seeds", 12), TraceTest::troubles);
--- a/src/test/java/org/havenford/world/Users.java
+++ b/src/test/java/org/havenford/world/Users.java
@@ -57,10 +57,27 @@
     /** Tasks whose result is kept. */
     final Set<String> finished = new HashSet<>();
 
+    /** Whether users ask and repeat at all controllers within milliseconds of an acceptance, an end or a cancellation. */
+    boolean closeLooks;
+
     Users(World world) {
         this.world = world;
     }
 
+    private void look(Job j) {
+        if (!closeLooks) {
+            return;
+        }
+        for (World.Node node : world.nodes.values()) {
+            for (int millis : new int[] {0, 3, 12, 40}) {
+                world.after(Duration.ofMillis(millis), () -> {
+                    ask(j.id, node.settings.bind());
+                    repeat(j.id, node.settings.bind());
+                });
+            }
+        }
+    }
+
     Job submit(String id, String team, int tasks, double cpus, double runS, List<String> options) {
         Job j = new Job();
         j.id = id;
@@ -133,9 +150,13 @@
                 if (!j.accepted) {
                     world.note(j.id + " accepted");
                 }
+                boolean first = !j.accepted;
                 j.accepted = true;
                 j.answered = world.now;
                 poll(j);
+                if (first) {
+                    look(j);
+                }
             } else if (r.status() == 422 && !known) {
                 world.after(Duration.ofSeconds(1), () -> send(j));
             } else if (r.status() == 400 || r.status() == 422) {
@@ -213,6 +234,7 @@
                 }
             }
             world.note(j.id + " done");
+            look(j);
         }
         if (!j.last.equals("withdrawn") && !j.last.equals("done")) {
             j.last = status;
@@ -221,24 +243,25 @@
 
     /** A single question. */
     void ask(String id) {
+        ask(id, someNode());
+    }
+
+    private void ask(String id, String at) {
         Job j = jobs.get(id);
         if (j == null || !j.accepted) {
             return;
         }
         String knew = j.last;
         Instant asked = world.now;
-        world.call(
-                "users",
-                someNode(),
-                "GET",
-                "/submissions/" + id,
-                null,
-                Duration.ofSeconds(2),
-                r -> told(j, knew, asked, r));
+        world.call("users", at, "GET", "/submissions/" + id, null, Duration.ofSeconds(2), r -> told(j, knew, asked, r));
     }
 
     /** The submission once more, whatever has become of the job: an accepted one is known for good. */
     void repeat(String id) {
+        repeat(id, someNode());
+    }
+
+    private void repeat(String id, String at) {
         Job j = jobs.get(id);
         if (j == null) {
             return;
@@ -246,7 +269,7 @@
         String knew = j.last;
         boolean was = j.accepted;
         Instant asked = world.now;
-        world.call("users", someNode(), "POST", "/submissions", body(j).toString(), Duration.ofSeconds(5), r -> {
+        world.call("users", at, "POST", "/submissions", body(j).toString(), Duration.ofSeconds(5), r -> {
             if (was && r.status() >= 201 && r.status() < 500 && r.status() != 429) {
                 world.rules.broken("forgotten", id + " sent again is answered " + r.status());
             } else if (was && r.status() == 200) {
@@ -273,6 +296,7 @@
                     j.cancelTold = world.now;
                     world.rules.touched();
                     j.last = "withdrawn";
+                    look(j);
                 }
             } else {
                 world.after(Duration.ofSeconds(1), () -> cancel(id, null));
