--- /dev/null
+++ b/src/test/java/org/havenford/coordination/GoldenCalls.java
@@ -0,0 +1,131 @@
+package org.havenford.coordination;
+
+import com.google.gson.JsonElement;
+import com.google.gson.JsonNull;
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParser;
+import java.time.Duration;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.function.Consumer;
+import org.havenford.bookkeeping.Keys;
+import org.havenford.bookkeeping.Ledger;
+import org.havenford.bookkeeping.Replica;
+import org.havenford.bookkeeping.StateStore;
+import org.havenford.bookkeeping.StateStore.Urgency;
+import org.havenford.transport.HttpCalls;
+
+/** Every kind of call to the state service, and the transactions by which a member is asked and evicted. */
+final class GoldenCalls implements HttpCalls {
+    private static final long EDITION = 40;
+
+    private final ManualLoop loop = new ManualLoop();
+    private final StateStore store = new StateStore(loop, this, "state:1", 1000, 1000, 1000, 1);
+    private final Map<String, JsonElement> built = new LinkedHashMap<>();
+    private Replica replica;
+    private String name;
+
+    private GoldenCalls() {}
+
+    /** Calls by name. */
+    static Map<String, JsonElement> built() {
+        GoldenCalls calls = new GoldenCalls();
+        calls.plainCalls();
+        calls.evictions();
+        return calls.built;
+    }
+
+    /** Whether a member that is registered so reads pipelines, and evictions. */
+    static String understoodBy(JsonElement registration) {
+        JsonObject member = registration.getAsJsonObject();
+        GoldenCalls calls = new GoldenCalls();
+        Membership membership = calls.membership(Set.of("node-0"));
+        TreeMap<String, Long> members =
+                new TreeMap<>(Map.of("node-0", member.get("incarnation").getAsLong()));
+        membership.viewChanged(new View(4, members, new TreeMap<>(), new TreeSet<>()).toJson(), 12);
+        membership.memberChanged("node-0", member, 13);
+        return membership.allReadFormat2() + " " + membership.allReadEvictions();
+    }
+
+    private Membership membership(Set<String> configured) {
+        Ledger ledger = new Ledger();
+        ledger.observer(new QuietObserver());
+        replica = new Replica(loop, store, Keys.REPLICATED, ledger);
+        return new Membership(loop, store, replica, "node-0", configured, Duration.ofSeconds(5), () -> {}, node -> 0);
+    }
+
+    private void plainCalls() {
+        JsonObject value = new JsonObject();
+        value.addProperty("x", 1);
+        make("get", () -> store.get("live/job/j-1", Urgency.USER, r -> {}));
+        make("first-page", () -> store.list("live/", null, r -> {}));
+        make("next-page", () -> store.list("live/", "live/job/j-1", r -> {}));
+        make("watch", () -> store.watch("live/", 431, Duration.ofSeconds(2), r -> {}));
+        make("lease", () -> store.createLease(Duration.ofSeconds(5), r -> {}));
+        make("lease-renewal", () -> store.renewLease(7, r -> {}));
+        make("lease-end", () -> store.endLease(7, r -> {}));
+        make("comparison", () -> store.commit(new StateStore.Txn().guard("a", 0).guard("b", 7), Urgency.USER, r -> {}));
+        make(
+                "transaction",
+                () -> store.commit(
+                        new StateStore.Txn()
+                                .guard("a", 3)
+                                .set("a", value)
+                                .set("b", value, 7)
+                                .delete("c"),
+                        Urgency.WORK,
+                        r -> {}));
+    }
+
+    private void evictions() {
+        Membership membership = membership(Set.of("node-0", "node-1"));
+        TreeMap<String, Long> members = new TreeMap<>(Map.of("node-0", 7L, "node-1", 5L));
+        TreeMap<String, String> moved = new TreeMap<>(Map.of("host-000001", "node-1"));
+        membership.viewChanged(new View(4, members, moved, new TreeSet<>(Set.of("node-1"))).toJson(), 12);
+        members.forEach((node, incarnation) -> {
+            JsonObject member = new JsonObject();
+            member.addProperty("incarnation", incarnation);
+            member.addProperty("format", 3);
+            membership.memberChanged(node, member, 10 + incarnation);
+        });
+        Evictions evictions = new Evictions(loop, store, replica, membership, "node-0");
+        make("challenge", () -> evictions.challenge("node-1", 5, stamp -> {}));
+        JsonObject challenge = written("challenge", Keys.challenge("node-1"));
+        make("challenge-answer", () -> evictions.challengeChanged("node-0", challenge, 30));
+        make("challenge-withdrawal", () -> evictions.withdraw("node-1", 31));
+        make("eviction", () -> evictions.evict("node-1", 5, 32, evicted -> {}));
+    }
+
+    /** The value that a transaction sets a key to. */
+    private JsonObject written(String call, String key) {
+        for (JsonElement write :
+                built.get(call).getAsJsonObject().getAsJsonObject("body").getAsJsonArray("writes")) {
+            if (write.getAsJsonObject().get("set").getAsString().equals(key)) {
+                return write.getAsJsonObject().getAsJsonObject("v");
+            }
+        }
+        throw new IllegalStateException(call + " does not set " + key);
+    }
+
+    private void make(String callName, Runnable action) {
+        name = callName;
+        action.run();
+        if (!built.containsKey(callName)) {
+            throw new IllegalStateException(callName + " was not sent");
+        }
+    }
+
+    /** The first call of each action is the one that it stands for. */
+    @Override
+    public void call(String address, String method, String path, String body, Duration timeout, Consumer<Reply> done) {
+        JsonObject call = new JsonObject();
+        call.addProperty("method", method);
+        call.addProperty("path", path);
+        call.add("body", body == null ? JsonNull.INSTANCE : JsonParser.parseString(body));
+        built.putIfAbsent(name, call);
+        done.accept(new Reply(200, "{\"edition\":" + EDITION + "}"));
+    }
+}
--- /dev/null
+++ b/src/test/java/org/havenford/coordination/GoldenStoredValues.java
@@ -0,0 +1,232 @@
+package org.havenford.coordination;
+
+import com.google.gson.JsonArray;
+import com.google.gson.JsonElement;
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParser;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import org.havenford.bookkeeping.Chunk;
+import org.havenford.bookkeeping.FinalState;
+import org.havenford.bookkeeping.Job;
+import org.havenford.bookkeeping.Keys;
+import org.havenford.bookkeeping.Ledger;
+import org.havenford.bookkeeping.MachineBatch;
+import org.havenford.bookkeeping.MachineRecord.Condition;
+import org.havenford.bookkeeping.MachineStatuses;
+import org.havenford.bookkeeping.Quota;
+import org.havenford.protocol.JobSpec;
+import org.havenford.protocol.Json;
+import org.havenford.protocol.MachineType;
+
+/**
+ * Builds a value of every stored form from fixed inputs, and writes values back after reading them. An entry is named by
+ * the key it would be stored under, a {@code #}, and what is particular to it. One method stands for each form.
+ */
+final class GoldenStoredValues {
+    private static final Instant AT = Instant.ofEpochMilli(1_700_000_000_000L);
+    private static final int LARGE = 16 * 1024;
+    private static final int THINNED_LIMIT = 250;
+    private static final int SHORT_LIMIT = 900;
+    private static final int SCARCE_LIMIT = 255;
+    private static final int FIRST_TASK = 64;
+    private static final int CHUNK_SIZE = 32;
+
+    private GoldenStoredValues() {}
+
+    /** Every stored form that the present code writes. */
+    static Map<String, JsonElement> built() throws Json.BadMessage {
+        Map<String, JsonElement> values = new LinkedHashMap<>();
+        addViews(values);
+        addJobs(values);
+        addTasks(values);
+        addMachines(values);
+        values.put("live/team/red#plain", new Quota().toJson());
+        values.put(
+                "live/team/red#shared",
+                new Quota()
+                        .with("node-0", new Quota.Amount(32, 0))
+                        .with("node-1", new Quota.Amount(8.5, 2))
+                        .withShort("node-0", true)
+                        .toJson());
+        values.put("final/j-1#done", FinalState.of(FinalState.Status.DONE, 7).toJson());
+        values.put(
+                "final/j-1#withdrawn",
+                FinalState.of(FinalState.Status.WITHDRAWN, 7).toJson());
+        values.put("final/j-1#done-at", new FinalState(FinalState.Status.DONE, 7, AT).toJson());
+        values.put("final/j-1#withdrawn-at", new FinalState(FinalState.Status.WITHDRAWN, 7, AT).toJson());
+        return values;
+    }
+
+    private static void addViews(Map<String, JsonElement> values) {
+        TreeMap<String, Long> members = new TreeMap<>(Map.of("node-0", 4L, "node-1", 12L, "node-2", 5L));
+        TreeMap<String, String> moved = new TreeMap<>(Map.of("host-000001", "node-0", "host-000002", "node-1"));
+        TreeSet<String> resting = new TreeSet<>(List.of("node-2"));
+        TreeMap<String, Long> evicted = new TreeMap<>(Map.of("node-3", 9L));
+        values.put("live/view#empty", View.empty().toJson());
+        values.put("live/view#plain", new View(2, members, new TreeMap<>(), new TreeSet<>()).toJson());
+        values.put("live/view#moved", new View(3, members, moved, new TreeSet<>()).toJson());
+        values.put("live/view#resting", new View(4, members, new TreeMap<>(), resting).toJson());
+        values.put("live/view#evicted", new View(5, members, new TreeMap<>(), new TreeSet<>(), evicted).toJson());
+        values.put("live/view#all", new View(6, members, moved, resting, evicted).toJson());
+    }
+
+    private static void addJobs(Map<String, JsonElement> values) throws Json.BadMessage {
+        JsonObject plain = JobSamples.submission("j-1", 40, 1.5);
+        JsonObject awaiting = plain.deepCopy();
+        awaiting.add("awaits", JsonParser.parseString("[\"j-8\",\"j-7\"]"));
+        JsonObject full = awaiting.deepCopy();
+        full.add("rigs", JsonParser.parseString("[\"small\",\"large\"]"));
+        full.addProperty("hall", "a");
+        full.addProperty("cards", 2.0);
+        full.addProperty("airtimeS", 900.5);
+        JsonObject together = plain.deepCopy();
+        together.addProperty("together", true);
+        JsonObject apart = plain.deepCopy();
+        apart.addProperty("apart", true);
+        values.put("live/job/j-1#plain", job(plain).header(false));
+        values.put("live/job/j-1#cancelled", job(plain).header(true));
+        values.put("live/job/j-1#together", job(together).header(false));
+        values.put("live/job/j-1#apart", job(apart).header(false));
+        values.put("live/job/j-1#awaits", job(awaiting).header(false));
+        values.put("live/job/j-1#awaits-ready", job(awaiting).readyHeader(AT.plusSeconds(9)));
+        values.put(
+                "live/job/j-1#awaits-ready-cancelled",
+                Job.parse(job(awaiting).readyHeader(AT.plusSeconds(9))).header(true));
+        values.put("live/job/j-1#all-fields", job(full).header(false));
+        for (String urgency : List.of("production", "urgent", "low")) {
+            JsonObject of = plain.deepCopy();
+            of.addProperty("urgency", urgency);
+            values.put("live/job/j-1#" + urgency, job(of).header(false));
+        }
+    }
+
+    private static Job job(JsonObject submission) throws Json.BadMessage {
+        return new Job(JobSpec.parse(submission), AT, CHUNK_SIZE, false);
+    }
+
+    private static void addTasks(Map<String, JsonElement> values) {
+        values.put("live/tasks/j-1/2#fresh", freshChunk().toJson());
+        Chunk usual = freshChunk();
+        usual.claim(64, "host-000001", 1, AT, "node-0");
+        usual.claim(65, "host-000001", 1, AT, "");
+        usual.finish(65, 1.5, 20.2);
+        usual.claim(66, "host-000002", 3, AT, "");
+        usual.release(66, true, true);
+        usual.claim(66, "host-000003", 2, AT.plusSeconds(40), "");
+        usual.claim(95, "host-000003", 2, AT, "node-1");
+        usual.release(95, false, true);
+        values.put("live/tasks/j-1/2#usual", usual.toJson(LARGE, LARGE, true));
+        Chunk thinned = freshChunk();
+        for (int task = FIRST_TASK; task < FIRST_TASK + CHUNK_SIZE; task++) {
+            thinned.claim(task, "host-000001", 1, AT, "");
+            thinned.finish(task, task / 10.0, 200 - task);
+        }
+        values.put("live/tasks/j-1/2#thinned", thinned.toJson(THINNED_LIMIT, THINNED_LIMIT, false));
+        Chunk shortened = freshChunk();
+        for (int task = FIRST_TASK; task < FIRST_TASK + CHUNK_SIZE - 2; task++) {
+            shortened.claim(task, "host-0000" + task, 2, AT.plusMillis(250L * task), task % 3 == 0 ? "" : "node-1");
+        }
+        shortened.release(70, true, true);
+        shortened.release(71, false, false);
+        shortened.finish(72, 2, 30);
+        values.put("live/tasks/j-1/2#short", shortened.toJson(SHORT_LIMIT, SHORT_LIMIT, true));
+    }
+
+    private static Chunk freshChunk() {
+        return new Chunk("j-1", FIRST_TASK, CHUNK_SIZE);
+    }
+
+    private static void addMachines(Map<String, JsonElement> values) {
+        MachineBatch batch = MachineBatch.of(
+                "r-2-4-1", "large", "b", true, AT, List.of("host-000001", "host-000002", "host-000003"));
+        values.put("live/machine/r-2-4-1#in-service", batch.toJson());
+        values.put(
+                "live/machine/r-2-4-1#all-services",
+                batch.with("host-000002", MachineBatch.Service.RETIRING)
+                        .with("host-000003", MachineBatch.Service.RETURNING)
+                        .toJson());
+        MachineStatuses statuses = new MachineStatuses(AT, new TreeMap<>());
+        values.put("live/heard/node-0/0#empty", statuses.toJson(LARGE));
+        int number = 0;
+        for (Condition condition : Condition.values()) {
+            List<String> images = List.of("img-" + number, "img-shared").subList(0, number % 3);
+            statuses.machines().put("host-00000" + number++, new MachineStatuses.Status(condition, images));
+        }
+        values.put("live/heard/node-0/0#all-conditions", statuses.toJson(LARGE));
+        values.put("live/heard/node-0/0#fewer-images", statuses.toJson(SCARCE_LIMIT));
+        values.put("live/booking/r-2-4-1#plain", new Ledger.Booking("r-2-4-1", "large", "b", true, 12, AT).toJson());
+        values.put("live/types#plain", MachineType.toJson(types()));
+    }
+
+    /** Two machine types, with and without cards. */
+    static List<MachineType> types() {
+        List<String> zones = List.of("a", "b");
+        return List.of(
+                new MachineType("g8", 96, 8, 768, 200, 1, 12, 4.5, Duration.ofSeconds(45), zones),
+                new MachineType("small", 4, 0, 32, 40, 0.5, 0.24, 0.08, Duration.ofMillis(20_500), zones));
+    }
+
+    /** Registrations of earlier formats, as earlier versions have stored them; the present code only reads these. */
+    static Map<String, JsonElement> earlierMembers() throws IOException {
+        Map<String, JsonElement> values = new LinkedHashMap<>();
+        for (int format = 1; format <= 2; format++) {
+            Path samples = Path.of("src/test/resources/samples/format-" + format + ".txt");
+            for (String line : Files.readAllLines(samples)) {
+                if (line.startsWith(Keys.member("node-0") + " ")) {
+                    values.put(
+                            Keys.member("node-0") + "#format-" + format,
+                            JsonParser.parseString(line.substring(line.indexOf(' '))));
+                }
+            }
+        }
+        return values;
+    }
+
+    /** The value as the present code writes it after reading it; null for what it only writes, or only reads. */
+    static JsonElement rewritten(String name, JsonObject value) throws Json.BadMessage {
+        String key = name.substring(0, name.indexOf('#'));
+        if (key.equals(Keys.VIEW)) {
+            return View.parse(value).toJson();
+        } else if (key.startsWith(Keys.JOBS)) {
+            Job job = Job.parse(value);
+            return job.header(job.cancelled());
+        } else if (key.startsWith(Keys.TASKS)) {
+            return freshChunk().read(value).toJson(value.has("s") ? SHORT_LIMIT : LARGE, LARGE, true);
+        } else if (key.startsWith(Keys.MACHINES)) {
+            return MachineBatch.parse(key.substring(Keys.MACHINES.length()), value)
+                    .toJson();
+        } else if (key.startsWith(Keys.MACHINE_STATUSES)) {
+            return MachineStatuses.parse(value).toJson(LARGE);
+        } else if (key.startsWith(Keys.TEAMS)) {
+            return Quota.parse(value).toJson();
+        } else if (key.startsWith(Keys.BOOKINGS)) {
+            return rewrittenBooking(key, value);
+        } else if (key.equals(Keys.TYPES)) {
+            return MachineType.toJson(MachineType.parseAll(value));
+        } else if (key.startsWith(Keys.FINALS)) {
+            return FinalState.parse(value).toJson();
+        }
+        return null;
+    }
+
+    /** Bookings are read by the ledger alone. */
+    private static JsonElement rewrittenBooking(String key, JsonObject value) {
+        Ledger ledger = new Ledger();
+        ledger.observer(new QuietObserver());
+        ledger.changed(key, value, 1);
+        JsonArray all = new JsonArray();
+        List<Ledger.Booking> bookings = new ArrayList<>(ledger.bookings());
+        bookings.forEach(booking -> all.add(booking.toJson()));
+        return all.size() == 1 ? all.get(0) : all;
+    }
+}
