--- a/src/main/java/org/havenford/Rehearsal.java
+++ b/src/main/java/org/havenford/Rehearsal.java
@@ -6,9 +6,9 @@
 import java.util.Enumeration;
 import java.util.jar.JarEntry;
 import java.util.jar.JarFile;
-import org.havenford.coordination.Operator;
 import org.havenford.protocol.Json;
-import org.havenford.protocol.Settings;
+import org.havenford.settings.Operator;
+import org.havenford.settings.Settings;
 
 /**
  * A start without a deployment, for the build: it loads the classes that a start needs, so that the JVM can archive them.
--- a/src/main/java/org/havenford/coordination/AttemptEndings.java
+++ b/src/main/java/org/havenford/coordination/agents/AttemptEndings.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.agents;
 
 import java.time.Instant;
 import java.util.Collection;
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.havenford.bookkeeping.Claim;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Ledger;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.Claim;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Keys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -19,11 +19,11 @@
  * Attempts that ended and whose claims are still in the store, gathered by the record that holds the claim. By claim, not by
  * task: an end must never be taken for that of a later attempt.
  */
-final class AttemptEndings {
+public final class AttemptEndings {
     private static final Logger LOG = LoggerFactory.getLogger(AttemptEndings.class);
 
     /** Ends that are to be written into one record of tasks. */
-    static final class EndedRecord {
+    public static final class EndedRecord {
         private final String key;
         private final Job job;
         private final Map<Claim, Ending> ended = new LinkedHashMap<>();
@@ -38,16 +38,18 @@
             this.job = job;
         }
 
-        String key() {
+        /** Key of the stored record of tasks. */
+        public String key() {
             return key;
         }
 
         /** The job as it was when the first end was seen: its description does not change. */
-        Job job() {
+        public Job job() {
             return job;
         }
 
-        Map<Claim, Ending> ended() {
+        /** The job of the tasks. */
+        public Map<Claim, Ending> ended() {
             return ended;
         }
 
@@ -55,16 +57,18 @@
          * Since when ends are gathered: from now on if this is the first look. Counted from the end itself, what ends while a
          * claim of the record is written would at once be written after it, in the way of the next claim.
          */
-        Instant gatheredSince(Instant now) {
+        public Instant gatheredSince(Instant now) {
             gatheredSince = gatheredSince == null ? now : gatheredSince;
             return gatheredSince;
         }
 
-        Instant lookedAt() {
+        /** When the record was last considered for writing. */
+        public Instant lookedAt() {
             return lookedAt;
         }
 
-        void lookedAt(Instant now) {
+        /** Notes that the record was considered for writing. */
+        public void lookedAt(Instant now) {
             lookedAt = now;
         }
     }
@@ -95,18 +99,19 @@
         LOG.debug("{} attempt {} on {} ended: {}", claim.task(), claim.attempt(), claim.machine(), ending);
     }
 
-    boolean contains(Claim claim) {
+    /** Whether the outcome of a claim is known but not yet stored. */
+    public boolean contains(Claim claim) {
         return recordOf.containsKey(claim);
     }
 
     /** How an attempt ended, or null. */
-    Ending of(Claim claim) {
+    public Ending of(Claim claim) {
         EndedRecord ended = recordOf.get(claim);
         return ended == null ? null : ended.ended.get(claim);
     }
 
     /** The ends of some claims are in the store, or the claims are no longer held. */
-    void remove(Collection<Claim> claims) {
+    public void remove(Collection<Claim> claims) {
         for (Claim claim : List.copyOf(claims)) {
             EndedRecord ended = recordOf.remove(claim);
             if (ended != null) {
@@ -124,7 +129,7 @@
     }
 
     /** Records with ends to be written, in the order in which the first end of each was seen. */
-    List<EndedRecord> records() {
+    public List<EndedRecord> records() {
         return List.copyOf(records.values());
     }
 }
--- a/src/main/java/org/havenford/coordination/CachedImages.java
+++ b/src/main/java/org/havenford/coordination/agents/CachedImages.java
@@ -1,13 +1,13 @@
-package org.havenford.coordination;
+package org.havenford.coordination.agents;
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.MachineRecord;
 import org.havenford.protocol.MachineType;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.MachineRecord;
 
 /** Works out which images the machines of this controller have cached, from the tasks that ran there. */
 final class CachedImages {
--- a/src/main/java/org/havenford/coordination/Ending.java
+++ b/src/main/java/org/havenford/coordination/agents/Ending.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.agents;
 
 /** How an attempt ended. Seconds are negative where they were not seen. */
 public record Ending(boolean done, boolean late, boolean failed, double fetchSeconds, double runSeconds) {
--- a/src/main/java/org/havenford/coordination/FaultEvidence.java
+++ b/src/main/java/org/havenford/coordination/agents/FaultEvidence.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.agents;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,15 +6,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Ledger;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.Job;
 
 /**
  * Tells faulty machines from jobs that fail everywhere. A failure weighs against its machine only if the job is known to
  * work: one of its tasks is done, or it was done to its end. A job that was submitted with a mistake never succeeds, so it
  * blames no machine, however many of its tasks fail there.
  */
-final class FaultEvidence {
+public final class FaultEvidence {
     /** Jobs known to work that must have failed on a machine, without a success in between, for it to be faulty. */
     private static final int JOBS_THAT_PROVE = 2;
 
@@ -29,22 +29,23 @@
     private final Ledger ledger;
     private final Map<String, Failures> byMachine = new HashMap<>();
 
-    FaultEvidence(Ledger ledger) {
+    /** Evidence over the jobs that the replica shows. */
+    public FaultEvidence(Ledger ledger) {
         this.ledger = ledger;
     }
 
     /** A task of a job has failed on a machine. */
-    void failed(String machine, String job) {
+    public void failed(String machine, String job) {
         byMachine.computeIfAbsent(machine, name -> new Failures()).unfinished.add(job);
     }
 
     /** A task was done on a machine. */
-    void succeeded(String machine) {
+    public void succeeded(String machine) {
         byMachine.remove(machine);
     }
 
     /** A job is over: it was cancelled and proves nothing, or it is done. */
-    void jobEnded(Job last) {
+    public void jobEnded(Job last) {
         for (Failures failures : byMachine.values()) {
             if (failures.unfinished.remove(last.id()) && !last.cancelled()) {
                 failures.done.add(last.id());
@@ -58,7 +59,7 @@
     }
 
     /** Whether several jobs that work elsewhere have failed on a machine. */
-    boolean isFaulty(String machine) {
+    public boolean isFaulty(String machine) {
         Failures failures = byMachine.get(machine);
         return failures != null && jobsThatProve(failures).size() >= JOBS_THAT_PROVE;
     }
--- a/src/main/java/org/havenford/coordination/Fleet.java
+++ b/src/main/java/org/havenford/coordination/agents/Fleet.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.agents;
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import java.time.Duration;
@@ -9,17 +9,20 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.havenford.bookkeeping.Claim;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.MachineRecord;
-import org.havenford.bookkeeping.MachineRecord.Condition;
-import org.havenford.bookkeeping.Replica;
-import org.havenford.bookkeeping.StateStore;
+import org.havenford.coordination.membership.Membership;
+import org.havenford.coordination.membership.View;
 import org.havenford.protocol.Command;
 import org.havenford.protocol.Report;
-import org.havenford.protocol.Settings;
 import org.havenford.protocol.TaskId;
+import org.havenford.settings.Operator;
+import org.havenford.settings.Settings;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.Replica;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.records.Claim;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.MachineRecord;
+import org.havenford.storage.records.MachineRecord.Condition;
 import org.havenford.transport.EventLoop;
 import org.havenford.transport.HttpCalls;
 
@@ -95,7 +98,7 @@
     }
 
     /** What is known of the workers of the machines that this controller owns. */
-    List<MachineNote> notes() {
+    public List<MachineNote> notes() {
         List<MachineNote> notes = new ArrayList<>(machines.size());
         for (MachineState machine : machines.values()) {
             Report report = machine.report;
@@ -115,7 +118,7 @@
      * Takes over what the former owner knew of a worker, and asks the worker itself. A report that is no newer than what the
      * former owner had is a late copy, also for an owner that has not heard the worker yet.
      */
-    void contact(MachineNote note) {
+    public void contact(MachineNote note) {
         if (!membership.entitled() || !mine(note.machine())) {
             return;
         }
@@ -149,7 +152,7 @@
     }
 
     /** What this controller knows of a machine that it owns, or null. */
-    MachineState state(String machine) {
+    public MachineState state(String machine) {
         return machines.get(machine);
     }
 
@@ -159,7 +162,7 @@
     }
 
     /** Attempts that ended and whose claims are still in the store. */
-    AttemptEndings endings() {
+    public AttemptEndings endings() {
         return endings;
     }
 
--- a/src/main/java/org/havenford/coordination/Lateness.java
+++ b/src/main/java/org/havenford/coordination/agents/Lateness.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.agents;
 
 import java.time.Duration;
 
--- a/src/main/java/org/havenford/coordination/MachineAdoption.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.agents;
 
 import com.google.common.collect.Lists;
 import java.time.Duration;
@@ -8,12 +8,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.MachineBatch;
-import org.havenford.bookkeeping.Replica;
-import org.havenford.bookkeeping.StateStore;
+import org.havenford.coordination.membership.Membership;
 import org.havenford.protocol.Report;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.Replica;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.MachineBatch;
 import org.havenford.transport.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/org/havenford/coordination/MachineHealth.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineHealth.java
@@ -1,12 +1,12 @@
-package org.havenford.coordination;
+package org.havenford.coordination.agents;
 
 import java.time.Duration;
 import java.time.Instant;
 import java.util.function.Consumer;
-import org.havenford.bookkeeping.MachineRecord;
-import org.havenford.bookkeeping.MachineRecord.Condition;
 import org.havenford.protocol.Report;
-import org.havenford.protocol.Settings;
+import org.havenford.settings.Settings;
+import org.havenford.storage.records.MachineRecord;
+import org.havenford.storage.records.MachineRecord.Condition;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/org/havenford/coordination/MachineNote.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineNote.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.agents;
 
 /**
  * What an owner knows of a worker that is not in the state service: where it is reached, its session, the sequence of its
--- a/src/main/java/org/havenford/coordination/MachineState.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineState.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.agents;
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import java.time.Duration;
@@ -6,12 +6,12 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.havenford.bookkeeping.MachineRecord.Condition;
 import org.havenford.protocol.Report;
 import org.havenford.protocol.TaskId;
+import org.havenford.storage.records.MachineRecord.Condition;
 
 /** What this controller knows of a machine that it owns. Kept in memory only: a successor starts from nothing. */
-final class MachineState {
+public final class MachineState {
     /** Why a task is to be stopped, although its claim still holds. */
     enum StopReason {
         CANCELLED,
@@ -44,7 +44,7 @@
     }
 
     final String name;
-    Report report;
+    public Report report;
     /** Session and sequence of the newest report that came by itself, not as an answer to a command. */
     long checkinSession = -1;
 
--- a/src/main/java/org/havenford/coordination/MachineStatusPublisher.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.agents;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.MachineRecord.Condition;
-import org.havenford.bookkeeping.MachineStatuses;
-import org.havenford.bookkeeping.Replica;
-import org.havenford.bookkeeping.StateStore;
-import org.havenford.protocol.Settings;
+import org.havenford.settings.Settings;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.Replica;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.MachineRecord.Condition;
+import org.havenford.storage.records.MachineStatuses;
 import org.havenford.transport.EventLoop;
 
 /**
--- a/src/main/java/org/havenford/coordination/MisdirectedWorkers.java
+++ b/src/main/java/org/havenford/coordination/agents/MisdirectedWorkers.java
@@ -1,9 +1,10 @@
-package org.havenford.coordination;
+package org.havenford.coordination.agents;
 
 import java.time.Duration;
 import java.time.Instant;
 import java.util.HashMap;
 import java.util.Map;
+import org.havenford.coordination.membership.Membership;
 
 /**
  * Workers that report here although another controller owns their machines. One that is sent to its owner and comes back
--- a/src/main/java/org/havenford/coordination/RestingProbe.java
+++ b/src/main/java/org/havenford/coordination/agents/RestingProbe.java
@@ -1,10 +1,11 @@
-package org.havenford.coordination;
+package org.havenford.coordination.agents;
 
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
-import org.havenford.bookkeeping.Ledger;
+import org.havenford.coordination.membership.Membership;
+import org.havenford.storage.Ledger;
 import org.havenford.transport.HttpCalls;
 
 /** While this controller rests, asks some of its former workers now and then whether it reaches them again. */
--- a/src/main/java/org/havenford/coordination/TaskStops.java
+++ b/src/main/java/org/havenford/coordination/agents/TaskStops.java
@@ -1,12 +1,13 @@
-package org.havenford.coordination;
+package org.havenford.coordination.agents;
 
 import java.time.Duration;
 import java.time.Instant;
-import org.havenford.bookkeeping.Claim;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.coordination.MachineState.Attempt;
-import org.havenford.coordination.MachineState.StopReason;
+import org.havenford.coordination.agents.MachineState.Attempt;
+import org.havenford.coordination.agents.MachineState.StopReason;
+import org.havenford.settings.Operator;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.Claim;
+import org.havenford.storage.records.Job;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/org/havenford/coordination/StandbyAccess.java
+++ b/src/main/java/org/havenford/coordination/failover/StandbyAccess.java
@@ -1,19 +1,24 @@
-package org.havenford.coordination;
+package org.havenford.coordination.failover;
 
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import org.havenford.bookkeeping.Claim;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.Replica;
-import org.havenford.bookkeeping.StateStore;
+import org.havenford.coordination.agents.Fleet;
+import org.havenford.coordination.agents.MachineNote;
+import org.havenford.coordination.membership.Evictions;
+import org.havenford.coordination.membership.Membership;
+import org.havenford.coordination.membership.View;
 import org.havenford.protocol.JobSpec;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.Replica;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.records.Claim;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Keys;
 import org.havenford.transport.EventLoop;
 
 /** The controller's side of {@link StandbyHost}; it does nothing while nobody observes. */
-final class StandbyAccess implements StandbyHost {
+public final class StandbyAccess implements StandbyHost {
     private final EventLoop loop;
     private final Runnable eventBegins;
     private final StateStore store;
@@ -24,7 +29,8 @@
     private final Fleet fleet;
     private Observer observer;
 
-    StandbyAccess(
+    /** The access to the controller made of these parts. */
+    public StandbyAccess(
             EventLoop loop,
             Runnable eventBegins,
             StateStore store,
@@ -43,13 +49,15 @@
         this.fleet = fleet;
     }
 
-    void viewChanged() {
+    /** Tells the observer, if any, of a new view. */
+    public void viewChanged() {
         if (observer != null) {
             observer.viewChanged();
         }
     }
 
-    void stoodStill() {
+    /** Tells the observer, if any, of a pause of this process. */
+    public void stoodStill() {
         if (observer != null) {
             observer.stoodStill();
         }
--- a/src/main/java/org/havenford/coordination/StandbyHost.java
+++ b/src/main/java/org/havenford/coordination/failover/StandbyHost.java
@@ -1,9 +1,11 @@
-package org.havenford.coordination;
+package org.havenford.coordination.failover;
 
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import org.havenford.bookkeeping.StateStore;
+import org.havenford.coordination.agents.MachineNote;
+import org.havenford.coordination.membership.View;
+import org.havenford.storage.StateStore;
 import org.havenford.transport.EventLoop;
 
 /** What a standby sees of the controller that it runs in, and may ask of it. All of it on the event loop. */
--- a/src/main/java/org/havenford/coordination/FinalStates.java
+++ b/src/main/java/org/havenford/coordination/jobs/FinalStates.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.jobs;
 
 import com.google.common.cache.Cache;
 import com.google.common.cache.CacheBuilder;
@@ -8,10 +8,10 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import org.havenford.bookkeeping.FinalState;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.StateStore;
 import org.havenford.protocol.Json;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.records.FinalState;
+import org.havenford.storage.records.Keys;
 import org.havenford.transport.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -20,7 +20,7 @@
  * Cache of the final states of jobs. They are not replicated to the controllers, so they are read from the store when they
  * are needed. A final state never changes, hence a cached one is always right.
  */
-final class FinalStates {
+public final class FinalStates {
     private static final Logger LOG = LoggerFactory.getLogger(FinalStates.class);
     private static final int MAX_CACHED = 20_000;
     /** Reads under way at a time, so that a pipeline with many jobs does not crowd out other calls. */
@@ -37,7 +37,7 @@
     private final Map<String, Instant> retryAt = new HashMap<>();
 
     /** {@code changed} is run whenever a read has brought a final state. */
-    FinalStates(EventLoop loop, StateStore store, Runnable changed) {
+    public FinalStates(EventLoop loop, StateStore store, Runnable changed) {
         this.loop = loop;
         this.store = store;
         this.changed = changed;
--- a/src/main/java/org/havenford/coordination/JobEnds.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobEnds.java
@@ -1,19 +1,19 @@
-package org.havenford.coordination;
+package org.havenford.coordination.jobs;
 
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import org.havenford.bookkeeping.FinalState;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.StateStore;
 import org.havenford.protocol.JobSpec;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.records.FinalState;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Keys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Writes the final states of jobs, and removes the records of their tasks. */
-final class JobEnds {
+public final class JobEnds {
     private static final Logger LOG = LoggerFactory.getLogger(JobEnds.class);
     /** Records of tasks that are deleted together with a job's header; of larger jobs they are swept afterwards. */
     private static final int MAX_FINAL_CHUNKS = 8;
@@ -24,12 +24,13 @@
 
     private final SchedulingContext context;
 
-    JobEnds(SchedulingContext context) {
+    /** Job ends that are decided and committed in the given context. */
+    public JobEnds(SchedulingContext context) {
         this.context = context;
     }
 
     /** Ends jobs whose tasks are all done, or that were cancelled and hold no claim any more. */
-    void step() {
+    public void step() {
         for (Job job : List.copyOf(context.ledger().jobs())) {
             boolean done = !job.cancelled() && job.doneCount() == job.spec().tasks();
             if ((done || isWithdrawn(job))
@@ -72,7 +73,7 @@
     }
 
     /** Users and pipelines wait for the end of a job; only that of low work stands behind the claims of other work. */
-    static StateStore.Urgency urgency(Job job) {
+    public static StateStore.Urgency urgency(Job job) {
         boolean low = job.spec().priority() == JobSpec.Priority.LOW;
         return low ? StateStore.Urgency.WORK : StateStore.Urgency.CLAIM;
     }
@@ -82,7 +83,7 @@
      * committed. Jobs that wait for nothing else are released by the same transaction, as far as its limit allows: they then
      * need not wait until the member that looks after them has read the final state.
      */
-    Runnable addEnd(Job job, FinalState.Status status, StateStore.Txn txn, List<String> locks) {
+    public Runnable addEnd(Job job, FinalState.Status status, StateStore.Txn txn, List<String> locks) {
         Instant now = context.loop().timeOfDay();
         Set<String> dependents = context.ledger().dependents(job.id());
         boolean done = status == FinalState.Status.DONE;
@@ -136,7 +137,7 @@
     }
 
     /** Deletes records of tasks whose job is over. */
-    void sweep() {
+    public void sweep() {
         boolean first = context.node().equals(context.membership().view().first());
         if (!first || context.ledger().orphans().isEmpty() || context.writer().isLocked(SWEEP)) {
             return;
--- a/src/main/java/org/havenford/coordination/JobQueries.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobQueries.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.jobs;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,12 +9,12 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.havenford.bookkeeping.FinalState;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.StateStore;
-import org.havenford.bookkeeping.StateStore.Outcome;
 import org.havenford.protocol.Json;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.StateStore.Outcome;
+import org.havenford.storage.records.FinalState;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Keys;
 import org.havenford.transport.HttpServer.Response;
 
 /**
--- a/src/main/java/org/havenford/coordination/PipelineMetrics.java
+++ b/src/main/java/org/havenford/coordination/jobs/PipelineMetrics.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.jobs;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -6,7 +6,7 @@
 import org.HdrHistogram.Histogram;
 
 /** How long jobs that awaited others wait once the last job that they need has ended, for the log. */
-final class PipelineMetrics {
+public final class PipelineMetrics {
     private static final long MAX_MILLIS = 3_600_000L;
 
     /** From the end of the last needed job until the release is committed. */
@@ -18,7 +18,8 @@
         record(untilRelease, lastEnd, now);
     }
 
-    void firstClaim(Instant lastEnd, Instant now) {
+    /** Records how long after the end of its last dependency a job got its first claim. */
+    public void firstClaim(Instant lastEnd, Instant now) {
         record(untilFirstClaim, lastEnd, now);
     }
 
@@ -28,7 +29,7 @@
     }
 
     /** What was counted since the last call. */
-    String summary() {
+    public String summary() {
         String text = "released jobs " + describe(untilRelease) + ", their first claims " + describe(untilFirstClaim);
         untilRelease.reset();
         untilFirstClaim.reset();
--- a/src/main/java/org/havenford/coordination/Pipelines.java
+++ b/src/main/java/org/havenford/coordination/jobs/Pipelines.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.jobs;
 
 import com.google.common.collect.Lists;
 import java.time.Instant;
@@ -8,10 +8,10 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.havenford.bookkeeping.FinalState;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.StateStore;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.records.FinalState;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Keys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -19,7 +19,7 @@
  * Releases jobs whose needed jobs are all finally done, and withdraws those of which a needed job is cancelled. Both are
  * guarded by the stamp of the job's header; claims are guarded by it as well, so no task starts before the release.
  */
-final class Pipelines {
+public final class Pipelines {
     private static final Logger LOG = LoggerFactory.getLogger(Pipelines.class);
     /** Withdrawals of a wide cascade leave room in the queue for claims. */
     private static final int MAX_WITHDRAWALS_UNDER_WAY = 2;
@@ -41,7 +41,8 @@
     private final SchedulingContext context;
     private int withdrawalsUnderWay;
 
-    Pipelines(SchedulingContext context) {
+    /** Dependencies as seen and settled in the given context. */
+    public Pipelines(SchedulingContext context) {
         this.context = context;
     }
 
@@ -110,7 +111,7 @@
     }
 
     /** Releases and withdraws what this member is responsible for; each job is looked after by one member. */
-    void step() {
+    public void step() {
         List<Job> withdrawn = new ArrayList<>();
         for (String id : List.copyOf(context.ledger().waiting())) {
             Job job = context.ledger().job(id);
--- a/src/main/java/org/havenford/coordination/SchedulingContext.java
+++ b/src/main/java/org/havenford/coordination/jobs/SchedulingContext.java
@@ -1,16 +1,18 @@
-package org.havenford.coordination;
+package org.havenford.coordination.jobs;
 
 import com.google.gson.JsonObject;
-import org.havenford.bookkeeping.Chunk;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.Replica;
-import org.havenford.bookkeeping.StateStore;
-import org.havenford.protocol.Settings;
+import org.havenford.coordination.membership.Membership;
+import org.havenford.settings.Settings;
+import org.havenford.storage.GuardedWriter;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.Replica;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.records.Chunk;
+import org.havenford.storage.records.Job;
 import org.havenford.transport.EventLoop;
 
 /** What the parts of the scheduler work with: the replica that decisions are read from, and the way to the store. */
-record SchedulingContext(
+public record SchedulingContext(
         EventLoop loop,
         Settings settings,
         Ledger ledger,
@@ -21,12 +23,13 @@
         FinalStates finalStates,
         PipelineMetrics pipelineMetrics) {
 
-    String node() {
+    /** Name of this controller. */
+    public String node() {
         return settings.node();
     }
 
     /** The stamp that our replica holds of a key; 0 where the key does not exist. */
-    long stamp(String key) {
+    public long stamp(String key) {
         return replica.stamp(key);
     }
 
@@ -39,7 +42,7 @@
      * The value to store for a record of tasks; null while no form fits. The short form is written once every controller
      * has been seen to read it.
      */
-    JsonObject toJson(Chunk chunk) {
+    public JsonObject toJson(Chunk chunk) {
         boolean shortForm = membership.allReadFormat2() || writer.limitsLowered();
         return chunk.toJson(settings.valueBytes(), settings.presentValueBytes(), shortForm);
     }
--- a/src/main/java/org/havenford/coordination/Submissions.java
+++ b/src/main/java/org/havenford/coordination/jobs/Submissions.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.jobs;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Instant;
@@ -9,15 +9,16 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import org.havenford.bookkeeping.FinalState;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.StateStore;
-import org.havenford.bookkeeping.StateStore.Outcome;
+import org.havenford.coordination.placement.PlacementRules;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.Json;
 import org.havenford.protocol.MachineType;
-import org.havenford.protocol.Settings;
+import org.havenford.settings.Settings;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.StateStore.Outcome;
+import org.havenford.storage.records.FinalState;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Keys;
 import org.havenford.transport.HttpServer.Response;
 
 /** Checks submissions and stores the accepted ones. A job is accepted once its header is in the store. */
--- a/src/main/java/org/havenford/coordination/UserResponses.java
+++ b/src/main/java/org/havenford/coordination/jobs/UserResponses.java
@@ -1,8 +1,8 @@
-package org.havenford.coordination;
+package org.havenford.coordination.jobs;
 
 import com.google.gson.JsonObject;
 import java.time.Duration;
-import org.havenford.bookkeeping.FinalState;
+import org.havenford.storage.records.FinalState;
 import org.havenford.transport.HttpServer.Response;
 
 /** The responses that users are given. */
--- a/src/main/java/org/havenford/coordination/Users.java
+++ b/src/main/java/org/havenford/coordination/jobs/Users.java
@@ -1,14 +1,14 @@
-package org.havenford.coordination;
+package org.havenford.coordination.jobs;
 
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
-import org.havenford.bookkeeping.FinalState;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.StateStore;
-import org.havenford.bookkeeping.StateStore.Outcome;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.Json;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.StateStore.Outcome;
+import org.havenford.storage.records.FinalState;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Keys;
 import org.havenford.transport.HttpServer.Response;
 
 /** The requests of users: submissions, questions and cancellations. */
@@ -23,7 +23,8 @@
     private final Submissions submissions;
     private final Runnable wake;
 
-    Users(SchedulingContext context, Pipelines pipelines, Runnable wake) {
+    /** The handlers of the job API; {@code wake} asks for a scheduling round. */
+    public Users(SchedulingContext context, Pipelines pipelines, Runnable wake) {
         this.context = context;
         this.queries = new JobQueries(context, pipelines);
         this.submissions = new Submissions(context, pipelines, queries, wake);
--- a/src/main/java/org/havenford/coordination/Evictions.java
+++ b/src/main/java/org/havenford/coordination/membership/Evictions.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.membership;
 
 import com.google.gson.JsonObject;
 import java.time.Duration;
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Replica;
-import org.havenford.bookkeeping.StateStore;
 import org.havenford.protocol.Json;
+import org.havenford.storage.Replica;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.records.Keys;
 import org.havenford.transport.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -20,7 +20,7 @@
  * a key whether it is alive, and removes the key if it is; the eviction is guarded by the key's stamp, so it can't be
  * committed once the member has answered.
  */
-final class Evictions {
+public final class Evictions {
     private static final Logger LOG = LoggerFactory.getLogger(Evictions.class);
     /** Time until the same node may be evicted again; twice as long after each eviction that comes soon after. */
     private static final Duration FIRST_INTERVAL = Duration.ofSeconds(30);
@@ -44,7 +44,8 @@
     /** Questions that stand, by the node that is asked, and when they were first seen here. */
     private final Map<String, Instant> questions = new HashMap<>();
 
-    Evictions(EventLoop loop, StateStore store, Replica replica, Membership membership, String node) {
+    /** Evictions carried out by the given node. */
+    public Evictions(EventLoop loop, StateStore store, Replica replica, Membership membership, String node) {
         this.loop = loop;
         this.store = store;
         this.replica = replica;
@@ -53,7 +54,7 @@
     }
 
     /** The view has changed: every member counts the evictions that it names. */
-    void viewChanged() {
+    public void viewChanged() {
         membership.view().evicted().forEach((name, incarnation) -> {
             if (!incarnation.equals(counted.put(name, incarnation))) {
                 count(name);
@@ -70,14 +71,14 @@
     }
 
     /** Whether a member may be evicted now: it was not lately, and every member reads the mark of an eviction. */
-    boolean permitted(String name) {
+    public boolean permitted(String name) {
         Record record = records.get(name);
         boolean spared = record != null && loop.now().isBefore(record.at().plus(record.interval()));
         return !spared && membership.entitled() && membership.allReadEvictions();
     }
 
     /** Asks a member through the state service whether it is alive; tells the stamp of the question, 0 if it failed. */
-    void challenge(String name, long incarnation, LongConsumer asked) {
+    public void challenge(String name, long incarnation, LongConsumer asked) {
         Instant since = questions.get(name);
         if (since != null && loop.now().isBefore(since.plus(QUESTION_STANDS))) {
             // Another member's question would be replaced, and its eviction would fail: two would only hinder each
@@ -103,12 +104,12 @@
     }
 
     /** Takes a question back. */
-    void withdraw(String name, long stamp) {
+    public void withdraw(String name, long stamp) {
         remove(Keys.challenge(name), stamp);
     }
 
     /** Evicts a member that did not answer the question with this stamp; tells whether the view without it was committed. */
-    void evict(String name, long incarnation, long challengeStamp, Consumer<Boolean> done) {
+    public void evict(String name, long incarnation, long challengeStamp, Consumer<Boolean> done) {
         membership.evict(name, incarnation, challengeStamp, committed -> {
             if (committed) {
                 // A late copy of its registration then finds no lease to attach to.
@@ -119,7 +120,7 @@
     }
 
     /** A question was asked: if it is for this node, removing it is the answer, also for a former life of the node. */
-    void challengeChanged(String name, JsonObject challenge, long stamp) {
+    public void challengeChanged(String name, JsonObject challenge, long stamp) {
         if (challenge == null) {
             questions.remove(name);
         } else {
--- a/src/main/java/org/havenford/coordination/Membership.java
+++ b/src/main/java/org/havenford/coordination/membership/Membership.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.membership;
 
 import com.google.gson.JsonObject;
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
@@ -14,10 +14,10 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.ToIntFunction;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Replica;
-import org.havenford.bookkeeping.StateStore;
 import org.havenford.protocol.Json;
+import org.havenford.storage.Replica;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.records.Keys;
 import org.havenford.transport.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -199,7 +199,7 @@
      * This process has stood still: it acts on nothing that it held before. It is entitled again once a comparison that was
      * sent from now on agrees, and judges its peers once workers have had time to find their owners again.
      */
-    void stoodStill() {
+    public void stoodStill() {
         compared.clear();
         verified = Instant.MIN;
         wokeAt = loop.now();
@@ -392,12 +392,12 @@
     }
 
     /** The incarnation of this node that is in the view, or 0. */
-    long incarnation() {
+    public long incarnation() {
         return isMember() ? permit : 0;
     }
 
     /** Whether all members of the view read the mark of an eviction, without which they would release tasks too soon. */
-    boolean allReadEvictions() {
+    public boolean allReadEvictions() {
         for (Map.Entry<String, Long> inView : view.members().entrySet()) {
             Member member = members.get(inView.getKey());
             if (member == null || member.incarnation() != inView.getValue() || member.format() < FORMAT_OF_EVICTIONS) {
--- a/src/main/java/org/havenford/coordination/View.java
+++ b/src/main/java/org/havenford/coordination/membership/View.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.membership;
 
 import com.google.common.hash.HashFunction;
 import com.google.common.hash.Hashing;
--- a/src/main/java/org/havenford/coordination/LinkMonitor.java
+++ b/src/main/java/org/havenford/coordination/monitoring/LinkMonitor.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.monitoring;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import org.havenford.protocol.Settings;
+import org.havenford.settings.Settings;
 import org.havenford.transport.EventLoop;
 import org.havenford.transport.HttpCalls;
 import org.slf4j.Logger;
@@ -19,7 +19,7 @@
  * Watches which of the parties that this controller depends on it still reaches, so that its log and {@code /healthz} can
  * name the link that is lost, and since when. Nothing is decided on it.
  */
-final class LinkMonitor {
+public final class LinkMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(LinkMonitor.class);
     /** A link is lost when nothing came over it for this long although it was tried. */
     private static final Duration LOST_AFTER = Duration.ofSeconds(3);
@@ -69,7 +69,8 @@
     private final Map<Link, State> states = new EnumMap<>(Link.class);
     private final Duration workersLostAfter;
 
-    LinkMonitor(Settings settings, EventLoop loop) {
+    /** A monitor of the links to the addresses in the settings. */
+    public LinkMonitor(Settings settings, EventLoop loop) {
         this.loop = loop;
         this.stateAddress = settings.stateAddress();
         this.cloudAddress = settings.cloudAddress();
@@ -82,7 +83,7 @@
     }
 
     /** The same calls, with their outcomes noted here. */
-    HttpCalls watching(HttpCalls calls) {
+    public HttpCalls watching(HttpCalls calls) {
         return (address, method, path, body, timeout, done) ->
                 calls.call(address, method, path, body, timeout, reply -> {
                     replied(linkTo(address), reply);
@@ -106,12 +107,12 @@
     }
 
     /** A worker has reported. */
-    void reportArrived() {
+    public void reportArrived() {
         works(Link.WORKERS);
     }
 
     /** Time has passed; {@code reportsExpected} says whether workers should have reported by now. */
-    void step(boolean reportsExpected) {
+    public void step(boolean reportsExpected) {
         if (reportsExpected) {
             if (sinceGood(states.get(Link.WORKERS)).compareTo(workersLostAfter) >= 0) {
                 fails(Link.WORKERS, Failure.SILENT);
@@ -145,7 +146,7 @@
     }
 
     /** The process stood still: that it heard nobody meanwhile says nothing of its links. */
-    void stoodStill(Duration pause) {
+    public void stoodStill(Duration pause) {
         for (State state : states.values()) {
             state.failures = 0;
             state.lastGood = state.lastGood.plus(pause);
@@ -158,7 +159,7 @@
     }
 
     /** The lost links for operators, as part of the answer to a health check. */
-    JsonArray toJson() {
+    public JsonArray toJson() {
         JsonArray lost = new JsonArray();
         states.forEach((link, state) -> {
             if (state.lost) {
@@ -173,7 +174,7 @@
     }
 
     /** The links for the log's line of each minute. */
-    String summary() {
+    public String summary() {
         List<String> lost = new ArrayList<>();
         states.forEach((link, state) -> {
             if (state.lost) {
--- a/src/main/java/org/havenford/coordination/PauseDetector.java
+++ b/src/main/java/org/havenford/coordination/monitoring/PauseDetector.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.monitoring;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -11,7 +11,7 @@
  * brings several a second, far more time has passed than any of them takes. Every event of the controller passes through
  * here, so the pause is known before the first of those that were due or came in meanwhile is handled.
  */
-final class PauseDetector implements EventLoop, HttpCalls {
+public final class PauseDetector implements EventLoop, HttpCalls {
     /** The loop's timer comes several times a second; a busy processor delays it, but not for this long. */
     static final Duration LEAST_PAUSE = Duration.ofSeconds(2);
 
@@ -21,14 +21,14 @@
     private Instant lastEvent;
 
     /** {@code paused} is told of each pause and its length, before the event that ends it is handled. */
-    PauseDetector(EventLoop loop, HttpCalls calls, Consumer<Duration> paused) {
+    public PauseDetector(EventLoop loop, HttpCalls calls, Consumer<Duration> paused) {
         this.loop = loop;
         this.calls = calls;
         this.paused = paused;
     }
 
     /** An event of the loop begins. */
-    void eventBegins() {
+    public void eventBegins() {
         Instant now = loop.now();
         Duration since = lastEvent == null ? Duration.ZERO : Duration.between(lastEvent, now);
         lastEvent = now;
--- a/src/main/java/org/havenford/coordination/PlacementRules.java
+++ b/src/main/java/org/havenford/coordination/placement/PlacementRules.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.placement;
 
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.MachineType;
@@ -7,9 +7,9 @@
  * The one place that says whether a task of a job may start on a machine, given where the job's other tasks are. The
  * planner, preemption, the provisioner, submissions and claims all ask here.
  */
-final class PlacementRules {
+public final class PlacementRules {
     /** The answer: allowed, or the first constraint of the job that the start would break. */
-    enum Verdict {
+    public enum Verdict {
         ALLOWED,
         /** The task does not fit an empty machine of this type. */
         TOO_SMALL,
@@ -24,7 +24,8 @@
         /** Half of the job's tasks are, or may be, in this zone already. */
         NOT_APART;
 
-        boolean allowed() {
+        /** Whether the task may start. */
+        public boolean allowed() {
             return this == ALLOWED;
         }
     }
@@ -32,7 +33,7 @@
     private PlacementRules() {}
 
     /** What the job says of machines, whatever its other tasks do. */
-    static Verdict machine(JobSpec spec, MachineType type, String zone, boolean spot) {
+    public static Verdict machine(JobSpec spec, MachineType type, String zone, boolean spot) {
         if (spec.types() != null && !spec.types().contains(type.name())) {
             return Verdict.WRONG_TYPE;
         }
@@ -46,7 +47,7 @@
     }
 
     /** What the job says of zones, given its other tasks. */
-    static Verdict zone(JobSpec spec, String zone, TaskZones others) {
+    public static Verdict zone(JobSpec spec, String zone, TaskZones others) {
         if (spec.together() && !others.allIn(zone)) {
             return Verdict.NOT_TOGETHER;
         }
@@ -54,13 +55,13 @@
     }
 
     /** Whether one more task may start on a machine. */
-    static Verdict task(JobSpec spec, MachineType type, String zone, boolean spot, TaskZones others) {
+    public static Verdict task(JobSpec spec, MachineType type, String zone, boolean spot, TaskZones others) {
         Verdict machine = machine(spec, type, zone, spot);
         return machine.allowed() ? zone(spec, zone, others) : machine;
     }
 
     /** Whether it matters to a job where its other tasks are. */
-    static boolean dependOnOthers(JobSpec spec) {
+    public static boolean dependOnOthers(JobSpec spec) {
         return spec.together() || spec.apart();
     }
 
--- a/src/main/java/org/havenford/coordination/TaskZones.java
+++ b/src/main/java/org/havenford/coordination/placement/TaskZones.java
@@ -1,23 +1,23 @@
-package org.havenford.coordination;
+package org.havenford.coordination.placement;
 
 import java.util.HashMap;
 import java.util.Map;
-import org.havenford.bookkeeping.Claim;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.MachineRecord;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.Claim;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.MachineRecord;
 
 /**
  * In which zones tasks of a job are, or may be: a claim counts until it is released, which takes a proof that its task is
  * gone, and so does each task that a round of the planner has placed. A claim on a machine without a record may be in any
  * zone.
  */
-final class TaskZones {
+public final class TaskZones {
     private final Map<String, Integer> byZone = new HashMap<>();
     private int inUnknownZone;
 
     /** The zones of a job's claims. */
-    static TaskZones ofClaims(Job job, Ledger ledger) {
+    public static TaskZones ofClaims(Job job, Ledger ledger) {
         TaskZones zones = new TaskZones();
         for (Claim claim : job.claims()) {
             MachineRecord machine = ledger.machine(claim.machine());
@@ -31,7 +31,7 @@
     }
 
     /** One more task is in a zone. */
-    void add(String zone) {
+    public void add(String zone) {
         byZone.merge(zone, 1, Integer::sum);
     }
 
@@ -41,14 +41,15 @@
     }
 
     /** An independent copy. */
-    TaskZones copy() {
+    public TaskZones copy() {
         TaskZones copy = new TaskZones();
         copy.byZone.putAll(byZone);
         copy.inUnknownZone = inUnknownZone;
         return copy;
     }
 
-    boolean isEmpty() {
+    /** Whether no task is counted. */
+    public boolean isEmpty() {
         return byZone.isEmpty() && inUnknownZone == 0;
     }
 
--- a/src/main/java/org/havenford/coordination/BatchChange.java
+++ b/src/main/java/org/havenford/coordination/provisioning/BatchChange.java
@@ -1,15 +1,15 @@
-package org.havenford.coordination;
+package org.havenford.coordination.provisioning;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.MachineBatch;
-import org.havenford.bookkeeping.Replica;
-import org.havenford.bookkeeping.StateStore;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.Replica;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.MachineBatch;
 
 /** Changes of the batches that machines are in, gathered into one transaction. */
 final class BatchChange {
--- a/src/main/java/org/havenford/coordination/BootTimes.java
+++ b/src/main/java/org/havenford/coordination/provisioning/BootTimes.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.provisioning;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -7,12 +7,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.MachineRecord;
-import org.havenford.bookkeeping.MachineRecord.Condition;
-import org.havenford.coordination.Demand.Kind;
-import org.havenford.coordination.Demand.Offer;
+import org.havenford.coordination.provisioning.Demand.Kind;
+import org.havenford.coordination.provisioning.Demand.Offer;
 import org.havenford.protocol.MachineType;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.MachineRecord;
+import org.havenford.storage.records.MachineRecord.Condition;
 
 /**
  * How long rented machines take until they report, and which are overdue. What is expected of a machine follows from its
--- a/src/main/java/org/havenford/coordination/CloudCalls.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudCalls.java
@@ -1,14 +1,14 @@
-package org.havenford.coordination;
+package org.havenford.coordination.provisioning;
 
 import java.time.Duration;
 import java.util.function.Consumer;
-import org.havenford.bookkeeping.TokenBucket;
-import org.havenford.protocol.Settings;
+import org.havenford.settings.Settings;
+import org.havenford.storage.TokenBucket;
 import org.havenford.transport.EventLoop;
 import org.havenford.transport.HttpCalls;
 
 /** Calls to the cloud's API, kept below its limit of calls a second. */
-final class CloudCalls {
+public final class CloudCalls {
     private static final Duration TIMEOUT = Duration.ofSeconds(4);
     /** Part of the limit that is used: the cloud counts in its own time. */
     private static final double SAFETY = 0.8;
@@ -18,7 +18,8 @@
     private final String address;
     private final TokenBucket budget;
 
-    CloudCalls(EventLoop loop, HttpCalls calls, Settings settings) {
+    /** A client of the cloud at the address in the settings, within its request rate. */
+    public CloudCalls(EventLoop loop, HttpCalls calls, Settings settings) {
         this.loop = loop;
         this.calls = calls;
         this.address = settings.cloudAddress();
--- a/src/main/java/org/havenford/coordination/CloudInventory.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.provisioning;
 
 import com.google.gson.JsonObject;
 import java.time.Duration;
@@ -10,15 +10,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.MachineBatch;
-import org.havenford.bookkeeping.StateStore;
-import org.havenford.coordination.Demand.Kind;
-import org.havenford.coordination.Demand.Offer;
+import org.havenford.coordination.provisioning.Demand.Kind;
+import org.havenford.coordination.provisioning.Demand.Offer;
 import org.havenford.protocol.CloudMessages;
 import org.havenford.protocol.CloudMessages.Listed;
 import org.havenford.protocol.Json;
 import org.havenford.protocol.MachineType;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.MachineBatch;
 import org.havenford.transport.HttpCalls;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/org/havenford/coordination/Demand.java
+++ b/src/main/java/org/havenford/coordination/provisioning/Demand.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.provisioning;
 
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import java.time.Duration;
@@ -11,11 +11,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Ledger;
+import org.havenford.coordination.placement.PlacementRules;
+import org.havenford.coordination.scheduling.FailingJobs;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.MachineType;
-import org.havenford.protocol.Settings;
+import org.havenford.settings.Settings;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.Job;
 
 /** How many machines of each kind the unfinished work asks for. */
 public final class Demand {
@@ -29,7 +31,7 @@
      * Tasks of one job that should be able to run at the same time; one that is stuck needs a whole machine to begin with, and
      * one that is stuck after failures another machine than those there are.
      */
-    record TaskDemand(JobSpec spec, double tasks, boolean stuck, boolean needsAnother) {}
+    public record TaskDemand(JobSpec spec, double tasks, boolean stuck, boolean needsAnother) {}
 
     /** How many types a demand can be met with, counted once: there may be a thousand jobs. */
     private record Choices(TaskDemand demand, int types) {}
@@ -63,7 +65,7 @@
      * after the other while there is time, and one without need not have a machine boot for a task that an earlier one
      * will have made room for by then.
      */
-    static List<TaskDemand> taskDemands(Ledger ledger, Settings settings, Instant timeOfDay, boolean patient) {
+    public static List<TaskDemand> taskDemands(Ledger ledger, Settings settings, Instant timeOfDay, boolean patient) {
         List<TaskDemand> out = new ArrayList<>();
         Map<String, Double> used = new HashMap<>();
         Map<String, Integer> suspects = new HashMap<>();
@@ -218,7 +220,7 @@
      * Spreads the taskDemands over the kinds, cheapest first; the jobs with the least choice go first. A kind that the cloud
      * has refused counts only with what is there.
      */
-    static Object2DoubleOpenHashMap<Kind> machines(
+    public static Object2DoubleOpenHashMap<Kind> machines(
             List<TaskDemand> taskDemands,
             Map<String, MachineType> types,
             Predicate<Kind> exhausted,
--- a/src/main/java/org/havenford/coordination/FleetTarget.java
+++ b/src/main/java/org/havenford/coordination/provisioning/FleetTarget.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.provisioning;
 
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import java.time.Duration;
@@ -6,7 +6,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Predicate;
-import org.havenford.coordination.Demand.Kind;
+import org.havenford.coordination.provisioning.Demand.Kind;
 import org.havenford.protocol.MachineType;
 
 /**
--- a/src/main/java/org/havenford/coordination/MachineReturns.java
+++ b/src/main/java/org/havenford/coordination/provisioning/MachineReturns.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.provisioning;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -10,13 +10,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.MachineBatch;
-import org.havenford.bookkeeping.MachineRecord;
-import org.havenford.bookkeeping.MachineRecord.Condition;
-import org.havenford.coordination.Demand.Kind;
-import org.havenford.coordination.Demand.Offer;
+import org.havenford.coordination.provisioning.Demand.Kind;
+import org.havenford.coordination.provisioning.Demand.Offer;
 import org.havenford.protocol.CloudMessages;
+import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.MachineBatch;
+import org.havenford.storage.records.MachineRecord;
+import org.havenford.storage.records.MachineRecord.Condition;
 import org.havenford.transport.HttpCalls;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/org/havenford/coordination/OverdueLog.java
+++ b/src/main/java/org/havenford/coordination/provisioning/OverdueLog.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.provisioning;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -6,7 +6,7 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import org.havenford.coordination.Demand.Offer;
+import org.havenford.coordination.provisioning.Demand.Offer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/org/havenford/coordination/Provisioner.java
+++ b/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.provisioning;
 
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import java.time.Duration;
@@ -6,13 +6,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.Ledger.Booking;
-import org.havenford.bookkeeping.MachineRecord;
-import org.havenford.bookkeeping.MachineRecord.Condition;
-import org.havenford.coordination.Demand.Kind;
-import org.havenford.coordination.Demand.Offer;
-import org.havenford.coordination.Demand.TaskDemand;
+import org.havenford.coordination.membership.Membership;
+import org.havenford.coordination.provisioning.Demand.Kind;
+import org.havenford.coordination.provisioning.Demand.Offer;
+import org.havenford.coordination.provisioning.Demand.TaskDemand;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.Ledger.Booking;
+import org.havenford.storage.records.MachineRecord;
+import org.havenford.storage.records.MachineRecord.Condition;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -37,7 +38,7 @@
     private boolean active;
 
     /** A provisioner that acts once this member is the first of the view. */
-    Provisioner(ProvisioningContext context) {
+    public Provisioner(ProvisioningContext context) {
         this.context = context;
         this.speedFirst = context.operator().speedFirst(context.settings());
         this.inventory = new CloudInventory(context);
--- a/src/main/java/org/havenford/coordination/ProvisioningContext.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ProvisioningContext.java
@@ -1,17 +1,19 @@
-package org.havenford.coordination;
+package org.havenford.coordination.provisioning;
 
 import java.time.Duration;
 import java.util.function.Consumer;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.MachineRecord;
-import org.havenford.bookkeeping.Replica;
-import org.havenford.bookkeeping.StateStore;
-import org.havenford.protocol.Settings;
+import org.havenford.coordination.membership.Membership;
+import org.havenford.settings.Operator;
+import org.havenford.settings.Settings;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.Replica;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.MachineRecord;
 import org.havenford.transport.EventLoop;
 
 /** What the parts of the provisioner work with: the replica that decisions are read from, the cloud, and the way to the store. */
-final class ProvisioningContext {
+public final class ProvisioningContext {
     private final EventLoop loop;
     private final CloudCalls cloud;
     private final Settings settings;
@@ -23,7 +25,8 @@
     private final Runnable wake;
     private long names;
 
-    ProvisioningContext(
+    /** The context of one controller. */
+    public ProvisioningContext(
             EventLoop loop,
             CloudCalls cloud,
             Settings settings,
--- a/src/main/java/org/havenford/coordination/RentalRefusals.java
+++ b/src/main/java/org/havenford/coordination/provisioning/RentalRefusals.java
@@ -1,11 +1,11 @@
-package org.havenford.coordination;
+package org.havenford.coordination.provisioning;
 
 import java.time.Duration;
 import java.time.Instant;
 import java.util.HashMap;
 import java.util.Map;
-import org.havenford.coordination.Demand.Kind;
-import org.havenford.coordination.Demand.Offer;
+import org.havenford.coordination.provisioning.Demand.Kind;
+import org.havenford.coordination.provisioning.Demand.Offer;
 import org.havenford.protocol.MachineType;
 
 /** Offers that the cloud had no capacity for lately; they are not asked for again for a while. */
--- a/src/main/java/org/havenford/coordination/TeamShares.java
+++ b/src/main/java/org/havenford/coordination/quota/TeamShares.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.quota;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -6,18 +6,20 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Quota;
-import org.havenford.bookkeeping.Quota.Amount;
-import org.havenford.bookkeeping.StateStore;
-import org.havenford.protocol.Settings;
+import org.havenford.coordination.jobs.SchedulingContext;
+import org.havenford.coordination.membership.Membership;
+import org.havenford.settings.Settings;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.Quota;
+import org.havenford.storage.records.Quota.Amount;
 
 /**
  * This controller's shares of the teams' limits. Each claim is guarded by the stamp of the shares, and charged to the share
  * of the controller that makes it; only that controller adds to what is charged to it, so it knows the sum, or more. All
  * claims of a team are then within the shares, and those within the limit.
  */
-final class TeamShares {
+public final class TeamShares {
     private static final Duration REBALANCE_EVERY = Duration.ofSeconds(1);
     /** Parts of an even share of a team's limit in which shares are taken. */
     private static final int LUMPS = 4;
@@ -27,22 +29,25 @@
     private static final double UNLIMITED = Double.MAX_VALUE / 4;
 
     /** Claims under way, or without an answer: they count until they are seen or ruled out. */
-    record Charge(String team, Amount amount, String job, String key, long stamp, long viewStamp) {}
+    public record Charge(String team, Amount amount, String job, String key, long stamp, long viewStamp) {}
 
     private final SchedulingContext context;
     private final List<Charge> charges = new ArrayList<>();
     private final Set<String> shortTeams = new HashSet<>();
     private Instant nextRebalance = Instant.MIN;
 
-    TeamShares(SchedulingContext context) {
+    /** Shares of this controller in the given context. */
+    public TeamShares(SchedulingContext context) {
         this.context = context;
     }
 
-    void add(Charge charge) {
+    /** Counts a charge from the moment its claim is sent. */
+    public void add(Charge charge) {
         charges.add(charge);
     }
 
-    void remove(Charge charge) {
+    /** Stops counting a charge whose claim is known to have failed. */
+    public void remove(Charge charge) {
         charges.remove(charge);
     }
 
@@ -50,7 +55,7 @@
      * A transaction without an answer can't be applied any more once its chunk or the view has another stamp, or its job is
      * gone; if it was applied before that, its claims are in our replica by now.
      */
-    void settle() {
+    public void settle() {
         Membership membership = context.membership();
         charges.removeIf(c -> !context.writer().isLocked(c.key())
                 && (context.stamp(c.key()) != c.stamp()
@@ -77,7 +82,7 @@
      * How many of the wanted claims our share of the team's limit allows. The guard on the shares, and where needed a
      * larger share taken from what is free, become part of the claim's transaction.
      */
-    int take(Settings.Team team, Amount one, int wanted, StateStore.Txn txn) {
+    public int take(Settings.Team team, Amount one, int wanted, StateStore.Txn txn) {
         String key = Keys.team(team.name());
         if (context.writer().isLocked(key) || !context.membership().sawAllBeforeView()) {
             // A former life of this node may have made claims that our replica does not show yet.
@@ -119,7 +124,7 @@
      * Gives back what can be spared while another controller is short, and what controllers held that are gone. Each change
      * of the shares fails the team's claims that are under way, so there are none without need.
      */
-    void rebalance(Instant now) {
+    public void rebalance(Instant now) {
         if (now.isBefore(nextRebalance) || !context.membership().sawAllBeforeView()) {
             return;
         }
--- a/src/main/java/org/havenford/coordination/Claims.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Claims.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.scheduling;
 
 import com.google.gson.JsonObject;
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
@@ -11,14 +11,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.havenford.bookkeeping.Chunk;
-import org.havenford.bookkeeping.Claim;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Quota.Amount;
-import org.havenford.bookkeeping.StateStore;
+import org.havenford.coordination.agents.Ending;
+import org.havenford.coordination.agents.Fleet;
+import org.havenford.coordination.agents.MachineState;
+import org.havenford.coordination.jobs.SchedulingContext;
+import org.havenford.coordination.quota.TeamShares;
 import org.havenford.protocol.JobSpec;
-import org.havenford.protocol.Settings;
+import org.havenford.settings.Settings;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.records.Chunk;
+import org.havenford.storage.records.Claim;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.Quota.Amount;
 
 /** Turns the planner's placements on this controller's machines into claims, one transaction a record of tasks. */
 final class Claims {
--- a/src/main/java/org/havenford/coordination/FailingJobs.java
+++ b/src/main/java/org/havenford/coordination/scheduling/FailingJobs.java
@@ -1,17 +1,17 @@
-package org.havenford.coordination;
+package org.havenford.coordination.scheduling;
 
 import java.time.Duration;
 import java.time.Instant;
 import java.util.HashMap;
 import java.util.Map;
-import org.havenford.bookkeeping.Job;
+import org.havenford.storage.records.Job;
 
 /**
  * Restrains jobs whose tasks fail. A job of which several tasks have failed and none was ever done may have been submitted
  * with a mistake: it is tried with one task at a time, at growing intervals, behind all sound work. Once a task of it is
  * done, the failures are taken to be the machines' fault.
  */
-final class FailingJobs {
+public final class FailingJobs {
     /** Failures from which on a job without a success is taken to be one that fails everywhere. */
     private static final int SUSPECT_FROM = 3;
 
@@ -34,7 +34,7 @@
     private final Map<String, Backoff> backoffs = new HashMap<>();
 
     /** Whether a job may be one that fails on every machine. */
-    static boolean isSuspect(Job job) {
+    public static boolean isSuspect(Job job) {
         return job.errors() >= SUSPECT_FROM && job.doneCount() == 0;
     }
 
--- a/src/main/java/org/havenford/coordination/FreeCapacity.java
+++ b/src/main/java/org/havenford/coordination/scheduling/FreeCapacity.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.scheduling;
 
 import java.time.Instant;
 import java.util.ArrayList;
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.havenford.bookkeeping.Claim;
-import org.havenford.bookkeeping.MachineRecord;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.MachineType;
+import org.havenford.storage.records.Claim;
+import org.havenford.storage.records.MachineRecord;
 
 /** What is left on a machine; claims that are not confirmed gone count as taken. */
 final class FreeCapacity {
--- a/src/main/java/org/havenford/coordination/Inheritance.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Inheritance.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.scheduling;
 
 import java.time.Instant;
 import java.util.ArrayDeque;
@@ -6,9 +6,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Ledger;
 import org.havenford.protocol.JobSpec;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.Job;
 
 /**
  * Priorities and deadlines passed backwards through pipelines: a job has the highest priority of any job that needs it,
--- a/src/main/java/org/havenford/coordination/JobOrder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/JobOrder.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.scheduling;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.Quota.Amount;
 import org.havenford.protocol.JobSpec;
-import org.havenford.protocol.Settings;
+import org.havenford.settings.Settings;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Quota.Amount;
 
 /**
  * The order in which jobs are served: what has waited too long without a start, then work within its team's guarantee, then
--- a/src/main/java/org/havenford/coordination/PlacementGuard.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PlacementGuard.java
@@ -1,11 +1,13 @@
-package org.havenford.coordination;
+package org.havenford.coordination.scheduling;
 
 import java.util.ArrayList;
 import java.util.List;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.MachineRecord;
+import org.havenford.coordination.placement.PlacementRules;
+import org.havenford.coordination.placement.TaskZones;
 import org.havenford.protocol.MachineType;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.MachineRecord;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/org/havenford/coordination/Planner.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Planner.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.scheduling;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -16,17 +16,20 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 import java.util.function.UnaryOperator;
-import org.havenford.bookkeeping.Chunk;
-import org.havenford.bookkeeping.Claim;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.MachineRecord;
-import org.havenford.bookkeeping.Quota.Amount;
+import org.havenford.coordination.placement.PlacementRules;
+import org.havenford.coordination.placement.TaskZones;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.MachineType;
-import org.havenford.protocol.Settings;
 import org.havenford.protocol.TaskId;
+import org.havenford.settings.Operator;
+import org.havenford.settings.Settings;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.Chunk;
+import org.havenford.storage.records.Claim;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.MachineRecord;
+import org.havenford.storage.records.Quota.Amount;
 
 /**
  * Decides what should run where, from a snapshot. Every controller plans for the whole fleet and claims only on the
--- a/src/main/java/org/havenford/coordination/PlanningRound.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PlanningRound.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.scheduling;
 
 import java.time.Instant;
 import java.util.ArrayList;
@@ -7,11 +7,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.Quota.Amount;
+import org.havenford.coordination.placement.PlacementRules;
+import org.havenford.coordination.placement.TaskZones;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.TaskId;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Quota.Amount;
 
 /**
  * What one round of the planner has decided so far, and what it decides on. Everything that a pass counts stands here, so
--- a/src/main/java/org/havenford/coordination/Preemption.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Preemption.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.scheduling;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -7,11 +7,13 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.function.Consumer;
-import org.havenford.bookkeeping.Claim;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.MachineRecord;
+import org.havenford.coordination.placement.PlacementRules;
+import org.havenford.coordination.placement.TaskZones;
 import org.havenford.protocol.JobSpec;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.Claim;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.MachineRecord;
 
 /** Chooses claims to give up so that more urgent work can start. */
 final class Preemption {
--- a/src/main/java/org/havenford/coordination/Scheduler.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
@@ -1,10 +1,16 @@
-package org.havenford.coordination;
+package org.havenford.coordination.scheduling;
 
 import java.time.Duration;
 import java.time.Instant;
 import org.HdrHistogram.Histogram;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Keys;
+import org.havenford.coordination.agents.Fleet;
+import org.havenford.coordination.jobs.JobEnds;
+import org.havenford.coordination.jobs.Pipelines;
+import org.havenford.coordination.jobs.SchedulingContext;
+import org.havenford.coordination.quota.TeamShares;
+import org.havenford.settings.Operator;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Keys;
 
 /**
  * One round of decisions on jobs and tasks: claims, ends, pipelines and shares of the teams' limits. Every write is guarded
@@ -23,7 +29,8 @@
     private final JobEnds ends;
     private final Histogram roundMicros = new Histogram(MAX_RECORDED_MICROS, 2);
 
-    Scheduler(SchedulingContext context, Operator operator, Fleet fleet, Pipelines pipelines) {
+    /** A scheduler that works on the given context. */
+    public Scheduler(SchedulingContext context, Operator operator, Fleet fleet, Pipelines pipelines) {
         this.context = context;
         this.pipelines = pipelines;
         planner = new Planner(context.ledger(), context.settings(), operator, context.membership()::owner);
--- a/src/main/java/org/havenford/coordination/TaskReleases.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskReleases.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.scheduling;
 
 import com.google.gson.JsonObject;
 import java.time.Duration;
@@ -7,14 +7,18 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.havenford.bookkeeping.Chunk;
-import org.havenford.bookkeeping.Claim;
-import org.havenford.bookkeeping.FinalState;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.StateStore;
-import org.havenford.coordination.AttemptEndings.EndedRecord;
+import org.havenford.coordination.agents.AttemptEndings.EndedRecord;
+import org.havenford.coordination.agents.Ending;
+import org.havenford.coordination.agents.Fleet;
+import org.havenford.coordination.jobs.JobEnds;
+import org.havenford.coordination.jobs.SchedulingContext;
 import org.havenford.protocol.JobSpec;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.records.Chunk;
+import org.havenford.storage.records.Claim;
+import org.havenford.storage.records.FinalState;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Keys;
 
 /**
  * Writes the ends of attempts, gathered by record, so that tasks of a job that end one after the other do not cost a change
--- /dev/null
+++ b/src/main/java/org/havenford/package-info.java
@@ -0,0 +1,2 @@
+/** Command line of the controller. */
+package org.havenford;
--- a/src/main/java/org/havenford/coordination/Operator.java
+++ b/src/main/java/org/havenford/settings/Operator.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.settings;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -6,7 +6,6 @@
 import java.util.Locale;
 import javax.xml.parsers.DocumentBuilderFactory;
 import javax.xml.parsers.ParserConfigurationException;
-import org.havenford.protocol.Settings;
 import org.w3c.dom.Element;
 import org.w3c.dom.Node;
 import org.xml.sax.SAXException;
--- a/src/main/java/org/havenford/protocol/Settings.java
+++ b/src/main/java/org/havenford/settings/Settings.java
@@ -1,4 +1,4 @@
-package org.havenford.protocol;
+package org.havenford.settings;
 
 import com.google.gson.JsonObject;
 import java.io.IOException;
@@ -9,6 +9,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.havenford.protocol.Json;
 
 /**
  * The file that the platform hands over. Unknown fields are ignored. The state service's limits may be lowered to those of
--- a/src/main/java/org/havenford/coordination/StandbySettings.java
+++ b/src/main/java/org/havenford/settings/StandbySettings.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.settings;
 
 import java.time.Duration;
 
--- a/src/main/java/org/havenford/standby/Follower.java
+++ b/src/main/java/org/havenford/standby/Follower.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import org.havenford.coordination.MachineNote;
+import org.havenford.coordination.agents.MachineNote;
 import org.havenford.standby.FrameCodec.Frame;
 import org.havenford.standby.PeerMessage.Hello;
 import org.havenford.standby.PeerMessage.Intent;
--- a/src/main/java/org/havenford/standby/FrameCodec.java
+++ b/src/main/java/org/havenford/standby/FrameCodec.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import org.havenford.coordination.MachineNote;
+import org.havenford.coordination.agents.MachineNote;
 import org.havenford.standby.PeerMessage.Heartbeat;
 import org.havenford.standby.PeerMessage.Hello;
 import org.havenford.standby.PeerMessage.Intent;
--- a/src/main/java/org/havenford/standby/PeerMessage.java
+++ b/src/main/java/org/havenford/standby/PeerMessage.java
@@ -1,7 +1,7 @@
 package org.havenford.standby;
 
 import java.util.List;
-import org.havenford.coordination.MachineNote;
+import org.havenford.coordination.agents.MachineNote;
 
 /** What controllers tell each other over a direct connection. */
 sealed interface PeerMessage {
--- a/src/main/java/org/havenford/standby/package-info.java
+++ b/src/main/java/org/havenford/standby/package-info.java
@@ -1,5 +1,7 @@
 /**
- * Warm standby: every controller follows what the others decide over direct connections, notices when one falls silent, and
- * takes over its machines before its membership lease has ended. Design and proof: docs/standby.md.
+ * Warm standby: controllers that follow each other's decisions, suspect a silent peer, and take over its machines.
+ *
+ * <p>It owns the connections between controllers and what was heard over them. It sees its own controller only through
+ * {@link org.havenford.coordination.failover.StandbyHost}. Off by default; design and proof are in docs/standby.md.
  */
 package org.havenford.standby;
--- a/src/main/java/org/havenford/coordination/GuardedWriter.java
+++ b/src/main/java/org/havenford/storage/GuardedWriter.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.storage;
 
 import com.google.gson.JsonElement;
 import java.nio.charset.StandardCharsets;
@@ -11,10 +11,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Replica;
-import org.havenford.bookkeeping.StateStore;
 import org.havenford.protocol.Json;
+import org.havenford.storage.records.Keys;
 import org.havenford.transport.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -23,7 +21,7 @@
  * Commits transactions, and locks the keys that they decide on within this controller: from the sending of a transaction
  * until its outcome is known and our replica shows it, nothing else is decided on these keys.
  */
-final class GuardedWriter {
+public final class GuardedWriter {
     private static final Logger LOG = LoggerFactory.getLogger(GuardedWriter.class);
     /** After a transaction that was not executed, or whose outcome is unknown. */
     private static final Duration RETRY = Duration.ofMillis(250);
@@ -44,7 +42,8 @@
     private final List<AwaitedEdition> awaitedEditions = new ArrayList<>();
     private boolean limitsLowered;
 
-    GuardedWriter(EventLoop loop, StateStore store, Replica replica, int nextValueBytes, Runnable wake) {
+    /** A writer over one replica; {@code wake} asks for another round once keys are free again. */
+    public GuardedWriter(EventLoop loop, StateStore store, Replica replica, int nextValueBytes, Runnable wake) {
         this.loop = loop;
         this.store = store;
         this.replica = replica;
@@ -52,7 +51,8 @@
         this.wake = wake;
     }
 
-    boolean isLocked(String key) {
+    /** Whether an unfinished transaction, or one that the replica has not caught up with, touches the key. */
+    public boolean isLocked(String key) {
         return locked.contains(key);
     }
 
@@ -60,12 +60,12 @@
      * Whether the service has refused a value larger than its limit to come. The limits fall only after the upgrade of
      * all controllers, so from then on all of them read what this version writes.
      */
-    boolean limitsLowered() {
+    public boolean limitsLowered() {
         return limitsLowered;
     }
 
     /** Unlocks what was locked until our replica has caught up. */
-    void unlockCaughtUp(Instant now) {
+    public void unlockCaughtUp(Instant now) {
         awaitedEditions.removeIf(a -> {
             boolean over = replica.edition() >= a.edition() || now.isAfter(a.until());
             if (over) {
@@ -75,7 +75,8 @@
         });
     }
 
-    void commit(StateStore.Txn txn, StateStore.Urgency urgency, Collection<String> locks, Runnable onSuccess) {
+    /** Commits a transaction and keeps its keys locked until the replica has caught up with the outcome. */
+    public void commit(StateStore.Txn txn, StateStore.Urgency urgency, Collection<String> locks, Runnable onSuccess) {
         commit(txn, urgency, locks, onSuccess, r -> {});
     }
 
@@ -83,7 +84,7 @@
      * Commits a transaction. {@code onSuccess} is run before our replica shows it; {@code after} is told every outcome, a good one
      * when our replica shows it.
      */
-    void commit(
+    public void commit(
             StateStore.Txn txn,
             StateStore.Urgency urgency,
             Collection<String> locks,
--- a/src/main/java/org/havenford/bookkeeping/Ledger.java
+++ b/src/main/java/org/havenford/storage/Ledger.java
@@ -1,4 +1,4 @@
-package org.havenford.bookkeeping;
+package org.havenford.storage;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -13,12 +13,20 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.havenford.bookkeeping.MachineRecord.Condition;
-import org.havenford.bookkeeping.Quota.Amount;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.Json;
 import org.havenford.protocol.MachineType;
 import org.havenford.protocol.TaskId;
+import org.havenford.storage.records.Chunk;
+import org.havenford.storage.records.Claim;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.MachineBatch;
+import org.havenford.storage.records.MachineRecord;
+import org.havenford.storage.records.MachineRecord.Condition;
+import org.havenford.storage.records.MachineStatuses;
+import org.havenford.storage.records.Quota;
+import org.havenford.storage.records.Quota.Amount;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/org/havenford/bookkeeping/Replica.java
+++ b/src/main/java/org/havenford/storage/Replica.java
@@ -1,4 +1,4 @@
-package org.havenford.bookkeeping;
+package org.havenford.storage;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
--- a/src/main/java/org/havenford/bookkeeping/TokenBucket.java
+++ b/src/main/java/org/havenford/storage/TokenBucket.java
@@ -1,4 +1,4 @@
-package org.havenford.bookkeeping;
+package org.havenford.storage;
 
 import java.time.Duration;
 import java.time.Instant;
--- /dev/null
+++ b/src/main/java/org/havenford/storage/package-info.java
@@ -0,0 +1,7 @@
+/**
+ * Client of the consensus-backed key-value store, and the local replica of its keys.
+ *
+ * <p>It owns the replica, the typed view of it that decisions read, the request budget, and the keys locked by unfinished
+ * transactions. Called by coordination.
+ */
+package org.havenford.storage;
--- a/src/main/java/org/havenford/bookkeeping/Chunk.java
+++ b/src/main/java/org/havenford/storage/records/Chunk.java
@@ -1,4 +1,4 @@
-package org.havenford.bookkeeping;
+package org.havenford.storage.records;
 
 import com.google.common.base.Strings;
 import com.google.gson.JsonArray;
--- a/src/main/java/org/havenford/bookkeeping/Keys.java
+++ b/src/main/java/org/havenford/storage/records/Keys.java
@@ -1,4 +1,4 @@
-package org.havenford.bookkeeping;
+package org.havenford.storage.records;
 
 /** Where things are kept in the state service. All but the final states are mirrored by every controller. */
 public final class Keys {
--- a/src/main/java/org/havenford/bookkeeping/MachineRecord.java
+++ b/src/main/java/org/havenford/storage/records/MachineRecord.java
@@ -1,4 +1,4 @@
-package org.havenford.bookkeeping;
+package org.havenford.storage.records;
 
 import java.time.Instant;
 import java.util.List;
--- a/src/main/java/org/havenford/bookkeeping/MachineStatuses.java
+++ b/src/main/java/org/havenford/storage/records/MachineStatuses.java
@@ -1,4 +1,4 @@
-package org.havenford.bookkeeping;
+package org.havenford.storage.records;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -9,8 +9,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import org.havenford.bookkeeping.MachineRecord.Condition;
 import org.havenford.protocol.Json;
+import org.havenford.storage.records.MachineRecord.Condition;
 
 /**
  * The status of some machines of an owner, under one key: hints for the other controllers and for a successor. No
--- a/src/main/java/org/havenford/bookkeeping/Quota.java
+++ b/src/main/java/org/havenford/storage/records/Quota.java
@@ -1,4 +1,4 @@
-package org.havenford.bookkeeping;
+package org.havenford.storage.records;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
--- a/src/test/java/org/havenford/coordination/DecisionsTest.java
+++ b/src/test/java/org/havenford/coordination/DecisionsTest.java
@@ -10,6 +10,9 @@
 import java.time.Duration;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import org.havenford.coordination.agents.Lateness;
+import org.havenford.coordination.membership.View;
+import org.havenford.settings.Operator;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/src/test/java/org/havenford/coordination/GoldenCalls.java
+++ b/src/test/java/org/havenford/coordination/GoldenCalls.java
@@ -11,15 +11,20 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.Replica;
-import org.havenford.bookkeeping.StateStore;
-import org.havenford.bookkeeping.StateStore.Urgency;
+import org.havenford.coordination.membership.Evictions;
+import org.havenford.coordination.membership.Membership;
+import org.havenford.coordination.membership.View;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.Replica;
+import org.havenford.storage.StateStore;
+import org.havenford.storage.StateStore.Urgency;
+import org.havenford.storage.records.Keys;
+import org.havenford.testing.ManualLoop;
+import org.havenford.testing.QuietObservertype;
 import org.havenford.transport.HttpCalls;
 
 /** Every kind of call to the state service, and the transactions by which a member is asked and evicted. */
-final class GoldenCalls implements HttpCalls {
+public final class GoldenCalls implements HttpCalls {
     private static final long EDITION = 40;
 
     private final ManualLoop loop = new ManualLoop();
@@ -31,7 +36,7 @@
     private GoldenCalls() {}
 
     /** Calls by name. */
-    static Map<String, JsonElement> built() {
+    public static Map<String, JsonElement> built() {
         GoldenCalls calls = new GoldenCalls();
         calls.plainCalls();
         calls.evictions();
@@ -39,7 +44,7 @@
     }
 
     /** Whether a member that is registered so reads pipelines, and evictions. */
-    static String understoodBy(JsonElement registration) {
+    public static String understoodBy(JsonElement registration) {
         JsonObject member = registration.getAsJsonObject();
         GoldenCalls calls = new GoldenCalls();
         Membership membership = calls.membership(Set.of("node-0"));
@@ -52,7 +57,7 @@
 
     private Membership membership(Set<String> configured) {
         Ledger ledger = new Ledger();
-        ledger.observer(new QuietObserver());
+        ledger.observer(new QuietObservertype());
         replica = new Replica(loop, store, Keys.REPLICATED, ledger);
         return new Membership(loop, store, replica, "node-0", configured, Duration.ofSeconds(5), () -> {}, node -> 0);
     }
--- a/src/test/java/org/havenford/coordination/LinkMonitorTest.java
+++ b/src/test/java/org/havenford/coordination/monitoring/LinkMonitorTest.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.monitoring;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,7 +7,8 @@
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.time.Duration;
-import org.havenford.protocol.Settings;
+import org.havenford.settings.Settings;
+import org.havenford.testing.ManualLoop;
 import org.havenford.transport.HttpCalls;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/org/havenford/coordination/PauseDetectorTest.java
+++ b/src/test/java/org/havenford/coordination/monitoring/PauseDetectorTest.java
@@ -1,10 +1,11 @@
-package org.havenford.coordination;
+package org.havenford.coordination.monitoring;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import org.havenford.testing.ManualLoop;
 import org.havenford.transport.HttpCalls;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/org/havenford/coordination/PlacementRulesTest.java
+++ b/src/test/java/org/havenford/coordination/placement/PlacementRulesTest.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.placement;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -7,9 +7,10 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
-import org.havenford.coordination.PlacementRules.Verdict;
+import org.havenford.coordination.placement.PlacementRules.Verdict;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.MachineType;
+import org.havenford.testing.JobSamples;
 import org.junit.jupiter.api.Test;
 
 /** Each constraint of a job alone and beside others, with tasks that are, or may be, elsewhere. */
--- a/src/test/java/org/havenford/coordination/BootTimesTest.java
+++ b/src/test/java/org/havenford/coordination/provisioning/BootTimesTest.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.provisioning;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,13 +10,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.MachineBatch;
-import org.havenford.bookkeeping.MachineRecord.Condition;
-import org.havenford.bookkeeping.MachineStatuses;
-import org.havenford.coordination.Demand.Kind;
-import org.havenford.coordination.Demand.Offer;
+import org.havenford.coordination.provisioning.Demand.Kind;
+import org.havenford.coordination.provisioning.Demand.Offer;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.MachineBatch;
+import org.havenford.storage.records.MachineRecord.Condition;
+import org.havenford.storage.records.MachineStatuses;
+import org.havenford.testing.QuietObservertype;
 import org.junit.jupiter.api.Test;
 
 /** Which rented machines are overdue, and which offers are in trouble. A boot takes 20 s by its type. */
@@ -33,7 +34,7 @@
     private int batches;
 
     BootTimesTest() {
-        ledger.observer(new QuietObserver());
+        ledger.observer(new QuietObservertype());
         ledger.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
     }
 
--- a/src/test/java/org/havenford/coordination/FailingJobsTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/FailingJobsTest.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,11 +8,15 @@
 import com.google.gson.JsonParser;
 import java.time.Instant;
 import java.util.List;
-import org.havenford.bookkeeping.Chunk;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.protocol.Settings;
+import org.havenford.coordination.agents.FaultEvidence;
+import org.havenford.coordination.provisioning.Demand;
+import org.havenford.settings.Settings;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.Chunk;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Keys;
+import org.havenford.testing.JobSamples;
+import org.havenford.testing.QuietObservertype;
 import org.junit.jupiter.api.Test;
 
 /** Jobs that fail everywhere, jobs that fail by bad luck, and machines on which both fail. */
@@ -32,7 +36,7 @@
     private long stamp;
 
     FailingJobsTest() {
-        ledger.observer(new QuietObserver());
+        ledger.observer(new QuietObservertype());
         ledger.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
     }
 
--- a/src/test/java/org/havenford/coordination/PipelineDecisionsTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/PipelineDecisionsTest.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,11 +8,14 @@
 import com.google.gson.JsonObject;
 import java.time.Instant;
 import java.util.List;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Ledger;
+import org.havenford.coordination.provisioning.Demand;
 import org.havenford.protocol.JobSpec.Priority;
-import org.havenford.protocol.Settings;
+import org.havenford.settings.Settings;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Keys;
+import org.havenford.testing.JobSamples;
+import org.havenford.testing.QuietObservertype;
 import org.junit.jupiter.api.Test;
 
 /** What the decisions make of jobs that await others. */
@@ -29,7 +32,7 @@
     private long stamp;
 
     PipelineDecisionsTest() {
-        ledger.observer(new QuietObserver());
+        ledger.observer(new QuietObservertype());
     }
 
     /** A stored header; {@code readyAgo} is negative for a job that was not released. */
--- a/src/test/java/org/havenford/coordination/PlannerPlacementTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/PlannerPlacementTest.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.coordination.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,16 +15,19 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import org.havenford.bookkeeping.Chunk;
-import org.havenford.bookkeeping.Claim;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.MachineBatch;
-import org.havenford.bookkeeping.MachineRecord;
 import org.havenford.protocol.JobSpec;
-import org.havenford.protocol.Settings;
 import org.havenford.protocol.TaskId;
+import org.havenford.settings.Operator;
+import org.havenford.settings.Settings;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.Chunk;
+import org.havenford.storage.records.Claim;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.MachineBatch;
+import org.havenford.storage.records.MachineRecord;
+import org.havenford.testing.JobSamples;
+import org.havenford.testing.QuietObservertype;
 import org.junit.jupiter.api.Test;
 
 /** One round of the planner, and whether what it places keeps to each job's constraints together with what is claimed. */
@@ -49,7 +52,7 @@
     private int machines;
 
     PlannerPlacementTest() {
-        ledger.observer(new QuietObserver());
+        ledger.observer(new QuietObservertype());
         ledger.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
     }
 
--- a/src/test/java/org/havenford/coordination/GoldenFiles.java
+++ b/src/test/java/org/havenford/golden/GoldenFiles.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.golden;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
--- a/src/test/java/org/havenford/coordination/GoldenFormsTest.java
+++ b/src/test/java/org/havenford/golden/GoldenFormsTest.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.golden;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,6 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
+import org.havenford.coordination.GoldenCalls;
 import org.havenford.protocol.Json;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/org/havenford/coordination/GoldenMessages.java
+++ b/src/test/java/org/havenford/golden/GoldenMessages.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.golden;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -16,6 +16,7 @@
 import org.havenford.protocol.MachineType;
 import org.havenford.protocol.Report;
 import org.havenford.protocol.TaskId;
+import org.havenford.testing.JobSamples;
 
 /**
  * The bodies of messages to and from workers, users and the cloud. What the code only reads is rendered here in the form of
--- a/src/test/java/org/havenford/coordination/GoldenStoredValues.java
+++ b/src/test/java/org/havenford/golden/GoldenStoredValues.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.golden;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -15,18 +15,21 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.havenford.bookkeeping.Chunk;
-import org.havenford.bookkeeping.FinalState;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.MachineBatch;
-import org.havenford.bookkeeping.MachineRecord.Condition;
-import org.havenford.bookkeeping.MachineStatuses;
-import org.havenford.bookkeeping.Quota;
+import org.havenford.coordination.membership.View;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.Json;
 import org.havenford.protocol.MachineType;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.Chunk;
+import org.havenford.storage.records.FinalState;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.MachineBatch;
+import org.havenford.storage.records.MachineRecord.Condition;
+import org.havenford.storage.records.MachineStatuses;
+import org.havenford.storage.records.Quota;
+import org.havenford.testing.JobSamples;
+import org.havenford.testing.QuietObservertype;
 
 /**
  * Builds a value of every stored form from fixed inputs, and writes values back after reading them. An entry is named by
@@ -222,7 +225,7 @@
     /** Bookings are read by the ledger alone. */
     private static JsonElement rewrittenBooking(String key, JsonObject value) {
         Ledger ledger = new Ledger();
-        ledger.observer(new QuietObserver());
+        ledger.observer(new QuietObservertype());
         ledger.changed(key, value, 1);
         JsonArray all = new JsonArray();
         List<Ledger.Booking> bookings = new ArrayList<>(ledger.bookings());
--- a/src/test/java/org/havenford/protocol/MessagesTest.java
+++ b/src/test/java/org/havenford/protocol/MessagesTest.java
@@ -7,6 +7,7 @@
 
 import com.google.gson.JsonObject;
 import java.time.Duration;
+import org.havenford.settings.Settings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/org/havenford/standby/FakeHost.java
+++ b/src/test/java/org/havenford/standby/FakeHost.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import org.havenford.coordination.MachineNote;
-import org.havenford.coordination.StandbyHost;
-import org.havenford.coordination.View;
+import org.havenford.coordination.agents.MachineNote;
+import org.havenford.coordination.failover.StandbyHost;
+import org.havenford.coordination.membership.View;
 import org.havenford.transport.EventLoop;
 
 /** A controller that stands still in time until told otherwise, and forgets timers. */
--- a/src/test/java/org/havenford/standby/FrameCodecProperties.java
+++ b/src/test/java/org/havenford/standby/FrameCodecProperties.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
-import org.havenford.coordination.MachineNote;
+import org.havenford.coordination.agents.MachineNote;
 import org.havenford.standby.FrameCodec.Frame;
 import org.havenford.standby.PeerMessage.Heartbeat;
 import org.havenford.standby.PeerMessage.Hello;
--- a/src/test/java/org/havenford/standby/GoldenFramesTest.java
+++ b/src/test/java/org/havenford/standby/GoldenFramesTest.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
-import org.havenford.coordination.MachineNote;
+import org.havenford.coordination.agents.MachineNote;
 import org.havenford.standby.FrameCodec.Frame;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/org/havenford/standby/TakeoverConductorTest.java
+++ b/src/test/java/org/havenford/standby/TakeoverConductorTest.java
@@ -10,9 +10,9 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import org.havenford.coordination.StandbySettings;
-import org.havenford.coordination.View;
-import org.havenford.protocol.Settings;
+import org.havenford.coordination.membership.View;
+import org.havenford.settings.Settings;
+import org.havenford.settings.StandbySettings;
 import org.havenford.standby.PeerMessage.ReachAnswer;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/org/havenford/bookkeeping/StateStoreTest.java
+++ b/src/test/java/org/havenford/storage/StateStoreTest.java
@@ -1,4 +1,4 @@
-package org.havenford.bookkeeping;
+package org.havenford.storage;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
-import org.havenford.bookkeeping.StateStore.Outcome;
-import org.havenford.bookkeeping.StateStore.Urgency;
+import org.havenford.storage.StateStore.Outcome;
+import org.havenford.storage.StateStore.Urgency;
 import org.havenford.transport.EventLoop;
 import org.havenford.transport.HttpCalls;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/org/havenford/bookkeeping/ChunkTest.java
+++ b/src/test/java/org/havenford/storage/records/ChunkTest.java
@@ -1,4 +1,4 @@
-package org.havenford.bookkeeping;
+package org.havenford.storage.records;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
--- a/src/test/java/org/havenford/coordination/StoredValuesTest.java
+++ b/src/test/java/org/havenford/storage/records/StoredValuesTest.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.storage.records;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -19,15 +19,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import org.havenford.bookkeeping.Chunk;
-import org.havenford.bookkeeping.FinalState;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Keys;
-import org.havenford.bookkeeping.Ledger;
-import org.havenford.bookkeeping.MachineBatch;
-import org.havenford.bookkeeping.MachineStatuses;
-import org.havenford.bookkeeping.Quota;
+import org.havenford.coordination.membership.View;
 import org.havenford.protocol.MachineType;
+import org.havenford.storage.Ledger;
 import org.junit.jupiter.api.Test;
 
 /** Values that earlier versions have stored are read, and written back so that those versions can read them. */
--- a/src/test/java/org/havenford/coordination/JobSamples.java
+++ b/src/test/java/org/havenford/testing/JobSamples.java
@@ -1,13 +1,13 @@
-package org.havenford.coordination;
+package org.havenford.testing;
 
 import com.google.gson.JsonObject;
 
 /** Submissions for tests, to be changed field by field. */
-final class JobSamples {
+public final class JobSamples {
     private JobSamples() {}
 
     /** A submission of team red that says nothing of where its tasks may run, and does not await others. */
-    static JsonObject submission(String id, int tasks, double cpus) {
+    public static JsonObject submission(String id, int tasks, double cpus) {
         JsonObject o = new JsonObject();
         o.addProperty("nameId", id);
         o.addProperty("lineup", "class");
--- a/src/test/java/org/havenford/coordination/ManualLoop.java
+++ b/src/test/java/org/havenford/testing/ManualLoop.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.testing;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -7,9 +7,9 @@
 import org.havenford.transport.EventLoop;
 
 /** A loop whose clock a test moves, and whose timers it runs. */
-final class ManualLoop implements EventLoop {
+public final class ManualLoop implements EventLoop {
     Instant now = Instant.ofEpochSecond(1_700_000_000L);
-    final List<Runnable> timers = new ArrayList<>();
+    public final List<Runnable> timers = new ArrayList<>();
 
     @Override
     public Instant now() {
@@ -26,7 +26,8 @@
         timers.add(task);
     }
 
-    void pass(double seconds) {
+    /** Lets time pass and runs what is due meanwhile. */
+    public void pass(double seconds) {
         now = now.plusMillis((long) (seconds * 1000));
     }
 }
--- a/src/test/java/org/havenford/coordination/QuietObserver.java
+++ b/src/test/java/org/havenford/testing/QuietObservertype.java
@@ -1,11 +1,11 @@
-package org.havenford.coordination;
+package org.havenford.testing;
 
 import com.google.gson.JsonObject;
-import org.havenford.bookkeeping.Job;
-import org.havenford.bookkeeping.Ledger;
+import org.havenford.storage.Ledger;
+import org.havenford.storage.records.Job;
 
 /** For tests that read the ledger and need not be told of its changes. */
-final class QuietObserver implements Ledger.Observer {
+public final class QuietObservertype implements Ledger.Observer {
     @Override
     public void viewChanged(JsonObject view, long stamp) {}
 
--- a/src/test/java/org/havenford/world/GrownTest.java
+++ b/src/test/java/org/havenford/world/GrownTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import org.havenford.protocol.Settings;
+import org.havenford.settings.Settings;
 import org.junit.jupiter.api.Test;
 
 /** What only shows at size: counts of what the state service is asked for, and that no kind of work starves. */
--- a/src/test/java/org/havenford/world/GuestWorkTest.java
+++ b/src/test/java/org/havenford/world/GuestWorkTest.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import org.havenford.protocol.Settings;
+import org.havenford.settings.Settings;
 import org.junit.jupiter.api.Test;
 
 /** A guest team without a guarantee sends one huge job and hundreds of jobs of one task, beside urgent work of others. */
--- a/src/test/java/org/havenford/world/LoopbackWorld.java
+++ b/src/test/java/org/havenford/world/LoopbackWorld.java
@@ -27,7 +27,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.havenford.protocol.Json;
-import org.havenford.protocol.Settings;
+import org.havenford.settings.Settings;
 import org.havenford.transport.HttpCalls.Reply;
 
 /**
--- a/src/test/java/org/havenford/world/Rules.java
+++ b/src/test/java/org/havenford/world/Rules.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.havenford.protocol.Settings;
+import org.havenford.settings.Settings;
 
 /** The rules of the protocol, checked after every event against what is really on the machines. */
 final class Rules {
--- a/src/test/java/org/havenford/world/Trace.java
+++ b/src/test/java/org/havenford/world/Trace.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Set;
 import org.havenford.protocol.Json;
-import org.havenford.protocol.Settings;
+import org.havenford.settings.Settings;
 
 /** A kept trace: one line an event, played in a {@link World}. See src/test/resources/traces/README.md. */
 final class Trace {
