--- a/src/test/java/org/havenford/world/Cloud.java
+++ b/src/test/java/org/havenford/world/Cloud.java
@@ -9,6 +9,7 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -18,10 +19,18 @@
 
 /** A stand-in for the cloud: one small and one large type in each of three zones. */
 final class Cloud implements World.Server {
-    static final Map<String, double[]> TYPES = Map.of("small", new double[] {4, 32}, "large", new double[] {16, 64});
+    static final Map<String, double[]> TYPES = types();
     static final double FETCH_GB_PER_S = 0.5;
     private static final int PER_OFFER = 3;
 
+    /** In a fixed order: that of Map.of differs from one JVM to the next. */
+    private static Map<String, double[]> types() {
+        Map<String, double[]> types = new LinkedHashMap<>();
+        types.put("small", new double[] {4, 32});
+        types.put("large", new double[] {16, 64});
+        return types;
+    }
+
     private final World world;
     private final Map<String, List<String>> bookings = new HashMap<>();
     private final TreeMap<String, JsonObject> listed = new TreeMap<>();
