--- /dev/null
+++ b/src/test/java/org/havenford/world/BehaviourDigest.java
@@ -0,0 +1,115 @@
+package org.havenford.world;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.HexFormat;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * A digest over everything that the controllers of one {@link World} send, in order and with the simulated time: requests,
+ * answers to requests, and what goes over peer connections. Two versions of the controllers with the same digest behave
+ * alike in that run. The expected digests are kept in src/test/resources/digests; see the README.md there.
+ */
+final class BehaviourDigest {
+    private static final Path DIRECTORY = Path.of("src/test/resources/digests");
+    private static final Path FILE = DIRECTORY.resolve("behaviour.txt");
+    /** {@code write} renews the kept digests of the runs that are played instead of comparing them. */
+    private static final boolean WRITES = "write".equals(System.getProperty("havenford.digests"));
+    /** A directory in which each run leaves its messages as text, to be compared line by line. */
+    private static final String MESSAGES = System.getProperty("havenford.digests.messages");
+
+    private static final int HEX_DIGITS = 16;
+
+    private final MessageDigest digest;
+    private final StringBuilder messages = MESSAGES == null ? null : new StringBuilder();
+
+    BehaviourDigest() {
+        try {
+            digest = MessageDigest.getInstance("SHA-256");
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    /** A controller sends a request. */
+    void request(Instant now, String node, String address, String method, String path, String body) {
+        add(now, "request", node, address, method, path, body);
+    }
+
+    /** A controller answers a request. */
+    void answer(Instant now, String node, String method, String path, int status, String body) {
+        add(now, "answer", node, method, path, Integer.toString(status), body);
+    }
+
+    /** A controller opens or closes a peer connection, or sends over it. */
+    void peer(Instant now, String node, String other, String what, byte[] bytes) {
+        add(now, "peer", node, other, what, HexFormat.of().formatHex(bytes));
+    }
+
+    /** Each part is preceded by its length, so that no two sequences of messages look the same. */
+    private void add(Instant now, String... parts) {
+        long nanos = Duration.between(Instant.EPOCH, now).toNanos();
+        digest.update(ByteBuffer.allocate(Long.BYTES).putLong(nanos).flip());
+        for (String part : parts) {
+            byte[] bytes = part == null ? new byte[0] : part.getBytes(StandardCharsets.UTF_8);
+            int length = part == null ? -1 : bytes.length;
+            digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(length).flip());
+            digest.update(bytes);
+        }
+        if (messages != null) {
+            messages.append(nanos).append(' ').append(String.join(" ", parts)).append('\n');
+        }
+    }
+
+    /** Ends the digest and compares it with the one kept under this name; a name without a kept digest fails. */
+    void assertKept(String name) {
+        String actual = HexFormat.of().formatHex(digest.digest()).substring(0, HEX_DIGITS);
+        try {
+            if (messages != null) {
+                Path directory = Files.createDirectories(Path.of(MESSAGES));
+                Files.writeString(directory.resolve(name.replace('/', '-') + ".txt"), messages);
+            }
+            Map<String, String> kept = read();
+            if (WRITES) {
+                kept.put(name, actual);
+                write(kept);
+            }
+            assertEquals(
+                    kept.get(name),
+                    actual,
+                    () -> "The controllers' messages in " + name + " are not those kept in " + FILE + ".");
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
+    private static Map<String, String> read() throws IOException {
+        Map<String, String> kept = new TreeMap<>();
+        if (Files.exists(FILE)) {
+            for (String line : Files.readAllLines(FILE)) {
+                String[] words = line.split(" ");
+                kept.put(words[0], words[1]);
+            }
+        }
+        return kept;
+    }
+
+    private static void write(Map<String, String> kept) throws IOException {
+        Files.createDirectories(DIRECTORY);
+        StringBuilder text = new StringBuilder();
+        kept.forEach(
+                (name, value) -> text.append(name).append(' ').append(value).append('\n'));
+        Files.writeString(FILE, text);
+    }
+}
--- a/src/test/java/org/havenford/world/DrawnDays.java
+++ b/src/test/java/org/havenford/world/DrawnDays.java
@@ -22,9 +22,10 @@
 
     /**
      * Plays days of consecutive seeds. The system property {@code havenford.seeds} scales how many of each kind are played
-     * (12 by default), {@code havenford.firstSeed} says where they begin.
+     * (12 by default), {@code havenford.firstSeed} says where they begin. The seeds that are played by default have a kept
+     * {@link BehaviourDigest} under {@code kind}.
      */
-    static Stream<DynamicTest> play(int usually, LongFunction<List<String>> day) {
+    static Stream<DynamicTest> play(String kind, int usually, LongFunction<List<String>> day) {
         int seeds = Integer.getInteger("havenford.seeds", 12) * usually / 12;
         long first = Long.getLong("havenford.firstSeed", 1);
         return Stream.iterate(first, s -> s + 1)
@@ -37,6 +38,9 @@
                             List.of(),
                             wrong,
                             () -> String.join("\n", lines) + "\n--\n" + String.join("\n", world[0].log));
+                    if (seed >= 1 && seed <= usually) {
+                        world[0].behaviour.assertKept(kind + "/" + seed);
+                    }
                 }));
     }
 
--- a/src/test/java/org/havenford/world/GuestWorkTest.java
+++ b/src/test/java/org/havenford/world/GuestWorkTest.java
@@ -74,5 +74,6 @@
         assertTrue(waits.get(90) < 4, counts);
         assertTrue(waits.get(99) < 10, counts);
         assertTrue(world.users.jobs.values().stream().allMatch(job -> job.doneTold != null), counts);
+        world.behaviour.assertKept("guest-work");
     }
 }
--- a/src/test/java/org/havenford/world/PeerWires.java
+++ b/src/test/java/org/havenford/world/PeerWires.java
@@ -40,6 +40,7 @@
             @Override
             public void connect(
                     String address, Duration timeout, Consumer<Connection> connected, Consumer<String> failed) {
+                world.behaviour.peer(world.now, node, address, "connect", new byte[0]);
                 Port self = new Port(node, alive, act, null);
                 Port other = listening.get(address);
                 String target = address.substring(0, address.indexOf(':'));
@@ -105,6 +106,7 @@
         public void send(ByteBuffer bytes) {
             byte[] copy = new byte[bytes.remaining()];
             bytes.get(copy);
+            world.behaviour.peer(world.now, port.node, peer.port.node, "send", copy);
             toPeer(() -> peer.arrived(copy));
         }
 
@@ -155,6 +157,7 @@
             if (wire.over) {
                 return;
             }
+            world.behaviour.peer(world.now, port.node, peer.port.node, "close", new byte[0]);
             toPeer(() -> {
                 if (!wire.over) {
                     wire.over = true;
--- a/src/test/java/org/havenford/world/PlacementTest.java
+++ b/src/test/java/org/havenford/world/PlacementTest.java
@@ -69,11 +69,11 @@
 
     @TestFactory
     Stream<DynamicTest> constrainedJobsAmidTroubles() {
-        return DrawnDays.play(12, DrawnDays::placements);
+        return DrawnDays.play("placements", 12, DrawnDays::placements);
     }
 
     @TestFactory
     Stream<DynamicTest> constrainedJobsAmidAnUpgrade() {
-        return DrawnDays.play(6, DrawnDays::placementsAmidAnUpgrade);
+        return DrawnDays.play("placements-amid-an-upgrade", 6, DrawnDays::placementsAmidAnUpgrade);
     }
 }
--- a/src/test/java/org/havenford/world/TraceTest.java
+++ b/src/test/java/org/havenford/world/TraceTest.java
@@ -31,6 +31,8 @@
                     World[] world = new World[1];
                     List<String> wrong = Trace.play(Files.readAllLines(f), world);
                     assertEquals(List.of(), wrong, () -> String.join("\n", world[0].log));
+                    world[0].behaviour.assertKept(
+                            "trace/" + f.getFileName().toString().replace(".trace", ""));
                 }));
     }
 
@@ -113,26 +115,27 @@
         }
         World[] world = new World[1];
         assertEquals(List.of(), Trace.play(lines, world), () -> String.join("\n", world[0].log));
+        world[0].behaviour.assertKept("one-task-jobs");
     }
 
     @TestFactory
     Stream<DynamicTest> randomTroubles() {
-        return DrawnDays.play(12, DrawnDays::troubles);
+        return DrawnDays.play("troubles", 12, DrawnDays::troubles);
     }
 
     @TestFactory
     Stream<DynamicTest> randomTroublesWithStandby() {
-        return DrawnDays.play(12, DrawnDays::troublesWithStandby);
+        return DrawnDays.play("troubles-with-standby", 12, DrawnDays::troublesWithStandby);
     }
 
     @TestFactory
     Stream<DynamicTest> randomTroublesOfOperations() {
-        return DrawnDays.play(12, DrawnDays::operations);
+        return DrawnDays.play("operations", 12, DrawnDays::operations);
     }
 
     /** The same while the controllers come back one by one with this version, whereupon the store's limits fall. */
     @TestFactory
     Stream<DynamicTest> randomTroublesAmidAnUpgrade() {
-        return DrawnDays.play(6, DrawnDays::upgrade);
+        return DrawnDays.play("upgrade", 6, DrawnDays::upgrade);
     }
 }
--- a/src/test/java/org/havenford/world/World.java
+++ b/src/test/java/org/havenford/world/World.java
@@ -96,6 +96,7 @@
     final Set<String> withoutStandby = new HashSet<>();
 
     final List<String> log = new ArrayList<>();
+    final BehaviourDigest behaviour = new BehaviourDigest();
     /** Where the worker of a machine is reached. */
     UnaryOperator<String> endpoints = machine -> machine + ":9000";
 
@@ -394,6 +395,7 @@
                     served,
                     () -> served.controller.handle(new HttpServer.Request(method, path, bytes), r -> {
                         if (!served.dead) {
+                            behaviour.answer(now, settings.node(), method, path, r.status(), r.body());
                             answer.accept(new HttpCalls.Reply(r.status(), r.body()));
                         }
                     }));
@@ -434,6 +436,7 @@
             @Override
             public void call(
                     String address, String method, String path, String body, Duration timeout, Consumer<Reply> done) {
+                behaviour.request(World.this.now, settings.node(), address, method, path, body);
                 boolean translated = isOld && address.equals(template.stateAddress());
                 String sent = translated && path.equals("/multi") ? FormatOne.written(body) : body;
                 Consumer<Reply> heard =
