--- a/src/main/java/org/havenford/coordination/agents/Fleet.java
+++ b/src/main/java/org/havenford/coordination/agents/Fleet.java
@@ -283,7 +283,7 @@
      */
     private static boolean isLateCopy(MachineState machine, Report report) {
         return report.session() < machine.checkinSession
-                || report.session() == machine.checkinSession && report.seq() <= machine.checkinSeq;
+                || (report.session() == machine.checkinSession && report.seq() <= machine.checkinSeq);
     }
 
     private static boolean isNews(MachineState machine, Report report) {
--- a/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
@@ -5,6 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.SortedMap;
 import java.util.TreeMap;
 import org.havenford.settings.Settings;
 import org.havenford.storage.Ledger;
@@ -61,14 +62,14 @@
         while (parts.size() * USUAL_MACHINES < known.size()) {
             parts.add(new Part());
         }
-        List<TreeMap<String, MachineStatuses.Status>> split = split(known);
+        List<SortedMap<String, MachineStatuses.Status>> split = split(known);
         for (int i = 0; i < parts.size(); i++) {
             publish(i, split.get(i), now);
         }
     }
 
-    private List<TreeMap<String, MachineStatuses.Status>> split(List<MachineState> machines) {
-        List<TreeMap<String, MachineStatuses.Status>> split = new ArrayList<>();
+    private List<SortedMap<String, MachineStatuses.Status>> split(List<MachineState> machines) {
+        List<SortedMap<String, MachineStatuses.Status>> split = new ArrayList<>();
         for (int i = 0; i < parts.size(); i++) {
             split.add(new TreeMap<>());
         }
@@ -83,7 +84,7 @@
         return split;
     }
 
-    private void publish(int index, TreeMap<String, MachineStatuses.Status> statuses, Instant now) {
+    private void publish(int index, SortedMap<String, MachineStatuses.Status> statuses, Instant now) {
         Part part = parts.get(index);
         if (part.inFlight || statuses.equals(part.stored)) {
             return;
--- a/src/main/java/org/havenford/coordination/agents/WorkerCommands.java
+++ b/src/main/java/org/havenford/coordination/agents/WorkerCommands.java
@@ -180,7 +180,7 @@
             attempt.stop = StopReason.CANCELLED;
         }
         boolean cancelled = attempt.stop == StopReason.CANCELLED;
-        if (attempt.stop == null || entry.state() == Report.State.SAVING && !cancelled) {
+        if (attempt.stop == null || (entry.state() == Report.State.SAVING && !cancelled)) {
             return null;
         }
         Job job = ledger.job(claim.task().job());
--- a/src/main/java/org/havenford/coordination/jobs/Submissions.java
+++ b/src/main/java/org/havenford/coordination/jobs/Submissions.java
@@ -67,8 +67,8 @@
         if (team == null) {
             return "unknown team";
         }
-        if (team.cpusMax() > 0 && spec.cpus() > team.cpusMax()
-                || team.cardsMax() > 0 && spec.cards() > team.cardsMax()) {
+        if ((team.cpusMax() > 0 && spec.cpus() > team.cpusMax())
+                || (team.cardsMax() > 0 && spec.cards() > team.cardsMax())) {
             return "a task needs more than the team's limit";
         }
         for (MachineType type : context.ledger().types().values()) {
--- a/src/main/java/org/havenford/coordination/membership/Evictions.java
+++ b/src/main/java/org/havenford/coordination/membership/Evictions.java
@@ -31,14 +31,14 @@
     private static final Duration QUESTION_STANDS = Duration.ofSeconds(2);
 
     /** When a node was last evicted, and how long it is spared. */
-    private record Record(Instant at, Duration interval) {}
+    private record Latest(Instant at, Duration interval) {}
 
     private final EventLoop loop;
     private final StateStore store;
     private final Replica replica;
     private final Membership membership;
     private final String node;
-    private final Map<String, Record> records = new HashMap<>();
+    private final Map<String, Latest> records = new HashMap<>();
     /** Evictions that were counted, so that a view that repeats one does not count it twice. */
     private final Map<String, Long> counted = new HashMap<>();
     /** Questions that stand, by the node that is asked, and when they were first seen here. */
@@ -64,15 +64,15 @@
 
     private void count(String name) {
         Instant now = loop.now();
-        Record before = records.get(name);
+        Latest before = records.get(name);
         boolean soon = before != null && now.isBefore(before.at().plus(LONGEST_INTERVAL));
         Duration doubled = soon ? before.interval().multipliedBy(2) : FIRST_INTERVAL;
-        records.put(name, new Record(now, doubled.compareTo(LONGEST_INTERVAL) > 0 ? LONGEST_INTERVAL : doubled));
+        records.put(name, new Latest(now, doubled.compareTo(LONGEST_INTERVAL) > 0 ? LONGEST_INTERVAL : doubled));
     }
 
     /** Whether a member may be evicted now: it was not lately, and every member reads the mark of an eviction. */
     public boolean permitted(String name) {
-        Record record = records.get(name);
+        Latest record = records.get(name);
         boolean spared = record != null && loop.now().isBefore(record.at().plus(record.interval()));
         return !spared && membership.entitled() && membership.allReadEvictions();
     }
--- a/src/main/java/org/havenford/coordination/placement/TaskZones.java
+++ b/src/main/java/org/havenford/coordination/placement/TaskZones.java
@@ -55,7 +55,7 @@
 
     /** Whether there is no task that is, or may be, in another zone. */
     boolean allIn(String zone) {
-        return inUnknownZone == 0 && (byZone.isEmpty() || byZone.size() == 1 && byZone.containsKey(zone));
+        return inUnknownZone == 0 && (byZone.isEmpty() || (byZone.size() == 1 && byZone.containsKey(zone)));
     }
 
     /** The largest number of tasks that the zone may hold now. */
--- a/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
@@ -38,7 +38,7 @@
     /** A listed machine without a record is adopted once it is older than the answer to any rental may be late. */
     private static final Duration ADOPTED_FROM = Duration.ofSeconds(10);
     /** How long what was seen of a machine in the list is remembered. */
-    private static final Duration REMEMBERED = Duration.ofSeconds(600);
+    private static final Duration REMEMBERED = Duration.ofMinutes(10);
 
     private final ProvisioningContext context;
     private final Map<String, Instant> lastListed = new HashMap<>();
--- a/src/main/java/org/havenford/coordination/provisioning/MachineReturns.java
+++ b/src/main/java/org/havenford/coordination/provisioning/MachineReturns.java
@@ -241,7 +241,7 @@
             }
             boolean claimed = !context.ledger().claimsOn(machine.name()).isEmpty();
             boolean retired = machine.condition() == Condition.RETIRING && batchesAreCurrent(machine);
-            boolean goes = machine.condition() == Condition.RETURNING || retired && !claimed;
+            boolean goes = machine.condition() == Condition.RETURNING || (retired && !claimed);
             if (goes && going.size() < MOST_RETURNED) {
                 going.add(machine);
             } else if (retired && claimed) {
--- a/src/main/java/org/havenford/coordination/quota/TeamShares.java
+++ b/src/main/java/org/havenford/coordination/quota/TeamShares.java
@@ -60,7 +60,7 @@
         charges.removeIf(c -> !context.writer().isLocked(c.key())
                 && (context.stamp(c.key()) != c.stamp()
                         || context.ledger().job(c.job()) == null
-                        || membership.viewStamp() != c.viewStamp() && membership.sawAllBeforeView()));
+                        || (membership.viewStamp() != c.viewStamp() && membership.sawAllBeforeView())));
     }
 
     private Amount held(String team) {
--- a/src/main/java/org/havenford/coordination/scheduling/Claims.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Claims.java
@@ -225,7 +225,8 @@
             return new Amount(job.spec().cpus(), job.spec().cards());
         }
 
-        /** Machines of the new claims, one for each. */
+        /** Machines of the new claims, one for each; a claim that was kept is the same object as before. */
+        @SuppressWarnings("ReferenceEquality")
         List<String> claimedMachines() {
             List<String> each = new ArrayList<>();
             for (Claim c : chunk.claims()) {
--- a/src/main/java/org/havenford/coordination/scheduling/Inheritance.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Inheritance.java
@@ -23,7 +23,7 @@
 
         Inherited with(JobSpec.Priority otherPriority, Instant otherDue) {
             JobSpec.Priority higher = otherPriority.compareTo(priority) < 0 ? otherPriority : priority;
-            boolean earlier = due == null || otherDue != null && otherDue.isBefore(due);
+            boolean earlier = due == null || (otherDue != null && otherDue.isBefore(due));
             return new Inherited(higher, earlier ? otherDue : due);
         }
     }
--- a/src/main/java/org/havenford/coordination/scheduling/JobOrder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/JobOrder.java
@@ -30,7 +30,7 @@
     /** Starving jobs that go first at a time. */
     private static final int MOST_STARVING = 8;
     /** Jobs without deadline and aim should start within this. */
-    private static final Duration USUAL_WAIT = Duration.ofSeconds(120);
+    private static final Duration USUAL_WAIT = Duration.ofMinutes(2);
     /** The shortest run that is reckoned with, in seconds. */
     private static final double SHORTEST_RUN = 0.5;
 
--- a/src/main/java/org/havenford/coordination/scheduling/Planner.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Planner.java
@@ -480,10 +480,10 @@
             anyFits = true;
             if (!PlacementRules.task(s, capacity.type, m.zone(), m.spot(), zones)
                             .allowed()
-                    || onlyZone != null && !onlyZone.equals(m.zone())
-                    || capacity.reservedFor != null && capacity.reservedFor.compareTo(priority(job)) < 0
-                    || machines == Machines.WITH_IMAGE && !capacity.hasOrFetches(s.image())
-                    || !mayTakeLarge && capacity.type.cpus() > smallest && awaited.contains(capacity.type.name())) {
+                    || (onlyZone != null && !onlyZone.equals(m.zone()))
+                    || (capacity.reservedFor != null && capacity.reservedFor.compareTo(priority(job)) < 0)
+                    || (machines == Machines.WITH_IMAGE && !capacity.hasOrFetches(s.image()))
+                    || (!mayTakeLarge && capacity.type.cpus() > smallest && awaited.contains(capacity.type.name()))) {
                 continue;
             }
             double score = capacity.fetchSeconds(s)
--- a/src/main/java/org/havenford/coordination/scheduling/TaskReleases.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskReleases.java
@@ -94,7 +94,7 @@
         Job job = jobOf(ended);
         Chunk chunk =
                 job.stored(job.chunkOf(ended.keySet().iterator().next().task().index()));
-        return chunk.doneCount() + ended.size() == chunk.size() && job.pendingCount() == 0
+        return (chunk.doneCount() + ended.size() == chunk.size() && job.pendingCount() == 0)
                 || job.cancelled()
                 || ended.values().stream().anyMatch(e -> !e.done());
     }
--- a/src/main/java/org/havenford/protocol/Report.java
+++ b/src/main/java/org/havenford/protocol/Report.java
@@ -64,7 +64,7 @@
 
     /** Whether this report was made after another of the same machine. */
     public boolean newerThan(Report other) {
-        return other == null || session > other.session || session == other.session && seq > other.seq;
+        return other == null || session > other.session || (session == other.session && seq > other.seq);
     }
 
     /** The entry of an attempt, or null. */
--- a/src/main/java/org/havenford/settings/Operator.java
+++ b/src/main/java/org/havenford/settings/Operator.java
@@ -109,7 +109,7 @@
                 case "standby-suspect-ms" -> standby = standby.withSuspectAfter(millis(name, text, 200, 10_000));
                 case "standby-challenge-ms" -> standby = standby.withChallenge(millis(name, text, 100, 5000));
                 case "standby-buffer-kb" ->
-                    standby = standby.withBufferBytes((int) number(name, text, 64, 16_384) * 1024);
+                    standby = standby.withBufferBytes(((int) number(name, text, 64, 16_384)) * 1024);
                 default -> {
                     // A newer version may know it.
                 }
--- a/src/main/java/org/havenford/storage/StateStore.java
+++ b/src/main/java/org/havenford/storage/StateStore.java
@@ -33,7 +33,6 @@
     private static final Duration PATIENCE = Duration.ofSeconds(5);
 
     private static final Duration USER_PATIENCE = Duration.ofMillis(1500);
-    private static final BooleanSupplier ALWAYS_CURRENT = () -> true;
     /** Part of the service's limits that the controllers use together when each keeps to its even share. */
     private static final double SAFETY = 0.92;
 
@@ -363,7 +362,7 @@
 
     /** Commits a transaction. */
     public void commit(Txn txn, Urgency urgency, Consumer<Result> done) {
-        commit(txn, urgency, ALWAYS_CURRENT, done);
+        commit(txn, urgency, StateStore::alwaysCurrent, done);
     }
 
     /**
@@ -421,7 +420,7 @@
             Duration timeout,
             Consumer<Result> done) {
         Instant until = loop.now().plus(patience(urgency));
-        submit(new Pending(urgency, until, method, path, body, writes, timeout, ALWAYS_CURRENT, done));
+        submit(new Pending(urgency, until, method, path, body, writes, timeout, StateStore::alwaysCurrent, done));
     }
 
     private static Duration patience(Urgency urgency) {
@@ -560,18 +559,13 @@
                 return new Result(Outcome.UNKNOWN, null);
             }
         }
-        switch (reply.status()) {
-            case 200:
-                return new Result(Outcome.OK, body);
-            case 404:
-                return new Result(Outcome.ABSENT, body);
-            case 409:
-                return new Result(Outcome.CONFLICT, body);
-            case 429:
-                return new Result(Outcome.NOT_EXECUTED, body);
-            case 503, HttpCalls.NOT_SENT:
-                return new Result(Outcome.NOT_EXECUTED, body);
-            case 400:
+        return switch (reply.status()) {
+            case 200 -> new Result(Outcome.OK, body);
+            case 404 -> new Result(Outcome.ABSENT, body);
+            case 409 -> new Result(Outcome.CONFLICT, body);
+            case 429 -> new Result(Outcome.NOT_EXECUTED, body);
+            case 503, HttpCalls.NOT_SENT -> new Result(Outcome.NOT_EXECUTED, body);
+            case 400 -> {
                 LOG.error(
                         "state service: {} {} of {} bytes, {} changes, answered {}",
                         p.method,
@@ -579,12 +573,17 @@
                         p.body == null ? 0 : p.body.length(),
                         p.writes,
                         reply.body());
-                return new Result(Outcome.REJECTED, body);
-            case 410:
+                yield new Result(Outcome.REJECTED, body);
+            }
+            case 410 -> {
                 LOG.warn("state service: {} {} answered {} {}", p.method, p.path, reply.status(), reply.body());
-                return new Result(Outcome.REJECTED, body);
-            default:
-                return new Result(Outcome.UNKNOWN, body);
-        }
+                yield new Result(Outcome.REJECTED, body);
+            }
+            default -> new Result(Outcome.UNKNOWN, body);
+        };
+    }
+
+    private static boolean alwaysCurrent() {
+        return true;
     }
 }
--- a/src/main/java/org/havenford/storage/records/MachineStatuses.java
+++ b/src/main/java/org/havenford/storage/records/MachineStatuses.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.SortedMap;
 import java.util.TreeMap;
 import org.havenford.protocol.Json;
 import org.havenford.storage.records.MachineRecord.Condition;
@@ -16,7 +17,7 @@
  * The status of some machines of an owner, under one key: hints for the other controllers and for a successor. No
  * claim, release or return rests on it alone.
  */
-public record MachineStatuses(Instant at, TreeMap<String, Status> machines) {
+public record MachineStatuses(Instant at, SortedMap<String, Status> machines) {
     /** Most machines under one key, so that it stays within the value limit. */
     public static final int MAX_MACHINES = 60;
 
--- a/src/test/java/org/havenford/protocol/MessagesTest.java
+++ b/src/test/java/org/havenford/protocol/MessagesTest.java
@@ -24,7 +24,7 @@
     void aJobSurvivesTheStore() throws Exception {
         JobSpec s = JobSpec.parse(Json.object(JOB));
         assertEquals(s, JobSpec.parse(s.toJson()));
-        assertEquals(Duration.ofSeconds(900), s.deadline());
+        assertEquals(Duration.ofMinutes(15), s.deadline());
         assertNull(s.types());
     }
 
--- a/src/test/java/org/havenford/world/LoopbackTakeoverTest.java
+++ b/src/test/java/org/havenford/world/LoopbackTakeoverTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
@@ -68,7 +69,7 @@
             String address = node.settings.peerListen();
             int port = Integer.parseInt(address.substring(address.indexOf(':') + 1));
             for (byte[] bytes : garbage) {
-                try (Socket socket = new Socket("127.0.0.1", port)) {
+                try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                     socket.setSoTimeout(10_000);
                     socket.getOutputStream().write(bytes);
                     assertEquals(-1, socket.getInputStream().read(), "the connection is closed");
--- a/src/test/java/org/havenford/world/LoopbackWorld.java
+++ b/src/test/java/org/havenford/world/LoopbackWorld.java
@@ -109,7 +109,7 @@
         List<String> addresses = new ArrayList<>();
         while (addresses.size() < count) {
             int port = FIRST_PORT + nextPort++ % PORTS;
-            try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getByName(HOST))) {
+            try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 addresses.add(HOST + ":" + socket.getLocalPort());
             } catch (BindException e) {
                 // Somebody else listens there.
@@ -133,7 +133,7 @@
     /** Answers HTTP at an address with whatever the world has there. */
     private void serve(String address) throws IOException {
         int port = Integer.parseInt(address.substring(address.indexOf(':') + 1));
-        HttpServer server = HttpServer.create(new InetSocketAddress(HOST, port), 64);
+        HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 64);
         server.setExecutor(threads);
         server.createContext("/", exchange -> handle(address, exchange));
         server.start();
@@ -171,10 +171,12 @@
                         method,
                         body == null ? HttpRequest.BodyPublishers.noBody() : HttpRequest.BodyPublishers.ofString(body))
                 .build();
-        client.sendAsync(request, HttpResponse.BodyHandlers.ofString()).whenComplete((response, failure) -> {
-            Reply reply = failure == null ? new Reply(response.statusCode(), response.body()) : new Reply(0, "");
-            inbox.add(() -> answer.accept(reply));
-        });
+        var unused = client.sendAsync(request, HttpResponse.BodyHandlers.ofString())
+                .whenComplete((response, failure) -> {
+                    Reply reply =
+                            failure == null ? new Reply(response.statusCode(), response.body()) : new Reply(0, "");
+                    inbox.add(() -> answer.accept(reply));
+                });
     }
 
     /** Seconds since this world began. */
--- a/src/test/java/org/havenford/world/PeerWires.java
+++ b/src/test/java/org/havenford/world/PeerWires.java
@@ -45,7 +45,7 @@
                 Port other = listening.get(address);
                 String target = address.substring(0, address.indexOf(':'));
                 World.Cut cut = world.cutBetweenNodes(node, target);
-                if (cut == World.Cut.RESET || cut == null && (other == null || !other.alive.getAsBoolean())) {
+                if (cut == World.Cut.RESET || (cut == null && (other == null || !other.alive.getAsBoolean()))) {
                     world.after(Duration.ofMillis(1), () -> act.accept(() -> failed.accept("refused")));
                 } else if (cut != null || isLost(node, target)) {
                     world.after(timeout, () -> act.accept(() -> failed.accept("no answer in time")));
--- a/src/test/java/org/havenford/world/Store.java
+++ b/src/test/java/org/havenford/world/Store.java
@@ -168,6 +168,7 @@
                         .getAsJsonArray("writes")
                         .size()
                 : 0;
+        @SuppressWarnings("ShortCircuitBoolean") // Both buckets are charged.
         boolean ok = within(requestTokens, world.template.stateRps(), 1) & within(changeTokens, writeRps, writes);
         refilled = world.now;
         if (ok) {
--- a/src/test/java/org/havenford/world/Users.java
+++ b/src/test/java/org/havenford/world/Users.java
@@ -192,7 +192,8 @@
             Instant asked = world.now;
             world.call("users", someNode(), "GET", "/submissions/" + j.id, null, Duration.ofSeconds(2), r -> {
                 told(j, knew, asked, r);
-                if (j.doneTold == null && j.cancelTold == null && j.takenAlong == null || world.random.nextInt(3) > 0) {
+                if ((j.doneTold == null && j.cancelTold == null && j.takenAlong == null)
+                        || world.random.nextInt(3) > 0) {
                     poll(j);
                 }
             });
@@ -210,7 +211,7 @@
         for (String a : j.awaits) {
             Job b = jobs.get(a);
             Instant at = b.cancelTold != null ? b.cancelTold : cancelledBefore(b);
-            first = first == null || at != null && at.isBefore(first) ? at : first;
+            first = first == null || (at != null && at.isBefore(first)) ? at : first;
         }
         return first == null || j.submitted.isBefore(first) ? first : j.submitted;
     }
