--- a/src/test/java/org/havenford/ArchitectureTest.java
+++ b/src/test/java/org/havenford/ArchitectureTest.java
@@ -25,8 +25,18 @@
     private static final List<List<String>> LAYERS = List.of(
             List.of("org.havenford.transport"),
             List.of("org.havenford.protocol"),
-            List.of("org.havenford.bookkeeping"),
-            List.of("org.havenford.coordination"),
+            List.of("org.havenford.settings"),
+            List.of("org.havenford.storage.records"),
+            List.of("org.havenford.storage"),
+            List.of("org.havenford.coordination.monitoring", "org.havenford.coordination.membership"),
+            List.of("org.havenford.coordination.agents"),
+            List.of("org.havenford.coordination.placement"),
+            List.of("org.havenford.coordination.jobs"),
+            List.of("org.havenford.coordination.quota"),
+            List.of("org.havenford.coordination.scheduling"),
+            List.of("org.havenford.coordination.provisioning"),
+            List.of("org.havenford.coordination.failover"),
+            List.of("org.havenford.controller"),
             List.of("org.havenford.standby"),
             List.of("org.havenford"));
 
