--- a/src/test/java/org/havenford/world/GrownTakeoverTest.java
+++ b/src/test/java/org/havenford/world/GrownTakeoverTest.java
@@ -57,5 +57,6 @@
         long beforeUrgent = ofIdle.filter(at -> at.isBefore(lastUrgent)).count();
         // Each of the two successors finishes its own urgent machines within its first rounds.
         assertTrue(beforeUrgent < orphaned.size() / 4, beforeUrgent + " idle machines came before urgent work");
+        world.behaviour.assertKept("grown/takeover");
     }
 }
--- a/src/test/java/org/havenford/world/GrownTest.java
+++ b/src/test/java/org/havenford/world/GrownTest.java
@@ -34,6 +34,7 @@
         }
         Counts counts = day(world, 1000, 90, 5, 40, List.of("red", "red", "blue"));
         assertTrue(counts.waited < 10, counts::toString);
+        world.behaviour.assertKept("grown/a-thousand-machines");
     }
 
     /** Half as many machines again as the largest deployment, in four zones: what a task costs stays what it was. */
@@ -46,6 +47,7 @@
         }
         Counts counts = day(world, 1850, 90, 5, 50, List.of("red", "red", "blue"));
         assertTrue(counts.waited < 10, counts::toString);
+        world.behaviour.assertKept("grown/eighteen-hundred-machines");
     }
 
     /** The same on three controllers with larger limits and no team's limit. */
@@ -61,6 +63,7 @@
         }
         Counts counts = day(world, 1600, 90, 20, 60, List.of("red"));
         assertTrue(counts.waited < 10, counts::toString);
+        world.behaviour.assertKept("grown/sixteen-hundred-machines");
     }
 
     /**
@@ -81,6 +84,7 @@
         world.cloud.take("host-003333");
         world.runUntil(75);
         assertTrue(!world.store.holds("live/machine/", "host-003333"), "the machine is off the record");
+        world.behaviour.assertKept("grown/long-list");
     }
 
     /** The largest deployment, on three controllers: plain work and a burst. */
@@ -95,6 +99,7 @@
         }
         Counts counts = day(world, 4000, 60, 40, 120, List.of("red"));
         assertTrue(counts.waited < 10, counts::toString);
+        world.behaviour.assertKept("grown/four-thousand-machines");
     }
 
     /** What a day asked of the state service, and the longest wait for a first start. */
@@ -193,6 +198,7 @@
                         + world.users.jobs.values().stream()
                                 .map(j -> j.id + j.accepted + j.begun + j.doneTold)
                                 .toList());
+        world.behaviour.assertKept("grown/tenth-of-the-limits");
     }
 
     /** While urgent work asks for more than there is, the rest still gets its turn, the largest jobs within four minutes. */
@@ -221,5 +227,6 @@
         world.runUntil(900);
         world.rules.endOfDay();
         assertEquals(List.of(), world.rules.broken);
+        world.behaviour.assertKept("grown/burst");
     }
 }
