--- a/src/main/java/org/havenford/Rehearsal.java
+++ b/src/main/java/org/havenford/ClassDataSharingWarmUp.java
@@ -7,28 +7,28 @@
 import java.util.jar.JarEntry;
 import java.util.jar.JarFile;
 import org.havenford.protocol.Json;
-import org.havenford.settings.Operator;
-import org.havenford.settings.Settings;
+import org.havenford.settings.OperatorSettings;
+import org.havenford.settings.PlatformSettings;
 
 /**
  * A start without a deployment, for the build: it loads the classes that a start needs, so that the JVM can archive them.
  * The controller takes itself for the state service and the cloud, which answers every call with 404.
  */
-final class Rehearsal {
-    private Rehearsal() {}
+final class ClassDataSharingWarmUp {
+    private ClassDataSharingWarmUp() {}
 
     static int run() {
         try {
             String self = "127.0.0.1:" + freePort();
             Main.serve(
-                    Settings.parse("{\"node_name\":\"rehearsal\",\"location\":\"a\",\"bind\":\"" + self
+                    PlatformSettings.parse("{\"node_name\":\"rehearsal\",\"location\":\"a\",\"bind\":\"" + self
                             + "\",\"cluster_listen\":\"127.0.0.1:" + freePort() + "\",\"endpoints\":{\"cloud\":\""
                             + self
                             + "\",\"state\":\"" + self
                             + "\"},\"deployment\":{\"workers\":{\"report_s\":3,\"lease_s\":20,\"cancel_s\":40},"
                             + "\"state\":{\"rps\":100,\"write_rps\":50,\"value_kb\":8,\"txn_ops\":12},"
                             + "\"cloud\":{\"rps\":5,\"list_lag_s\":4}}}"),
-                    Operator.DEFAULTS);
+                    OperatorSettings.DEFAULTS);
             loadOwnClasses();
             Thread.sleep(1500);
             return 0;
@@ -48,7 +48,7 @@
     }
 
     private static void loadOwnClasses() throws IOException, ClassNotFoundException {
-        String jar = Rehearsal.class
+        String jar = ClassDataSharingWarmUp.class
                 .getProtectionDomain()
                 .getCodeSource()
                 .getLocation()
--- a/src/main/java/org/havenford/Main.java
+++ b/src/main/java/org/havenford/Main.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.CompletableFuture;
 import org.havenford.controller.Controller;
 import org.havenford.protocol.Json;
-import org.havenford.settings.Operator;
-import org.havenford.settings.Settings;
+import org.havenford.settings.OperatorSettings;
+import org.havenford.settings.PlatformSettings;
 import org.havenford.standby.WarmStandby;
 import org.havenford.transport.HttpClient;
 import org.havenford.transport.HttpServer;
@@ -96,7 +96,7 @@
             return help;
         }
         if (parsed.hasMatchedOption("--rehearse")) {
-            return Rehearsal.run();
+            return ClassDataSharingWarmUp.run();
         }
         Path file = parsed.matchedOptionValue("--config", (Path) null);
         if (file == null) {
@@ -105,9 +105,10 @@
             return 2;
         }
         try {
-            Settings settings = Settings.read(file);
+            PlatformSettings settings = PlatformSettings.read(file);
             Path operatorFile = parsed.matchedOptionValue("--operator", (Path) null);
-            Operator operator = operatorFile == null ? Operator.DEFAULTS : Operator.read(operatorFile);
+            OperatorSettings operator =
+                    operatorFile == null ? OperatorSettings.DEFAULTS : OperatorSettings.read(operatorFile);
             serve(settings, operator);
             return -1;
         } catch (NoSuchFileException e) {
@@ -116,7 +117,7 @@
             return fail(e.getMessage());
         } catch (Json.BadMessage e) {
             return fail(file + ": " + e.getMessage());
-        } catch (Operator.BadSetting e) {
+        } catch (OperatorSettings.InvalidSettingException e) {
             return fail("operators' settings: " + e.getMessage());
         } catch (RuntimeException e) {
             return fail("can't listen on the configured address: " + e.getMessage());
@@ -132,7 +133,7 @@
      * Starts the one event-loop thread and builds everything on it. The calling thread only waits: two threads that load
      * classes at the same time have been seen to crash the process in read() (docs/incidents/start-crash.md).
      */
-    static void serve(Settings settings, Operator operator) throws IOException {
+    static void serve(PlatformSettings settings, OperatorSettings operator) throws IOException {
         XnioWorker worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
                         .set(Options.WORKER_IO_THREADS, 1)
@@ -153,7 +154,7 @@
         built.join();
     }
 
-    private static void build(XnioWorker worker, Settings settings, Operator operator) {
+    private static void build(XnioWorker worker, PlatformSettings settings, OperatorSettings operator) {
         XnioLoop loop = new XnioLoop(worker.getIoThread());
         DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8 * 1024, 64, 0);
         // When the other controllers are down, all workers and users come here: room for them goes before room for
--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -8,30 +8,30 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
-import org.havenford.coordination.agents.Fleet;
+import org.havenford.coordination.agents.AgentManager;
 import org.havenford.coordination.failover.StandbyAccess;
 import org.havenford.coordination.failover.StandbyHost;
-import org.havenford.coordination.jobs.FinalStates;
+import org.havenford.coordination.jobs.CoordinationContext;
+import org.havenford.coordination.jobs.FinalStateCache;
+import org.havenford.coordination.jobs.JobApi;
+import org.havenford.coordination.jobs.JobDependencies;
 import org.havenford.coordination.jobs.PipelineMetrics;
-import org.havenford.coordination.jobs.Pipelines;
-import org.havenford.coordination.jobs.SchedulingContext;
-import org.havenford.coordination.jobs.Users;
-import org.havenford.coordination.membership.Evictions;
+import org.havenford.coordination.membership.MemberEvictions;
 import org.havenford.coordination.membership.Membership;
 import org.havenford.coordination.monitoring.LinkMonitor;
-import org.havenford.coordination.monitoring.PauseDetector;
-import org.havenford.coordination.provisioning.CloudCalls;
+import org.havenford.coordination.monitoring.ProcessPauseDetector;
+import org.havenford.coordination.provisioning.CloudClient;
 import org.havenford.coordination.provisioning.Provisioner;
 import org.havenford.coordination.provisioning.ProvisioningContext;
 import org.havenford.coordination.scheduling.Scheduler;
+import org.havenford.protocol.Heartbeat;
 import org.havenford.protocol.Json;
-import org.havenford.protocol.Report;
-import org.havenford.settings.Operator;
-import org.havenford.settings.Settings;
-import org.havenford.storage.GuardedWriter;
-import org.havenford.storage.Ledger;
-import org.havenford.storage.Replica;
-import org.havenford.storage.StateStore;
+import org.havenford.settings.OperatorSettings;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.ClusterState;
+import org.havenford.storage.ConditionalWriter;
+import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreReplica;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
 import org.havenford.transport.EventLoop;
@@ -56,17 +56,17 @@
     private static final Duration TALLY = Duration.ofSeconds(60);
 
     private final EventLoop loop;
-    private final PauseDetector pauses;
+    private final ProcessPauseDetector pauses;
     private final LinkMonitor links;
-    private final Ledger ledger = new Ledger();
-    private final StateStore store;
-    private final Replica replica;
+    private final ClusterState ledger = new ClusterState();
+    private final StoreClient store;
+    private final StoreReplica replica;
     private final Membership membership;
-    private final Fleet fleet;
+    private final AgentManager fleet;
     private final Scheduler scheduler;
     private final Provisioner provisioner;
-    private final Users users;
-    private final Evictions evictions;
+    private final JobApi users;
+    private final MemberEvictions evictions;
     private final StandbyAccess standbyAccess;
     private final PipelineMetrics pipelineMetrics = new PipelineMetrics();
     private final Histogram answerMicros = new Histogram(60_000_000L, 2);
@@ -77,12 +77,12 @@
     private Instant lastComplaint = Instant.MIN;
 
     /** Puts a controller together; nothing happens before {@link #start}. */
-    public Controller(EventLoop outerLoop, HttpCalls outerCalls, Settings settings, Operator operator) {
-        pauses = new PauseDetector(outerLoop, outerCalls, this::stoodStill);
+    public Controller(EventLoop outerLoop, HttpCalls outerCalls, PlatformSettings settings, OperatorSettings operator) {
+        pauses = new ProcessPauseDetector(outerLoop, outerCalls, this::stoodStill);
         loop = pauses;
         links = new LinkMonitor(settings, loop);
         HttpCalls calls = links.watching(pauses);
-        store = new StateStore(
+        store = new StoreClient(
                 loop,
                 calls,
                 settings.stateAddress(),
@@ -90,7 +90,7 @@
                 settings.stateWriteRps(),
                 settings.nextWriteRps(),
                 settings.peers().size() + 1);
-        replica = new Replica(loop, store, Keys.REPLICATED, ledger);
+        replica = new StoreReplica(loop, store, Keys.REPLICATED, ledger);
         membership = new Membership(
                 loop,
                 store,
@@ -100,17 +100,17 @@
                 membershipLife(settings, operator),
                 this::viewChanged,
                 this::ownedBy);
-        fleet = new Fleet(
+        fleet = new AgentManager(
                 loop, calls, settings, operator, ledger, replica, store, membership, this::endsChanged, this::wake);
-        GuardedWriter writer = new GuardedWriter(loop, store, replica, settings.valueBytes(), this::wake);
-        FinalStates finalStates = new FinalStates(loop, store, this::wake);
-        SchedulingContext context = new SchedulingContext(
+        ConditionalWriter writer = new ConditionalWriter(loop, store, replica, settings.valueBytes(), this::wake);
+        FinalStateCache finalStates = new FinalStateCache(loop, store, this::wake);
+        CoordinationContext context = new CoordinationContext(
                 loop, settings, ledger, replica, store, membership, writer, finalStates, pipelineMetrics);
-        Pipelines pipelines = new Pipelines(context);
+        JobDependencies pipelines = new JobDependencies(context);
         scheduler = new Scheduler(context, operator, fleet, pipelines);
         provisioner = new Provisioner(new ProvisioningContext(
                 loop,
-                new CloudCalls(loop, calls, settings),
+                new CloudClient(loop, calls, settings),
                 settings,
                 operator,
                 ledger,
@@ -118,11 +118,11 @@
                 store,
                 membership,
                 this::wake));
-        users = new Users(context, pipelines, this::wake);
-        evictions = new Evictions(loop, store, replica, membership, settings.node());
+        users = new JobApi(context, pipelines, this::wake);
+        evictions = new MemberEvictions(loop, store, replica, membership, settings.node());
         standbyAccess =
                 new StandbyAccess(loop, pauses::eventBegins, store, replica, ledger, membership, evictions, fleet);
-        ledger.observer(new Ledger.Observer() {
+        ledger.observer(new ClusterState.Observer() {
             @Override
             public void viewChanged(JsonObject view, long stamp) {
                 membership.viewChanged(view, stamp);
@@ -170,13 +170,13 @@
      * A silent task must be gone within the time for cancellations, even if its owner can't be reached: an owner cut
      * off may renew the worker's lease until its own ends.
      */
-    static Duration membershipLife(Settings settings, Operator operator) {
+    static Duration membershipLife(PlatformSettings settings, OperatorSettings operator) {
         Duration most = settings.cancel().minus(settings.workerLease()).minus(CANCEL_MARGIN);
         Duration life = operator.membershipLease();
         return life.compareTo(most) > 0 && most.compareTo(Duration.ofSeconds(2)) > 0 ? most : life;
     }
 
-    private static Set<String> nodes(Settings settings) {
+    private static Set<String> nodes(PlatformSettings settings) {
         Set<String> all = new TreeSet<>(Set.of(settings.node()));
         settings.peers().forEach(p -> all.add(p.node()));
         return all;
@@ -355,7 +355,8 @@
             if (body == null) {
                 throw new Json.BadMessage("too large or incomplete");
             }
-            Fleet.Answer a = fleet.checkin(Report.parse(Json.object(new String(body, StandardCharsets.UTF_8))));
+            AgentManager.HeartbeatResponse a =
+                    fleet.checkin(Heartbeat.parse(Json.object(new String(body, StandardCharsets.UTF_8))));
             return Response.of(a.status(), a.body());
         } catch (Json.BadMessage e) {
             if (loop.now().isAfter(lastComplaint.plusSeconds(10))) {
--- a/src/main/java/org/havenford/coordination/agents/WorkerCommands.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentCommands.java
@@ -6,15 +6,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import org.havenford.coordination.agents.MachineState.Attempt;
-import org.havenford.coordination.agents.MachineState.StopReason;
+import org.havenford.coordination.agents.AgentState.Attempt;
+import org.havenford.coordination.agents.AgentState.StopReason;
 import org.havenford.coordination.membership.Membership;
 import org.havenford.protocol.Command;
+import org.havenford.protocol.Heartbeat;
 import org.havenford.protocol.Json;
-import org.havenford.protocol.Report;
 import org.havenford.protocol.TaskId;
-import org.havenford.settings.Settings;
-import org.havenford.storage.Ledger;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.Job;
 import org.havenford.transport.EventLoop;
@@ -26,8 +26,8 @@
  * Works out the commands that a worker needs, from the claims on its machine and its newest report. They go out in the
  * answer to a report, or directly where that would take too long.
  */
-final class WorkerCommands {
-    private static final Logger LOG = LoggerFactory.getLogger(WorkerCommands.class);
+final class AgentCommands {
+    private static final Logger LOG = LoggerFactory.getLogger(AgentCommands.class);
     /** Commands in the answer to a report: a line of it must not be longer than 64 KiB. */
     private static final int MOST_IN_ANSWER = 200;
 
@@ -42,21 +42,21 @@
 
     private final EventLoop loop;
     private final HttpCalls calls;
-    private final Ledger ledger;
+    private final ClusterState ledger;
     private final Membership membership;
-    private final AttemptEndings endings;
+    private final AttemptOutcomes endings;
     private final Duration reachable;
-    private final BiConsumer<MachineState, HttpCalls.Reply> answered;
+    private final BiConsumer<AgentState, HttpCalls.Reply> answered;
 
     /** {@code answered} is told the reply to each direct command. */
-    WorkerCommands(
+    AgentCommands(
             EventLoop loop,
             HttpCalls calls,
-            Settings settings,
-            Ledger ledger,
+            PlatformSettings settings,
+            ClusterState ledger,
             Membership membership,
-            AttemptEndings endings,
-            BiConsumer<MachineState, HttpCalls.Reply> answered) {
+            AttemptOutcomes endings,
+            BiConsumer<AgentState, HttpCalls.Reply> answered) {
         this.loop = loop;
         this.calls = calls;
         this.ledger = ledger;
@@ -67,14 +67,14 @@
     }
 
     /** Commands that go out with the answer to a report. */
-    List<Command> forAnswer(MachineState machine) {
+    List<Command> forAnswer(AgentState machine) {
         List<Command> commands = commands(machine, MOST_IN_ANSWER);
         noteRuns(machine, commands, false);
         return commands;
     }
 
     /** Sends what differs to the worker itself, without waiting for its next report. */
-    void push(MachineState machine) {
+    void push(AgentState machine) {
         Instant now = loop.now();
         if (machine.directInFlight
                 || now.isBefore(machine.directNotBefore)
@@ -93,13 +93,13 @@
     }
 
     /** Shows this owner's token to a worker that was taken over; the reply brings its report. */
-    void contact(MachineState machine, MachineNote note) {
+    void contact(AgentState machine, AgentContact note) {
         if (!machine.directInFlight) {
             send(machine, note.endpoint(), Command.direct(machine.token(), note.session(), List.of()));
         }
     }
 
-    private void send(MachineState machine, String endpoint, String body) {
+    private void send(AgentState machine, String endpoint, String body) {
         machine.directInFlight = true;
         calls.call(endpoint, "POST", "/do", body, TIMEOUT, reply -> {
             machine.directInFlight = false;
@@ -108,7 +108,7 @@
     }
 
     /** Reads the report in the reply to a direct command, or null, and says when the next command may go out. */
-    Report reportIn(MachineState machine, HttpCalls.Reply reply) {
+    Heartbeat reportIn(AgentState machine, HttpCalls.Reply reply) {
         boolean executed = reply.status() == 200;
         boolean refused = reply.status() == 409;
         if (!executed && !refused) {
@@ -117,7 +117,7 @@
         }
         machine.directNotBefore = loop.now().plus(refused ? AFTER_REFUSAL : AFTER_ANSWER);
         try {
-            Report report = Report.parse(Json.object(reply.body()));
+            Heartbeat report = Heartbeat.parse(Json.object(reply.body()));
             machine.directAnswers++;
             return report;
         } catch (Json.BadMessage e) {
@@ -126,14 +126,14 @@
         }
     }
 
-    private List<Command> commands(MachineState machine, int most) {
+    private List<Command> commands(AgentState machine, int most) {
         List<Command> commands = new ArrayList<>();
-        Report report = machine.report;
+        Heartbeat report = machine.report;
         if (report == null || ledger.machine(machine.name) == null) {
             return commands;
         }
         Map<TaskId, Claim> claims = ledger.claimsOn(machine.name);
-        for (Report.Entry entry : report.tasks()) {
+        for (Heartbeat.AttemptStatus entry : report.tasks()) {
             Command command = forReported(machine, entry, claims.get(entry.task()));
             if (command != null) {
                 commands.add(command);
@@ -150,10 +150,10 @@
     }
 
     /** What to do with a task that the worker reports; null for nothing. */
-    private Command forReported(MachineState machine, Report.Entry entry, Claim claim) {
+    private Command forReported(AgentState machine, Heartbeat.AttemptStatus entry, Claim claim) {
         boolean held =
                 claim != null && claim.attempt() == entry.attempt() && claim.session() == machine.report.session();
-        if (entry.state() == Report.State.EXITED) {
+        if (entry.state() == Heartbeat.State.EXITED) {
             return held ? null : forget(machine, entry);
         }
         if (!held) {
@@ -166,7 +166,7 @@
      * Whoever forgets can be made to start again by a run that is still under way: the token that comes with a forget is
      * higher than that of any run sent by /do.
      */
-    private static Command forget(MachineState machine, Report.Entry entry) {
+    private static Command forget(AgentState machine, Heartbeat.AttemptStatus entry) {
         if (machine.ranDirectly) {
             machine.fence++;
             machine.ranDirectly = false;
@@ -174,13 +174,13 @@
         return new Command(Command.Op.FORGET, entry.task(), entry.attempt(), Duration.ZERO);
     }
 
-    private Command stop(MachineState machine, Report.Entry entry, Claim claim) {
+    private Command stop(AgentState machine, Heartbeat.AttemptStatus entry, Claim claim) {
         Attempt attempt = machine.attempt(claim.task(), claim.attempt());
         if (ledger.isCancelled(claim)) {
             attempt.stop = StopReason.CANCELLED;
         }
         boolean cancelled = attempt.stop == StopReason.CANCELLED;
-        if (attempt.stop == null || (entry.state() == Report.State.SAVING && !cancelled)) {
+        if (attempt.stop == null || (entry.state() == Heartbeat.State.SAVING && !cancelled)) {
             return null;
         }
         Job job = ledger.job(claim.task().job());
@@ -188,7 +188,7 @@
         return new Command(Command.Op.STOP, entry.task(), entry.attempt(), save);
     }
 
-    private void addRuns(MachineState machine, Iterable<Claim> claims, int most, List<Command> commands) {
+    private void addRuns(AgentState machine, Iterable<Claim> claims, int most, List<Command> commands) {
         for (Claim claim : claims) {
             if (commands.size() < most && isToStart(machine, claim)) {
                 commands.add(new Command(Command.Op.RUN, claim.task(), claim.attempt(), Duration.ZERO));
@@ -196,7 +196,7 @@
         }
     }
 
-    private boolean isToStart(MachineState machine, Claim claim) {
+    private boolean isToStart(AgentState machine, Claim claim) {
         Attempt attempt = machine.attempt(claim.task(), claim.attempt());
         return claim.session() == machine.report.session()
                 && !attempt.seen
@@ -206,7 +206,7 @@
                 && machine.report.find(claim.task(), claim.attempt()) == null;
     }
 
-    private void noteRuns(MachineState machine, List<Command> commands, boolean direct) {
+    private void noteRuns(AgentState machine, List<Command> commands, boolean direct) {
         for (Command command : commands) {
             if (command.op() == Command.Op.RUN) {
                 Attempt attempt = machine.attempt(command.task(), command.attempt());
--- a/src/main/java/org/havenford/coordination/agents/Fleet.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentManager.java
@@ -9,16 +9,16 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
+import org.havenford.coordination.membership.ClusterView;
 import org.havenford.coordination.membership.Membership;
-import org.havenford.coordination.membership.View;
 import org.havenford.protocol.Command;
-import org.havenford.protocol.Report;
+import org.havenford.protocol.Heartbeat;
 import org.havenford.protocol.TaskId;
-import org.havenford.settings.Operator;
-import org.havenford.settings.Settings;
-import org.havenford.storage.Ledger;
-import org.havenford.storage.Replica;
-import org.havenford.storage.StateStore;
+import org.havenford.settings.OperatorSettings;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.ClusterState;
+import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreReplica;
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.MachineRecord;
@@ -30,7 +30,7 @@
  * The machines that this controller owns. The wanted state of a machine is the set of its claims in the store; what is
  * comes from the worker's newest report; the difference goes out as commands, and ended attempts go to the releaser.
  */
-public final class Fleet {
+public final class AgentManager {
     private static final Duration SWEEP = Duration.ofMillis(500);
     /** How long a machine without a record is remembered after it was last heard. */
     private static final Duration REMEMBERED = Duration.ofMinutes(3);
@@ -40,41 +40,41 @@
     private static final Duration LEASE_MARGIN = Duration.ofMillis(1500);
 
     /** What to answer a report. */
-    public record Answer(int status, String body) {}
+    public record HeartbeatResponse(int status, String body) {}
 
     private final EventLoop loop;
-    private final Settings settings;
-    private final Ledger ledger;
-    private final Replica replica;
+    private final PlatformSettings settings;
+    private final ClusterState ledger;
+    private final StoreReplica replica;
     private final Membership membership;
     private final Runnable wake;
-    private final Object2ObjectOpenHashMap<String, MachineState> machines = new Object2ObjectOpenHashMap<>();
+    private final Object2ObjectOpenHashMap<String, AgentState> machines = new Object2ObjectOpenHashMap<>();
     /** Machines to be looked at in the next round; the sweep looks at all. */
     private final Set<String> changed = new LinkedHashSet<>();
 
-    private final FaultEvidence evidence;
-    private final AttemptEndings endings;
-    private final MachineHealth health;
-    private final ReportReader reports;
-    private final WorkerCommands commands;
-    private final TaskStops stops;
-    private final MisdirectedWorkers misdirected;
+    private final MachineFaultDetector evidence;
+    private final AttemptOutcomes endings;
+    private final MachineHealthMonitor health;
+    private final HeartbeatReconciler reports;
+    private final AgentCommands commands;
+    private final TaskStopper stops;
+    private final RedirectedAgents misdirected;
     private final MachineStatusPublisher statusPublisher;
     private final MachineAdoption adoption;
-    private final RestingProbe restingProbe;
+    private final ReachabilityProbe restingProbe;
     private Instant nextSweep = Instant.MIN;
-    private View previousView = View.empty();
+    private ClusterView previousView = ClusterView.empty();
     private boolean sawAView;
 
     /** A fleet that knows no machines yet; {@code capacityChanged} is told of machines that take more or less than before. */
-    public Fleet(
+    public AgentManager(
             EventLoop loop,
             HttpCalls calls,
-            Settings settings,
-            Operator operator,
-            Ledger ledger,
-            Replica replica,
-            StateStore store,
+            PlatformSettings settings,
+            OperatorSettings operator,
+            ClusterState ledger,
+            StoreReplica replica,
+            StoreClient store,
             Membership membership,
             Consumer<String> capacityChanged,
             Runnable wake) {
@@ -84,26 +84,26 @@
         this.replica = replica;
         this.membership = membership;
         this.wake = wake;
-        endings = new AttemptEndings(ledger, capacityChanged);
-        evidence = new FaultEvidence(ledger);
-        health = new MachineHealth(settings, evidence, capacityChanged);
-        CachedImages images = new CachedImages(ledger, capacityChanged);
-        reports = new ReportReader(loop, ledger, endings, images, evidence, health.fresh());
-        commands = new WorkerCommands(loop, calls, settings, ledger, membership, endings, this::answered);
-        stops = new TaskStops(ledger, operator);
+        endings = new AttemptOutcomes(ledger, capacityChanged);
+        evidence = new MachineFaultDetector(ledger);
+        health = new MachineHealthMonitor(settings, evidence, capacityChanged);
+        ImageCacheTracker images = new ImageCacheTracker(ledger, capacityChanged);
+        reports = new HeartbeatReconciler(loop, ledger, endings, images, evidence, health.fresh());
+        commands = new AgentCommands(loop, calls, settings, ledger, membership, endings, this::answered);
+        stops = new TaskStopper(ledger, operator);
         statusPublisher = new MachineStatusPublisher(loop, settings, ledger, replica, store);
         adoption = new MachineAdoption(loop, ledger, replica, store, membership, settings.node());
-        misdirected = new MisdirectedWorkers(membership, settings.workerLease());
-        restingProbe = new RestingProbe(calls, ledger, membership, settings.node());
+        misdirected = new RedirectedAgents(membership, settings.workerLease());
+        restingProbe = new ReachabilityProbe(calls, ledger, membership, settings.node());
     }
 
     /** What is known of the workers of the machines that this controller owns. */
-    public List<MachineNote> notes() {
-        List<MachineNote> notes = new ArrayList<>(machines.size());
-        for (MachineState machine : machines.values()) {
-            Report report = machine.report;
+    public List<AgentContact> notes() {
+        List<AgentContact> notes = new ArrayList<>(machines.size());
+        for (AgentState machine : machines.values()) {
+            Heartbeat report = machine.report;
             if (report != null) {
-                notes.add(new MachineNote(
+                notes.add(new AgentContact(
                         machine.name,
                         report.endpoint(),
                         report.session(),
@@ -118,11 +118,11 @@
      * Takes over what the former owner knew of a worker, and asks the worker itself. A report that is no newer than what the
      * former owner had is a late copy, also for an owner that has not heard the worker yet.
      */
-    public void contact(MachineNote note) {
+    public void contact(AgentContact note) {
         if (!membership.entitled() || !mine(note.machine())) {
             return;
         }
-        MachineState machine = owned(note.machine());
+        AgentState machine = owned(note.machine());
         if (machine.report != null) {
             return;
         }
@@ -152,7 +152,7 @@
     }
 
     /** What this controller knows of a machine that it owns, or null. */
-    public MachineState state(String machine) {
+    public AgentState state(String machine) {
         return machines.get(machine);
     }
 
@@ -162,7 +162,7 @@
     }
 
     /** Attempts that ended and whose claims are still in the store. */
-    public AttemptEndings endings() {
+    public AttemptOutcomes endings() {
         return endings;
     }
 
@@ -170,10 +170,10 @@
 
     /** After each change of the view: forgets machines that went elsewhere, takes up those that came. */
     public void viewChanged() {
-        View view = membership.view();
+        ClusterView view = membership.view();
         restingProbe.viewChanged(previousView.resting().contains(settings.node()));
         for (String name : List.copyOf(machines.keySet())) {
-            MachineState machine = machines.get(name);
+            AgentState machine = machines.get(name);
             // It was ours in the view before, or it would not be here.
             boolean keeps = mine(name)
                     && view.members()
@@ -216,7 +216,7 @@
      * before; one that is still a member, or that we know nothing of, may not have seen the new view for as long as its
      * entitlement can last.
      */
-    private MachineState takeOver(String name) {
+    private AgentState takeOver(String name) {
         String before = previousView.owner(name);
         Long incarnation = before == null ? null : previousView.members().get(before);
         // An evicted owner may hold itself entitled until its lease ends by its own clock.
@@ -226,35 +226,35 @@
                 && !membership.isMember(before, incarnation)
                 && !membership.view().wasEvicted(before, incarnation);
         Instant renewed = gone ? loop.now() : loop.now().plus(membership.life());
-        MachineState machine = new MachineState(name, renewed);
+        AgentState machine = new AgentState(name, renewed);
         machine.epoch = membership.view().epoch();
         MachineRecord onRecord = ledger.machine(name);
         if (onRecord != null && onRecord.condition() == Condition.SILENT) {
             // Its worker may be one that hears nobody: a report alone does not show the contrary.
-            machine.unanswered = MachineHealth.MOST_UNANSWERED;
+            machine.unanswered = MachineHealthMonitor.MOST_UNANSWERED;
         }
         return machine;
     }
 
-    private MachineState owned(String name) {
+    private AgentState owned(String name) {
         return machines.computeIfAbsent(name, n -> takeOver((String) n));
     }
 
     // ---- reports
 
     /** Answers a worker's report. */
-    public Answer checkin(Report report) {
+    public HeartbeatResponse checkin(Heartbeat report) {
         if (!membership.entitled() || !replica.loaded()) {
-            return new Answer(503, "{\"error\":\"not entitled\"}");
+            return new HeartbeatResponse(503, "{\"error\":\"not entitled\"}");
         }
         if (!mine(report.machine())) {
             misdirected.reported(report.machine(), loop.now());
-            return new Answer(421, "{\"director\":\"" + membership.owner(report.machine()) + "\"}");
+            return new HeartbeatResponse(421, "{\"director\":\"" + membership.owner(report.machine()) + "\"}");
         }
         misdirected.arrived(report.machine());
-        MachineState machine = owned(report.machine());
+        AgentState machine = owned(report.machine());
         if (isLateCopy(machine, report)) {
-            return new Answer(503, "{\"error\":\"a later report has been here\"}");
+            return new HeartbeatResponse(503, "{\"error\":\"a later report has been here\"}");
         }
         machine.checkinSession = report.session();
         machine.checkinSeq = report.seq();
@@ -273,7 +273,7 @@
         if (news) {
             wake.run();
         }
-        return new Answer(200, Command.reply(machine.token(), answer));
+        return new HeartbeatResponse(200, Command.reply(machine.token(), answer));
     }
 
     /**
@@ -281,12 +281,12 @@
      * machine that is gone gives its tasks back. An answer to /do may well have overtaken a report that is still waited for:
      * so only reports are compared.
      */
-    private static boolean isLateCopy(MachineState machine, Report report) {
+    private static boolean isLateCopy(AgentState machine, Heartbeat report) {
         return report.session() < machine.checkinSession
                 || (report.session() == machine.checkinSession && report.seq() <= machine.checkinSeq);
     }
 
-    private static boolean isNews(MachineState machine, Report report) {
+    private static boolean isNews(AgentState machine, Heartbeat report) {
         return machine.report == null
                 || machine.condition != Condition.UP
                 || report.session() != machine.report.session()
@@ -297,8 +297,8 @@
      * A worker that gets our answer stays here. One that reports elsewhere before each report here, or whose lease runs
      * out although we answer, does not get it: its machine takes no new work until it does.
      */
-    private void countAnswered(MachineState machine, Report report) {
-        Report before = machine.report;
+    private void countAnswered(AgentState machine, Heartbeat report) {
+        Heartbeat before = machine.report;
         if (before != null) {
             boolean elsewhere =
                     report.session() > before.session() || report.seq() > before.seq() + 1 + machine.directAnswers;
@@ -313,7 +313,7 @@
         return a.isAfter(b) ? a : b;
     }
 
-    private void take(MachineState machine, Report report, boolean fromCheckin) {
+    private void take(AgentState machine, Heartbeat report, boolean fromCheckin) {
         changed.add(machine.name);
         reports.read(machine, report, fromCheckin);
         MachineRecord onRecord = ledger.machine(machine.name);
@@ -348,18 +348,18 @@
 
     /** Sends what differs to the worker itself, without waiting for its next report. */
     public void push(String machine) {
-        MachineState state = machines.get(machine);
+        AgentState state = machines.get(machine);
         if (state != null) {
             commands.push(state);
         }
     }
 
     /** The reply to a direct command; one to a machine that has gone to another owner says nothing any more. */
-    private void answered(MachineState machine, HttpCalls.Reply reply) {
+    private void answered(AgentState machine, HttpCalls.Reply reply) {
         if (machines.get(machine.name) != machine) {
             return;
         }
-        Report report = commands.reportIn(machine, reply);
+        Heartbeat report = commands.reportIn(machine, reply);
         if (report != null && report.machine().equals(machine.name) && report.newerThan(machine.report)) {
             take(machine, report, false);
         }
@@ -378,7 +378,7 @@
 
     /** Marks a claim on one of our machines to be stopped for more urgent work. */
     public void preempt(Claim claim) {
-        MachineState machine = mine(claim.machine()) ? machines.get(claim.machine()) : null;
+        AgentState machine = mine(claim.machine()) ? machines.get(claim.machine()) : null;
         if (machine != null && stops.preempt(machine, claim)) {
             changed.add(claim.machine());
         }
@@ -404,7 +404,7 @@
         nextSweep = now.plus(SWEEP);
         takeOverOwned();
         endLeases(now);
-        for (MachineState machine : machines.values()) {
+        for (AgentState machine : machines.values()) {
             MachineRecord onRecord = ledger.machine(machine.name);
             if (onRecord != null) {
                 stops.checkLateness(machine, now);
@@ -423,7 +423,7 @@
     }
 
     /** A machine without tasks and claims needs no commands: of thousands most may be idle. */
-    private boolean mayNeedCommands(MachineState machine) {
+    private boolean mayNeedCommands(AgentState machine) {
         boolean hasTasks = machine.report != null && !machine.report.tasks().isEmpty();
         return hasTasks || !ledger.claimsOn(machine.name).isEmpty();
     }
@@ -435,20 +435,20 @@
                 boolean leaseOver = now.isAfter(leaseEnd(owned(name)));
                 boolean returned = ledger.machine(name) == null;
                 if (leaseOver || returned) {
-                    ledger.claimsOn(name).values().forEach(claim -> endings.end(claim, Ending.RETRY));
+                    ledger.claimsOn(name).values().forEach(claim -> endings.end(claim, AttemptOutcome.RETRY));
                 }
             }
         }
     }
 
-    private Instant leaseEnd(MachineState machine) {
+    private Instant leaseEnd(AgentState machine) {
         return machine.renewed
                 .plusNanos((long) (settings.workerLease().toNanos() * LEASE_DRIFT))
                 .plus(LEASE_MARGIN);
     }
 
     /** Machines that went back to the cloud long ago. */
-    private boolean isForgotten(MachineState machine, Instant now) {
+    private boolean isForgotten(AgentState machine, Instant now) {
         Instant lastSign = machine.heard.equals(Instant.MIN) ? machine.renewed : later(machine.renewed, machine.heard);
         return ledger.machine(machine.name) == null
                 && ledger.claimsOn(machine.name).isEmpty()
@@ -460,7 +460,7 @@
      * view or the machine's condition changes, so that a thousand machines need not be looked up in each round.
      */
     public Predicate<Instant> availability(MachineRecord machine) {
-        MachineState state = machines.get(machine.name());
+        AgentState state = machines.get(machine.name());
         if (state != null) {
             return now -> health.usable(state, now);
         }
@@ -470,20 +470,20 @@
 
     /** Whether a task should not be tried again on a machine. */
     public boolean avoided(TaskId task, String machine) {
-        MachineState state = machines.get(machine);
+        AgentState state = machines.get(machine);
         return state != null && state.avoid.contains(task);
     }
 
     /** The condition of a machine: of our own we know it before it is on record. */
     public Condition condition(MachineRecord machine) {
         boolean goes = machine.condition().compareTo(Condition.RETIRING) >= 0;
-        MachineState state = goes || !mine(machine.name()) ? null : machines.get(machine.name());
+        AgentState state = goes || !mine(machine.name()) ? null : machines.get(machine.name());
         return state == null ? machine.condition() : state.condition;
     }
 
     /** What a machine has cached: of our own machines we know more than is on record. */
     public List<String> images(MachineRecord machine) {
-        MachineState state = machines.get(machine.name());
+        AgentState state = machines.get(machine.name());
         return state == null || state.images == null ? machine.images() : state.images;
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/MachineState.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentState.java
@@ -6,12 +6,12 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.havenford.protocol.Report;
+import org.havenford.protocol.Heartbeat;
 import org.havenford.protocol.TaskId;
 import org.havenford.storage.records.MachineRecord.Condition;
 
 /** What this controller knows of a machine that it owns. Kept in memory only: a successor starts from nothing. */
-public final class MachineState {
+public final class AgentState {
     /** Why a task is to be stopped, although its claim still holds. */
     enum StopReason {
         CANCELLED,
@@ -44,7 +44,7 @@
     }
 
     final String name;
-    public Report report;
+    public Heartbeat report;
     /** Session and sequence of the newest report that came by itself, not as an answer to a command. */
     long checkinSession = -1;
 
@@ -84,7 +84,7 @@
     /** Tasks that failed here; they are placed elsewhere. */
     final Set<TaskId> avoid = new HashSet<>();
 
-    MachineState(String name, Instant renewed) {
+    AgentState(String name, Instant renewed) {
         this.name = name;
         this.renewed = renewed;
     }
--- a/src/main/java/org/havenford/coordination/agents/AttemptEndings.java
+++ b/src/main/java/org/havenford/coordination/agents/AttemptOutcomes.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.havenford.storage.Ledger;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
@@ -19,21 +19,21 @@
  * Attempts that ended and whose claims are still in the store, gathered by the record that holds the claim. By claim, not by
  * task: an end must never be taken for that of a later attempt.
  */
-public final class AttemptEndings {
-    private static final Logger LOG = LoggerFactory.getLogger(AttemptEndings.class);
+public final class AttemptOutcomes {
+    private static final Logger LOG = LoggerFactory.getLogger(AttemptOutcomes.class);
 
     /** Ends that are to be written into one record of tasks. */
-    public static final class EndedRecord {
+    public static final class TaskRangeOutcomes {
         private final String key;
         private final Job job;
-        private final Map<Claim, Ending> ended = new LinkedHashMap<>();
+        private final Map<Claim, AttemptOutcome> ended = new LinkedHashMap<>();
         /** Since when ends are gathered; null before the first look at a record that nothing else is written into. */
         private Instant gatheredSince;
 
         /** When it was last looked at whether the ends should be written; null after a change. */
         private Instant lookedAt;
 
-        private EndedRecord(String key, Job job) {
+        private TaskRangeOutcomes(String key, Job job) {
             this.key = key;
             this.job = job;
         }
@@ -49,7 +49,7 @@
         }
 
         /** The job of the tasks. */
-        public Map<Claim, Ending> ended() {
+        public Map<Claim, AttemptOutcome> ended() {
             return ended;
         }
 
@@ -73,25 +73,25 @@
         }
     }
 
-    private final Ledger ledger;
+    private final ClusterState ledger;
     private final Consumer<String> changed;
-    private final Map<Claim, EndedRecord> recordOf = new HashMap<>();
-    private final Map<String, EndedRecord> records = new LinkedHashMap<>();
+    private final Map<Claim, TaskRangeOutcomes> recordOf = new HashMap<>();
+    private final Map<String, TaskRangeOutcomes> records = new LinkedHashMap<>();
 
     /** {@code changed} is told of machines on which an attempt has ended. */
-    AttemptEndings(Ledger ledger, Consumer<String> changed) {
+    AttemptOutcomes(ClusterState ledger, Consumer<String> changed) {
         this.ledger = ledger;
         this.changed = changed;
     }
 
     /** Notes the end of an attempt; the first end counts. */
-    void end(Claim claim, Ending ending) {
+    void end(Claim claim, AttemptOutcome ending) {
         Job job = ledger.job(claim.task().job());
         if (job == null || recordOf.containsKey(claim)) {
             return;
         }
         String key = Keys.tasks(job.id(), job.chunkOf(claim.task().index()));
-        EndedRecord ended = records.computeIfAbsent(key, k -> new EndedRecord(k, job));
+        TaskRangeOutcomes ended = records.computeIfAbsent(key, k -> new TaskRangeOutcomes(k, job));
         ended.ended.put(claim, ending);
         ended.lookedAt = null;
         recordOf.put(claim, ended);
@@ -105,15 +105,15 @@
     }
 
     /** How an attempt ended, or null. */
-    public Ending of(Claim claim) {
-        EndedRecord ended = recordOf.get(claim);
+    public AttemptOutcome of(Claim claim) {
+        TaskRangeOutcomes ended = recordOf.get(claim);
         return ended == null ? null : ended.ended.get(claim);
     }
 
     /** The ends of some claims are in the store, or the claims are no longer held. */
     public void remove(Collection<Claim> claims) {
         for (Claim claim : List.copyOf(claims)) {
-            EndedRecord ended = recordOf.remove(claim);
+            TaskRangeOutcomes ended = recordOf.remove(claim);
             if (ended != null) {
                 ended.ended.remove(claim);
                 if (ended.ended.isEmpty()) {
@@ -129,7 +129,7 @@
     }
 
     /** Records with ends to be written, in the order in which the first end of each was seen. */
-    public List<EndedRecord> records() {
+    public List<TaskRangeOutcomes> records() {
         return List.copyOf(records.values());
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/ReportReader.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
@@ -3,37 +3,37 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
-import org.havenford.coordination.agents.MachineState.Attempt;
-import org.havenford.coordination.agents.MachineState.StopReason;
-import org.havenford.protocol.Report;
-import org.havenford.storage.Ledger;
+import org.havenford.coordination.agents.AgentState.Attempt;
+import org.havenford.coordination.agents.AgentState.StopReason;
+import org.havenford.protocol.Heartbeat;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Claim;
 import org.havenford.transport.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Compares a worker's report with the claims on its machine: which attempts have begun, go on, or have ended. */
-final class ReportReader {
-    private static final Logger LOG = LoggerFactory.getLogger(ReportReader.class);
+final class HeartbeatReconciler {
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
     /** How long a machine that has refused a task gets no other. */
     private static final Duration REFUSAL_HOLDS = Duration.ofSeconds(4);
     /** Bits of a token that the fence takes. */
     private static final int FENCE_BITS = 32;
 
     private final EventLoop loop;
-    private final Ledger ledger;
-    private final AttemptEndings endings;
-    private final CachedImages images;
-    private final FaultEvidence evidence;
+    private final ClusterState ledger;
+    private final AttemptOutcomes endings;
+    private final ImageCacheTracker images;
+    private final MachineFaultDetector evidence;
     private final Duration fresh;
 
     /** Claims younger than {@code fresh} are taken to have begun when they were first seen. */
-    ReportReader(
+    HeartbeatReconciler(
             EventLoop loop,
-            Ledger ledger,
-            AttemptEndings endings,
-            CachedImages images,
-            FaultEvidence evidence,
+            ClusterState ledger,
+            AttemptOutcomes endings,
+            ImageCacheTracker images,
+            MachineFaultDetector evidence,
             Duration fresh) {
         this.evidence = evidence;
         this.loop = loop;
@@ -44,8 +44,8 @@
     }
 
     /** Takes a report over; {@code fromCheckin} tells reports that came by themselves from answers to commands. */
-    void read(MachineState machine, Report report, boolean fromCheckin) {
-        Report before = machine.report;
+    void read(AgentState machine, Heartbeat report, boolean fromCheckin) {
+        Heartbeat before = machine.report;
         machine.report = report;
         machine.heard = loop.now();
         machine.unheardSincePause = false;
@@ -60,12 +60,12 @@
         }
     }
 
-    private void compare(MachineState machine, Claim claim, Report report, boolean fromCheckin) {
+    private void compare(AgentState machine, Claim claim, Heartbeat report, boolean fromCheckin) {
         if (claim.session() < report.session()) {
             // A later session: the worker has killed and forgotten everything from before.
-            endings.end(claim, Ending.RETRY);
+            endings.end(claim, AttemptOutcome.RETRY);
         } else if (claim.session() == report.session()) {
-            Report.Entry entry = report.find(claim.task(), claim.attempt());
+            Heartbeat.AttemptStatus entry = report.find(claim.task(), claim.attempt());
             Attempt attempt = machine.attempt(claim.task(), claim.attempt());
             if (entry == null) {
                 absent(machine, claim, attempt, report, fromCheckin);
@@ -75,7 +75,7 @@
         }
     }
 
-    private void absent(MachineState machine, Claim claim, Attempt attempt, Report report, boolean fromCheckin) {
+    private void absent(AgentState machine, Claim claim, Attempt attempt, Heartbeat report, boolean fromCheckin) {
         boolean unwanted = attempt.stop != null || ledger.isCancelled(claim);
         if (!attempt.seen && !unwanted) {
             return;
@@ -83,14 +83,14 @@
         // Absence in a report proves something only if no run can arrive any more: answers to reports can't be late
         // beyond the next report, and a run by /do is ruled out once the worker has seen a higher token.
         if (fromCheckin && report.token() >= machine.epoch << FENCE_BITS && report.token() > attempt.directToken) {
-            endings.end(claim, attempt.stop == StopReason.LATE ? Ending.LATE : Ending.RETRY);
+            endings.end(claim, attempt.stop == StopReason.LATE ? AttemptOutcome.LATE : AttemptOutcome.RETRY);
         } else if (attempt.directToken >= machine.token()) {
             machine.fence++;
             machine.ranDirectly = false;
         }
     }
 
-    private void present(MachineState machine, Claim claim, Attempt attempt, Report.Entry entry) {
+    private void present(AgentState machine, Claim claim, Attempt attempt, Heartbeat.AttemptStatus entry) {
         boolean first = !attempt.seen;
         attempt.seen = true;
         switch (entry.state()) {
@@ -135,33 +135,34 @@
         return loop.now().minus(age.isNegative() ? Duration.ZERO : age);
     }
 
-    private void exited(MachineState machine, Claim claim, Attempt attempt, String why) {
+    private void exited(AgentState machine, Claim claim, Attempt attempt, String why) {
         switch (why) {
             case "done" -> done(machine, claim, attempt);
-            case "stopped" -> endings.end(claim, attempt.stop == StopReason.LATE ? Ending.LATE : Ending.RETRY);
+            case "stopped" ->
+                endings.end(claim, attempt.stop == StopReason.LATE ? AttemptOutcome.LATE : AttemptOutcome.RETRY);
             case "error" -> {
                 LOG.info("{} failed on {}", claim.task(), machine.name);
                 machine.avoid.add(claim.task());
                 evidence.failed(machine.name, claim.task().job());
-                endings.end(claim, Ending.FAILED);
+                endings.end(claim, AttemptOutcome.FAILED);
             }
             case "no_room", "busy" -> {
                 LOG.info("{} refused by {}: {}", claim.task(), machine.name, why);
                 machine.refusedUntil = loop.now().plus(REFUSAL_HOLDS);
-                endings.end(claim, Ending.RETRY);
+                endings.end(claim, AttemptOutcome.RETRY);
             }
             default -> {
                 LOG.info("{} refused by {}: {}", claim.task(), machine.name, why);
-                endings.end(claim, Ending.FAILED);
+                endings.end(claim, AttemptOutcome.FAILED);
             }
         }
     }
 
-    private void done(MachineState machine, Claim claim, Attempt attempt) {
+    private void done(AgentState machine, Claim claim, Attempt attempt) {
         images.used(machine, ledger.job(claim.task().job()));
         boolean sawRun = attempt.sawRunStart && attempt.runFrom != null;
         double run = sawRun ? seconds(attempt.runFrom, loop.now()) : -1;
         evidence.succeeded(machine.name);
-        endings.end(claim, Ending.done(attempt.fetchSeconds, run));
+        endings.end(claim, AttemptOutcome.done(attempt.fetchSeconds, run));
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/CachedImages.java
+++ b/src/main/java/org/havenford/coordination/agents/ImageCacheTracker.java
@@ -5,28 +5,28 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.havenford.protocol.MachineType;
-import org.havenford.storage.Ledger;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.MachineRecord;
 
 /** Works out which images the machines of this controller have cached, from the tasks that ran there. */
-final class CachedImages {
+final class ImageCacheTracker {
     private static final int MOST_IMAGES = 20;
     /** Size of an image of which no job is known, in GB. */
     private static final Double USUAL_GB = 5.0;
 
-    private final Ledger ledger;
+    private final ClusterState ledger;
     private final Consumer<String> changed;
     private final Object2ObjectOpenHashMap<String, Double> sizes = new Object2ObjectOpenHashMap<>();
 
     /** {@code changed} is told of machines whose images have changed. */
-    CachedImages(Ledger ledger, Consumer<String> changed) {
+    ImageCacheTracker(ClusterState ledger, Consumer<String> changed) {
         this.ledger = ledger;
         this.changed = changed;
     }
 
     /** A task of the job has its image: it goes to the front, and what no longer fits the cache drops out. */
-    void used(MachineState machine, Job job) {
+    void used(AgentState machine, Job job) {
         MachineRecord machineRecord = ledger.machine(machine.name);
         if (job == null || machineRecord == null) {
             return;
--- a/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
@@ -9,10 +9,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.havenford.coordination.membership.Membership;
-import org.havenford.protocol.Report;
-import org.havenford.storage.Ledger;
-import org.havenford.storage.Replica;
-import org.havenford.storage.StateStore;
+import org.havenford.protocol.Heartbeat;
+import org.havenford.storage.ClusterState;
+import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreReplica;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
 import org.havenford.transport.EventLoop;
@@ -31,16 +31,21 @@
     private record Kind(String type, String zone, boolean spot) {}
 
     private final EventLoop loop;
-    private final Ledger ledger;
-    private final Replica replica;
-    private final StateStore store;
+    private final ClusterState ledger;
+    private final StoreReplica replica;
+    private final StoreClient store;
     private final Membership membership;
     private final String node;
-    private final Map<String, Report> found = new LinkedHashMap<>();
+    private final Map<String, Heartbeat> found = new LinkedHashMap<>();
     private long batches;
 
     MachineAdoption(
-            EventLoop loop, Ledger ledger, Replica replica, StateStore store, Membership membership, String node) {
+            EventLoop loop,
+            ClusterState ledger,
+            StoreReplica replica,
+            StoreClient store,
+            Membership membership,
+            String node) {
         this.loop = loop;
         this.ledger = ledger;
         this.replica = replica;
@@ -50,7 +55,7 @@
     }
 
     /** A machine has reported that is in no record. One that was just rented will be, once the rental is answered. */
-    void reported(MachineState state, Report report) {
+    void reported(AgentState state, Heartbeat report) {
         Instant now = loop.now();
         if (state.unknownSince == null) {
             state.unknownSince = now;
@@ -67,8 +72,8 @@
     }
 
     private void write() {
-        Map<String, List<Report>> alike = new TreeMap<>();
-        for (Report report : found.values()) {
+        Map<String, List<Heartbeat>> alike = new TreeMap<>();
+        for (Heartbeat report : found.values()) {
             boolean owned = node.equals(membership.owner(report.machine()));
             if (owned && ledger.machine(report.machine()) == null) {
                 Kind kind = new Kind(report.type(), report.zone(), report.spot());
@@ -76,28 +81,28 @@
             }
         }
         found.clear();
-        for (List<Report> reports : alike.values()) {
-            for (List<Report> batch : Lists.partition(reports, MachineBatch.MOST)) {
+        for (List<Heartbeat> reports : alike.values()) {
+            for (List<Heartbeat> batch : Lists.partition(reports, MachineBatch.MOST)) {
                 write(batch);
             }
         }
     }
 
-    private void write(List<Report> reports) {
+    private void write(List<Heartbeat> reports) {
         Long incarnation = membership.view().members().get(node);
         if (incarnation == null) {
             return;
         }
         String name = "a-" + node + "-" + incarnation + "-" + ++batches;
-        Report first = reports.get(0);
-        List<String> machines = reports.stream().map(Report::machine).toList();
+        Heartbeat first = reports.get(0);
+        List<String> machines = reports.stream().map(Heartbeat::machine).toList();
         MachineBatch batch =
                 MachineBatch.of(name, first.type(), first.zone(), first.spot(), loop.timeOfDay(), machines);
-        StateStore.Txn txn = new StateStore.Txn()
+        StoreClient.Transaction txn = new StoreClient.Transaction()
                 .guard(Keys.VIEW, membership.viewStamp())
                 .guard(Keys.batch(name), 0)
                 .set(Keys.batch(name), batch.toJson());
-        store.commit(txn, StateStore.Urgency.WORK, result -> {
+        store.commit(txn, StoreClient.CallPriority.WORK, result -> {
             if (result.ok()) {
                 replica.committed(txn, result.edition());
             }
--- a/src/main/java/org/havenford/coordination/agents/FaultEvidence.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineFaultDetector.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.havenford.storage.Ledger;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Job;
 
 /**
@@ -14,7 +14,7 @@
  * work: one of its tasks is done, or it was done to its end. A job that was submitted with a mistake never succeeds, so it
  * blames no machine, however many of its tasks fail there.
  */
-public final class FaultEvidence {
+public final class MachineFaultDetector {
     /** Jobs known to work that must have failed on a machine, without a success in between, for it to be faulty. */
     private static final int JOBS_THAT_PROVE = 2;
 
@@ -26,11 +26,11 @@
         private final Set<String> done = new HashSet<>();
     }
 
-    private final Ledger ledger;
+    private final ClusterState ledger;
     private final Map<String, Failures> byMachine = new HashMap<>();
 
     /** Evidence over the jobs that the replica shows. */
-    public FaultEvidence(Ledger ledger) {
+    public MachineFaultDetector(ClusterState ledger) {
         this.ledger = ledger;
     }
 
--- a/src/main/java/org/havenford/coordination/agents/MachineHealth.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineHealthMonitor.java
@@ -3,30 +3,30 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.function.Consumer;
-import org.havenford.protocol.Report;
-import org.havenford.settings.Settings;
+import org.havenford.protocol.Heartbeat;
+import org.havenford.settings.PlatformSettings;
 import org.havenford.storage.records.MachineRecord;
 import org.havenford.storage.records.MachineRecord.Condition;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Judges the condition of this controller's machines from their reports. */
-final class MachineHealth {
-    private static final Logger LOG = LoggerFactory.getLogger(MachineHealth.class);
+final class MachineHealthMonitor {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineHealthMonitor.class);
     /** Reports in a row without a sign that our answers arrive, from which on a machine counts as silent. */
     static final int MOST_UNANSWERED = 2;
     /** A worker that has lost its controller tries others one after the other: no record is written for it meanwhile. */
     private static final Duration SEARCHING = Duration.ofSeconds(10);
 
     private final Consumer<String> changed;
-    private final FaultEvidence evidence;
+    private final MachineFaultDetector evidence;
     /** Ages of a report, worked out once: they are compared for each machine in each round. */
     private final Duration fresh;
 
     private final Duration silent;
 
     /** {@code changed} is told of machines whose condition has changed. */
-    MachineHealth(Settings settings, FaultEvidence evidence, Consumer<String> changed) {
+    MachineHealthMonitor(PlatformSettings settings, MachineFaultDetector evidence, Consumer<String> changed) {
         this.evidence = evidence;
         this.changed = changed;
         this.fresh = settings.report().multipliedBy(2);
@@ -39,7 +39,7 @@
     }
 
     /** Whether a machine can be given new tasks. */
-    boolean usable(MachineState machine, Instant now) {
+    boolean usable(AgentState machine, Instant now) {
         // Answers to /do renew no lease: what starts on a machine that only answers is killed with it.
         // mute-machine.trace
         return machine.report != null
@@ -49,7 +49,7 @@
     }
 
     /** Works out the condition of a machine anew. */
-    void judge(MachineState machine, MachineRecord onRecord, Instant now) {
+    void judge(AgentState machine, MachineRecord onRecord, Instant now) {
         Condition condition = machine.condition;
         if (machine.report != null && now.isBefore(machine.reported.plus(fresh))) {
             condition = heardLately(machine, onRecord);
@@ -68,7 +68,7 @@
         }
     }
 
-    private Condition heardLately(MachineState machine, MachineRecord onRecord) {
+    private Condition heardLately(AgentState machine, MachineRecord onRecord) {
         if (machine.unanswered >= MOST_UNANSWERED) {
             return Condition.SILENT;
         }
@@ -82,7 +82,7 @@
     }
 
     /** After this long without a report a machine is on record as silent. */
-    private Duration silence(MachineState machine) {
+    private Duration silence(AgentState machine) {
         return machine.report == null ? silent.plus(SEARCHING) : silent;
     }
 
@@ -90,8 +90,8 @@
      * Whether a machine is not what its record says: then nobody knows what may run there, so it gets no more tasks and goes
      * back to the cloud. contradicting-record.trace
      */
-    private static boolean contradicts(MachineState machine, MachineRecord onRecord) {
-        Report report = machine.report;
+    private static boolean contradicts(AgentState machine, MachineRecord onRecord) {
+        Heartbeat report = machine.report;
         boolean same = report.type().equals(onRecord.type())
                 && report.zone().equals(onRecord.zone())
                 && report.spot() == onRecord.spot();
--- a/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import org.havenford.settings.Settings;
-import org.havenford.storage.Ledger;
-import org.havenford.storage.Replica;
-import org.havenford.storage.StateStore;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.ClusterState;
+import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreReplica;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineRecord.Condition;
 import org.havenford.storage.records.MachineStatuses;
@@ -35,13 +35,14 @@
     }
 
     private final EventLoop loop;
-    private final Settings settings;
-    private final Ledger ledger;
-    private final Replica replica;
-    private final StateStore store;
+    private final PlatformSettings settings;
+    private final ClusterState ledger;
+    private final StoreReplica replica;
+    private final StoreClient store;
     private final List<Part> parts = new ArrayList<>();
 
-    MachineStatusPublisher(EventLoop loop, Settings settings, Ledger ledger, Replica replica, StateStore store) {
+    MachineStatusPublisher(
+            EventLoop loop, PlatformSettings settings, ClusterState ledger, StoreReplica replica, StoreClient store) {
         this.loop = loop;
         this.settings = settings;
         this.ledger = ledger;
@@ -51,9 +52,9 @@
     }
 
     /** Publishes what has changed of the given machines. */
-    void publish(Iterable<MachineState> machines, Instant now) {
-        List<MachineState> known = new ArrayList<>();
-        for (MachineState m : machines) {
+    void publish(Iterable<AgentState> machines, Instant now) {
+        List<AgentState> known = new ArrayList<>();
+        for (AgentState m : machines) {
             if (m.condition != Condition.BOOTING && ledger.machine(m.name) != null) {
                 known.add(m);
             }
@@ -68,12 +69,12 @@
         }
     }
 
-    private List<SortedMap<String, MachineStatuses.Status>> split(List<MachineState> machines) {
+    private List<SortedMap<String, MachineStatuses.Status>> split(List<AgentState> machines) {
         List<SortedMap<String, MachineStatuses.Status>> split = new ArrayList<>();
         for (int i = 0; i < parts.size(); i++) {
             split.add(new TreeMap<>());
         }
-        for (MachineState m : machines) {
+        for (AgentState m : machines) {
             int part = (m.name.hashCode() & Integer.MAX_VALUE) % parts.size();
             for (int i = 0; i < parts.size() && split.get(part).size() >= MachineStatuses.MAX_MACHINES; i++) {
                 part = (part + 1) % parts.size();
@@ -95,11 +96,12 @@
             return;
         }
         MachineStatuses value = new MachineStatuses(loop.timeOfDay(), statuses);
-        StateStore.Txn txn = new StateStore.Txn()
+        StoreClient.Transaction txn = new StoreClient.Transaction()
                 .set(Keys.machineStatuses(settings.node(), index), value.toJson(settings.valueBytes()));
         part.inFlight = true;
         part.at = now;
-        StateStore.Urgency urgency = conditionsChanged ? StateStore.Urgency.WORK : StateStore.Urgency.SPARE;
+        StoreClient.CallPriority urgency =
+                conditionsChanged ? StoreClient.CallPriority.WORK : StoreClient.CallPriority.SPARE;
         store.commit(txn, urgency, result -> {
             part.inFlight = false;
             if (result.ok()) {
--- a/src/main/java/org/havenford/coordination/agents/RestingProbe.java
+++ b/src/main/java/org/havenford/coordination/agents/ReachabilityProbe.java
@@ -5,28 +5,28 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.havenford.coordination.membership.Membership;
-import org.havenford.storage.Ledger;
+import org.havenford.storage.ClusterState;
 import org.havenford.transport.HttpCalls;
 
 /** While this controller rests, asks some of its former workers now and then whether it reaches them again. */
-final class RestingProbe {
+final class ReachabilityProbe {
     private static final int MAX_WORKERS = 3;
     private static final Duration PROBE_EVERY = Duration.ofSeconds(2);
     private static final Duration TIMEOUT = Duration.ofSeconds(1);
     /** Answers in a row from each worker that show that it is reached. */
     private static final int ANSWERS_PER_WORKER = 2;
 
-    private record FormerWorker(String machine, String endpoint) {}
+    private record FormerAgent(String machine, String endpoint) {}
 
     private final HttpCalls calls;
-    private final Ledger ledger;
+    private final ClusterState ledger;
     private final Membership membership;
     private final String node;
-    private final List<FormerWorker> workers = new ArrayList<>();
+    private final List<FormerAgent> workers = new ArrayList<>();
     private Instant nextProbe = Instant.MIN;
     private int answers;
 
-    RestingProbe(HttpCalls calls, Ledger ledger, Membership membership, String node) {
+    ReachabilityProbe(HttpCalls calls, ClusterState ledger, Membership membership, String node) {
         this.calls = calls;
         this.ledger = ledger;
         this.membership = membership;
@@ -46,9 +46,9 @@
     }
 
     /** A machine went to another owner. */
-    void lost(MachineState machine) {
+    void lost(AgentState machine) {
         if (machine.report != null && workers.size() < MAX_WORKERS) {
-            workers.add(new FormerWorker(machine.name, machine.report.endpoint()));
+            workers.add(new FormerAgent(machine.name, machine.report.endpoint()));
         }
     }
 
@@ -63,7 +63,7 @@
         if (workers.isEmpty()) {
             membership.wantToWake();
         }
-        for (FormerWorker worker : workers) {
+        for (FormerAgent worker : workers) {
             calls.call(worker.endpoint(), "GET", "/status", null, TIMEOUT, reply -> answered(reply.ok()));
         }
     }
--- a/src/main/java/org/havenford/coordination/agents/MisdirectedWorkers.java
+++ b/src/main/java/org/havenford/coordination/agents/RedirectedAgents.java
@@ -11,7 +11,7 @@
  * has not reached it. Moving the machine costs an epoch, so it is asked for only after several reports; by then an owner
  * that many don't reach has been put to rest.
  */
-final class MisdirectedWorkers {
+final class RedirectedAgents {
     /** Reports further apart than this have nothing to do with each other. */
     private static final Duration APART = Duration.ofSeconds(15);
 
@@ -25,7 +25,7 @@
     private final Duration patience;
     private final Map<String, Seen> workers = new HashMap<>();
 
-    MisdirectedWorkers(Membership membership, Duration workerLease) {
+    RedirectedAgents(Membership membership, Duration workerLease) {
         this.membership = membership;
         this.patience = workerLease.dividedBy(PART_OF_LEASE);
     }
--- a/src/main/java/org/havenford/coordination/agents/Lateness.java
+++ b/src/main/java/org/havenford/coordination/agents/StragglerDetector.java
@@ -6,8 +6,8 @@
  * The trigger of the Self-healing paper (section 4.1): a task's estimated duration against the sum of its job's phase
  * medians. The phases here are image fetch and run.
  */
-public final class Lateness {
-    private Lateness() {}
+public final class StragglerDetector {
+    private StragglerDetector() {}
 
     /** p = t / (t̃ + t). */
     public static double coefficient(Duration estimate, Duration medians) {
--- a/src/main/java/org/havenford/coordination/agents/TaskStops.java
+++ b/src/main/java/org/havenford/coordination/agents/TaskStopper.java
@@ -2,26 +2,26 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import org.havenford.coordination.agents.MachineState.Attempt;
-import org.havenford.coordination.agents.MachineState.StopReason;
-import org.havenford.settings.Operator;
-import org.havenford.storage.Ledger;
+import org.havenford.coordination.agents.AgentState.Attempt;
+import org.havenford.coordination.agents.AgentState.StopReason;
+import org.havenford.settings.OperatorSettings;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.Job;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Marks attempts to be stopped although their claims hold: for lateness, for more urgent work, or because a machine goes. */
-final class TaskStops {
-    private static final Logger LOG = LoggerFactory.getLogger(TaskStops.class);
+final class TaskStopper {
+    private static final Logger LOG = LoggerFactory.getLogger(TaskStopper.class);
     /** Part of the time left on a machine that is about to be taken by which an estimate may be exceeded. */
     private static final double ESTIMATE_MARGIN = 1.3;
 
-    private final Ledger ledger;
-    private final Operator operator;
+    private final ClusterState ledger;
+    private final OperatorSettings operator;
     private long lateStops;
 
-    TaskStops(Ledger ledger, Operator operator) {
+    TaskStopper(ClusterState ledger, OperatorSettings operator) {
         this.ledger = ledger;
         this.operator = operator;
     }
@@ -32,7 +32,7 @@
     }
 
     /** Marks a claim to be stopped for more urgent work; whether it was not marked before. */
-    boolean preempt(MachineState machine, Claim claim) {
+    boolean preempt(AgentState machine, Claim claim) {
         if (machine.report == null || claim.session() != machine.report.session()) {
             return false;
         }
@@ -46,7 +46,7 @@
     }
 
     /** The paper's trigger: marks attempts whose fetch is late against the medians of their job. */
-    void checkLateness(MachineState machine, Instant now) {
+    void checkLateness(AgentState machine, Instant now) {
         if (machine.unheardSincePause) {
             // The fetch may be over: nobody has listened.
             return;
@@ -75,15 +75,15 @@
                 && !job.stored(job.chunkOf(task)).wasLate(task);
     }
 
-    private void checkLateness(MachineState machine, Claim claim, Attempt attempt, Job job, Instant now) {
+    private void checkLateness(AgentState machine, Claim claim, Attempt attempt, Job job, Instant now) {
         Duration fetch = job.medianFetch();
         Duration run = job.medianRun();
         if (fetch == null || run == null) {
             return;
         }
         Duration elapsed = Duration.between(attempt.fetchFrom, now);
-        Duration estimate = Lateness.estimateFetching(elapsed, fetch, run);
-        double coefficient = Lateness.coefficient(estimate, fetch.plus(run));
+        Duration estimate = StragglerDetector.estimateFetching(elapsed, fetch, run);
+        double coefficient = StragglerDetector.coefficient(estimate, fetch.plus(run));
         if (coefficient > operator.lateThreshold()) {
             lateStops++;
             LOG.info(
@@ -99,7 +99,7 @@
     }
 
     /** On a machine that is about to be taken, marks what can't be done in time, so that it starts elsewhere sooner. */
-    void drain(MachineState machine, Instant now) {
+    void drain(AgentState machine, Instant now) {
         if (machine.noticeUntil == null) {
             return;
         }
--- a/src/main/java/org/havenford/coordination/failover/StandbyAccess.java
+++ b/src/main/java/org/havenford/coordination/failover/StandbyAccess.java
@@ -3,15 +3,15 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import org.havenford.coordination.agents.Fleet;
-import org.havenford.coordination.agents.MachineNote;
-import org.havenford.coordination.membership.Evictions;
+import org.havenford.coordination.agents.AgentContact;
+import org.havenford.coordination.agents.AgentManager;
+import org.havenford.coordination.membership.ClusterView;
+import org.havenford.coordination.membership.MemberEvictions;
 import org.havenford.coordination.membership.Membership;
-import org.havenford.coordination.membership.View;
 import org.havenford.protocol.JobSpec;
-import org.havenford.storage.Ledger;
-import org.havenford.storage.Replica;
-import org.havenford.storage.StateStore;
+import org.havenford.storage.ClusterState;
+import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreReplica;
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
@@ -21,24 +21,24 @@
 public final class StandbyAccess implements StandbyHost {
     private final EventLoop loop;
     private final Runnable eventBegins;
-    private final StateStore store;
-    private final Replica replica;
-    private final Ledger ledger;
+    private final StoreClient store;
+    private final StoreReplica replica;
+    private final ClusterState ledger;
     private final Membership membership;
-    private final Evictions evictions;
-    private final Fleet fleet;
+    private final MemberEvictions evictions;
+    private final AgentManager fleet;
     private Observer observer;
 
     /** The access to the controller made of these parts. */
     public StandbyAccess(
             EventLoop loop,
             Runnable eventBegins,
-            StateStore store,
-            Replica replica,
-            Ledger ledger,
+            StoreClient store,
+            StoreReplica replica,
+            ClusterState ledger,
             Membership membership,
-            Evictions evictions,
-            Fleet fleet) {
+            MemberEvictions evictions,
+            AgentManager fleet) {
         this.loop = loop;
         this.eventBegins = eventBegins;
         this.store = store;
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public View view() {
+    public ClusterView view() {
         return membership.view();
     }
 
@@ -130,7 +130,7 @@
     }
 
     @Override
-    public List<MachineNote> machineNotes() {
+    public List<AgentContact> machineNotes() {
         return fleet.notes();
     }
 
@@ -147,7 +147,7 @@
     }
 
     @Override
-    public void contact(MachineNote note) {
+    public void contact(AgentContact note) {
         fleet.contact(note);
     }
 }
--- a/src/main/java/org/havenford/coordination/failover/StandbyHost.java
+++ b/src/main/java/org/havenford/coordination/failover/StandbyHost.java
@@ -3,15 +3,15 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import org.havenford.coordination.agents.MachineNote;
-import org.havenford.coordination.membership.View;
-import org.havenford.storage.StateStore;
+import org.havenford.coordination.agents.AgentContact;
+import org.havenford.coordination.membership.ClusterView;
+import org.havenford.storage.StoreClient;
 import org.havenford.transport.EventLoop;
 
 /** What a standby sees of the controller that it runs in, and may ask of it. All of it on the event loop. */
 public interface StandbyHost {
     /** Told of what a standby acts on. */
-    interface Observer extends StateStore.CommitObserver {
+    interface Observer extends StoreClient.CommitObserver {
         /** The view in force has changed. */
         void viewChanged();
 
@@ -29,7 +29,7 @@
     void observe(Observer observer);
 
     /** The view in force. */
-    View view();
+    ClusterView view();
 
     /** The incarnation of this node in the view, or 0. */
     long incarnation();
@@ -59,11 +59,11 @@
     void evict(String node, long incarnation, long challengeStamp, Consumer<Boolean> done);
 
     /** What is known of the workers of the machines that this node owns. */
-    List<MachineNote> machineNotes();
+    List<AgentContact> machineNotes();
 
     /** How urgent the claims on a machine are: 0 is the most urgent; without any claim, the largest. */
     int urgency(String machine);
 
     /** Sends this node's token to the worker of a machine that was taken over, which answers with a report. */
-    void contact(MachineNote note);
+    void contact(AgentContact note);
 }
--- a/src/main/java/org/havenford/coordination/jobs/SchedulingContext.java
+++ b/src/main/java/org/havenford/coordination/jobs/CoordinationContext.java
@@ -2,25 +2,25 @@
 
 import com.google.gson.JsonObject;
 import org.havenford.coordination.membership.Membership;
-import org.havenford.settings.Settings;
-import org.havenford.storage.GuardedWriter;
-import org.havenford.storage.Ledger;
-import org.havenford.storage.Replica;
-import org.havenford.storage.StateStore;
-import org.havenford.storage.records.Chunk;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.ClusterState;
+import org.havenford.storage.ConditionalWriter;
+import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreReplica;
 import org.havenford.storage.records.Job;
+import org.havenford.storage.records.TaskRange;
 import org.havenford.transport.EventLoop;
 
 /** What the parts of the scheduler work with: the replica that decisions are read from, and the way to the store. */
-public record SchedulingContext(
+public record CoordinationContext(
         EventLoop loop,
-        Settings settings,
-        Ledger ledger,
-        Replica replica,
-        StateStore store,
+        PlatformSettings settings,
+        ClusterState ledger,
+        StoreReplica replica,
+        StoreClient store,
         Membership membership,
-        GuardedWriter writer,
-        FinalStates finalStates,
+        ConditionalWriter writer,
+        FinalStateCache finalStates,
         PipelineMetrics pipelineMetrics) {
 
     /** Name of this controller. */
@@ -42,7 +42,7 @@
      * The value to store for a record of tasks; null while no form fits. The short form is written once every controller
      * has been seen to read it.
      */
-    public JsonObject toJson(Chunk chunk) {
+    public JsonObject toJson(TaskRange chunk) {
         boolean shortForm = membership.allReadFormat2() || writer.limitsLowered();
         return chunk.toJson(settings.valueBytes(), settings.presentValueBytes(), shortForm);
     }
--- a/src/main/java/org/havenford/coordination/jobs/FinalStates.java
+++ b/src/main/java/org/havenford/coordination/jobs/FinalStateCache.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.havenford.protocol.Json;
-import org.havenford.storage.StateStore;
+import org.havenford.storage.StoreClient;
 import org.havenford.storage.records.FinalState;
 import org.havenford.storage.records.Keys;
 import org.havenford.transport.EventLoop;
@@ -20,8 +20,8 @@
  * Cache of the final states of jobs. They are not replicated to the controllers, so they are read from the store when they
  * are needed. A final state never changes, hence a cached one is always right.
  */
-public final class FinalStates {
-    private static final Logger LOG = LoggerFactory.getLogger(FinalStates.class);
+public final class FinalStateCache {
+    private static final Logger LOG = LoggerFactory.getLogger(FinalStateCache.class);
     private static final int MAX_CACHED = 20_000;
     /** Reads under way at a time, so that a pipeline with many jobs does not crowd out other calls. */
     static final int MAX_READS = 8;
@@ -29,7 +29,7 @@
     private static final Duration RETRY = Duration.ofMillis(300);
 
     private final EventLoop loop;
-    private final StateStore store;
+    private final StoreClient store;
     private final Runnable changed;
     private final Cache<String, FinalState> cache =
             CacheBuilder.newBuilder().maximumSize(MAX_CACHED).build();
@@ -37,7 +37,7 @@
     private final Map<String, Instant> retryAt = new HashMap<>();
 
     /** {@code changed} is run whenever a read has brought a final state. */
-    public FinalStates(EventLoop loop, StateStore store, Runnable changed) {
+    public FinalStateCache(EventLoop loop, StoreClient store, Runnable changed) {
         this.loop = loop;
         this.store = store;
         this.changed = changed;
@@ -54,7 +54,7 @@
     }
 
     /** Parses and caches the body of a read; null if it can't be understood. */
-    FinalState parsed(String id, StateStore.Result result) {
+    FinalState parsed(String id, StoreClient.Result result) {
         try {
             FinalState state = FinalState.parse(Json.child(result.body(), "v"));
             cache.put(id, state);
@@ -71,7 +71,7 @@
         if (reading.size() >= MAX_READS || now.isBefore(retryAt.getOrDefault(id, Instant.MIN)) || !reading.add(id)) {
             return;
         }
-        store.get(Keys.end(id), StateStore.Urgency.CLAIM, result -> {
+        store.get(Keys.end(id), StoreClient.CallPriority.CLAIM, result -> {
             reading.remove(id);
             retryAt.remove(id);
             if (result.ok() && parsed(id, result) != null) {
--- a/src/main/java/org/havenford/coordination/jobs/Users.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobApi.java
@@ -4,56 +4,56 @@
 import java.util.function.Consumer;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.Json;
-import org.havenford.storage.StateStore;
-import org.havenford.storage.StateStore.Outcome;
+import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreClient.Outcome;
 import org.havenford.storage.records.FinalState;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
 import org.havenford.transport.HttpServer.Response;
 
 /** The requests of users: submissions, questions and cancellations. */
-public final class Users {
+public final class JobApi {
     /** Calls for users that may wait for the store's limits; what comes on top is refused at once. */
     private static final int MAX_QUEUED = 60;
     /** Attempts at a cancellation whose header is changed by others meanwhile. */
     private static final int CANCEL_ATTEMPTS = 3;
 
-    private final SchedulingContext context;
+    private final CoordinationContext context;
     private final JobQueries queries;
-    private final Submissions submissions;
+    private final JobSubmissions submissions;
     private final Runnable wake;
 
     /** The handlers of the job API; {@code wake} asks for a scheduling round. */
-    public Users(SchedulingContext context, Pipelines pipelines, Runnable wake) {
+    public JobApi(CoordinationContext context, JobDependencies pipelines, Runnable wake) {
         this.context = context;
         this.queries = new JobQueries(context, pipelines);
-        this.submissions = new Submissions(context, pipelines, queries, wake);
+        this.submissions = new JobSubmissions(context, pipelines, queries, wake);
         this.wake = wake;
     }
 
     /** Refused at once: the state service is not to be reached, or more is waiting than can be done in time. */
     private boolean overloaded() {
-        return !context.replica().loaded() || context.store().queued(StateStore.Urgency.USER) > MAX_QUEUED;
+        return !context.replica().loaded() || context.store().queued(StoreClient.CallPriority.USER) > MAX_QUEUED;
     }
 
     /** POST /submissions; {@code body} is null when it was too large or incomplete. */
     public void submit(byte[] body, Consumer<Response> answer) {
         if (body == null) {
-            answer.accept(UserResponses.error(400, "the body is larger than 64 KiB or incomplete"));
+            answer.accept(JobApiResponses.error(400, "the body is larger than 64 KiB or incomplete"));
             return;
         }
         JobSpec spec;
         try {
             spec = JobSpec.parse(Json.object(new String(body, StandardCharsets.UTF_8)));
         } catch (Json.BadMessage e) {
-            answer.accept(UserResponses.error(400, e.getMessage()));
+            answer.accept(JobApiResponses.error(400, e.getMessage()));
             return;
         }
         FinalState known = context.finalStates().known(spec.id());
         if (known != null) {
-            answer.accept(UserResponses.ended(spec.id(), known));
+            answer.accept(JobApiResponses.ended(spec.id(), known));
         } else if (overloaded() || context.ledger().types().isEmpty()) {
-            answer.accept(UserResponses.retryLater());
+            answer.accept(JobApiResponses.retryLater());
         } else {
             submissions.submit(spec, answer);
         }
@@ -62,9 +62,9 @@
     /** GET /submissions/{id}. */
     public void get(String id, Consumer<Response> answer) {
         if (!JobSpec.validId(id)) {
-            answer.accept(UserResponses.unknownJob());
+            answer.accept(JobApiResponses.unknownJob());
         } else if (context.finalStates().known(id) == null && overloaded()) {
-            answer.accept(UserResponses.retryLater());
+            answer.accept(JobApiResponses.retryLater());
         } else {
             queries.query(id, answer);
         }
@@ -73,33 +73,33 @@
     /** POST /submissions/{id}/abort. */
     public void cancel(String id, Consumer<Response> answer) {
         if (!JobSpec.validId(id)) {
-            answer.accept(UserResponses.unknownJob());
+            answer.accept(JobApiResponses.unknownJob());
         } else if (overloaded()) {
-            answer.accept(UserResponses.retryLater());
+            answer.accept(JobApiResponses.retryLater());
         } else {
             cancel(id, CANCEL_ATTEMPTS, answer);
         }
     }
 
     private void cancel(String id, int attempts, Consumer<Response> answer) {
-        context.store().get(Keys.job(id), StateStore.Urgency.USER, result -> {
+        context.store().get(Keys.job(id), StoreClient.CallPriority.USER, result -> {
             if (result.outcome() == Outcome.ABSENT) {
                 queries.readFinalState(id, answer);
                 return;
             }
             try {
                 if (!result.ok()) {
-                    answer.accept(UserResponses.retryLater());
+                    answer.accept(JobApiResponses.retryLater());
                     return;
                 }
                 Job job = Job.parse(Json.child(result.body(), "v"));
                 if (job.cancelled()) {
-                    answer.accept(UserResponses.cancelled(id));
+                    answer.accept(JobApiResponses.cancelled(id));
                 } else {
                     cancel(job, Json.count(result.body(), "stamp"), attempts, answer);
                 }
             } catch (Json.BadMessage e) {
-                answer.accept(UserResponses.retryLater());
+                answer.accept(JobApiResponses.retryLater());
             }
         });
     }
@@ -107,16 +107,17 @@
     /** The stamp of the header decides between the cancellation and the end of the job's last task. */
     private void cancel(Job job, long stamp, int attempts, Consumer<Response> answer) {
         String key = Keys.job(job.id());
-        StateStore.Txn txn = new StateStore.Txn().guard(key, stamp).set(key, job.header(true));
-        context.store().commit(txn, StateStore.Urgency.USER, result -> {
+        StoreClient.Transaction txn =
+                new StoreClient.Transaction().guard(key, stamp).set(key, job.header(true));
+        context.store().commit(txn, StoreClient.CallPriority.USER, result -> {
             if (result.ok()) {
                 context.replica().committed(txn, result.edition());
-                answer.accept(UserResponses.cancelled(job.id()));
+                answer.accept(JobApiResponses.cancelled(job.id()));
                 wake.run();
             } else if (result.outcome() == Outcome.CONFLICT && attempts > 1) {
                 cancel(job.id(), attempts - 1, answer);
             } else {
-                answer.accept(UserResponses.retryLater());
+                answer.accept(JobApiResponses.retryLater());
             }
         });
     }
--- a/src/main/java/org/havenford/coordination/jobs/UserResponses.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobApiResponses.java
@@ -6,12 +6,12 @@
 import org.havenford.transport.HttpServer.Response;
 
 /** The responses that users are given. */
-final class UserResponses {
+final class JobApiResponses {
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
     private static final String PENDING = "pending";
     private static final String RUNNING = "running";
 
-    private UserResponses() {}
+    private JobApiResponses() {}
 
     static Response error(int status, String reason) {
         JsonObject body = new JsonObject();
--- a/src/main/java/org/havenford/coordination/jobs/JobEnds.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobCompletion.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 import org.havenford.protocol.JobSpec;
-import org.havenford.storage.StateStore;
+import org.havenford.storage.StoreClient;
 import org.havenford.storage.records.FinalState;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Writes the final states of jobs, and removes the records of their tasks. */
-public final class JobEnds {
-    private static final Logger LOG = LoggerFactory.getLogger(JobEnds.class);
+public final class JobCompletion {
+    private static final Logger LOG = LoggerFactory.getLogger(JobCompletion.class);
     /** Records of tasks that are deleted together with a job's header; of larger jobs they are swept afterwards. */
     private static final int MAX_FINAL_CHUNKS = 8;
     /** The final state and the header take a change each. */
@@ -22,10 +22,10 @@
     /** Locked while a sweep is under way. */
     private static final String SWEEP = "sweep";
 
-    private final SchedulingContext context;
+    private final CoordinationContext context;
 
     /** Job ends that are decided and committed in the given context. */
-    public JobEnds(SchedulingContext context) {
+    public JobCompletion(CoordinationContext context) {
         this.context = context;
     }
 
@@ -57,7 +57,7 @@
         int room = context.settings().txnOps() - CHANGES_OF_END;
         boolean last = stored.size() <= Math.min(MAX_FINAL_CHUNKS, room);
         String header = Keys.job(job.id());
-        StateStore.Txn txn = new StateStore.Txn().guard(header, context.stamp(header));
+        StoreClient.Transaction txn = new StoreClient.Transaction().guard(header, context.stamp(header));
         if (last || !done) {
             stored.subList(0, Math.min(stored.size(), room)).forEach(index -> deleteChunk(job, index, txn));
         }
@@ -68,14 +68,14 @@
             FinalState.Status status = done ? FinalState.Status.DONE : FinalState.Status.WITHDRAWN;
             onSuccess = addEnd(job, status, txn, locks);
         }
-        StateStore.Urgency urgency = ends ? urgency(job) : StateStore.Urgency.WORK;
+        StoreClient.CallPriority urgency = ends ? urgency(job) : StoreClient.CallPriority.WORK;
         context.writer().commit(txn, urgency, locks, onSuccess);
     }
 
     /** Users and pipelines wait for the end of a job; only that of low work stands behind the claims of other work. */
-    public static StateStore.Urgency urgency(Job job) {
+    public static StoreClient.CallPriority urgency(Job job) {
         boolean low = job.spec().priority() == JobSpec.Priority.LOW;
-        return low ? StateStore.Urgency.WORK : StateStore.Urgency.CLAIM;
+        return low ? StoreClient.CallPriority.WORK : StoreClient.CallPriority.CLAIM;
     }
 
     /**
@@ -83,7 +83,7 @@
      * committed. Jobs that wait for nothing else are released by the same transaction, as far as its limit allows: they then
      * need not wait until the member that looks after them has read the final state.
      */
-    public Runnable addEnd(Job job, FinalState.Status status, StateStore.Txn txn, List<String> locks) {
+    public Runnable addEnd(Job job, FinalState.Status status, StoreClient.Transaction txn, List<String> locks) {
         Instant now = context.loop().timeOfDay();
         Set<String> dependents = context.ledger().dependents(job.id());
         boolean done = status == FinalState.Status.DONE;
@@ -131,7 +131,7 @@
         return stored;
     }
 
-    private void deleteChunk(Job job, int index, StateStore.Txn txn) {
+    private void deleteChunk(Job job, int index, StoreClient.Transaction txn) {
         String key = Keys.tasks(job.id(), index);
         txn.guard(key, context.stamp(key)).delete(key);
     }
@@ -142,13 +142,13 @@
         if (!first || context.ledger().orphans().isEmpty() || context.writer().isLocked(SWEEP)) {
             return;
         }
-        StateStore.Txn txn = new StateStore.Txn();
+        StoreClient.Transaction txn = new StoreClient.Transaction();
         for (String path : context.ledger().orphans()) {
             if (txn.writes() < context.settings().txnOps() - CHANGES_OF_END) {
                 String header = Keys.job(path.substring(0, path.indexOf('/')));
                 txn.guard(header, 0).delete(Keys.TASKS + path);
             }
         }
-        context.writer().commit(txn, StateStore.Urgency.WORK, List.of(SWEEP), () -> {});
+        context.writer().commit(txn, StoreClient.CallPriority.WORK, List.of(SWEEP), () -> {});
     }
 }
--- a/src/main/java/org/havenford/coordination/jobs/Pipelines.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
@@ -8,7 +8,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.havenford.storage.StateStore;
+import org.havenford.storage.StoreClient;
 import org.havenford.storage.records.FinalState;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
@@ -19,15 +19,15 @@
  * Releases jobs whose needed jobs are all finally done, and withdraws those of which a needed job is cancelled. Both are
  * guarded by the stamp of the job's header; claims are guarded by it as well, so no task starts before the release.
  */
-public final class Pipelines {
-    private static final Logger LOG = LoggerFactory.getLogger(Pipelines.class);
+public final class JobDependencies {
+    private static final Logger LOG = LoggerFactory.getLogger(JobDependencies.class);
     /** Withdrawals of a wide cascade leave room in the queue for claims. */
     private static final int MAX_WITHDRAWALS_UNDER_WAY = 2;
     /** A withdrawal sets the final state and deletes the header. */
     private static final int CHANGES_PER_WITHDRAWAL = 2;
 
     /** What is known of the jobs that a waiting job needs. */
-    enum Outlook {
+    enum DependencyStatus {
         /** Each of them is finally done in the store. */
         DONE,
         /** Some are not over; none that is known here is cancelled. */
@@ -38,11 +38,11 @@
         WITHDRAWN
     }
 
-    private final SchedulingContext context;
+    private final CoordinationContext context;
     private int withdrawalsUnderWay;
 
     /** Dependencies as seen and settled in the given context. */
-    public Pipelines(SchedulingContext context) {
+    public JobDependencies(CoordinationContext context) {
         this.context = context;
     }
 
@@ -50,15 +50,16 @@
      * The outlook of a job that needs the given ones. A cancelled header can only become a withdrawn job, and a job that
      * needs a withdrawn one can only be withdrawn; so {@code WITHDRAWN} is certain however old our replica is.
      */
-    Outlook outlook(Collection<String> needed) {
-        Outlook all = Outlook.DONE;
+    DependencyStatus outlook(Collection<String> needed) {
+        DependencyStatus all = DependencyStatus.DONE;
         Set<String> seen = new HashSet<>(needed);
         ArrayDeque<String> unvisited = new ArrayDeque<>(needed);
         while (!unvisited.isEmpty()) {
             String id = unvisited.poll();
             Job job = context.ledger().job(id);
-            Outlook one = job == null ? ended(id) : job.cancelled() ? Outlook.WITHDRAWN : Outlook.OPEN;
-            if (one == Outlook.WITHDRAWN) {
+            DependencyStatus one =
+                    job == null ? ended(id) : job.cancelled() ? DependencyStatus.WITHDRAWN : DependencyStatus.OPEN;
+            if (one == DependencyStatus.WITHDRAWN) {
                 return one;
             }
             all = one.compareTo(all) > 0 ? one : all;
@@ -74,13 +75,13 @@
     }
 
     /** The outlook of a job whose header is gone, or not here yet; what is unknown is read. */
-    private Outlook ended(String id) {
+    private DependencyStatus ended(String id) {
         FinalState state = context.finalStates().known(id);
         if (state == null) {
             context.finalStates().read(id);
-            return Outlook.UNKNOWN;
+            return DependencyStatus.UNKNOWN;
         }
-        return state.status() == FinalState.Status.DONE ? Outlook.DONE : Outlook.WITHDRAWN;
+        return state.status() == FinalState.Status.DONE ? DependencyStatus.DONE : DependencyStatus.WITHDRAWN;
     }
 
     /**
@@ -88,8 +89,8 @@
      * the time for cancellations is not over; after an outage the replica may lack older ones.
      */
     boolean mayBeCalledPending(Job waiting) {
-        Outlook outlook = outlook(waiting.spec().awaits());
-        return (outlook == Outlook.OPEN || outlook == Outlook.DONE)
+        DependencyStatus outlook = outlook(waiting.spec().awaits());
+        return (outlook == DependencyStatus.OPEN || outlook == DependencyStatus.DONE)
                 && context.membership()
                         .replicaIsYoungerThan(context.settings().cancel().dividedBy(2));
     }
@@ -119,13 +120,13 @@
                 continue;
             }
             // Every member finds out, so that each can answer users and knows the rest at a take-over.
-            Outlook outlook = outlook(job.spec().awaits());
+            DependencyStatus outlook = outlook(job.spec().awaits());
             if (context.writer().isLocked(Keys.job(id)) || !context.responsibleFor(job)) {
                 continue;
             }
-            if (outlook == Outlook.WITHDRAWN) {
+            if (outlook == DependencyStatus.WITHDRAWN) {
                 withdrawn.add(job);
-            } else if (outlook == Outlook.DONE) {
+            } else if (outlook == DependencyStatus.DONE) {
                 release(job);
             }
         }
@@ -141,14 +142,15 @@
         String key = Keys.job(job.id());
         LOG.debug("{} has all that it awaits", job.id());
         Instant at = releaseTime(job.spec().awaits(), job.submitted());
-        StateStore.Txn txn = new StateStore.Txn().guard(key, context.stamp(key)).set(key, job.readyHeader(at));
-        context.writer().commit(txn, StateStore.Urgency.CLAIM, List.of(key), () -> context.pipelineMetrics()
+        StoreClient.Transaction txn =
+                new StoreClient.Transaction().guard(key, context.stamp(key)).set(key, job.readyHeader(at));
+        context.writer().commit(txn, StoreClient.CallPriority.CLAIM, List.of(key), () -> context.pipelineMetrics()
                 .released(at, context.loop().timeOfDay()));
     }
 
     /** They were never released, so they hold no task, and with the guards on their headers none can be claimed any more. */
     private void withdraw(List<Job> jobs) {
-        StateStore.Txn txn = new StateStore.Txn();
+        StoreClient.Transaction txn = new StoreClient.Transaction();
         List<String> keys = new ArrayList<>();
         for (Job job : jobs) {
             String key = Keys.job(job.id());
@@ -161,6 +163,6 @@
         }
         LOG.info("withdrawn with a job that they need: {}", keys);
         withdrawalsUnderWay++;
-        context.writer().commit(txn, StateStore.Urgency.CLAIM, keys, () -> {}, result -> withdrawalsUnderWay--);
+        context.writer().commit(txn, StoreClient.CallPriority.CLAIM, keys, () -> {}, result -> withdrawalsUnderWay--);
     }
 }
--- a/src/main/java/org/havenford/coordination/jobs/JobQueries.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobQueries.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.havenford.protocol.Json;
-import org.havenford.storage.StateStore;
-import org.havenford.storage.StateStore.Outcome;
+import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreClient.Outcome;
 import org.havenford.storage.records.FinalState;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
@@ -26,14 +26,14 @@
     /** A transaction allows this many conditions a change. */
     private static final int CONDITIONS_PER_CHANGE = 4;
 
-    private final SchedulingContext context;
-    private final Pipelines pipelines;
+    private final CoordinationContext context;
+    private final JobDependencies pipelines;
     /** Jobs asked for since the last comparison was sent. */
     private final Map<String, List<Consumer<Response>>> waiting = new LinkedHashMap<>();
 
     private boolean comparing;
 
-    JobQueries(SchedulingContext context, Pipelines pipelines) {
+    JobQueries(CoordinationContext context, JobDependencies pipelines) {
         this.context = context;
         this.pipelines = pipelines;
     }
@@ -42,7 +42,7 @@
     void query(String id, Consumer<Response> answer) {
         FinalState known = context.finalStates().known(id);
         if (known != null) {
-            answer.accept(UserResponses.ended(id, known));
+            answer.accept(JobApiResponses.ended(id, known));
         } else if (context.ledger().job(id) == null) {
             readFromStore(id, answer);
         } else {
@@ -59,20 +59,20 @@
         if (batch.isEmpty()) {
             return;
         }
-        StateStore.Txn txn = new StateStore.Txn();
+        StoreClient.Transaction txn = new StoreClient.Transaction();
         Map<String, Job> compared = new HashMap<>();
         for (String id : batch.keySet()) {
             txn.guard(Keys.job(id), context.stamp(Keys.job(id)));
             compared.put(id, context.ledger().job(id));
         }
         comparing = true;
-        context.store().commit(txn, StateStore.Urgency.USER, result -> {
+        context.store().commit(txn, StoreClient.CallPriority.USER, result -> {
             comparing = false;
             boolean answered = result.ok() || result.outcome() == Outcome.CONFLICT;
             Set<String> stale = answered ? stale(result, batch.keySet()) : Set.of();
             batch.forEach((id, answers) -> {
                 if (!answered) {
-                    answers.forEach(a -> a.accept(UserResponses.retryLater()));
+                    answers.forEach(a -> a.accept(JobApiResponses.retryLater()));
                 } else if (stale.contains(Keys.job(id))) {
                     answers.forEach(a -> readFromStore(id, a));
                 } else {
@@ -102,7 +102,7 @@
     }
 
     /** Headers that have changed since our replica's; all of them, if the service does not say. */
-    private static Set<String> stale(StateStore.Result result, Set<String> asked) {
+    private static Set<String> stale(StoreClient.Result result, Set<String> asked) {
         Set<String> stale = new HashSet<>();
         if (result.ok()) {
             return stale;
@@ -120,36 +120,36 @@
 
     /** The header first, the final state second: a job that ends in between is found by the second call. */
     void readFromStore(String id, Consumer<Response> answer) {
-        context.store().get(Keys.job(id), StateStore.Urgency.USER, result -> {
+        context.store().get(Keys.job(id), StoreClient.CallPriority.USER, result -> {
             if (result.ok()) {
                 answer.accept(unfinished(result));
             } else if (result.outcome() == Outcome.ABSENT) {
                 readFinalState(id, answer);
             } else {
-                answer.accept(UserResponses.retryLater());
+                answer.accept(JobApiResponses.retryLater());
             }
         });
     }
 
     /** Answers with how a job ended; 404 if there is no final state. */
     void readFinalState(String id, Consumer<Response> answer) {
-        context.store().get(Keys.end(id), StateStore.Urgency.USER, result -> {
+        context.store().get(Keys.end(id), StoreClient.CallPriority.USER, result -> {
             if (result.ok()) {
                 FinalState state = context.finalStates().parsed(id, result);
-                answer.accept(state == null ? UserResponses.retryLater() : UserResponses.ended(id, state));
+                answer.accept(state == null ? JobApiResponses.retryLater() : JobApiResponses.ended(id, state));
             } else if (result.outcome() == Outcome.ABSENT) {
-                answer.accept(UserResponses.unknownJob());
+                answer.accept(JobApiResponses.unknownJob());
             } else {
-                answer.accept(UserResponses.retryLater());
+                answer.accept(JobApiResponses.retryLater());
             }
         });
     }
 
-    private Response unfinished(StateStore.Result header) {
+    private Response unfinished(StoreClient.Result header) {
         try {
             return unfinished(Job.parse(Json.child(header.body(), "v")));
         } catch (Json.BadMessage e) {
-            return UserResponses.retryLater();
+            return JobApiResponses.retryLater();
         }
     }
 
@@ -159,11 +159,11 @@
         int done = job == null ? 0 : job.doneCount();
         int running = job == null ? 0 : job.claimCount();
         if (header.cancelled()) {
-            return UserResponses.beingCancelled(header.id(), done);
+            return JobApiResponses.beingCancelled(header.id(), done);
         }
         if (header.waiting() && !pipelines.mayBeCalledPending(header)) {
-            return UserResponses.retryLater();
+            return JobApiResponses.retryLater();
         }
-        return UserResponses.unfinished(header.id(), done, running);
+        return JobApiResponses.unfinished(header.id(), done, running);
     }
 }
--- a/src/main/java/org/havenford/coordination/jobs/Submissions.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
@@ -13,16 +13,16 @@
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.Json;
 import org.havenford.protocol.MachineType;
-import org.havenford.settings.Settings;
-import org.havenford.storage.StateStore;
-import org.havenford.storage.StateStore.Outcome;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreClient.Outcome;
 import org.havenford.storage.records.FinalState;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
 import org.havenford.transport.HttpServer.Response;
 
 /** Checks submissions and stores the accepted ones. A job is accepted once its header is in the store. */
-final class Submissions {
+final class JobSubmissions {
     /** What a cancellation adds to a header. */
     private static final int CANCELLED_LENGTH = 24;
     /** A transaction allows this many conditions a change. */
@@ -30,12 +30,12 @@
     /** A job is looked for in two places: its header and its final state. */
     private static final int CONDITIONS_PER_JOB = 2;
 
-    private final SchedulingContext context;
-    private final Pipelines pipelines;
+    private final CoordinationContext context;
+    private final JobDependencies pipelines;
     private final JobQueries queries;
     private final Runnable wake;
 
-    Submissions(SchedulingContext context, Pipelines pipelines, JobQueries queries, Runnable wake) {
+    JobSubmissions(CoordinationContext context, JobDependencies pipelines, JobQueries queries, Runnable wake) {
         this.context = context;
         this.pipelines = pipelines;
         this.queries = queries;
@@ -59,11 +59,11 @@
     /** What looks impossible now may have been accepted when it was not; then it stays accepted. */
     private void refuse(JobSpec spec, int status, String reason, Consumer<Response> answer) {
         queries.readFromStore(
-                spec.id(), r -> answer.accept(r.status() == 404 ? UserResponses.error(status, reason) : r));
+                spec.id(), r -> answer.accept(r.status() == 404 ? JobApiResponses.error(status, reason) : r));
     }
 
     private String whyItCannotRun(JobSpec spec) {
-        Settings.Team team = context.settings().teams().get(spec.team());
+        PlatformSettings.Team team = context.settings().teams().get(spec.team());
         if (team == null) {
             return "unknown team";
         }
@@ -104,7 +104,7 @@
             learnEnds(spec, answer);
             return;
         }
-        StateStore.Txn txn = new StateStore.Txn();
+        StoreClient.Transaction txn = new StoreClient.Transaction();
         int most = context.settings().txnOps() * CONDITIONS_PER_CHANGE / CONDITIONS_PER_JOB;
         List<String> asked = new ArrayList<>();
         for (String id : unknown) {
@@ -113,14 +113,14 @@
                 txn.guard(Keys.job(id), 0).guard(Keys.end(id), 0);
             }
         }
-        context.store().commit(txn, StateStore.Urgency.USER, result -> {
+        context.store().commit(txn, StoreClient.CallPriority.USER, result -> {
             if (result.ok()) {
                 refuse(spec, 422, "awaits a job that was never accepted: " + asked.get(0), answer);
                 return;
             }
             Set<String> existing = existing(result, asked);
             if (existing.isEmpty()) {
-                answer.accept(UserResponses.retryLater());
+                answer.accept(JobApiResponses.retryLater());
                 return;
             }
             unknown.removeAll(existing);
@@ -128,7 +128,7 @@
         });
     }
 
-    private static Set<String> existing(StateStore.Result result, List<String> asked) {
+    private static Set<String> existing(StoreClient.Result result, List<String> asked) {
         Set<String> existing = new HashSet<>();
         if (result.outcome() != Outcome.CONFLICT) {
             return existing;
@@ -149,13 +149,13 @@
     /** Reads how the awaited jobs that are over have ended, if they are few: then the job need not wait first. */
     private void learnEnds(JobSpec spec, Consumer<Response> answer) {
         List<String> over = new ArrayList<>(unknown(spec));
-        if (over.isEmpty() || over.size() > FinalStates.MAX_READS) {
+        if (over.isEmpty() || over.size() > FinalStateCache.MAX_READS) {
             accept(spec, answer);
             return;
         }
         int[] left = {over.size()};
         for (String id : over) {
-            context.store().get(Keys.end(id), StateStore.Urgency.USER, result -> {
+            context.store().get(Keys.end(id), StoreClient.CallPriority.USER, result -> {
                 if (result.ok()) {
                     context.finalStates().parsed(id, result);
                 }
@@ -182,31 +182,33 @@
                     answer);
             return;
         }
-        StateStore.Txn txn = new StateStore.Txn().guard(Keys.job(id), 0).guard(Keys.end(id), 0);
-        Pipelines.Outlook outlook = pipelines.outlook(spec.awaits());
-        FinalState withdrawn = outlook == Pipelines.Outlook.WITHDRAWN
+        StoreClient.Transaction txn =
+                new StoreClient.Transaction().guard(Keys.job(id), 0).guard(Keys.end(id), 0);
+        JobDependencies.DependencyStatus outlook = pipelines.outlook(spec.awaits());
+        FinalState withdrawn = outlook == JobDependencies.DependencyStatus.WITHDRAWN
                 ? FinalState.of(FinalState.Status.WITHDRAWN, spec.tasks())
                 : null;
         if (withdrawn != null) {
             // It can never start, so it is over at once.
             txn.set(Keys.end(id), withdrawn.toJson());
-        } else if (outlook == Pipelines.Outlook.DONE && !spec.awaits().isEmpty()) {
+        } else if (outlook == JobDependencies.DependencyStatus.DONE
+                && !spec.awaits().isEmpty()) {
             txn.set(Keys.job(id), job.readyHeader(now));
         } else {
             txn.set(Keys.job(id), job.header(false));
         }
-        context.store().commit(txn, StateStore.Urgency.USER, result -> {
+        context.store().commit(txn, StoreClient.CallPriority.USER, result -> {
             if (result.ok()) {
                 if (withdrawn != null) {
                     context.finalStates().put(id, withdrawn);
                 }
                 context.replica().committed(txn, result.edition());
-                answer.accept(UserResponses.accepted(id));
+                answer.accept(JobApiResponses.accepted(id));
                 wake.run();
             } else if (result.outcome() == Outcome.CONFLICT) {
                 queries.query(id, answer);
             } else {
-                answer.accept(UserResponses.retryLater());
+                answer.accept(JobApiResponses.retryLater());
             }
         });
     }
@@ -222,7 +224,7 @@
     }
 
     private int chunkSize(JobSpec spec) {
-        Settings settings = context.settings();
+        PlatformSettings settings = context.settings();
         int controllers = settings.peers().size() + 1;
         return Job.chunkSize(settings.valueBytes(), spec.tasks(), controllers, settings.scarceChanges());
     }
--- a/src/main/java/org/havenford/coordination/membership/View.java
+++ b/src/main/java/org/havenford/coordination/membership/ClusterView.java
@@ -17,7 +17,7 @@
  * epoch, and with it every token. A resting member owns no machines: their workers could not reach it. Of an evicted node
  * the incarnation is kept that was taken out before its lease had ended, until another one of it is a member.
  */
-public record View(
+public record ClusterView(
         long epoch,
         TreeMap<String, Long> members,
         TreeMap<String, String> moved,
@@ -26,17 +26,18 @@
     private static final HashFunction HASH = Hashing.murmur3_128(0x68617665);
 
     /** A view from which nobody was evicted. */
-    public View(long epoch, TreeMap<String, Long> members, TreeMap<String, String> moved, TreeSet<String> resting) {
+    public ClusterView(
+            long epoch, TreeMap<String, Long> members, TreeMap<String, String> moved, TreeSet<String> resting) {
         this(epoch, members, moved, resting, new TreeMap<>());
     }
 
     /** The view before the first member has joined. */
-    public static View empty() {
-        return new View(0, new TreeMap<>(), new TreeMap<>(), new TreeSet<>());
+    public static ClusterView empty() {
+        return new ClusterView(0, new TreeMap<>(), new TreeMap<>(), new TreeSet<>());
     }
 
     /** Reads the stored view. */
-    public static View parse(JsonObject o) throws Json.BadMessage {
+    public static ClusterView parse(JsonObject o) throws Json.BadMessage {
         TreeMap<String, String> moved = new TreeMap<>();
         for (Map.Entry<String, com.google.gson.JsonElement> e :
                 Json.child(o, "moved").entrySet()) {
@@ -44,7 +45,7 @@
         }
         TreeMap<String, Long> evicted = Json.has(o, "evicted") ? incarnations(o, "evicted") : new TreeMap<>();
         TreeSet<String> resting = new TreeSet<>(Json.texts(o, "resting"));
-        return new View(Json.count(o, "epoch"), incarnations(o, "members"), moved, resting, evicted);
+        return new ClusterView(Json.count(o, "epoch"), incarnations(o, "members"), moved, resting, evicted);
     }
 
     private static TreeMap<String, Long> incarnations(JsonObject o, String field) throws Json.BadMessage {
--- a/src/main/java/org/havenford/coordination/membership/Evictions.java
+++ b/src/main/java/org/havenford/coordination/membership/MemberEvictions.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import org.havenford.protocol.Json;
-import org.havenford.storage.Replica;
-import org.havenford.storage.StateStore;
+import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreReplica;
 import org.havenford.storage.records.Keys;
 import org.havenford.transport.EventLoop;
 import org.slf4j.Logger;
@@ -20,8 +20,8 @@
  * a key whether it is alive, and removes the key if it is; the eviction is guarded by the key's stamp, so it can't be
  * committed once the member has answered.
  */
-public final class Evictions {
-    private static final Logger LOG = LoggerFactory.getLogger(Evictions.class);
+public final class MemberEvictions {
+    private static final Logger LOG = LoggerFactory.getLogger(MemberEvictions.class);
     /** Time until the same node may be evicted again; twice as long after each eviction that comes soon after. */
     private static final Duration FIRST_INTERVAL = Duration.ofSeconds(30);
 
@@ -34,8 +34,8 @@
     private record Latest(Instant at, Duration interval) {}
 
     private final EventLoop loop;
-    private final StateStore store;
-    private final Replica replica;
+    private final StoreClient store;
+    private final StoreReplica replica;
     private final Membership membership;
     private final String node;
     private final Map<String, Latest> records = new HashMap<>();
@@ -45,7 +45,8 @@
     private final Map<String, Instant> questions = new HashMap<>();
 
     /** Evictions carried out by the given node. */
-    public Evictions(EventLoop loop, StateStore store, Replica replica, Membership membership, String node) {
+    public MemberEvictions(
+            EventLoop loop, StoreClient store, StoreReplica replica, Membership membership, String node) {
         this.loop = loop;
         this.store = store;
         this.replica = replica;
@@ -91,11 +92,11 @@
         JsonObject value = new JsonObject();
         value.addProperty("by", node);
         value.addProperty("incarnation", incarnation);
-        StateStore.Txn txn = new StateStore.Txn()
+        StoreClient.Transaction txn = new StoreClient.Transaction()
                 .guard(Keys.VIEW, membership.viewStamp())
                 .guard(key, replica.stamp(key))
                 .set(key, value);
-        store.commit(txn, StateStore.Urgency.LEASE, result -> {
+        store.commit(txn, StoreClient.CallPriority.LEASE, result -> {
             if (result.ok()) {
                 replica.committed(txn, result.edition());
             }
@@ -139,8 +140,9 @@
     }
 
     private void remove(String key, long stamp) {
-        StateStore.Txn txn = new StateStore.Txn().guard(key, stamp).delete(key);
-        store.commit(txn, StateStore.Urgency.LEASE, result -> {
+        StoreClient.Transaction txn =
+                new StoreClient.Transaction().guard(key, stamp).delete(key);
+        store.commit(txn, StoreClient.CallPriority.LEASE, result -> {
             if (result.ok()) {
                 replica.committed(txn, result.edition());
             }
--- a/src/main/java/org/havenford/coordination/membership/Membership.java
+++ b/src/main/java/org/havenford/coordination/membership/Membership.java
@@ -15,8 +15,8 @@
 import java.util.function.Consumer;
 import java.util.function.ToIntFunction;
 import org.havenford.protocol.Json;
-import org.havenford.storage.Replica;
-import org.havenford.storage.StateStore;
+import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreReplica;
 import org.havenford.storage.records.Keys;
 import org.havenford.transport.EventLoop;
 import org.slf4j.Logger;
@@ -64,14 +64,14 @@
     private record Comparison(Instant sent, long edition) {}
 
     private final EventLoop loop;
-    private final StateStore store;
+    private final StoreClient store;
     private final String node;
     /** All controllers of the deployment, and those that have been seen to read format 2. */
     private final Set<String> configured;
 
     private final Set<String> renewed = new HashSet<>();
     private final Duration life;
-    private final Replica replica;
+    private final StoreReplica replica;
     private final Runnable changed;
     private final ToIntFunction<String> ownedBy;
     private final TreeMap<String, Member> members = new TreeMap<>();
@@ -82,7 +82,7 @@
     private final Object2ObjectOpenHashMap<String, String> owners = new Object2ObjectOpenHashMap<>();
     private Instant viewSince = Instant.MIN;
     private boolean wantsToWake;
-    private View view = View.empty();
+    private ClusterView view = ClusterView.empty();
     private long viewStamp;
     private long permit;
     private boolean registered;
@@ -101,8 +101,8 @@
     /** {@code ownedBy} tells how many machines a node owns. */
     public Membership(
             EventLoop loop,
-            StateStore store,
-            Replica replica,
+            StoreClient store,
+            StoreReplica replica,
             String node,
             Set<String> configured,
             Duration life,
@@ -132,7 +132,7 @@
     }
 
     /** The view in force, as our replica shows it. */
-    public View view() {
+    public ClusterView view() {
         return view;
     }
 
@@ -263,7 +263,7 @@
             if (renewed != permit) {
                 return;
             }
-            if (r.outcome() == StateStore.Outcome.ABSENT) {
+            if (r.outcome() == StoreClient.Outcome.ABSENT) {
                 LOG.info("the membership lease has ended");
                 leaseUntil = Instant.MIN;
                 permit = 0;
@@ -283,7 +283,7 @@
     private void compare() {
         Instant sent = loop.now();
         long stamp = viewStamp;
-        store.commit(new StateStore.Txn().guard(Keys.VIEW, stamp), StateStore.Urgency.LEASE, r -> {
+        store.commit(new StoreClient.Transaction().guard(Keys.VIEW, stamp), StoreClient.CallPriority.LEASE, r -> {
             // Answers may overtake each other; of an older comparison nothing is learnt then.
             if (r.ok()
                     && stamp == viewStamp
@@ -304,12 +304,12 @@
         JsonObject value = new JsonObject();
         value.addProperty("incarnation", mine);
         value.addProperty("format", FORMAT);
-        StateStore.Txn txn = new StateStore.Txn().set(Keys.member(node), value, mine);
-        store.commit(txn, StateStore.Urgency.LEASE, r -> {
+        StoreClient.Transaction txn = new StoreClient.Transaction().set(Keys.member(node), value, mine);
+        store.commit(txn, StoreClient.CallPriority.LEASE, r -> {
             if (mine != permit) {
                 return;
             }
-            if (r.outcome() == StateStore.Outcome.REJECTED) {
+            if (r.outcome() == StoreClient.Outcome.REJECTED) {
                 permit = 0;
                 loop.after(Duration.ofMillis(300), this::acquire);
             } else if (r.ok()) {
@@ -341,7 +341,7 @@
     /** The stored view has changed. */
     public void viewChanged(JsonObject value, long stamp) {
         try {
-            View next = value == null ? View.empty() : View.parse(value);
+            ClusterView next = value == null ? ClusterView.empty() : ClusterView.parse(value);
             if (next.epoch() < view.epoch()) {
                 LOG.error("the view went back from epoch {} to {}", view.epoch(), next.epoch());
                 return;
@@ -422,8 +422,8 @@
         resting.remove(name);
         TreeMap<String, Long> evicted = new TreeMap<>(view.evicted());
         evicted.put(name, incarnation);
-        View next = new View(view.epoch() + 1, remaining, new TreeMap<>(), resting, evicted);
-        StateStore.Txn txn = new StateStore.Txn().guard(Keys.VIEW, viewStamp);
+        ClusterView next = new ClusterView(view.epoch() + 1, remaining, new TreeMap<>(), resting, evicted);
+        StoreClient.Transaction txn = new StoreClient.Transaction().guard(Keys.VIEW, viewStamp);
         view.members().keySet().forEach(member -> guardRegistration(txn, member));
         String challenge = Keys.challenge(name);
         txn.guard(challenge, challengeStamp)
@@ -433,15 +433,15 @@
         propose(txn, done);
     }
 
-    private void guardRegistration(StateStore.Txn txn, String name) {
+    private void guardRegistration(StoreClient.Transaction txn, String name) {
         Member member = members.get(name);
         txn.guard(Keys.member(name), member == null ? 0 : member.stamp());
     }
 
-    private void propose(StateStore.Txn txn, Consumer<Boolean> done) {
+    private void propose(StoreClient.Transaction txn, Consumer<Boolean> done) {
         proposing = true;
         lastProposal = loop.now();
-        store.commit(txn, StateStore.Urgency.LEASE, result -> {
+        store.commit(txn, StoreClient.CallPriority.LEASE, result -> {
             proposing = false;
             if (result.ok()) {
                 replica.committed(txn, result.edition());
@@ -544,8 +544,8 @@
         }
         TreeMap<String, Long> evicted = new TreeMap<>(view.evicted());
         evicted.keySet().removeAll(wanted.keySet());
-        View next = new View(view.epoch() + 1, wanted, moved, resting, evicted);
-        StateStore.Txn txn = new StateStore.Txn().guard(Keys.VIEW, viewStamp);
+        ClusterView next = new ClusterView(view.epoch() + 1, wanted, moved, resting, evicted);
+        StoreClient.Transaction txn = new StoreClient.Transaction().guard(Keys.VIEW, viewStamp);
         // A member leaves only while its leased key is certainly gone (or a later life of the node has replaced it),
         // so it can no longer hold itself entitled.
         TreeMap<String, Long> all = new TreeMap<>(wanted);
--- a/src/main/java/org/havenford/coordination/monitoring/LinkMonitor.java
+++ b/src/main/java/org/havenford/coordination/monitoring/LinkMonitor.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import org.havenford.settings.Settings;
+import org.havenford.settings.PlatformSettings;
 import org.havenford.transport.EventLoop;
 import org.havenford.transport.HttpCalls;
 import org.slf4j.Logger;
@@ -70,7 +70,7 @@
     private final Duration workersLostAfter;
 
     /** A monitor of the links to the addresses in the settings. */
-    public LinkMonitor(Settings settings, EventLoop loop) {
+    public LinkMonitor(PlatformSettings settings, EventLoop loop) {
         this.loop = loop;
         this.stateAddress = settings.stateAddress();
         this.cloudAddress = settings.cloudAddress();
--- a/src/main/java/org/havenford/coordination/monitoring/PauseDetector.java
+++ b/src/main/java/org/havenford/coordination/monitoring/ProcessPauseDetector.java
@@ -11,7 +11,7 @@
  * brings several a second, far more time has passed than any of them takes. Every event of the controller passes through
  * here, so the pause is known before the first of those that were due or came in meanwhile is handled.
  */
-public final class PauseDetector implements EventLoop, HttpCalls {
+public final class ProcessPauseDetector implements EventLoop, HttpCalls {
     /** The loop's timer comes several times a second; a busy processor delays it, but not for this long. */
     static final Duration LEAST_PAUSE = Duration.ofSeconds(2);
 
@@ -21,7 +21,7 @@
     private Instant lastEvent;
 
     /** {@code paused} is told of each pause and its length, before the event that ends it is handled. */
-    public PauseDetector(EventLoop loop, HttpCalls calls, Consumer<Duration> paused) {
+    public ProcessPauseDetector(EventLoop loop, HttpCalls calls, Consumer<Duration> paused) {
         this.loop = loop;
         this.calls = calls;
         this.paused = paused;
--- a/src/main/java/org/havenford/coordination/placement/TaskZones.java
+++ b/src/main/java/org/havenford/coordination/placement/TaskZones.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.havenford.storage.Ledger;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.MachineRecord;
@@ -17,7 +17,7 @@
     private int inUnknownZone;
 
     /** The zones of a job's claims. */
-    public static TaskZones ofClaims(Job job, Ledger ledger) {
+    public static TaskZones ofClaims(Job job, ClusterState ledger) {
         TaskZones zones = new TaskZones();
         for (Claim claim : job.claims()) {
             MachineRecord machine = ledger.machine(claim.machine());
--- a/src/main/java/org/havenford/coordination/provisioning/OverdueLog.java
+++ b/src/main/java/org/havenford/coordination/provisioning/BootMonitor.java
@@ -6,7 +6,7 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import org.havenford.coordination.provisioning.Demand.Offer;
+import org.havenford.coordination.provisioning.CapacityDemand.InstanceOffer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -14,8 +14,8 @@
  * Tells operators of rented machines that are overdue or were given up, gathered by type and zone: when the first is overdue,
  * then at growing intervals, and once none is any more.
  */
-final class OverdueLog {
-    private static final Logger LOG = LoggerFactory.getLogger(OverdueLog.class);
+final class BootMonitor {
+    private static final Logger LOG = LoggerFactory.getLogger(BootMonitor.class);
     private static final Duration FIRST_INTERVAL = Duration.ofSeconds(30);
     private static final Duration LONGEST_INTERVAL = Duration.ofMinutes(8);
 
@@ -29,7 +29,7 @@
     private int givenUp;
 
     /** Machines that are overdue at a moment, by what was rented. */
-    void overdue(Map<Offer, Integer> machines, BootTimes times, Instant now) {
+    void overdue(Map<InstanceOffer, Integer> machines, BootTimeEstimator times, Instant now) {
         Map<Group, Integer> groups = new HashMap<>();
         Map<Group, Duration> expected = new HashMap<>();
         machines.forEach((offer, number) -> {
--- a/src/main/java/org/havenford/coordination/provisioning/BootTimes.java
+++ b/src/main/java/org/havenford/coordination/provisioning/BootTimeEstimator.java
@@ -7,10 +7,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.havenford.coordination.provisioning.Demand.Kind;
-import org.havenford.coordination.provisioning.Demand.Offer;
+import org.havenford.coordination.provisioning.CapacityDemand.InstanceKind;
+import org.havenford.coordination.provisioning.CapacityDemand.InstanceOffer;
 import org.havenford.protocol.MachineType;
-import org.havenford.storage.Ledger;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.MachineRecord;
 import org.havenford.storage.records.MachineRecord.Condition;
 
@@ -20,7 +20,7 @@
  * come up that was rented as late as they, is in trouble: it is asked for a few machines at a time until one comes up. All
  * but the times that were seen follows from the records, so a successor judges alike.
  */
-final class BootTimes {
+final class BootTimeEstimator {
     /** Times its nominal boot time that a machine usually takes at the most. */
     private static final double USUAL_AT_MOST = 1.6;
     /** Times the longest of the last boots that a machine may take. */
@@ -50,13 +50,13 @@
         private Instant lastRentedThatCameUp = Instant.MIN;
     }
 
-    private final Ledger ledger;
+    private final ClusterState ledger;
     private final Map<String, Instant> rentedAt = new HashMap<>();
-    private final Map<Offer, ArrayDeque<Duration>> seen = new HashMap<>();
-    private Map<Offer, Booting> booting = Map.of();
+    private final Map<InstanceOffer, ArrayDeque<Duration>> seen = new HashMap<>();
+    private Map<InstanceOffer, Booting> booting = Map.of();
     private Instant now = Instant.MIN;
 
-    BootTimes(Ledger ledger) {
+    BootTimeEstimator(ClusterState ledger) {
         this.ledger = ledger;
     }
 
@@ -71,7 +71,7 @@
     void update(Instant timeOfDay) {
         now = timeOfDay;
         learn();
-        Map<Offer, Booting> next = new HashMap<>();
+        Map<InstanceOffer, Booting> next = new HashMap<>();
         for (MachineRecord machine : ledger.machines()) {
             Booting of = next.computeIfAbsent(offerOf(machine), k -> new Booting());
             Instant rented = ledger.rentedAt(machine.name());
@@ -109,8 +109,8 @@
         return a.isAfter(b) ? a : b;
     }
 
-    private static Offer offerOf(MachineRecord machine) {
-        return new Offer(new Kind(machine.type(), machine.spot()), machine.zone());
+    private static InstanceOffer offerOf(MachineRecord machine) {
+        return new InstanceOffer(new InstanceKind(machine.type(), machine.spot()), machine.zone());
     }
 
     private Duration nominal(String type) {
@@ -123,7 +123,7 @@
     }
 
     /** Time within which a rented machine of an offer is expected to be up. */
-    Duration expected(Offer offer) {
+    Duration expected(InstanceOffer offer) {
         Duration nominal = nominal(offer.kind().type());
         Duration usual = times(nominal, USUAL_AT_MOST);
         List<Duration> boots = new ArrayList<>(seen.getOrDefault(offer, new ArrayDeque<>()));
@@ -153,21 +153,21 @@
     }
 
     /** Whether machines of an offer don't come up at present. */
-    boolean isTroubled(Offer offer) {
+    boolean isTroubled(InstanceOffer offer) {
         Booting of = booting.get(offer);
         return of != null && of.overdue >= TROUBLED_FROM && of.lastRentedThatCameUp.isBefore(of.oldestOverdue);
     }
 
     /** Whether an offer in trouble may be tried again: a while after the last try. */
-    boolean mayBeTried(Offer offer) {
+    boolean mayBeTried(InstanceOffer offer) {
         Booting of = booting.get(offer);
         Duration between = times(nominal(offer.kind().type()), TRY_EVERY);
         return of == null || !now.isBefore(of.lastRented.plus(between));
     }
 
     /** Numbers of overdue machines, by what was rented. */
-    Map<Offer, Integer> overdue() {
-        Map<Offer, Integer> overdue = new HashMap<>();
+    Map<InstanceOffer, Integer> overdue() {
+        Map<InstanceOffer, Integer> overdue = new HashMap<>();
         booting.forEach((offer, of) -> {
             if (of.overdue > 0) {
                 overdue.put(offer, of.overdue);
--- a/src/main/java/org/havenford/coordination/provisioning/Demand.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CapacityDemand.java
@@ -12,20 +12,20 @@
 import java.util.Set;
 import java.util.function.Predicate;
 import org.havenford.coordination.placement.PlacementRules;
-import org.havenford.coordination.scheduling.FailingJobs;
+import org.havenford.coordination.scheduling.FailingJobBackoff;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.MachineType;
-import org.havenford.settings.Settings;
-import org.havenford.storage.Ledger;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Job;
 
 /** How many machines of each kind the unfinished work asks for. */
-public final class Demand {
+public final class CapacityDemand {
     /** A type of machine, spot or ordinary. */
-    public record Kind(String type, boolean spot) {}
+    public record InstanceKind(String type, boolean spot) {}
 
     /** A kind of machine in one zone, which is what the cloud rents out. */
-    record Offer(Kind kind, String zone) {}
+    record InstanceOffer(InstanceKind kind, String zone) {}
 
     /**
      * Tasks of one job that should be able to run at the same time; one that is stuck needs a whole machine to begin with, and
@@ -46,7 +46,7 @@
     /** Part of the wait that a class allows that is used to run its tasks one after the other. */
     private static final double FOLLOWING = 0.5;
 
-    private Demand() {}
+    private CapacityDemand() {}
 
     /** Tasks of a job that fit on one machine. */
     static int slots(JobSpec s, MachineType t) {
@@ -65,7 +65,8 @@
      * after the other while there is time, and one without need not have a machine boot for a task that an earlier one
      * will have made room for by then.
      */
-    public static List<TaskDemand> taskDemands(Ledger ledger, Settings settings, Instant timeOfDay, boolean patient) {
+    public static List<TaskDemand> taskDemands(
+            ClusterState ledger, PlatformSettings settings, Instant timeOfDay, boolean patient) {
         List<TaskDemand> out = new ArrayList<>();
         Map<String, Double> used = new HashMap<>();
         Map<String, Integer> suspects = new HashMap<>();
@@ -91,11 +92,11 @@
                 }
                 tasks = Math.max(tasks, j.claimCount());
             }
-            if (FailingJobs.isSuspect(j)) {
+            if (FailingJobBackoff.isSuspect(j)) {
                 boolean counts = suspects.merge(fittingTypes(s, ledger), 1, Integer::sum) <= MOST_SUSPECTS;
                 tasks = counts ? Math.min(tasks, 1) : 0;
             }
-            Settings.Team team = settings.teams().get(s.team());
+            PlatformSettings.Team team = settings.teams().get(s.team());
             if (team != null && team.cpusMax() > 0) {
                 double sofar = used.getOrDefault(s.team(), 0.0);
                 tasks = Math.min(tasks, Math.max(0, (team.cpusMax() - sofar) / s.cpus()));
@@ -110,7 +111,7 @@
         return out;
     }
 
-    private static String fittingTypes(JobSpec spec, Ledger ledger) {
+    private static String fittingTypes(JobSpec spec, ClusterState ledger) {
         List<String> types = new ArrayList<>();
         for (MachineType type : ledger.types().values()) {
             if (spec.fits(type) && (spec.types() == null || spec.types().contains(type.name()))) {
@@ -121,7 +122,7 @@
     }
 
     /** Seconds within which the class's tasks should start; 0 where nothing is said. */
-    private static double startWithin(JobSpec s, Settings settings) {
+    private static double startWithin(JobSpec s, PlatformSettings settings) {
         return settings.objectives().stream()
                 .filter(o -> o.kind().equals("wait") && o.lineup().equals(s.lineup()) && o.within() != null)
                 .mapToDouble(o -> o.within().toMillis() / 1e3)
@@ -129,7 +130,7 @@
                 .orElse(0);
     }
 
-    private static double boot(JobSpec s, Ledger ledger) {
+    private static double boot(JobSpec s, ClusterState ledger) {
         return ledger.types().values().stream()
                 .filter(s::fits)
                 .mapToDouble(t -> t.boot().toMillis() / 1e3)
@@ -137,7 +138,7 @@
                 .orElse(60);
     }
 
-    private static double fetch(JobSpec s, Ledger ledger) {
+    private static double fetch(JobSpec s, ClusterState ledger) {
         double rate = ledger.types().values().stream()
                 .filter(s::fits)
                 .mapToDouble(MachineType::fetchGbPerS)
@@ -150,9 +151,9 @@
      * How many machines jobs that are bound to a zone need there, of the cheapest kind that they allow and that was not
      * refused there lately. The number of machines elsewhere says nothing of them. bound-to-an-empty-zone.trace
      */
-    static Object2DoubleOpenHashMap<Offer> boundToZones(
-            List<TaskDemand> taskDemands, Map<String, MachineType> types, Predicate<Offer> refused) {
-        Object2DoubleOpenHashMap<Offer> out = new Object2DoubleOpenHashMap<>();
+    static Object2DoubleOpenHashMap<InstanceOffer> boundToZones(
+            List<TaskDemand> taskDemands, Map<String, MachineType> types, Predicate<InstanceOffer> refused) {
+        Object2DoubleOpenHashMap<InstanceOffer> out = new Object2DoubleOpenHashMap<>();
         for (TaskDemand demand : taskDemands) {
             JobSpec spec = demand.spec();
             if (spec.zone() != null && demand.tasks() > 0) {
@@ -169,21 +170,21 @@
     }
 
     /** A small part of a machine would be rounded down to none for good. lone-ordinary-task.trace */
-    private static double machinesIn(TaskDemand demand, Offer offer, Map<String, MachineType> types) {
+    private static double machinesIn(TaskDemand demand, InstanceOffer offer, Map<String, MachineType> types) {
         double need =
                 demand.tasks() / slots(demand.spec(), types.get(offer.kind().type()));
         return demand.stuck() ? Math.max(1, need) : need;
     }
 
     /** What the cloud rents out in the job's zone that its tasks may run on. */
-    private static List<Offer> offersIn(JobSpec spec, Map<String, MachineType> types) {
-        List<Offer> offers = new ArrayList<>();
+    private static List<InstanceOffer> offersIn(JobSpec spec, Map<String, MachineType> types) {
+        List<InstanceOffer> offers = new ArrayList<>();
         for (MachineType type : types.values()) {
             for (boolean spot : new boolean[] {true, false}) {
                 boolean allowed = type.zones().contains(spec.zone())
                         && PlacementRules.machine(spec, type, spec.zone(), spot).allowed();
                 if (allowed) {
-                    offers.add(new Offer(new Kind(type.name(), spot), spec.zone()));
+                    offers.add(new InstanceOffer(new InstanceKind(type.name(), spot), spec.zone()));
                 }
             }
         }
@@ -202,16 +203,16 @@
     }
 
     /** Kinds that a job may use, the cheapest first; what others can't do without is dearer than its price. */
-    private static List<Kind> kindsByCost(JobSpec s, Map<String, MachineType> types, Set<String> onlyChoice) {
-        List<Kind> kinds = new ArrayList<>();
+    private static List<InstanceKind> kindsByCost(JobSpec s, Map<String, MachineType> types, Set<String> onlyChoice) {
+        List<InstanceKind> kinds = new ArrayList<>();
         for (MachineType t : types.values()) {
             for (boolean spot : new boolean[] {true, false}) {
                 if (allowed(s, t, spot)) {
-                    kinds.add(new Kind(t.name(), spot));
+                    kinds.add(new InstanceKind(t.name(), spot));
                 }
             }
         }
-        kinds.sort(Comparator.comparingDouble((Kind k) -> cost(s, types.get(k.type()), k.spot())
+        kinds.sort(Comparator.comparingDouble((InstanceKind k) -> cost(s, types.get(k.type()), k.spot())
                 * (kinds.size() > 2 && onlyChoice.contains(k.type()) ? AWAITED : 1)));
         return kinds;
     }
@@ -220,12 +221,12 @@
      * Spreads the taskDemands over the kinds, cheapest first; the jobs with the least choice go first. A kind that the cloud
      * has refused counts only with what is there.
      */
-    public static Object2DoubleOpenHashMap<Kind> machines(
+    public static Object2DoubleOpenHashMap<InstanceKind> machines(
             List<TaskDemand> taskDemands,
             Map<String, MachineType> types,
-            Predicate<Kind> exhausted,
-            Map<Kind, Integer> have) {
-        Object2DoubleOpenHashMap<Kind> out = new Object2DoubleOpenHashMap<>();
+            Predicate<InstanceKind> exhausted,
+            Map<InstanceKind, Integer> have) {
+        Object2DoubleOpenHashMap<InstanceKind> out = new Object2DoubleOpenHashMap<>();
         List<Choices> sorted = new ArrayList<>();
         Set<String> onlyChoice = new HashSet<>();
         for (TaskDemand demand : taskDemands) {
@@ -247,7 +248,7 @@
         for (Choices choices : sorted) {
             TaskDemand demand = choices.demand();
             JobSpec s = demand.spec();
-            List<Kind> kinds = kindsByCost(s, types, onlyChoice);
+            List<InstanceKind> kinds = kindsByCost(s, types, onlyChoice);
             if (demand.needsAnother() && !another) {
                 // Its tasks have failed on the machines that there are, and may be avoiding them. One more for all such
                 // jobs: most of them were submitted with a mistake. lone-faulty-machine.trace
@@ -255,7 +256,7 @@
                 kinds.stream().filter(exhausted.negate()).findFirst().ifPresent(k -> out.addTo(k, 1));
             }
             double tasks = demand.tasks();
-            for (Kind k : kinds) {
+            for (InstanceKind k : kinds) {
                 int slots = slots(s, types.get(k.type()));
                 double need = tasks / slots;
                 if (exhausted.test(k)) {
--- a/src/main/java/org/havenford/coordination/provisioning/RentalRefusals.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CapacityRefusals.java
@@ -4,34 +4,34 @@
 import java.time.Instant;
 import java.util.HashMap;
 import java.util.Map;
-import org.havenford.coordination.provisioning.Demand.Kind;
-import org.havenford.coordination.provisioning.Demand.Offer;
+import org.havenford.coordination.provisioning.CapacityDemand.InstanceKind;
+import org.havenford.coordination.provisioning.CapacityDemand.InstanceOffer;
 import org.havenford.protocol.MachineType;
 
 /** Offers that the cloud had no capacity for lately; they are not asked for again for a while. */
-final class RentalRefusals {
+final class CapacityRefusals {
     private static final Duration REFUSAL_HOLDS = Duration.ofSeconds(90);
 
-    private final Map<Offer, Instant> refused = new HashMap<>();
+    private final Map<InstanceOffer, Instant> refused = new HashMap<>();
 
     /** The cloud gave less than was asked for. */
-    void refused(Offer offer, Instant now) {
+    void refused(InstanceOffer offer, Instant now) {
         refused.put(offer, now);
     }
 
     /** What went back can be had again. */
-    void available(Offer offer) {
+    void available(InstanceOffer offer) {
         refused.remove(offer);
     }
 
     /** Whether an offer was refused lately. */
-    boolean lately(Offer offer, Instant now) {
+    boolean lately(InstanceOffer offer, Instant now) {
         Instant at = refused.get(offer);
         return at != null && now.isBefore(at.plus(REFUSAL_HOLDS));
     }
 
     /** Whether a kind of machine was refused in every zone. */
-    boolean everywhere(Kind kind, MachineType type, Instant now) {
-        return type.zones().stream().allMatch(zone -> lately(new Offer(kind, zone), now));
+    boolean everywhere(InstanceKind kind, MachineType type, Instant now) {
+        return type.zones().stream().allMatch(zone -> lately(new InstanceOffer(kind, zone), now));
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/CloudCalls.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudClient.java
@@ -2,13 +2,13 @@
 
 import java.time.Duration;
 import java.util.function.Consumer;
-import org.havenford.settings.Settings;
+import org.havenford.settings.PlatformSettings;
 import org.havenford.storage.TokenBucket;
 import org.havenford.transport.EventLoop;
 import org.havenford.transport.HttpCalls;
 
 /** Calls to the cloud's API, kept below its limit of calls a second. */
-public final class CloudCalls {
+public final class CloudClient {
     private static final Duration TIMEOUT = Duration.ofSeconds(4);
     /** Part of the limit that is used: the cloud counts in its own time. */
     private static final double SAFETY = 0.8;
@@ -19,7 +19,7 @@
     private final TokenBucket budget;
 
     /** A client of the cloud at the address in the settings, within its request rate. */
-    public CloudCalls(EventLoop loop, HttpCalls calls, Settings settings) {
+    public CloudClient(EventLoop loop, HttpCalls calls, PlatformSettings settings) {
         this.loop = loop;
         this.calls = calls;
         this.address = settings.cloudAddress();
--- a/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
@@ -10,13 +10,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.havenford.coordination.provisioning.Demand.Kind;
-import org.havenford.coordination.provisioning.Demand.Offer;
+import org.havenford.coordination.provisioning.CapacityDemand.InstanceKind;
+import org.havenford.coordination.provisioning.CapacityDemand.InstanceOffer;
 import org.havenford.protocol.CloudMessages;
-import org.havenford.protocol.CloudMessages.Listed;
+import org.havenford.protocol.CloudMessages.ListedMachine;
 import org.havenford.protocol.Json;
 import org.havenford.protocol.MachineType;
-import org.havenford.storage.StateStore;
+import org.havenford.storage.StoreClient;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
 import org.havenford.transport.HttpCalls;
@@ -107,7 +107,7 @@
             JsonObject value = MachineType.toJson(MachineType.parseAll(Json.object(reply.body())));
             String text = value.toString();
             if (!text.equals(storedTypes)) {
-                context.write(new StateStore.Txn().set(Keys.TYPES, value), ok -> {
+                context.write(new StoreClient.Transaction().set(Keys.TYPES, value), ok -> {
                     // Written under a view that has just changed, they are not there: then they come again.
                     storedTypes = ok ? text : storedTypes;
                     nextTypes = ok ? nextTypes : Instant.MIN;
@@ -127,7 +127,7 @@
         askPage(now, "", new HashMap<>());
     }
 
-    private void askPage(Instant asked, String after, Map<String, Listed> all) {
+    private void askPage(Instant asked, String after, Map<String, ListedMachine> all) {
         String path = "/machines?limit=" + PAGE + (after.isEmpty() ? "" : "&since=" + after);
         if (!context.cloud().call("GET", path, null, reply -> pageAnswered(asked, after, all, reply))) {
             // A long list takes more calls than may go out at once. Given up, it would never be read to its end.
@@ -135,7 +135,7 @@
         }
     }
 
-    private void pageAnswered(Instant asked, String after, Map<String, Listed> all, HttpCalls.Reply reply) {
+    private void pageAnswered(Instant asked, String after, Map<String, ListedMachine> all, HttpCalls.Reply reply) {
         if (!reply.ok()) {
             listing = false;
             return;
@@ -143,7 +143,7 @@
         try {
             CloudMessages.Page page = CloudMessages.page(reply.body());
             String last = after;
-            for (Listed machine : page.machines()) {
+            for (ListedMachine machine : page.machines()) {
                 all.put(machine.machine(), machine);
                 last = machine.machine();
             }
@@ -159,10 +159,10 @@
         }
     }
 
-    private void listed(Instant asked, Map<String, Listed> all) {
+    private void listed(Instant asked, Map<String, ListedMachine> all) {
         lastFullList = asked;
         failed.clear();
-        for (Listed machine : all.values()) {
+        for (ListedMachine machine : all.values()) {
             lastListed.put(machine.machine(), asked);
             if (machine.status() == CloudMessages.Status.FAILED) {
                 failed.add(machine.machine());
@@ -175,22 +175,23 @@
     }
 
     /** Machines that nobody has a record of: of a rental that was carried out late, or whose answer was lost. */
-    private void adopt(Map<String, Listed> all) {
+    private void adopt(Map<String, ListedMachine> all) {
         if (!context.ledger().bookings().isEmpty()) {
             return;
         }
-        Map<Offer, List<Listed>> unknown = new LinkedHashMap<>();
-        for (Listed machine : all.values()) {
+        Map<InstanceOffer, List<ListedMachine>> unknown = new LinkedHashMap<>();
+        for (ListedMachine machine : all.values()) {
             boolean known = context.ledger().machine(machine.machine()) != null
                     || returned.containsKey(machine.machine())
                     || machine.age().compareTo(ADOPTED_FROM) <= 0;
             if (!known) {
                 LOG.info("adopting {}, which the cloud lists and is in no record", machine.machine());
-                Offer offer = new Offer(new Kind(machine.type(), machine.spot()), machine.zone());
+                InstanceOffer offer =
+                        new InstanceOffer(new InstanceKind(machine.type(), machine.spot()), machine.zone());
                 unknown.computeIfAbsent(offer, k -> new ArrayList<>()).add(machine);
             }
         }
-        StateStore.Txn txn = new StateStore.Txn();
+        StoreClient.Transaction txn = new StoreClient.Transaction();
         unknown.forEach((offer, machines) -> {
             if (txn.writes() < context.settings().txnOps()) {
                 adopt(offer, machines, txn);
@@ -201,11 +202,13 @@
         }
     }
 
-    private void adopt(Offer offer, List<Listed> machines, StateStore.Txn txn) {
+    private void adopt(InstanceOffer offer, List<ListedMachine> machines, StoreClient.Transaction txn) {
         String name = context.uniqueName("l");
         Instant since = context.loop().timeOfDay().minus(machines.get(0).age());
-        List<String> names =
-                machines.stream().limit(MachineBatch.MOST).map(Listed::machine).toList();
+        List<String> names = machines.stream()
+                .limit(MachineBatch.MOST)
+                .map(ListedMachine::machine)
+                .toList();
         MachineBatch batch = MachineBatch.of(
                 name, offer.kind().type(), offer.zone(), offer.kind().spot(), since, names);
         txn.guard(Keys.batch(name), 0).set(Keys.batch(name), batch.toJson());
--- a/src/main/java/org/havenford/coordination/provisioning/FleetTarget.java
+++ b/src/main/java/org/havenford/coordination/provisioning/FleetSizeTarget.java
@@ -6,14 +6,14 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Predicate;
-import org.havenford.coordination.provisioning.Demand.Kind;
+import org.havenford.coordination.provisioning.CapacityDemand.InstanceKind;
 import org.havenford.protocol.MachineType;
 
 /**
  * How many machines of each kind are wanted: the need of the moment, and averages over time that keep the fleet from
  * following every burst.
  */
-final class FleetTarget {
+final class FleetSizeTarget {
     private static final Duration AVERAGE_OVER = Duration.ofSeconds(90);
     private static final Duration SUSTAINED_OVER = Duration.ofSeconds(8);
     /** So small a part of a machine is not rented for. */
@@ -21,12 +21,12 @@
 
     private final boolean speedFirst;
     private final double spareShare;
-    private final Object2DoubleOpenHashMap<Kind> average = new Object2DoubleOpenHashMap<>();
-    private final Object2DoubleOpenHashMap<Kind> sustained = new Object2DoubleOpenHashMap<>();
+    private final Object2DoubleOpenHashMap<InstanceKind> average = new Object2DoubleOpenHashMap<>();
+    private final Object2DoubleOpenHashMap<InstanceKind> sustained = new Object2DoubleOpenHashMap<>();
     private Instant averagedAt;
 
     /** Spot machines are kept beyond their average by {@code spareShare}. */
-    FleetTarget(boolean speedFirst, double spareShare) {
+    FleetSizeTarget(boolean speedFirst, double spareShare) {
         this.speedFirst = speedFirst;
         this.spareShare = spareShare;
     }
@@ -46,20 +46,20 @@
      * room; {@code least} is the need of the moment with patience, so that a burst does not fill the fleet with machines that
      * come up too late for it.
      */
-    Map<Kind, Integer> wanted(
+    Map<InstanceKind, Integer> wanted(
             Instant now,
             Iterable<MachineType> types,
-            Object2DoubleOpenHashMap<Kind> full,
-            Object2DoubleOpenHashMap<Kind> least,
-            Predicate<Kind> exhausted,
-            Map<Kind, Integer> have) {
+            Object2DoubleOpenHashMap<InstanceKind> full,
+            Object2DoubleOpenHashMap<InstanceKind> least,
+            Predicate<InstanceKind> exhausted,
+            Map<InstanceKind, Integer> have) {
         double weight = averagedAt == null ? 1 : part(now, AVERAGE_OVER);
         double slow = averagedAt == null ? 0 : part(now, SUSTAINED_OVER);
         averagedAt = now;
-        Map<Kind, Integer> wanted = new HashMap<>();
+        Map<InstanceKind, Integer> wanted = new HashMap<>();
         for (MachineType type : types) {
             for (boolean spot : new boolean[] {true, false}) {
-                Kind kind = new Kind(type.name(), spot);
+                InstanceKind kind = new InstanceKind(type.name(), spot);
                 double need = (speedFirst ? full : least).getDouble(kind);
                 average.addTo(kind, (full.getDouble(kind) - average.getDouble(kind)) * weight);
                 if (exhausted.test(kind)) {
--- a/src/main/java/org/havenford/coordination/provisioning/BatchChange.java
+++ b/src/main/java/org/havenford/coordination/provisioning/MachineBatchChange.java
@@ -5,22 +5,22 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import org.havenford.storage.Ledger;
-import org.havenford.storage.Replica;
-import org.havenford.storage.StateStore;
+import org.havenford.storage.ClusterState;
+import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreReplica;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
 
 /** Changes of the batches that machines are in, gathered into one transaction. */
-final class BatchChange {
-    private final Ledger ledger;
+final class MachineBatchChange {
+    private final ClusterState ledger;
     private final int maxBatches;
     private final Predicate<String> isBusy;
     private final TreeMap<String, MachineBatch> next = new TreeMap<>();
     private final List<String> machines = new ArrayList<>();
 
     /** {@code isBusy} tells of batches that are being written. */
-    BatchChange(Ledger ledger, int maxBatches, Predicate<String> isBusy) {
+    MachineBatchChange(ClusterState ledger, int maxBatches, Predicate<String> isBusy) {
         this.ledger = ledger;
         this.maxBatches = maxBatches;
         this.isBusy = isBusy;
@@ -34,7 +34,7 @@
     }
 
     /** Changes the service that a machine is in; whether the transaction had room for it. */
-    boolean mark(String machine, MachineBatch.Service service) {
+    boolean mark(String machine, MachineBatch.ServiceState service) {
         if (!takes(machine)) {
             return false;
         }
@@ -69,8 +69,8 @@
     }
 
     /** The transaction, guarded by the stamps of the batches that were changed. */
-    StateStore.Txn transaction(Replica replica) {
-        StateStore.Txn txn = new StateStore.Txn();
+    StoreClient.Transaction transaction(StoreReplica replica) {
+        StoreClient.Transaction txn = new StoreClient.Transaction();
         next.forEach((name, batch) -> {
             String key = Keys.batch(name);
             txn.guard(key, replica.stamp(key));
--- a/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
+++ b/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Map;
 import org.havenford.coordination.membership.Membership;
-import org.havenford.coordination.provisioning.Demand.Kind;
-import org.havenford.coordination.provisioning.Demand.Offer;
-import org.havenford.coordination.provisioning.Demand.TaskDemand;
-import org.havenford.storage.Ledger;
-import org.havenford.storage.Ledger.Booking;
+import org.havenford.coordination.provisioning.CapacityDemand.InstanceKind;
+import org.havenford.coordination.provisioning.CapacityDemand.InstanceOffer;
+import org.havenford.coordination.provisioning.CapacityDemand.TaskDemand;
+import org.havenford.storage.ClusterState;
+import org.havenford.storage.ClusterState.InstanceRequest;
 import org.havenford.storage.records.MachineRecord;
 import org.havenford.storage.records.MachineRecord.Condition;
 import org.slf4j.Logger;
@@ -27,12 +27,12 @@
 
     private final ProvisioningContext context;
     private final CloudInventory inventory;
-    private final RentalRefusals refusals = new RentalRefusals();
-    private final Rentals rentals;
-    private final MachineReturns returns;
-    private final BootTimes bootTimes;
-    private final OverdueLog overdueLog = new OverdueLog();
-    private final FleetTarget target;
+    private final CapacityRefusals refusals = new CapacityRefusals();
+    private final ScaleOut rentals;
+    private final ScaleIn returns;
+    private final BootTimeEstimator bootTimes;
+    private final BootMonitor overdueLog = new BootMonitor();
+    private final FleetSizeTarget target;
     private final boolean speedFirst;
     private Instant nextSize = Instant.MIN;
     private boolean active;
@@ -42,10 +42,10 @@
         this.context = context;
         this.speedFirst = context.operator().speedFirst(context.settings());
         this.inventory = new CloudInventory(context);
-        this.bootTimes = new BootTimes(context.ledger());
-        this.rentals = new Rentals(context, refusals, bootTimes);
-        this.returns = new MachineReturns(context, inventory, refusals, bootTimes, overdueLog, speedFirst);
-        this.target = new FleetTarget(speedFirst, context.operator().spareShare());
+        this.bootTimes = new BootTimeEstimator(context.ledger());
+        this.rentals = new ScaleOut(context, refusals, bootTimes);
+        this.returns = new ScaleIn(context, inventory, refusals, bootTimes, overdueLog, speedFirst);
+        this.target = new FleetSizeTarget(speedFirst, context.operator().spareShare());
     }
 
     /** Compares the demand with the fleet, and rents or returns machines. */
@@ -95,14 +95,14 @@
     }
 
     private void size(Instant now) {
-        Ledger ledger = context.ledger();
-        Map<Kind, Integer> have = have();
+        ClusterState ledger = context.ledger();
+        Map<InstanceKind, Integer> have = have();
         Instant timeOfDay = context.loop().timeOfDay();
-        List<TaskDemand> allDemands = Demand.taskDemands(ledger, context.settings(), timeOfDay, false);
-        List<TaskDemand> leastDemands = Demand.taskDemands(ledger, context.settings(), timeOfDay, true);
-        Object2DoubleOpenHashMap<Kind> full = machines(allDemands, now, have);
-        Object2DoubleOpenHashMap<Kind> least = machines(leastDemands, now, have);
-        Map<Kind, Integer> wanted =
+        List<TaskDemand> allDemands = CapacityDemand.taskDemands(ledger, context.settings(), timeOfDay, false);
+        List<TaskDemand> leastDemands = CapacityDemand.taskDemands(ledger, context.settings(), timeOfDay, true);
+        Object2DoubleOpenHashMap<InstanceKind> full = machines(allDemands, now, have);
+        Object2DoubleOpenHashMap<InstanceKind> least = machines(leastDemands, now, have);
+        Map<InstanceKind, Integer> wanted =
                 target.wanted(now, ledger.types().values(), full, least, kind -> exhausted(kind, now), have);
         if (LOG.isDebugEnabled()) {
             LOG.debug("fleet: have {}, idle {}, wanted {}, needed {}, could use {}", have, idle(), wanted, least, full);
@@ -112,15 +112,15 @@
     }
 
     /** Machines that there are, or that are on their way. */
-    private Map<Kind, Integer> have() {
-        Map<Kind, Integer> have = new HashMap<>();
+    private Map<InstanceKind, Integer> have() {
+        Map<InstanceKind, Integer> have = new HashMap<>();
         for (MachineRecord machine : context.ledger().machines()) {
             if (counts(machine)) {
-                have.merge(new Kind(machine.type(), machine.spot()), 1, Integer::sum);
+                have.merge(new InstanceKind(machine.type(), machine.spot()), 1, Integer::sum);
             }
         }
-        for (Booking booking : context.ledger().bookings()) {
-            have.merge(new Kind(booking.type(), booking.spot()), booking.count(), Integer::sum);
+        for (InstanceRequest booking : context.ledger().bookings()) {
+            have.merge(new InstanceKind(booking.type(), booking.spot()), booking.count(), Integer::sum);
         }
         return have;
     }
@@ -133,27 +133,28 @@
         };
     }
 
-    private Map<Kind, Integer> idle() {
-        Map<Kind, Integer> idle = new HashMap<>();
+    private Map<InstanceKind, Integer> idle() {
+        Map<InstanceKind, Integer> idle = new HashMap<>();
         for (MachineRecord machine : context.ledger().machines()) {
             boolean isIdle = machine.condition() == Condition.UP
                     && context.ledger().claimsOn(machine.name()).isEmpty();
             if (isIdle) {
-                idle.merge(new Kind(machine.type(), machine.spot()), 1, Integer::sum);
+                idle.merge(new InstanceKind(machine.type(), machine.spot()), 1, Integer::sum);
             }
         }
         return idle;
     }
 
-    private boolean exhausted(Kind kind, Instant now) {
+    private boolean exhausted(InstanceKind kind, Instant now) {
         return refusals.everywhere(kind, context.ledger().types().get(kind.type()), now);
     }
 
-    private Object2DoubleOpenHashMap<Kind> machines(List<TaskDemand> demands, Instant now, Map<Kind, Integer> have) {
-        return Demand.machines(demands, context.ledger().types(), kind -> exhausted(kind, now), have);
+    private Object2DoubleOpenHashMap<InstanceKind> machines(
+            List<TaskDemand> demands, Instant now, Map<InstanceKind, Integer> have) {
+        return CapacityDemand.machines(demands, context.ledger().types(), kind -> exhausted(kind, now), have);
     }
 
-    private Object2DoubleOpenHashMap<Offer> boundToZones(List<TaskDemand> demands, Instant now) {
-        return Demand.boundToZones(demands, context.ledger().types(), offer -> refusals.lately(offer, now));
+    private Object2DoubleOpenHashMap<InstanceOffer> boundToZones(List<TaskDemand> demands, Instant now) {
+        return CapacityDemand.boundToZones(demands, context.ledger().types(), offer -> refusals.lately(offer, now));
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/ProvisioningContext.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ProvisioningContext.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 import java.util.function.Consumer;
 import org.havenford.coordination.membership.Membership;
-import org.havenford.settings.Operator;
-import org.havenford.settings.Settings;
-import org.havenford.storage.Ledger;
-import org.havenford.storage.Replica;
-import org.havenford.storage.StateStore;
+import org.havenford.settings.OperatorSettings;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.ClusterState;
+import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreReplica;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineRecord;
 import org.havenford.transport.EventLoop;
@@ -15,12 +15,12 @@
 /** What the parts of the provisioner work with: the replica that decisions are read from, the cloud, and the way to the store. */
 public final class ProvisioningContext {
     private final EventLoop loop;
-    private final CloudCalls cloud;
-    private final Settings settings;
-    private final Operator operator;
-    private final Ledger ledger;
-    private final Replica replica;
-    private final StateStore store;
+    private final CloudClient cloud;
+    private final PlatformSettings settings;
+    private final OperatorSettings operator;
+    private final ClusterState ledger;
+    private final StoreReplica replica;
+    private final StoreClient store;
     private final Membership membership;
     private final Runnable wake;
     private long names;
@@ -28,12 +28,12 @@
     /** The context of one controller. */
     public ProvisioningContext(
             EventLoop loop,
-            CloudCalls cloud,
-            Settings settings,
-            Operator operator,
-            Ledger ledger,
-            Replica replica,
-            StateStore store,
+            CloudClient cloud,
+            PlatformSettings settings,
+            OperatorSettings operator,
+            ClusterState ledger,
+            StoreReplica replica,
+            StoreClient store,
             Membership membership,
             Runnable wake) {
         this.loop = loop;
@@ -51,23 +51,23 @@
         return loop;
     }
 
-    CloudCalls cloud() {
+    CloudClient cloud() {
         return cloud;
     }
 
-    Settings settings() {
+    PlatformSettings settings() {
         return settings;
     }
 
-    Operator operator() {
+    OperatorSettings operator() {
         return operator;
     }
 
-    Ledger ledger() {
+    ClusterState ledger() {
         return ledger;
     }
 
-    Replica replica() {
+    StoreReplica replica() {
         return replica;
     }
 
@@ -88,9 +88,9 @@
     }
 
     /** Commits a transaction under the present view; {@code after} is told whether it was written. */
-    void write(StateStore.Txn txn, Consumer<Boolean> after) {
+    void write(StoreClient.Transaction txn, Consumer<Boolean> after) {
         txn.guard(Keys.VIEW, membership.viewStamp());
-        store.commit(txn, StateStore.Urgency.WORK, result -> {
+        store.commit(txn, StoreClient.CallPriority.WORK, result -> {
             if (result.ok()) {
                 replica.committed(txn, result.edition());
             }
--- a/src/main/java/org/havenford/coordination/provisioning/MachineReturns.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ScaleIn.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.havenford.coordination.provisioning.Demand.Kind;
-import org.havenford.coordination.provisioning.Demand.Offer;
+import org.havenford.coordination.provisioning.CapacityDemand.InstanceKind;
+import org.havenford.coordination.provisioning.CapacityDemand.InstanceOffer;
 import org.havenford.protocol.CloudMessages;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
@@ -25,8 +25,8 @@
  * Gives machines back to the cloud: those that are of no use, and idle ones beyond the wanted number. The intent is stored
  * before each return, so that a successor carries it out; the cloud's confirmation proves that a machine is gone.
  */
-final class MachineReturns {
-    private static final Logger LOG = LoggerFactory.getLogger(MachineReturns.class);
+final class ScaleIn {
+    private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
     /** The cloud's limit of machines in one call. */
     private static final int MOST_RETURNED = 100;
     /** Machines that go are gathered, since each change of a batch fails the claims under way on its other machines. */
@@ -46,9 +46,9 @@
 
     private final ProvisioningContext context;
     private final CloudInventory inventory;
-    private final RentalRefusals refusals;
-    private final BootTimes bootTimes;
-    private final OverdueLog overdueLog;
+    private final CapacityRefusals refusals;
+    private final BootTimeEstimator bootTimes;
+    private final BootMonitor overdueLog;
     private final Duration idlePatience;
     /** Machines of which a change of their batch, or their return, is under way. */
     private final Set<String> inFlight = new HashSet<>();
@@ -62,12 +62,12 @@
     private Instant nextTrim = Instant.MIN;
     private Instant nextDrop = Instant.MIN;
 
-    MachineReturns(
+    ScaleIn(
             ProvisioningContext context,
             CloudInventory inventory,
-            RentalRefusals refusals,
-            BootTimes bootTimes,
-            OverdueLog overdueLog,
+            CapacityRefusals refusals,
+            BootTimeEstimator bootTimes,
+            BootMonitor overdueLog,
             boolean speedFirst) {
         this.context = context;
         this.bootTimes = bootTimes;
@@ -101,11 +101,11 @@
                 && context.ledger().claimsOn(machine.name()).isEmpty();
     }
 
-    private BatchChange newChange() {
-        return new BatchChange(context.ledger(), context.settings().txnOps(), busyBatches::contains);
+    private MachineBatchChange newChange() {
+        return new MachineBatchChange(context.ledger(), context.settings().txnOps(), busyBatches::contains);
     }
 
-    private void write(BatchChange change) {
+    private void write(MachineBatchChange change) {
         if (change.isEmpty()) {
             return;
         }
@@ -122,10 +122,10 @@
     /** Marks machines that are of no use to be returned. */
     void markUnfit(Instant now) {
         Set<String> silentZones = silentZones();
-        BatchChange change = newChange();
+        MachineBatchChange change = newChange();
         for (MachineRecord machine : context.ledger().machines()) {
             String why = inFlight.contains(machine.name()) ? null : whyUnfit(machine, silentZones, now);
-            if (why != null && change.mark(machine.name(), MachineBatch.Service.RETURNING)) {
+            if (why != null && change.mark(machine.name(), MachineBatch.ServiceState.RETURNING)) {
                 LOG.info("returning {}: {}", machine.name(), why);
                 if (machine.condition() == Condition.BOOTING) {
                     overdueLog.givenUp();
@@ -184,18 +184,18 @@
     // ---- idle machines
 
     /** Marks idle machines beyond the wanted number to be returned, once they have been idle for long enough. */
-    void trim(Instant now, Map<Kind, Integer> wanted, Map<Kind, Integer> have) {
+    void trim(Instant now, Map<InstanceKind, Integer> wanted, Map<InstanceKind, Integer> have) {
         List<MachineRecord> idle = idleForLong(now);
         if (now.isBefore(nextTrim)) {
             return;
         }
         nextTrim = now.plus(TRIM_EVERY);
-        BatchChange change = newChange();
+        MachineBatchChange change = newChange();
         Map<String, Integer> going = new HashMap<>();
         for (MachineRecord machine : idle) {
             // Judged by type: what spot machines can't give just now is not to be returned because they might.
-            Kind spot = new Kind(machine.type(), true);
-            Kind ordinary = new Kind(machine.type(), false);
+            InstanceKind spot = new InstanceKind(machine.type(), true);
+            InstanceKind ordinary = new InstanceKind(machine.type(), false);
             int surplus = have.getOrDefault(spot, 0)
                     + have.getOrDefault(ordinary, 0)
                     - wanted.getOrDefault(spot, 0)
@@ -203,7 +203,7 @@
                     - going.getOrDefault(machine.type(), 0);
             if (surplus > 0
                     && !inFlight.contains(machine.name())
-                    && change.mark(machine.name(), MachineBatch.Service.RETIRING)) {
+                    && change.mark(machine.name(), MachineBatch.ServiceState.RETIRING)) {
                 LOG.info("returning {}: idle", machine.name());
                 going.merge(machine.type(), 1, Integer::sum);
             }
@@ -234,7 +234,7 @@
     /** Returns what is marked to go. */
     void giveBack() {
         List<MachineRecord> going = new ArrayList<>();
-        BatchChange staying = newChange();
+        MachineBatchChange staying = newChange();
         for (MachineRecord machine : context.ledger().machines()) {
             if (inFlight.contains(machine.name()) || goneNow.contains(machine.name())) {
                 continue;
@@ -246,7 +246,7 @@
                 going.add(machine);
             } else if (retired && claimed) {
                 // A claim does not change the record, so one may have come first without our knowing.
-                staying.mark(machine.name(), MachineBatch.Service.IN_SERVICE);
+                staying.mark(machine.name(), MachineBatch.ServiceState.IN_SERVICE);
             }
         }
         write(staying);
@@ -277,8 +277,8 @@
         }
         inFlight.removeAll(names);
         inventory.returned(names);
-        going.forEach(
-                machine -> refusals.available(new Offer(new Kind(machine.type(), machine.spot()), machine.zone())));
+        going.forEach(machine -> refusals.available(
+                new InstanceOffer(new InstanceKind(machine.type(), machine.spot()), machine.zone())));
         // By now the machines and all on them are gone. The records' absence tells the owners so.
         goneNow.addAll(names);
     }
@@ -289,7 +289,7 @@
             return;
         }
         nextDrop = context.loop().now().plus(DROP_EVERY);
-        BatchChange change = newChange();
+        MachineBatchChange change = newChange();
         goneNow.forEach(change::drop);
         write(change);
     }
--- a/src/main/java/org/havenford/coordination/provisioning/Rentals.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ScaleOut.java
@@ -10,12 +10,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.havenford.coordination.provisioning.Demand.Kind;
-import org.havenford.coordination.provisioning.Demand.Offer;
+import org.havenford.coordination.provisioning.CapacityDemand.InstanceKind;
+import org.havenford.coordination.provisioning.CapacityDemand.InstanceOffer;
 import org.havenford.protocol.CloudMessages;
 import org.havenford.protocol.Json;
-import org.havenford.storage.Ledger.Booking;
-import org.havenford.storage.StateStore;
+import org.havenford.storage.ClusterState.InstanceRequest;
+import org.havenford.storage.StoreClient;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
 import org.havenford.storage.records.MachineRecord;
@@ -28,8 +28,8 @@
  * Rents machines. The intent is stored before the cloud is asked, under a name that the cloud takes once: so a successor
  * asks again without renting twice.
  */
-final class Rentals {
-    private static final Logger LOG = LoggerFactory.getLogger(Rentals.class);
+final class ScaleOut {
+    private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
     /** The cloud's limit of machines in one call. */
     private static final int MOST_RENTED = 50;
 
@@ -39,14 +39,14 @@
     private static final int TRIED_WITH = 2;
 
     private final ProvisioningContext context;
-    private final RentalRefusals refusals;
-    private final BootTimes bootTimes;
+    private final CapacityRefusals refusals;
+    private final BootTimeEstimator bootTimes;
     /** Bookings that the cloud has been asked for, or whose outcome is being written. */
     private final Set<String> inFlight = new HashSet<>();
 
     private boolean writing;
 
-    Rentals(ProvisioningContext context, RentalRefusals refusals, BootTimes bootTimes) {
+    ScaleOut(ProvisioningContext context, CapacityRefusals refusals, BootTimeEstimator bootTimes) {
         this.bootTimes = bootTimes;
         this.context = context;
         this.refusals = refusals;
@@ -61,14 +61,18 @@
     // ---- intents
 
     /** Stores intents for what is missing. {@code bound} is what must be in a certain zone. */
-    void rent(Instant now, Map<Kind, Integer> wanted, Map<Kind, Integer> have, Object2DoubleOpenHashMap<Offer> bound) {
-        StateStore.Txn txn = new StateStore.Txn();
-        Map<Kind, Integer> missing = new HashMap<>();
+    void rent(
+            Instant now,
+            Map<InstanceKind, Integer> wanted,
+            Map<InstanceKind, Integer> have,
+            Object2DoubleOpenHashMap<InstanceOffer> bound) {
+        StoreClient.Transaction txn = new StoreClient.Transaction();
+        Map<InstanceKind, Integer> missing = new HashMap<>();
         wanted.forEach((kind, number) -> missing.put(kind, number - have.getOrDefault(kind, 0)));
         bookForZones(bound, missing, txn);
-        List<Kind> kinds = new ArrayList<>(wanted.keySet());
-        kinds.sort(Comparator.comparing(Kind::spot).reversed().thenComparing(Kind::type));
-        for (Kind kind : kinds) {
+        List<InstanceKind> kinds = new ArrayList<>(wanted.keySet());
+        kinds.sort(Comparator.comparing(InstanceKind::spot).reversed().thenComparing(InstanceKind::type));
+        for (InstanceKind kind : kinds) {
             bookAnywhere(kind, missing.get(kind), now, txn);
         }
         if (txn.writes() > 0 && !writing) {
@@ -78,17 +82,20 @@
     }
 
     /** First what can't be met elsewhere. */
-    private void bookForZones(Object2DoubleOpenHashMap<Offer> bound, Map<Kind, Integer> missing, StateStore.Txn txn) {
+    private void bookForZones(
+            Object2DoubleOpenHashMap<InstanceOffer> bound,
+            Map<InstanceKind, Integer> missing,
+            StoreClient.Transaction txn) {
         if (bound.isEmpty()) {
             return;
         }
-        Map<Offer, Integer> there = byOffer();
-        List<Offer> offers = new ArrayList<>(bound.keySet());
-        offers.sort(Comparator.comparing(Offer::zone)
+        Map<InstanceOffer, Integer> there = byOffer();
+        List<InstanceOffer> offers = new ArrayList<>(bound.keySet());
+        offers.sort(Comparator.comparing(InstanceOffer::zone)
                 .thenComparing(offer -> offer.kind().type())
                 .thenComparing(offer -> offer.kind().spot()));
-        for (Offer offer : offers) {
-            int lacking = FleetTarget.wholeMachines(bound.getDouble(offer)) - there.getOrDefault(offer, 0);
+        for (InstanceOffer offer : offers) {
+            int lacking = FleetSizeTarget.wholeMachines(bound.getDouble(offer)) - there.getOrDefault(offer, 0);
             int count = Math.min(lacking, mostOf(offer));
             if (count > 0 && mayBook(txn)) {
                 book(offer, count, txn);
@@ -98,30 +105,30 @@
     }
 
     /** Machines there are or were asked for, by kind and zone. */
-    private Map<Offer, Integer> byOffer() {
-        Map<Offer, Integer> there = new HashMap<>();
+    private Map<InstanceOffer, Integer> byOffer() {
+        Map<InstanceOffer, Integer> there = new HashMap<>();
         for (MachineRecord machine : context.ledger().machines()) {
             boolean stays = machine.condition() == Condition.UP || machine.condition() == Condition.BOOTING;
             if (stays) {
                 there.merge(offerOf(machine), 1, Integer::sum);
             }
         }
-        for (Booking booking : context.ledger().bookings()) {
+        for (InstanceRequest booking : context.ledger().bookings()) {
             there.merge(offerOf(booking), booking.count(), Integer::sum);
         }
         return there;
     }
 
-    private static Offer offerOf(MachineRecord machine) {
-        return new Offer(new Kind(machine.type(), machine.spot()), machine.zone());
+    private static InstanceOffer offerOf(MachineRecord machine) {
+        return new InstanceOffer(new InstanceKind(machine.type(), machine.spot()), machine.zone());
     }
 
-    private static Offer offerOf(Booking booking) {
-        return new Offer(new Kind(booking.type(), booking.spot()), booking.zone());
+    private static InstanceOffer offerOf(InstanceRequest booking) {
+        return new InstanceOffer(new InstanceKind(booking.type(), booking.spot()), booking.zone());
     }
 
     /** In the zones that have the fewest machines; a need that is large is spread over the zones. */
-    private void bookAnywhere(Kind kind, int number, Instant now, StateStore.Txn txn) {
+    private void bookAnywhere(InstanceKind kind, int number, Instant now, StoreClient.Transaction txn) {
         int missing = number;
         if (missing <= 0) {
             return;
@@ -130,7 +137,7 @@
         for (int i = 0; i < zones.size() && missing > 0 && mayBook(txn); i++) {
             int zonesLeft = zones.size() - i;
             int even = (missing + zonesLeft - 1) / zonesLeft;
-            Offer offer = new Offer(kind, zones.get(i));
+            InstanceOffer offer = new InstanceOffer(kind, zones.get(i));
             int count = Math.min(mostOf(offer), missing <= MOST_RENTED / 2 ? missing : even);
             if (count > 0) {
                 book(offer, count, txn);
@@ -139,7 +146,7 @@
         }
     }
 
-    private List<String> zonesByMachines(Kind kind, Instant now) {
+    private List<String> zonesByMachines(InstanceKind kind, Instant now) {
         Map<String, Integer> inZone = new HashMap<>();
         for (MachineRecord machine : context.ledger().machines()) {
             if (machine.type().equals(kind.type())) {
@@ -148,15 +155,15 @@
         }
         List<String> zones =
                 new ArrayList<>(context.ledger().types().get(kind.type()).zones());
-        zones.removeIf(zone -> refusals.lately(new Offer(kind, zone), now));
-        zones.sort(Comparator.comparing((String zone) -> bootTimes.isTroubled(new Offer(kind, zone)))
+        zones.removeIf(zone -> refusals.lately(new InstanceOffer(kind, zone), now));
+        zones.sort(Comparator.comparing((String zone) -> bootTimes.isTroubled(new InstanceOffer(kind, zone)))
                 .thenComparing(zone -> inZone.getOrDefault(zone, 0))
                 .thenComparing(zone -> zone));
         return zones;
     }
 
     /** Machines of an offer that may be rented at once: few, and now and then, where they don't come up. */
-    private int mostOf(Offer offer) {
+    private int mostOf(InstanceOffer offer) {
         if (!bootTimes.isTroubled(offer)) {
             return MOST_RENTED;
         }
@@ -165,13 +172,13 @@
         return !isBooked && bootTimes.mayBeTried(offer) ? TRIED_WITH : 0;
     }
 
-    private boolean mayBook(StateStore.Txn txn) {
+    private boolean mayBook(StoreClient.Transaction txn) {
         return context.ledger().bookings().size() + txn.writes() < MOST_BOOKINGS;
     }
 
-    private void book(Offer offer, int count, StateStore.Txn txn) {
+    private void book(InstanceOffer offer, int count, StoreClient.Transaction txn) {
         String name = context.uniqueName("r");
-        Booking booking = new Booking(
+        InstanceRequest booking = new InstanceRequest(
                 name,
                 offer.kind().type(),
                 offer.zone(),
@@ -185,7 +192,7 @@
 
     /** Asks the cloud for what is booked. */
     void carryOut() {
-        for (Booking booking : List.copyOf(context.ledger().bookings())) {
+        for (InstanceRequest booking : List.copyOf(context.ledger().bookings())) {
             if (inFlight.contains(booking.name())) {
                 continue;
             }
@@ -197,7 +204,7 @@
         }
     }
 
-    private void answered(Booking booking, HttpCalls.Reply reply) {
+    private void answered(InstanceRequest booking, HttpCalls.Reply reply) {
         if (reply.ok()) {
             try {
                 rented(booking, CloudMessages.rented(reply.body()));
@@ -213,7 +220,7 @@
         context.loop().after(RETRY, () -> inFlight.remove(booking.name()));
     }
 
-    private void rented(Booking booking, List<String> names) {
+    private void rented(InstanceRequest booking, List<String> names) {
         LOG.info(
                 "rented {} of {} {} in {}{}",
                 names.size(),
@@ -228,8 +235,8 @@
     }
 
     /** The batch takes the booking's place in one transaction. */
-    private void record(Booking booking, List<String> names) {
-        StateStore.Txn txn = withoutBooking(booking);
+    private void record(InstanceRequest booking, List<String> names) {
+        StoreClient.Transaction txn = withoutBooking(booking);
         List<String> fresh = names.stream()
                 .filter(name -> context.ledger().machine(name) == null)
                 .toList();
@@ -242,12 +249,14 @@
         settle(booking, txn);
     }
 
-    private StateStore.Txn withoutBooking(Booking booking) {
+    private StoreClient.Transaction withoutBooking(InstanceRequest booking) {
         String key = Keys.booking(booking.name());
-        return new StateStore.Txn().guard(key, context.replica().stamp(key)).delete(key);
+        return new StoreClient.Transaction()
+                .guard(key, context.replica().stamp(key))
+                .delete(key);
     }
 
-    private void settle(Booking booking, StateStore.Txn txn) {
+    private void settle(InstanceRequest booking, StoreClient.Transaction txn) {
         context.write(txn, ok -> inFlight.remove(booking.name()));
     }
 }
