--- a/src/main/java/org/havenford/coordination/quota/TeamShares.java
+++ b/src/main/java/org/havenford/coordination/quota/QuotaAllocator.java
@@ -6,20 +6,20 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.havenford.coordination.jobs.SchedulingContext;
+import org.havenford.coordination.jobs.CoordinationContext;
 import org.havenford.coordination.membership.Membership;
-import org.havenford.settings.Settings;
-import org.havenford.storage.StateStore;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.StoreClient;
 import org.havenford.storage.records.Keys;
-import org.havenford.storage.records.Quota;
-import org.havenford.storage.records.Quota.Amount;
+import org.havenford.storage.records.TeamQuota;
+import org.havenford.storage.records.TeamQuota.Resources;
 
 /**
  * This controller's shares of the teams' limits. Each claim is guarded by the stamp of the shares, and charged to the share
  * of the controller that makes it; only that controller adds to what is charged to it, so it knows the sum, or more. All
  * claims of a team are then within the shares, and those within the limit.
  */
-public final class TeamShares {
+public final class QuotaAllocator {
     private static final Duration REBALANCE_EVERY = Duration.ofSeconds(1);
     /** Parts of an even share of a team's limit in which shares are taken. */
     private static final int LUMPS = 4;
@@ -29,15 +29,15 @@
     private static final double UNLIMITED = Double.MAX_VALUE / 4;
 
     /** Claims under way, or without an answer: they count until they are seen or ruled out. */
-    public record Charge(String team, Amount amount, String job, String key, long stamp, long viewStamp) {}
+    public record Charge(String team, Resources amount, String job, String key, long stamp, long viewStamp) {}
 
-    private final SchedulingContext context;
+    private final CoordinationContext context;
     private final List<Charge> charges = new ArrayList<>();
     private final Set<String> shortTeams = new HashSet<>();
     private Instant nextRebalance = Instant.MIN;
 
     /** Shares of this controller in the given context. */
-    public TeamShares(SchedulingContext context) {
+    public QuotaAllocator(CoordinationContext context) {
         this.context = context;
     }
 
@@ -63,8 +63,8 @@
                         || (membership.viewStamp() != c.viewStamp() && membership.sawAllBeforeView())));
     }
 
-    private Amount held(String team) {
-        Amount sum = context.ledger().charged(team, context.node());
+    private Resources held(String team) {
+        Resources sum = context.ledger().charged(team, context.node());
         for (Charge c : charges) {
             if (c.team().equals(team)) {
                 sum = sum.plus(c.amount());
@@ -73,8 +73,8 @@
         return sum;
     }
 
-    private static Amount limit(Settings.Team team) {
-        return new Amount(
+    private static Resources limit(PlatformSettings.Team team) {
+        return new Resources(
                 team.cpusMax() > 0 ? team.cpusMax() : UNLIMITED, team.cardsMax() > 0 ? team.cardsMax() : UNLIMITED);
     }
 
@@ -82,23 +82,23 @@
      * How many of the wanted claims our share of the team's limit allows. The guard on the shares, and where needed a
      * larger share taken from what is free, become part of the claim's transaction.
      */
-    public int take(Settings.Team team, Amount one, int wanted, StateStore.Txn txn) {
+    public int take(PlatformSettings.Team team, Resources one, int wanted, StoreClient.Transaction txn) {
         String key = Keys.team(team.name());
         if (context.writer().isLocked(key) || !context.membership().sawAllBeforeView()) {
             // A former life of this node may have made claims that our replica does not show yet.
             return 0;
         }
         txn.guard(key, context.stamp(key));
-        Quota quota = context.ledger().quota(team.name());
-        Amount held = held(team.name());
-        Amount share = quota.share(context.node());
+        TeamQuota quota = context.ledger().quota(team.name());
+        Resources held = held(team.name());
+        Resources share = quota.share(context.node());
         if (held.plus(one.times(wanted)).within(share)) {
             return wanted;
         }
-        Amount free = limit(team).minus(quota.dealt()).most(Amount.NONE);
-        Amount aim =
+        Resources free = limit(team).minus(quota.dealt()).most(Resources.NONE);
+        Resources aim =
                 held.plus(one.times(wanted)).plus(lump(team)).most(lump(team).times(LUMPS));
-        Amount next = share.plus(aim.minus(share).most(Amount.NONE).least(free));
+        Resources next = share.plus(aim.minus(share).most(Resources.NONE).least(free));
         int allowed = wanted;
         while (allowed > 0 && !held.plus(one.times(allowed)).within(next)) {
             allowed--;
@@ -107,17 +107,17 @@
             shortTeams.add(team.name());
         }
         if (allowed > 0 && !held.plus(one.times(allowed)).within(share)) {
-            Quota taken = quota.with(context.node(), next).withShort(context.node(), allowed < wanted);
+            TeamQuota taken = quota.with(context.node(), next).withShort(context.node(), allowed < wanted);
             txn.set(key, taken.toJson());
         }
         return allowed;
     }
 
     /** What a controller takes beyond its need, so that not each claim has to write the shares. */
-    private Amount lump(Settings.Team team) {
+    private Resources lump(PlatformSettings.Team team) {
         int members = Math.max(1, context.membership().view().members().size());
         double part = 1.0 / (LUMPS * members);
-        return new Amount(team.cpusMax() * part, team.cardsMax() * part);
+        return new Resources(team.cpusMax() * part, team.cardsMax() * part);
     }
 
     /**
@@ -129,7 +129,7 @@
             return;
         }
         nextRebalance = now.plus(REBALANCE_EVERY);
-        for (Settings.Team team : context.settings().teams().values()) {
+        for (PlatformSettings.Team team : context.settings().teams().values()) {
             String key = Keys.team(team.name());
             if (team.limited() && !context.writer().isLocked(key)) {
                 rebalance(team, key);
@@ -138,33 +138,33 @@
         shortTeams.clear();
     }
 
-    private void rebalance(Settings.Team team, String key) {
-        Quota quota = context.ledger().quota(team.name());
-        Quota next = withOwnShare(team, quota);
+    private void rebalance(PlatformSettings.Team team, String key) {
+        TeamQuota quota = context.ledger().quota(team.name());
+        TeamQuota next = withOwnShare(team, quota);
         if (context.node().equals(context.membership().view().first())) {
             next = withoutFormerMembers(team, quota, next);
         }
         if (next != quota) {
-            StateStore.Txn txn = new StateStore.Txn()
+            StoreClient.Transaction txn = new StoreClient.Transaction()
                     .guard(Keys.VIEW, context.membership().viewStamp())
                     .guard(key, context.stamp(key))
                     .set(key, next.toJson());
-            context.writer().commit(txn, StateStore.Urgency.WORK, List.of(key), () -> {});
+            context.writer().commit(txn, StoreClient.CallPriority.WORK, List.of(key), () -> {});
         }
     }
 
-    private Quota withOwnShare(Settings.Team team, Quota quota) {
+    private TeamQuota withOwnShare(PlatformSettings.Team team, TeamQuota quota) {
         String self = context.node();
-        Quota next = quota;
-        Amount held = held(team.name());
-        Amount share = quota.share(self);
+        TeamQuota next = quota;
+        Resources held = held(team.name());
+        Resources share = quota.share(self);
         boolean isShort = shortTeams.contains(team.name());
         if (isShort != quota.shortOf().contains(self)) {
             next = next.withShort(self, isShort);
         }
         boolean othersShort = quota.shortOf().stream().anyMatch(n -> !n.equals(self));
-        Amount spare = share.minus(held).most(Amount.NONE);
-        if (othersShort && !isShort && !spare.within(Amount.NONE)) {
+        Resources spare = share.minus(held).most(Resources.NONE);
+        if (othersShort && !isShort && !spare.within(Resources.NONE)) {
             // A part of it, or all where it is little: tasks of our own come in as well.
             boolean little = spare.within(lump(team));
             next = next.with(self, little ? held.least(share) : share.minus(spare.times(GIVEN_BACK)));
@@ -172,10 +172,10 @@
         return next;
     }
 
-    private Quota withoutFormerMembers(Settings.Team team, Quota quota, Quota changed) {
-        Quota next = changed;
+    private TeamQuota withoutFormerMembers(PlatformSettings.Team team, TeamQuota quota, TeamQuota changed) {
+        TeamQuota next = changed;
         for (String holder : quota.holders()) {
-            Amount charged = context.ledger().charged(team.name(), holder);
+            Resources charged = context.ledger().charged(team.name(), holder);
             boolean isMember = context.membership().view().members().containsKey(holder);
             if (!isMember && !quota.share(holder).within(charged)) {
                 next = next.with(holder, charged.least(quota.share(holder))).withShort(holder, false);
--- a/src/main/java/org/havenford/coordination/scheduling/FailingJobs.java
+++ b/src/main/java/org/havenford/coordination/scheduling/FailingJobBackoff.java
@@ -11,7 +11,7 @@
  * with a mistake: it is tried with one task at a time, at growing intervals, behind all sound work. Once a task of it is
  * done, the failures are taken to be the machines' fault.
  */
-public final class FailingJobs {
+public final class FailingJobBackoff {
     /** Failures from which on a job without a success is taken to be one that fails everywhere. */
     private static final int SUSPECT_FROM = 3;
 
--- a/src/main/java/org/havenford/coordination/scheduling/JobOrder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/JobOrder.java
@@ -10,10 +10,10 @@
 import java.util.Map;
 import java.util.Set;
 import org.havenford.protocol.JobSpec;
-import org.havenford.settings.Settings;
-import org.havenford.storage.Ledger;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Job;
-import org.havenford.storage.records.Quota.Amount;
+import org.havenford.storage.records.TeamQuota.Resources;
 
 /**
  * The order in which jobs are served: what has waited too long without a start, then work within its team's guarantee, then
@@ -58,14 +58,14 @@
     /** Jobs in the order in which they are served; the first {@code urgent} of them must not stand behind the others. */
     record Queue(List<Job> jobs, int urgent) {}
 
-    private final Ledger ledger;
-    private final Settings settings;
-    private final Inheritance inheritance;
+    private final ClusterState ledger;
+    private final PlatformSettings settings;
+    private final PriorityInheritance inheritance;
 
-    JobOrder(Ledger ledger, Settings settings) {
+    JobOrder(ClusterState ledger, PlatformSettings settings) {
         this.ledger = ledger;
         this.settings = settings;
-        this.inheritance = new Inheritance(ledger);
+        this.inheritance = new PriorityInheritance(ledger);
     }
 
     /** Priority of a job, its own or that of a job that needs it. */
@@ -130,7 +130,7 @@
     private Ranked rank(Job job, Set<String> guaranteed, Set<String> starving, Instant now) {
         return new Ranked(
                 job,
-                FailingJobs.goesLast(job, now),
+                FailingJobBackoff.goesLast(job, now),
                 starving.contains(job.id()),
                 guaranteed.contains(job.id()),
                 priority(job),
@@ -144,14 +144,14 @@
         }
         List<Job> bySubmission = new ArrayList<>(open);
         bySubmission.sort(Comparator.comparing(Job::submitted).thenComparing(Job::id));
-        Map<String, Amount> used = new HashMap<>();
+        Map<String, Resources> used = new HashMap<>();
         Set<String> guaranteed = new HashSet<>();
         for (Job job : bySubmission) {
             int left = job.spec().tasks() - job.doneCount();
-            Amount needed = new Amount(job.spec().cpus(), job.spec().cards()).times(left);
-            Amount sum = used.merge(job.spec().team(), needed, Amount::plus);
-            Settings.Team team = settings.teams().get(job.spec().team());
-            if (team != null && team.cpus() > 0 && sum.within(new Amount(team.cpus(), team.cards()))) {
+            Resources needed = new Resources(job.spec().cpus(), job.spec().cards()).times(left);
+            Resources sum = used.merge(job.spec().team(), needed, Resources::plus);
+            PlatformSettings.Team team = settings.teams().get(job.spec().team());
+            if (team != null && team.cpus() > 0 && sum.within(new Resources(team.cpus(), team.cards()))) {
                 guaranteed.add(job.id());
             }
         }
@@ -168,7 +168,7 @@
     Instant latestStart(Job job, Instant now) {
         Instant due = due(job);
         Instant latest = due == null ? null : latestStart(job, due, now);
-        for (Settings.Objective aim : settings.objectives()) {
+        for (PlatformSettings.ServiceObjective aim : settings.objectives()) {
             boolean concerns =
                     aim.kind().equals("wait") && aim.lineup().equals(job.spec().lineup());
             if (concerns && aim.within() != null) {
--- a/src/main/java/org/havenford/coordination/scheduling/PlacementGuard.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PlacementGuard.java
@@ -5,7 +5,7 @@
 import org.havenford.coordination.placement.PlacementRules;
 import org.havenford.coordination.placement.TaskZones;
 import org.havenford.protocol.MachineType;
-import org.havenford.storage.Ledger;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.MachineRecord;
 import org.slf4j.Logger;
@@ -21,7 +21,7 @@
     private PlacementGuard() {}
 
     /** Those of the placements of one job that keep to its constraints, beside all its claims and each other. */
-    static List<Planner.Placement> permitted(Job job, List<Planner.Placement> planned, Ledger ledger) {
+    static List<Planner.Placement> permitted(Job job, List<Planner.Placement> planned, ClusterState ledger) {
         TaskZones zones = PlacementRules.dependOnOthers(job.spec()) ? TaskZones.ofClaims(job, ledger) : new TaskZones();
         List<Planner.Placement> permitted = new ArrayList<>(planned.size());
         for (Planner.Placement placement : planned) {
--- a/src/main/java/org/havenford/coordination/scheduling/Planner.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Planner.java
@@ -21,15 +21,15 @@
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.MachineType;
 import org.havenford.protocol.TaskId;
-import org.havenford.settings.Operator;
-import org.havenford.settings.Settings;
-import org.havenford.storage.Ledger;
-import org.havenford.storage.records.Chunk;
+import org.havenford.settings.OperatorSettings;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineRecord;
-import org.havenford.storage.records.Quota.Amount;
+import org.havenford.storage.records.TaskRange;
+import org.havenford.storage.records.TeamQuota.Resources;
 
 /**
  * Decides what should run where, from a snapshot. Every controller plans for the whole fleet and claims only on the
@@ -68,9 +68,10 @@
     public record ClaimQuota(String controller, int mostRecords) {}
 
     /** A capacity that takes tasks of the job at hand, and what the next task costs there. */
-    private record Offer(double score, FreeCapacity capacity) {}
+    private record PlacementCandidate(double score, FreeCapacity capacity) {}
 
-    private static final Comparator<Offer> BEST_FIRST = Comparator.comparingDouble(Offer::score)
+    private static final Comparator<PlacementCandidate> BEST_FIRST = Comparator.comparingDouble(
+                    PlacementCandidate::score)
             .thenComparing(offer -> offer.capacity().machine.name());
 
     /** Seconds of fetching that it is worth to leave a large machine to those tasks that need one. */
@@ -96,14 +97,14 @@
     private static final Duration PATIENCE = Duration.ofSeconds(60);
 
     /** Machines that a pass of a round looks at. */
-    private enum Machines {
+    private enum MachineFilter {
         ALL,
         /** Only where the job's image is, or is on its way. */
         WITH_IMAGE
     }
 
-    private final Ledger ledger;
-    private final Settings settings;
+    private final ClusterState ledger;
+    private final PlatformSettings settings;
     private final boolean speedFirst;
     private final UnaryOperator<String> owner;
     private Set<String> awaited = Set.of();
@@ -120,7 +121,8 @@
     private final ResumePoint resume = new ResumePoint();
 
     /** A planner over a replica; {@code owner} names the controller that owns a machine. */
-    public Planner(Ledger ledger, Settings settings, Operator operator, UnaryOperator<String> owner) {
+    public Planner(
+            ClusterState ledger, PlatformSettings settings, OperatorSettings operator, UnaryOperator<String> owner) {
         this.ledger = ledger;
         this.owner = owner;
         this.settings = settings;
@@ -278,7 +280,7 @@
             }
             most = tasksInTime(job, round.now) - job.claimCount() - round.placed(job);
         }
-        place(job, round, Machines.ALL, most);
+        place(job, round, MachineFilter.ALL, most);
     }
 
     /** Machines with free capacity that take new tasks. */
@@ -317,7 +319,7 @@
     private void placeWhereImagesAre(List<Job> jobs, PlanningRound round) {
         for (Job job : jobs) {
             if (isPaced(job) && !round.limits.backsOff().test(job)) {
-                place(job, round, Machines.WITH_IMAGE, tasksInTime(job, round.now) - job.claimCount());
+                place(job, round, MachineFilter.WITH_IMAGE, tasksInTime(job, round.now) - job.claimCount());
             }
         }
     }
@@ -330,7 +332,7 @@
                     && !round.limits.outOfTime().getAsBoolean();
             if (takesMore) {
                 boolean waitedLong = !round.now.isBefore(job.released().plus(PATIENCE));
-                place(job, round, waitedLong ? Machines.ALL : Machines.WITH_IMAGE, Integer.MAX_VALUE);
+                place(job, round, waitedLong ? MachineFilter.ALL : MachineFilter.WITH_IMAGE, Integer.MAX_VALUE);
             }
         }
     }
@@ -364,27 +366,27 @@
     }
 
     /** Places tasks of a job, {@code most} at the most. */
-    private void place(Job job, PlanningRound round, Machines machines, int most) {
+    private void place(Job job, PlanningRound round, MachineFilter machines, int most) {
         JobSpec s = job.spec();
-        Settings.Team team = settings.teams().get(s.team());
-        Amount one = new Amount(s.cpus(), s.cards());
+        PlatformSettings.Team team = settings.teams().get(s.team());
+        Resources one = new Resources(s.cpus(), s.cards());
         int quota = Math.min(most, job.pendingCount() - round.placed(job));
         if (team != null && team.limited()) {
             quota = Math.min(quota, fitting(team, round.used.computeIfAbsent(s.team(), ledger::usage), one));
         }
         // A job that fails everywhere keeps one task going, so that it does not eat the fleet.
-        quota = Math.min(quota, Math.max(0, FailingJobs.mostClaims(job) - job.claimCount() - round.placed(job)));
+        quota = Math.min(quota, Math.max(0, FailingJobBackoff.mostClaims(job) - job.claimCount() - round.placed(job)));
         if (quota <= 0) {
             return;
         }
         TaskZones zones = round.zonesOf(job, ledger);
         String onlyZone = s.together() && zones.isEmpty() ? bestZone(s, round.open, job.pendingCount()) : null;
-        Map<String, List<Offer>> offers = offers(job, round, zones, onlyZone, machines);
+        Map<String, List<PlacementCandidate>> offers = offers(job, round, zones, onlyZone, machines);
         Set<TaskId> taken = round.taken.computeIfAbsent(job.id(), k -> new HashSet<>());
         int before = taken.size();
         int unplaced = offers.isEmpty() ? quota : 0;
         for (int i = 0; i < job.chunkCount() && quota > 0 && !offers.isEmpty(); i++) {
-            Chunk chunk = job.chunk(i);
+            TaskRange chunk = job.chunk(i);
             if (chunk.pendingCount() == 0) {
                 continue;
             }
@@ -409,14 +411,14 @@
             unplaced += Math.min(quota, pending.size() - placed);
         }
         if (unplaced > 0
-                && machines == Machines.ALL
-                && !FailingJobs.isSuspect(job)
+                && machines == MachineFilter.ALL
+                && !FailingJobBackoff.isSuspect(job)
                 && !reserve(s, priority(job), offers, zones, unplaced)
                 && preemption.isPressing(job, round.now)) {
             preemption.preempt(s, priority(job), unplaced, zones, onlyZone, round);
         }
         if (team != null && team.limited()) {
-            round.used.merge(s.team(), one.times(taken.size() - before), Amount::plus);
+            round.used.merge(s.team(), one.times(taken.size() - before), Resources::plus);
         }
     }
 
@@ -425,11 +427,15 @@
      * would only be stopped again. Whether there is any.
      */
     private static boolean reserve(
-            JobSpec s, JobSpec.Priority priority, Map<String, List<Offer>> offers, TaskZones zones, int tasks) {
+            JobSpec s,
+            JobSpec.Priority priority,
+            Map<String, List<PlacementCandidate>> offers,
+            TaskZones zones,
+            int tasks) {
         int left = tasks;
         boolean any = false;
-        for (List<Offer> l : offers.values()) {
-            for (Offer o : l) {
+        for (List<PlacementCandidate> l : offers.values()) {
+            for (PlacementCandidate o : l) {
                 if (left > 0
                         && o.capacity().fits(s)
                         && PlacementRules.zone(s, o.capacity().machine.zone(), zones)
@@ -443,7 +449,7 @@
         return any;
     }
 
-    private static int fitting(Settings.Team team, Amount used, Amount one) {
+    private static int fitting(PlatformSettings.Team team, Resources used, Resources one) {
         double n = Integer.MAX_VALUE;
         if (team.cpusMax() > 0 && one.cpus() > 0) {
             n = Math.min(n, (team.cpusMax() - used.cpus()) / one.cpus() + 1e-6);
@@ -455,8 +461,8 @@
     }
 
     /** What each owner's machines offer to tasks of a job, the best first. */
-    private Map<String, List<Offer>> offers(
-            Job job, PlanningRound round, TaskZones zones, String onlyZone, Machines machines) {
+    private Map<String, List<PlacementCandidate>> offers(
+            Job job, PlanningRound round, TaskZones zones, String onlyZone, MachineFilter machines) {
         JobSpec s = job.spec();
         double smallest = ledger.types().values().stream()
                 .filter(s::fits)
@@ -467,7 +473,7 @@
         boolean mayTakeLarge =
                 !round.now.isBefore(order.latestStart(job, round.now).minus(Preemption.PRESSING_BEFORE))
                         || !round.now.isBefore(job.released().plus(PATIENCE));
-        Map<String, List<Offer>> offers = new TreeMap<>();
+        Map<String, List<PlacementCandidate>> offers = new TreeMap<>();
         if (round.fitsNowhere(s)) {
             return offers;
         }
@@ -482,7 +488,7 @@
                             .allowed()
                     || (onlyZone != null && !onlyZone.equals(m.zone()))
                     || (capacity.reservedFor != null && capacity.reservedFor.compareTo(priority(job)) < 0)
-                    || (machines == Machines.WITH_IMAGE && !capacity.hasOrFetches(s.image()))
+                    || (machines == MachineFilter.WITH_IMAGE && !capacity.hasOrFetches(s.image()))
                     || (!mayTakeLarge && capacity.type.cpus() > smallest && awaited.contains(capacity.type.name()))) {
                 continue;
             }
@@ -490,13 +496,13 @@
                     + (capacity.cpus - s.cpus()) / capacity.type.cpus()
                     + largePenalty(capacity.type, smallest)
                     + kindPenalty(s, m);
-            offers.computeIfAbsent(capacity.owner, o -> new ArrayList<>()).add(new Offer(score, capacity));
+            offers.computeIfAbsent(capacity.owner, o -> new ArrayList<>()).add(new PlacementCandidate(score, capacity));
         }
         if (!anyFits) {
             round.noteFitsNowhere(s);
         }
         boolean single = job.pendingCount() == 1;
-        for (List<Offer> ofOwner : offers.values()) {
+        for (List<PlacementCandidate> ofOwner : offers.values()) {
             if (single) {
                 // Hundreds of jobs of one task need no order among all machines.
                 Collections.swap(ofOwner, 0, ofOwner.indexOf(Collections.min(ofOwner, BEST_FIRST)));
@@ -512,14 +518,15 @@
      * job; another is chosen only when it offers clearly more, so that controllers whose copies of the store differ by a
      * moment still agree.
      */
-    private String owner(String key, int index, JobSpec s, Map<String, List<Offer>> offers, int tasks, Limits limits) {
+    private String owner(
+            String key, int index, JobSpec s, Map<String, List<PlacementCandidate>> offers, int tasks, Limits limits) {
         List<String> owners = limits.owners();
         String best = null;
         double least = Double.MAX_VALUE;
         int first = (s.id().hashCode() & 0xffff) + index;
         for (int i = 0; i < owners.size(); i++) {
             String o = owners.get((first + i) % owners.size());
-            List<Offer> offered = offers.getOrDefault(o, List.of());
+            List<PlacementCandidate> offered = offers.getOrDefault(o, List.of());
             if (offered.isEmpty() || limits.passedOver().test(key, o)) {
                 continue;
             }
@@ -535,10 +542,10 @@
         return best;
     }
 
-    private static double cost(JobSpec s, List<Offer> offers, int tasks) {
+    private static double cost(JobSpec s, List<PlacementCandidate> offers, int tasks) {
         double cost = 0;
         int left = tasks;
-        for (Offer o : offers) {
+        for (PlacementCandidate o : offers) {
             if (left <= 0) {
                 break;
             }
@@ -550,11 +557,11 @@
     }
 
     private int fill(
-            Chunk chunk,
+            TaskRange chunk,
             List<TaskId> pending,
             int most,
             JobSpec s,
-            List<Offer> offers,
+            List<PlacementCandidate> offers,
             TaskZones zones,
             PlanningRound round) {
         int placed = 0;
@@ -562,7 +569,7 @@
             if (placed >= most) {
                 break;
             }
-            for (Offer o : offers) {
+            for (PlacementCandidate o : offers) {
                 FreeCapacity capacity = o.capacity();
                 String zone = capacity.machine.zone();
                 if (!capacity.fits(s)
--- a/src/main/java/org/havenford/coordination/scheduling/PlanningRound.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PlanningRound.java
@@ -11,9 +11,9 @@
 import org.havenford.coordination.placement.TaskZones;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.TaskId;
-import org.havenford.storage.Ledger;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Job;
-import org.havenford.storage.records.Quota.Amount;
+import org.havenford.storage.records.TeamQuota.Resources;
 
 /**
  * What one round of the planner has decided so far, and what it decides on. Everything that a pass counts stands here, so
@@ -27,7 +27,7 @@
     final Planner.Limits limits;
     final List<FreeCapacity> open;
     final Planner.Plan out;
-    final Map<String, Amount> used = new HashMap<>();
+    final Map<String, Resources> used = new HashMap<>();
     final Map<String, String> ownerOf = new HashMap<>();
     final Map<String, Set<TaskId>> taken = new HashMap<>();
     /** Of jobs that stay together or apart: their claims, and what any pass of this round has placed. */
@@ -42,7 +42,7 @@
     /** Amounts that no machine had room for: what is as large finds none either, since room only shrinks. */
     private final List<JobSpec> fitNowhere = new ArrayList<>();
 
-    final Map<JobSpec.Priority, List<Preemption.Stoppable>> stoppable = new EnumMap<>(JobSpec.Priority.class);
+    final Map<JobSpec.Priority, List<Preemption.PreemptibleMachine>> stoppable = new EnumMap<>(JobSpec.Priority.class);
 
     PlanningRound(Instant now, Planner.Limits limits, List<FreeCapacity> open, Planner.Plan out) {
         this.now = now;
@@ -55,7 +55,7 @@
      * Where a job's tasks are. A job may be placed in several passes of a round, all of which go into one claim: counted
      * from the claims alone, a later pass would place what the passes together must not. apart-in-one-round.trace
      */
-    TaskZones zonesOf(Job job, Ledger ledger) {
+    TaskZones zonesOf(Job job, ClusterState ledger) {
         return PlacementRules.dependOnOthers(job.spec())
                 ? zones.computeIfAbsent(job.id(), id -> TaskZones.ofClaims(job, ledger))
                 : ANYWHERE;
--- a/src/main/java/org/havenford/coordination/scheduling/Preemption.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Preemption.java
@@ -10,7 +10,7 @@
 import org.havenford.coordination.placement.PlacementRules;
 import org.havenford.coordination.placement.TaskZones;
 import org.havenford.protocol.JobSpec;
-import org.havenford.storage.Ledger;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.MachineRecord;
@@ -26,13 +26,13 @@
     /** Time that a stopped task is taken to need until it starts again. */
     private static final Duration AGAIN = Duration.ofSeconds(25);
 
-    private final Ledger ledger;
+    private final ClusterState ledger;
     private final JobOrder order;
     private final Collection<FreeCapacity> capacities;
     private final Consumer<String> changed;
 
     /** {@code changed} is told of machines whose capacity has to be worked out anew. */
-    Preemption(Ledger ledger, JobOrder order, Collection<FreeCapacity> capacities, Consumer<String> changed) {
+    Preemption(ClusterState ledger, JobOrder order, Collection<FreeCapacity> capacities, Consumer<String> changed) {
         this.ledger = ledger;
         this.order = order;
         this.capacities = capacities;
@@ -41,7 +41,7 @@
 
     /** Whether a job of high priority is about to miss the start that its class aims at. */
     boolean isPressing(Job job, Instant now) {
-        if (order.priority(job).compareTo(JobSpec.Priority.NORMAL) >= 0 || FailingJobs.isSuspect(job)) {
+        if (order.priority(job).compareTo(JobSpec.Priority.NORMAL) >= 0 || FailingJobBackoff.isSuspect(job)) {
             return false;
         }
         Instant latest = order.latestStart(job, now);
@@ -59,7 +59,7 @@
     void preempt(
             JobSpec s, JobSpec.Priority priority, int tasks, TaskZones zones, String onlyZone, PlanningRound round) {
         List<Victims> found = new ArrayList<>();
-        for (Stoppable r : round.stoppable.computeIfAbsent(priority, p -> stoppable(p, round))) {
+        for (PreemptibleMachine r : round.stoppable.computeIfAbsent(priority, p -> stoppable(p, round))) {
             MachineRecord m = r.capacity.machine;
             boolean allowed = PlacementRules.task(s, r.capacity.type, m.zone(), m.spot(), zones)
                     .allowed();
@@ -99,11 +99,11 @@
     }
 
     /** A machine and the claims on it that work of some priority may stop, the youngest first. */
-    record Stoppable(FreeCapacity capacity, List<Claim> claims) {}
+    record PreemptibleMachine(FreeCapacity capacity, List<Claim> claims) {}
 
     /** Looked for once a round: there may be dozens of jobs that press, and thousands of claims. */
-    private List<Stoppable> stoppable(JobSpec.Priority than, PlanningRound round) {
-        List<Stoppable> out = new ArrayList<>();
+    private List<PreemptibleMachine> stoppable(JobSpec.Priority than, PlanningRound round) {
+        List<PreemptibleMachine> out = new ArrayList<>();
         for (FreeCapacity capacity : capacities) {
             List<Claim> young = null;
             for (Claim c : capacity.claims) {
@@ -114,13 +114,13 @@
             }
             if (young != null && capacity.takesTasks(round.limits.steadyNow())) {
                 young.sort(Comparator.comparing(Claim::at).reversed().thenComparing(Claim::task));
-                out.add(new Stoppable(capacity, young));
+                out.add(new PreemptibleMachine(capacity, young));
             }
         }
         return out;
     }
 
-    private Victims victims(Stoppable in, JobSpec s, Instant now) {
+    private Victims victims(PreemptibleMachine in, JobSpec s, Instant now) {
         List<Claim> victims = new ArrayList<>(4);
         FreeCapacity capacity = in.capacity();
         double cpus = capacity.cpus;
--- a/src/main/java/org/havenford/coordination/scheduling/Inheritance.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PriorityInheritance.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.Map;
 import org.havenford.protocol.JobSpec;
-import org.havenford.storage.Ledger;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Job;
 
 /**
  * Priorities and deadlines passed backwards through pipelines: a job has the highest priority of any job that needs it,
  * directly or through others, and is due early enough for the jobs after it to be in time.
  */
-final class Inheritance {
+final class PriorityInheritance {
     /** Priority and due time of a job, its own or inherited; {@code due} is null where there is none. */
     record Inherited(JobSpec.Priority priority, Instant due) {
         static Inherited own(Job job) {
@@ -28,11 +28,11 @@
         }
     }
 
-    private final Ledger ledger;
+    private final ClusterState ledger;
     private long computedFor = -1;
     private Map<String, Inherited> inherited = Map.of();
 
-    Inheritance(Ledger ledger) {
+    PriorityInheritance(ClusterState ledger) {
         this.ledger = ledger;
     }
 
--- a/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 import java.time.Instant;
 import org.HdrHistogram.Histogram;
-import org.havenford.coordination.agents.Fleet;
-import org.havenford.coordination.jobs.JobEnds;
-import org.havenford.coordination.jobs.Pipelines;
-import org.havenford.coordination.jobs.SchedulingContext;
-import org.havenford.coordination.quota.TeamShares;
-import org.havenford.settings.Operator;
+import org.havenford.coordination.agents.AgentManager;
+import org.havenford.coordination.jobs.CoordinationContext;
+import org.havenford.coordination.jobs.JobCompletion;
+import org.havenford.coordination.jobs.JobDependencies;
+import org.havenford.coordination.quota.QuotaAllocator;
+import org.havenford.settings.OperatorSettings;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
 
@@ -20,24 +20,25 @@
 public final class Scheduler {
     private static final long MAX_RECORDED_MICROS = 60_000_000L;
 
-    private final SchedulingContext context;
+    private final CoordinationContext context;
     private final Planner planner;
-    private final Pipelines pipelines;
-    private final TeamShares shares;
-    private final Claims claims;
-    private final TaskReleases releases;
-    private final JobEnds ends;
+    private final JobDependencies pipelines;
+    private final QuotaAllocator shares;
+    private final TaskClaimer claims;
+    private final TaskReleaser releases;
+    private final JobCompletion ends;
     private final Histogram roundMicros = new Histogram(MAX_RECORDED_MICROS, 2);
 
     /** A scheduler that works on the given context. */
-    public Scheduler(SchedulingContext context, Operator operator, Fleet fleet, Pipelines pipelines) {
+    public Scheduler(
+            CoordinationContext context, OperatorSettings operator, AgentManager fleet, JobDependencies pipelines) {
         this.context = context;
         this.pipelines = pipelines;
         planner = new Planner(context.ledger(), context.settings(), operator, context.membership()::owner);
-        shares = new TeamShares(context);
-        claims = new Claims(context, fleet, planner, operator.roundBudget(), shares);
-        ends = new JobEnds(context);
-        releases = new TaskReleases(context, fleet, ends);
+        shares = new QuotaAllocator(context);
+        claims = new TaskClaimer(context, fleet, planner, operator.roundBudget(), shares);
+        ends = new JobCompletion(context);
+        releases = new TaskReleaser(context, fleet, ends);
     }
 
     /** Durations of the rounds, in microseconds. */
--- a/src/main/java/org/havenford/coordination/scheduling/Claims.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
@@ -11,22 +11,22 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.havenford.coordination.agents.Ending;
-import org.havenford.coordination.agents.Fleet;
-import org.havenford.coordination.agents.MachineState;
-import org.havenford.coordination.jobs.SchedulingContext;
-import org.havenford.coordination.quota.TeamShares;
+import org.havenford.coordination.agents.AgentManager;
+import org.havenford.coordination.agents.AgentState;
+import org.havenford.coordination.agents.AttemptOutcome;
+import org.havenford.coordination.jobs.CoordinationContext;
+import org.havenford.coordination.quota.QuotaAllocator;
 import org.havenford.protocol.JobSpec;
-import org.havenford.settings.Settings;
-import org.havenford.storage.StateStore;
-import org.havenford.storage.records.Chunk;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.StoreClient;
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
-import org.havenford.storage.records.Quota.Amount;
+import org.havenford.storage.records.TaskRange;
+import org.havenford.storage.records.TeamQuota.Resources;
 
 /** Turns the planner's placements on this controller's machines into claims, one transaction a record of tasks. */
-final class Claims {
+final class TaskClaimer {
     /** How long another owner may leave a planned task lying before its machines are left out of the plan. */
     private static final Duration FOREIGN_PATIENCE = Duration.ofMillis(1500);
     /** How many times that long a record that is no longer planned for others is remembered. */
@@ -72,24 +72,29 @@
         }
     }
 
-    private final SchedulingContext context;
-    private final Fleet fleet;
+    private final CoordinationContext context;
+    private final AgentManager fleet;
     private final Planner planner;
     private final Duration planningBudget;
-    private final TeamShares shares;
+    private final QuotaAllocator shares;
     private final Object2ObjectOpenHashMap<String, Wait> waits = new Object2ObjectOpenHashMap<>();
     /** Claims under way, by machine: their room is taken already. */
     private final Map<String, List<JobSpec>> underWay = new HashMap<>();
 
     private final Map<String, WithoutRoom> withoutRoom = new HashMap<>();
-    private final FailingJobs failingJobs = new FailingJobs();
+    private final FailingJobBackoff failingJobs = new FailingJobBackoff();
     /** Large jobs of low priority whose room is being gathered, and since when. */
     private final Map<String, Instant> gatheringSince = new HashMap<>();
 
     private Instant crowdedUntil = Instant.MIN;
     private Instant nextPlan = Instant.MIN;
 
-    Claims(SchedulingContext context, Fleet fleet, Planner planner, Duration planningBudget, TeamShares shares) {
+    TaskClaimer(
+            CoordinationContext context,
+            AgentManager fleet,
+            Planner planner,
+            Duration planningBudget,
+            QuotaAllocator shares) {
         this.context = context;
         this.fleet = fleet;
         this.planner = planner;
@@ -111,7 +116,7 @@
             if (pressed && isGathered(ofOneRecord, start)) {
                 continue;
             }
-            if (context.store().queued(StateStore.Urgency.CLAIM) >= MAX_WAITING_CLAIMS) {
+            if (context.store().queued(StoreClient.CallPriority.CLAIM) >= MAX_WAITING_CLAIMS) {
                 // The queue keeps its order; the next round decides anew who is first.
                 break;
             }
@@ -204,14 +209,14 @@
         private final Job job;
         private final int index;
         private final String key;
-        private final StateStore.Txn txn = new StateStore.Txn();
+        private final StoreClient.Transaction txn = new StoreClient.Transaction();
         private final List<String> locks = new ArrayList<>();
-        private final Map<Claim, Ending> ended = new HashMap<>();
+        private final Map<Claim, AttemptOutcome> ended = new HashMap<>();
         private final Set<String> machines = new HashSet<>();
         private final boolean firstAfterRelease;
-        private Chunk chunk;
+        private TaskRange chunk;
         private int claimed;
-        private TeamShares.Charge charge;
+        private QuotaAllocator.Charge charge;
 
         Draft(Job job, int index) {
             this.job = job;
@@ -221,8 +226,8 @@
             firstAfterRelease = !job.spec().awaits().isEmpty() && job.claimCount() == 0 && job.doneCount() == 0;
         }
 
-        Amount perTask() {
-            return new Amount(job.spec().cpus(), job.spec().cards());
+        Resources perTask() {
+            return new Resources(job.spec().cpus(), job.spec().cards());
         }
 
         /** Machines of the new claims, one for each; a claim that was kept is the same object as before. */
@@ -252,7 +257,7 @@
                 .guard(Keys.VIEW, context.membership().viewStamp())
                 .guard(header, context.stamp(header))
                 .guard(key, context.stamp(key));
-        Settings.Team team = context.settings().teams().get(job.spec().team());
+        PlatformSettings.Team team = context.settings().teams().get(job.spec().team());
         boolean limited = team != null && team.limited();
         int allowed = limited ? takeShare(draft, team, planned.size()) : planned.size();
         if (job.spec().together() || job.spec().apart()) {
@@ -271,15 +276,15 @@
         }
         draft.txn.set(key, value);
         if (limited) {
-            Amount taken = draft.perTask().times(draft.claimed);
+            Resources taken = draft.perTask().times(draft.claimed);
             long viewStamp = context.membership().viewStamp();
-            draft.charge = new TeamShares.Charge(team.name(), taken, job.id(), key, context.stamp(key), viewStamp);
+            draft.charge = new QuotaAllocator.Charge(team.name(), taken, job.id(), key, context.stamp(key), viewStamp);
             shares.add(draft.charge);
         }
         commit(draft);
     }
 
-    private int takeShare(Draft draft, Settings.Team team, int wanted) {
+    private int takeShare(Draft draft, PlatformSettings.Team team, int wanted) {
         int allowed = shares.take(team, draft.perTask(), wanted, draft.txn);
         if (draft.txn.writes() > 0) {
             draft.locks.add(Keys.team(team.name()));
@@ -292,16 +297,16 @@
         int index = draft.index;
         draft.chunk = draft.job.chunk(index).copy();
         for (Claim c : draft.job.chunk(index).claims()) {
-            Ending ending = fleet.endings().of(c);
+            AttemptOutcome ending = fleet.endings().of(c);
             if (ending != null) {
                 draft.ended.put(c, ending);
             }
         }
-        TaskReleases.apply(draft.ended, draft.chunk);
+        TaskReleaser.apply(draft.ended, draft.chunk);
         Set<String> batches = new HashSet<>();
         int maxBatches = context.settings().txnOps() * CONDITIONS_PER_CHANGE - OTHER_CONDITIONS;
         for (Planner.Placement p : placements) {
-            MachineState state = fleet.state(p.machine());
+            AgentState state = fleet.state(p.machine());
             Set<String> batchesOf = context.ledger().batchesOf(p.machine());
             if (state == null
                     || state.report == null
@@ -337,12 +342,12 @@
                         .firstClaim(draft.job.released(), context.loop().timeOfDay());
             }
         };
-        context.writer().commit(draft.txn, StateStore.Urgency.CLAIM, draft.locks, onSuccess, result -> {
+        context.writer().commit(draft.txn, StoreClient.CallPriority.CLAIM, draft.locks, onSuccess, result -> {
             claimedMachines.forEach(name -> noLongerUnderWay(name, spec));
-            if (draft.charge != null && result.outcome() != StateStore.Outcome.UNKNOWN) {
+            if (draft.charge != null && result.outcome() != StoreClient.Outcome.UNKNOWN) {
                 shares.remove(draft.charge);
             }
-            if (result.outcome() == StateStore.Outcome.CONFLICT) {
+            if (result.outcome() == StoreClient.Outcome.CONFLICT) {
                 crowdedUntil = context.loop().now().plus(CROWDED);
             }
         });
--- a/src/main/java/org/havenford/coordination/scheduling/TaskReleases.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
@@ -7,36 +7,36 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.havenford.coordination.agents.AttemptEndings.EndedRecord;
-import org.havenford.coordination.agents.Ending;
-import org.havenford.coordination.agents.Fleet;
-import org.havenford.coordination.jobs.JobEnds;
-import org.havenford.coordination.jobs.SchedulingContext;
+import org.havenford.coordination.agents.AgentManager;
+import org.havenford.coordination.agents.AttemptOutcome;
+import org.havenford.coordination.agents.AttemptOutcomes.TaskRangeOutcomes;
+import org.havenford.coordination.jobs.CoordinationContext;
+import org.havenford.coordination.jobs.JobCompletion;
 import org.havenford.protocol.JobSpec;
-import org.havenford.storage.StateStore;
-import org.havenford.storage.records.Chunk;
+import org.havenford.storage.StoreClient;
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.FinalState;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.TaskRange;
 
 /**
  * Writes the ends of attempts, gathered by record, so that tasks of a job that end one after the other do not cost a change
  * each.
  */
-final class TaskReleases {
+final class TaskReleaser {
     private static final Duration GATHER = Duration.ofMillis(500);
     private static final Duration GATHER_PRESSED = Duration.ofSeconds(4);
     private static final Duration GATHER_SCARCE = Duration.ofSeconds(8);
     /** Times as long that the ends of low work are gathered under pressure. */
     private static final int LOW_WAITS = 2;
 
-    private final SchedulingContext context;
-    private final Fleet fleet;
-    private final JobEnds jobEnds;
+    private final CoordinationContext context;
+    private final AgentManager fleet;
+    private final JobCompletion jobEnds;
     private final Duration gatherPressed;
 
-    TaskReleases(SchedulingContext context, Fleet fleet, JobEnds jobEnds) {
+    TaskReleaser(CoordinationContext context, AgentManager fleet, JobCompletion jobEnds) {
         this.context = context;
         this.fleet = fleet;
         this.jobEnds = jobEnds;
@@ -47,14 +47,14 @@
     void step() {
         boolean pressed = context.store().pressed();
         Instant now = context.loop().now();
-        for (EndedRecord ended : fleet.endings().records()) {
+        for (TaskRangeOutcomes ended : fleet.endings().records()) {
             if (!context.writer().isLocked(ended.key())) {
                 step(ended, pressed, now);
             }
         }
     }
 
-    private void step(EndedRecord ended, boolean pressed, Instant now) {
+    private void step(TaskRangeOutcomes ended, boolean pressed, Instant now) {
         boolean due = now.isAfter(ended.gatheredSince(now).plus(gather(ended, pressed)));
         boolean look = ended.lookedAt() == null || now.isAfter(ended.lookedAt().plus(GATHER));
         if (!due && !look) {
@@ -69,7 +69,7 @@
         }
     }
 
-    private Duration gather(EndedRecord ended, boolean pressed) {
+    private Duration gather(TaskRangeOutcomes ended, boolean pressed) {
         if (!pressed) {
             return GATHER;
         }
@@ -77,7 +77,7 @@
         return low ? gatherPressed.multipliedBy(LOW_WAITS) : gatherPressed;
     }
 
-    private List<Claim> noLongerHeld(EndedRecord ended) {
+    private List<Claim> noLongerHeld(TaskRangeOutcomes ended) {
         Job job = context.ledger().job(ended.job().id());
         return ended.ended().keySet().stream()
                 .filter(claim ->
@@ -85,14 +85,14 @@
                 .toList();
     }
 
-    private Job jobOf(Map<Claim, Ending> ended) {
+    private Job jobOf(Map<Claim, AttemptOutcome> ended) {
         return context.ledger().job(ended.keySet().iterator().next().task().job());
     }
 
     /** Ends that somebody waits for: the last of a job's tasks, and those that have to start again. */
-    private boolean isAwaited(Map<Claim, Ending> ended) {
+    private boolean isAwaited(Map<Claim, AttemptOutcome> ended) {
         Job job = jobOf(ended);
-        Chunk chunk =
+        TaskRange chunk =
                 job.stored(job.chunkOf(ended.keySet().iterator().next().task().index()));
         return (chunk.doneCount() + ended.size() == chunk.size() && job.pendingCount() == 0)
                 || job.cancelled()
@@ -100,7 +100,7 @@
     }
 
     /** Applies ends to a record. */
-    static void apply(Map<Claim, Ending> ended, Chunk chunk) {
+    static void apply(Map<Claim, AttemptOutcome> ended, TaskRange chunk) {
         ended.forEach((claim, e) -> {
             int task = claim.task().index();
             if (e.done()) {
@@ -111,14 +111,14 @@
         });
     }
 
-    private void write(String key, Map<Claim, Ending> endedNow) {
+    private void write(String key, Map<Claim, AttemptOutcome> endedNow) {
         // More of them may end while these are being written.
-        Map<Claim, Ending> ended = new LinkedHashMap<>(endedNow);
+        Map<Claim, AttemptOutcome> ended = new LinkedHashMap<>(endedNow);
         Job job = jobOf(ended);
         int index = job.chunkOf(ended.keySet().iterator().next().task().index());
-        Chunk next = job.stored(index).copy();
+        TaskRange next = job.stored(index).copy();
         apply(ended, next);
-        StateStore.Txn txn = new StateStore.Txn()
+        StoreClient.Transaction txn = new StoreClient.Transaction()
                 .guard(Keys.VIEW, context.membership().viewStamp())
                 .guard(key, context.stamp(key));
         boolean ends = job.chunkCount() == 1 && next.complete() && !job.cancelled();
@@ -139,7 +139,7 @@
         }
         // Users and pipelines wait for the end of a job; it must not stand behind all claims.
         boolean last = job.pendingCount() == 0 && job.claimCount() == ended.size();
-        StateStore.Urgency urgency = last ? JobEnds.urgency(job) : StateStore.Urgency.WORK;
+        StoreClient.CallPriority urgency = last ? JobCompletion.urgency(job) : StoreClient.CallPriority.WORK;
         Runnable afterEnd = onEnd;
         context.writer().commit(txn, urgency, locks, () -> {
             fleet.endings().remove(ended.keySet());
--- a/src/main/java/org/havenford/protocol/CloudMessages.java
+++ b/src/main/java/org/havenford/protocol/CloudMessages.java
@@ -16,11 +16,11 @@
     }
 
     /** One machine of the cloud's list. */
-    public record Listed(
+    public record ListedMachine(
             String machine, String endpoint, String type, String zone, boolean spot, Status status, Duration age) {}
 
     /** One page of the cloud's list of machines. */
-    public record Page(List<Listed> machines, boolean more) {}
+    public record Page(List<ListedMachine> machines, boolean more) {}
 
     private CloudMessages() {}
 
@@ -52,7 +52,7 @@
     /** Reads a page of the machine list. */
     public static Page page(String body) throws Json.BadMessage {
         JsonObject o = Json.object(body);
-        List<Listed> out = new ArrayList<>();
+        List<ListedMachine> out = new ArrayList<>();
         for (JsonObject m : Json.objects(o, "boxes")) {
             Status status =
                     switch (Json.text(m, "status")) {
@@ -61,7 +61,7 @@
                         case "failed" -> Status.FAILED;
                         default -> throw new Json.BadMessage("status of a machine is unknown");
                     };
-            out.add(new Listed(
+            out.add(new ListedMachine(
                     Json.text(m, "nameId"),
                     Json.textOr(m, "endpoint", ""),
                     Json.text(m, "rig"),
--- a/src/main/java/org/havenford/protocol/Report.java
+++ b/src/main/java/org/havenford/protocol/Heartbeat.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** What a worker says of itself and its tasks. */
-public record Report(
+public record Heartbeat(
         String machine,
         String endpoint,
         String type,
@@ -15,7 +15,7 @@
         long seq,
         long token,
         Double noticeS,
-        List<Entry> tasks) {
+        List<AttemptStatus> tasks) {
 
     /** State of one attempt of a task on its machine. */
     public enum State {
@@ -26,11 +26,11 @@
     }
 
     /** One attempt of a task as a worker reports it. */
-    public record Entry(TaskId task, long attempt, State state, String why) {}
+    public record AttemptStatus(TaskId task, long attempt, State state, String why) {}
 
     /** Reads a worker's report. */
-    public static Report parse(JsonObject o) throws Json.BadMessage {
-        List<Entry> tasks = new ArrayList<>();
+    public static Heartbeat parse(JsonObject o) throws Json.BadMessage {
+        List<AttemptStatus> tasks = new ArrayList<>();
         for (JsonObject t : Json.objects(o, "shots")) {
             State state =
                     switch (Json.text(t, "status")) {
@@ -40,7 +40,7 @@
                         case "exited" -> State.EXITED;
                         default -> throw new Json.BadMessage("status of a task is unknown");
                     };
-            tasks.add(new Entry(
+            tasks.add(new AttemptStatus(
                     TaskId.parse(Json.text(t, "shot")), Json.count(t, "take"), state, Json.textOr(t, "cause", "")));
         }
         String machine = Json.text(o, "box");
@@ -49,7 +49,7 @@
                 || machine.chars().anyMatch(c -> c <= ' ' || c > '~' || c == '/')) {
             throw new Json.BadMessage("box is not a name");
         }
-        return new Report(
+        return new Heartbeat(
                 machine,
                 Json.text(o, "endpoint"),
                 Json.text(o, "rig"),
@@ -63,13 +63,13 @@
     }
 
     /** Whether this report was made after another of the same machine. */
-    public boolean newerThan(Report other) {
+    public boolean newerThan(Heartbeat other) {
         return other == null || session > other.session || (session == other.session && seq > other.seq);
     }
 
     /** The entry of an attempt, or null. */
-    public Entry find(TaskId task, long attempt) {
-        for (Entry e : tasks) {
+    public AttemptStatus find(TaskId task, long attempt) {
+        for (AttemptStatus e : tasks) {
             if (e.attempt() == attempt && e.task().equals(task)) {
                 return e;
             }
--- a/src/main/java/org/havenford/settings/Operator.java
+++ b/src/main/java/org/havenford/settings/OperatorSettings.java
@@ -11,7 +11,7 @@
 import org.xml.sax.SAXException;
 
 /** What operators may set beyond the platform's file, in XML. See docs/operations.md. */
-public record Operator(
+public record OperatorSettings(
         double lateThreshold,
         int lateMinimumDone,
         Duration membershipLease,
@@ -22,13 +22,13 @@
         SpeedFirst speedFirst,
         StandbySettings standby) {
 
-    public static final Operator DEFAULTS = new Builder().build();
+    public static final OperatorSettings DEFAULTS = new Builder().build();
 
     /** A setting that can't be used; the text names the element. */
-    public static final class BadSetting extends Exception {
+    public static final class InvalidSettingException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        BadSetting(String message) {
+        InvalidSettingException(String message) {
             super(message);
         }
     }
@@ -42,7 +42,7 @@
     }
 
     /** Whether money matters less than speed on this deployment. */
-    public boolean speedFirst(Settings settings) {
+    public boolean speedFirst(PlatformSettings settings) {
         return switch (speedFirst) {
             case ALWAYS -> true;
             case NEVER -> false;
@@ -52,7 +52,7 @@
     }
 
     /** Reads and checks operators' settings. */
-    public static Operator read(Path file) throws IOException, BadSetting {
+    public static OperatorSettings read(Path file) throws IOException, InvalidSettingException {
         Element root;
         try {
             DocumentBuilderFactory factory = DocumentBuilderFactory.newInstance();
@@ -61,12 +61,12 @@
             builder.setErrorHandler(null);
             root = builder.parse(file.toFile()).getDocumentElement();
         } catch (SAXException e) {
-            throw new BadSetting("not well-formed XML: " + e.getMessage());
+            throw new InvalidSettingException("not well-formed XML: " + e.getMessage());
         } catch (ParserConfigurationException e) {
             throw new IllegalStateException(e);
         }
         if (!root.getTagName().equals("havenford")) {
-            throw new BadSetting("<" + root.getTagName() + ">: the root element must be <havenford>");
+            throw new InvalidSettingException("<" + root.getTagName() + ">: the root element must be <havenford>");
         }
         Builder builder = new Builder();
         for (Node n = root.getFirstChild(); n != null; n = n.getNextSibling()) {
@@ -74,9 +74,9 @@
                 builder.set(e.getTagName(), e.getTextContent().strip());
             }
         }
-        Operator operator = builder.build();
+        OperatorSettings operator = builder.build();
         if (!operator.standby().isConsistent()) {
-            throw new BadSetting("<standby-suspect-ms> must be more than twice <standby-heartbeat-ms>");
+            throw new InvalidSettingException("<standby-suspect-ms> must be more than twice <standby-heartbeat-ms>");
         }
         return operator;
     }
@@ -94,7 +94,7 @@
         private StandbySettings standby = StandbySettings.OFF;
 
         /** Unknown elements are ignored, as unknown fields are elsewhere. */
-        void set(String name, String text) throws BadSetting {
+        void set(String name, String text) throws InvalidSettingException {
             switch (name) {
                 case "late-threshold" -> lateThreshold = number(name, text, 0.5, 0.999);
                 case "late-minimum-done" -> lateMinimumDone = (int) number(name, text, 1, 100_000);
@@ -116,8 +116,8 @@
             }
         }
 
-        Operator build() {
-            return new Operator(
+        OperatorSettings build() {
+            return new OperatorSettings(
                     lateThreshold,
                     lateMinimumDone,
                     membershipLease,
@@ -130,31 +130,32 @@
         }
     }
 
-    private static Duration seconds(String name, String text, double least, double most) throws BadSetting {
+    private static Duration seconds(String name, String text, double least, double most)
+            throws InvalidSettingException {
         return Duration.ofMillis((long) (number(name, text, least, most) * 1000));
     }
 
-    private static Duration millis(String name, String text, double least, double most) throws BadSetting {
+    private static Duration millis(String name, String text, double least, double most) throws InvalidSettingException {
         return Duration.ofNanos((long) (number(name, text, least, most) * 1_000_000));
     }
 
-    private static boolean onOrOff(String name, String text) throws BadSetting {
+    private static boolean onOrOff(String name, String text) throws InvalidSettingException {
         if (text.equals("on") || text.equals("off")) {
             return text.equals("on");
         }
-        throw new BadSetting("<" + name + ">: '" + text + "' is neither on nor off");
+        throw new InvalidSettingException("<" + name + ">: '" + text + "' is neither on nor off");
     }
 
-    private static SpeedFirst speedFirst(String name, String text) throws BadSetting {
+    private static SpeedFirst speedFirst(String name, String text) throws InvalidSettingException {
         for (SpeedFirst s : SpeedFirst.values()) {
             if (s.name().toLowerCase(Locale.ROOT).equals(text)) {
                 return s;
             }
         }
-        throw new BadSetting("<" + name + ">: '" + text + "' is none of unmetered, always, never");
+        throw new InvalidSettingException("<" + name + ">: '" + text + "' is none of unmetered, always, never");
     }
 
-    private static double number(String name, String text, double least, double most) throws BadSetting {
+    private static double number(String name, String text, double least, double most) throws InvalidSettingException {
         try {
             double d = Double.parseDouble(text);
             if (d >= least && d <= most) {
@@ -163,6 +164,7 @@
         } catch (NumberFormatException e) {
             // told below, together with what would be allowed
         }
-        throw new BadSetting("<" + name + ">: '" + text + "' is not a number from " + least + " to " + most);
+        throw new InvalidSettingException(
+                "<" + name + ">: '" + text + "' is not a number from " + least + " to " + most);
     }
 }
--- a/src/main/java/org/havenford/settings/Settings.java
+++ b/src/main/java/org/havenford/settings/PlatformSettings.java
@@ -15,7 +15,7 @@
  * The file that the platform hands over. Unknown fields are ignored. The state service's limits may be lowered to those of
  * {@code state.next} at any moment: sizes are the smaller of both, {@code presentValueBytes} is what holds until then.
  */
-public record Settings(
+public record PlatformSettings(
         String node,
         String zone,
         String bind,
@@ -36,7 +36,7 @@
         double cloudRps,
         Duration listLag,
         int maxConnections,
-        List<Objective> objectives) {
+        List<ServiceObjective> objectives) {
 
     /** Changes a second and controller below which records are made as large, and releases gathered as long, as can be. */
     private static final double SCARCE = 6;
@@ -45,7 +45,7 @@
     public record Peer(String node, String zone, String address) {}
 
     /** An aim of a class of jobs; {@code within} is null for deadlines, which every job brings itself. */
-    public record Objective(String kind, String lineup, Duration within) {}
+    public record ServiceObjective(String kind, String lineup, Duration within) {}
 
     /** A team's share; a limit of 0 means none. */
     public record Team(String name, double cpus, double cpusMax, double cards, double cardsMax) {
@@ -61,12 +61,12 @@
     }
 
     /** Reads and checks a settings file. */
-    public static Settings read(Path file) throws IOException, Json.BadMessage {
+    public static PlatformSettings read(Path file) throws IOException, Json.BadMessage {
         return parse(Files.readString(file));
     }
 
     /** Reads and checks settings. */
-    public static Settings parse(String text) throws Json.BadMessage {
+    public static PlatformSettings parse(String text) throws Json.BadMessage {
         JsonObject o = Json.object(text);
         JsonObject endpoints = Json.child(o, "endpoints");
         JsonObject deployment = Json.child(o, "deployment");
@@ -90,14 +90,14 @@
                     Json.amountOr(t, "gpus_max", 0));
             teams.put(team.name(), team);
         }
-        List<Objective> objectives = new ArrayList<>();
+        List<ServiceObjective> objectives = new ArrayList<>();
         for (JsonObject a : Json.objects(deployment, "objectives")) {
-            objectives.add(new Objective(
+            objectives.add(new ServiceObjective(
                     Json.textOr(a, "kind", ""),
                     Json.textOr(a, "class", ""),
                     Json.has(a, "within_s") ? Json.seconds(a, "within_s") : null));
         }
-        return new Settings(
+        return new PlatformSettings(
                 Json.text(o, "node_name"),
                 Json.text(o, "location"),
                 address(o, "bind"),
--- a/src/main/java/org/havenford/standby/TakeoverConductor.java
+++ b/src/main/java/org/havenford/standby/FailoverCoordinator.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.function.UnaryOperator;
 import org.havenford.coordination.failover.StandbyHost;
-import org.havenford.coordination.membership.View;
+import org.havenford.coordination.membership.ClusterView;
 import org.havenford.standby.PeerMessage.ReachAnswer;
 import org.havenford.standby.PeerMessage.ReachQuestion;
 import org.slf4j.Logger;
@@ -20,8 +20,8 @@
  * a question in the state service unanswered for a while. Without a majority, or without the state service, nothing happens
  * and the membership lease decides.
  */
-final class TakeoverConductor {
-    private static final Logger LOG = LoggerFactory.getLogger(TakeoverConductor.class);
+final class FailoverCoordinator {
+    private static final Logger LOG = LoggerFactory.getLogger(FailoverCoordinator.class);
     /** How much later each further member tries, so that mostly one does. */
     private static final Duration PER_RANK = Duration.ofMillis(150);
     /** Peers are asked no longer than this; a suspicion that lasts is then left to the lease. */
@@ -57,7 +57,7 @@
     private final Map<String, PeerLink> links;
     private final Map<String, Attempt> attempts = new HashMap<>();
 
-    TakeoverConductor(
+    FailoverCoordinator(
             StandbyHost host,
             FailureDetector detector,
             String self,
@@ -74,7 +74,7 @@
 
     /** Looks at every member: begins, goes on with, or gives up an attempt. */
     void step() {
-        View view = host.view();
+        ClusterView view = host.view();
         for (String node : links.keySet()) {
             Long incarnation = view.members().get(node);
             Attempt attempt = attempts.get(node);
@@ -127,7 +127,7 @@
         }
     }
 
-    private void goOn(String node, Attempt attempt, View view) {
+    private void goOn(String node, Attempt attempt, ClusterView view) {
         Instant now = host.loop().now();
         if (attempt.phase == Phase.ASKING) {
             if (attempt.agreeing.size() + 1 >= Succession.majority(view)) {
@@ -140,7 +140,7 @@
         }
     }
 
-    private void challengeInTurn(String node, Attempt attempt, View view, Instant now) {
+    private void challengeInTurn(String node, Attempt attempt, ClusterView view, Instant now) {
         List<String> conductors = Succession.conductors(view, node, zoneOf);
         Duration turn = PER_RANK.multipliedBy(Math.max(0, conductors.indexOf(self)));
         if (now.isBefore(attempt.since.plus(turn)) || !host.evictionPermitted(node)) {
--- a/src/main/java/org/havenford/standby/Follower.java
+++ b/src/main/java/org/havenford/standby/Follower.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import org.havenford.coordination.agents.MachineNote;
+import org.havenford.coordination.agents.AgentContact;
 import org.havenford.standby.FrameCodec.Frame;
 import org.havenford.standby.PeerMessage.Hello;
 import org.havenford.standby.PeerMessage.Intent;
@@ -25,7 +25,7 @@
     static final int MAX_UNKNOWN = 1000;
     static final int MAX_MACHINES = 100_000;
 
-    private final Map<String, MachineNote> machines = new HashMap<>();
+    private final Map<String, AgentContact> machines = new HashMap<>();
     private final Map<Long, List<String>> open = new HashMap<>();
     /** Decisions whose outcome the peer does not know either, the oldest first. */
     private final LinkedHashSet<Long> unknown = new LinkedHashSet<>();
@@ -107,7 +107,7 @@
     }
 
     /** Machines for which this node stands by. */
-    List<MachineNote> machines() {
+    List<AgentContact> machines() {
         return new ArrayList<>(machines.values());
     }
 
--- a/src/main/java/org/havenford/standby/FrameCodec.java
+++ b/src/main/java/org/havenford/standby/FrameCodec.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import org.havenford.coordination.agents.MachineNote;
+import org.havenford.coordination.agents.AgentContact;
 import org.havenford.standby.PeerMessage.Heartbeat;
 import org.havenford.standby.PeerMessage.Hello;
 import org.havenford.standby.PeerMessage.Intent;
@@ -58,7 +58,7 @@
     private FrameCodec() {}
 
     /** Whether a note can be sent: a worker may name any endpoint. */
-    static boolean fits(MachineNote note) {
+    static boolean fits(AgentContact note) {
         return note.endpoint().length() * MAX_BYTES_OF_CHAR <= MAX_TEXT_BYTES;
     }
 
@@ -133,7 +133,7 @@
         out.put((byte) (flag ? 1 : 0));
     }
 
-    private static void putNote(ByteBuffer out, MachineNote note) {
+    private static void putNote(ByteBuffer out, AgentContact note) {
         putText(out, note.machine());
         putText(out, note.endpoint());
         out.putLong(note.session());
@@ -207,11 +207,11 @@
         };
     }
 
-    private static List<MachineNote> notes(ByteBuffer in) throws MalformedFrameException {
+    private static List<AgentContact> notes(ByteBuffer in) throws MalformedFrameException {
         int count = count(in);
-        List<MachineNote> notes = new ArrayList<>(count);
+        List<AgentContact> notes = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            notes.add(new MachineNote(text(in), text(in), in.getLong(), in.getLong(), in.getLong()));
+            notes.add(new AgentContact(text(in), text(in), in.getLong(), in.getLong(), in.getLong()));
         }
         return notes;
     }
--- a/src/main/java/org/havenford/standby/PeerLink.java
+++ b/src/main/java/org/havenford/standby/PeerLink.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BiConsumer;
-import org.havenford.coordination.agents.MachineNote;
+import org.havenford.coordination.agents.AgentContact;
 import org.havenford.coordination.failover.StandbyHost;
-import org.havenford.settings.Settings;
+import org.havenford.settings.PlatformSettings;
 import org.havenford.settings.StandbySettings;
 import org.havenford.standby.FrameCodec.Frame;
 import org.havenford.standby.PeerMessage.Heartbeat;
@@ -39,7 +39,7 @@
 
     private final StandbyHost host;
     private final PeerNetwork network;
-    private final Settings.Peer peer;
+    private final PlatformSettings.Peer peer;
     private final String self;
     private final StandbySettings settings;
     private final DecisionLog decisions;
@@ -60,14 +60,14 @@
     private Instant lastHeard = Instant.MIN;
     private Instant disconnectedAt = Instant.MIN;
     private boolean refused;
-    private final Map<String, MachineNote> sentNotes = new HashMap<>();
+    private final Map<String, AgentContact> sentNotes = new HashMap<>();
     private long bytesSent;
 
     /** {@code received} is told messages of interest to others; {@code changed} that the peer may have become unreachable. */
     PeerLink(
             StandbyHost host,
             PeerNetwork network,
-            Settings.Peer peer,
+            PlatformSettings.Peer peer,
             String self,
             StandbySettings settings,
             DecisionLog decisions,
@@ -265,13 +265,13 @@
     }
 
     /** Sends what has changed of the machines for which the peer stands by. */
-    void sendNotes(List<MachineNote> notes) {
+    void sendNotes(List<AgentContact> notes) {
         if (connection == null) {
             return;
         }
-        List<MachineNote> news = new ArrayList<>();
+        List<AgentContact> news = new ArrayList<>();
         Set<String> named = new HashSet<>();
-        for (MachineNote note : notes) {
+        for (AgentContact note : notes) {
             named.add(note.machine());
             if (!note.equals(sentNotes.put(note.machine(), note))) {
                 news.add(note);
--- a/src/main/java/org/havenford/standby/PeerMessage.java
+++ b/src/main/java/org/havenford/standby/PeerMessage.java
@@ -1,7 +1,7 @@
 package org.havenford.standby;
 
 import java.util.List;
-import org.havenford.coordination.agents.MachineNote;
+import org.havenford.coordination.agents.AgentContact;
 
 /** What controllers tell each other over a direct connection. */
 sealed interface PeerMessage {
@@ -15,7 +15,7 @@
     record SnapshotBegin() implements PeerMessage {}
 
     /** What the sender knows of machines for which the receiver stands by. */
-    record Machines(List<MachineNote> notes) implements PeerMessage {}
+    record Machines(List<AgentContact> notes) implements PeerMessage {}
 
     /** Machines for which the receiver stands by no longer. */
     record MachinesGone(List<String> machines) implements PeerMessage {}
--- a/src/main/java/org/havenford/standby/Succession.java
+++ b/src/main/java/org/havenford/standby/Succession.java
@@ -6,17 +6,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.UnaryOperator;
-import org.havenford.coordination.membership.View;
+import org.havenford.coordination.membership.ClusterView;
 
 /**
  * Who stands by for whom. The standby of a machine is its second in rendezvous order, which owns it as soon as the owner has
  * left the view; the leader's duties pass to the next member by name in the same way. Worked out once for each view.
  */
 final class Succession {
-    private final View view;
+    private final ClusterView view;
     private final Map<String, String> standbyOf = new HashMap<>();
 
-    Succession(View view) {
+    Succession(ClusterView view) {
         this.view = view;
     }
 
@@ -26,7 +26,7 @@
     }
 
     /** Members that have to agree that one can't be reached, the suspect counted as a member. */
-    static int majority(View view) {
+    static int majority(ClusterView view) {
         return view.members().size() / 2 + 1;
     }
 
@@ -34,7 +34,7 @@
      * Members that may take a suspect out of the view, in the order in which they should try: those in other zones first,
      * which the loss of the suspect's zone does not take with it.
      */
-    static List<String> conductors(View view, String suspect, UnaryOperator<String> zoneOf) {
+    static List<String> conductors(ClusterView view, String suspect, UnaryOperator<String> zoneOf) {
         List<String> others = new ArrayList<>(view.members().keySet());
         others.remove(suspect);
         String zone = zoneOf.apply(suspect);
--- a/src/main/java/org/havenford/standby/WarmStandby.java
+++ b/src/main/java/org/havenford/standby/WarmStandby.java
@@ -10,17 +10,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.havenford.coordination.agents.MachineNote;
+import org.havenford.coordination.agents.AgentContact;
 import org.havenford.coordination.failover.StandbyHost;
-import org.havenford.coordination.membership.View;
-import org.havenford.settings.Settings;
+import org.havenford.coordination.membership.ClusterView;
+import org.havenford.settings.PlatformSettings;
 import org.havenford.settings.StandbySettings;
 import org.havenford.standby.FrameCodec.Frame;
 import org.havenford.standby.PeerMessage.Hello;
 import org.havenford.standby.PeerMessage.Outcome;
 import org.havenford.standby.PeerMessage.ReachAnswer;
 import org.havenford.standby.PeerMessage.ReachQuestion;
-import org.havenford.storage.StateStore;
+import org.havenford.storage.StoreClient;
 import org.havenford.transport.PeerNetwork;
 import org.havenford.transport.PeerNetwork.Connection;
 import org.slf4j.Logger;
@@ -46,17 +46,17 @@
 
     private final StandbyHost host;
     private final PeerNetwork network;
-    private final Settings settings;
+    private final PlatformSettings settings;
     private final StandbySettings standby;
     private final Map<String, PeerLink> links = new TreeMap<>();
-    private final TakeoverConductor conductor;
-    private final ArrayDeque<MachineNote> toContact = new ArrayDeque<>();
+    private final FailoverCoordinator conductor;
+    private final ArrayDeque<AgentContact> toContact = new ArrayDeque<>();
     private final DecisionLog decisions = new DecisionLog();
     private int unnamed;
     private Instant contactUntil = Instant.MIN;
     private boolean contacting;
-    private View previousView = View.empty();
-    private Succession succession = new Succession(View.empty());
+    private ClusterView previousView = ClusterView.empty();
+    private Succession succession = new Succession(ClusterView.empty());
     private Instant lastTick;
     private Instant nextNotes;
     private Instant nextSummary;
@@ -79,18 +79,18 @@
     }
 
     /** A standby that does nothing until it is started. */
-    public WarmStandby(StandbyHost host, PeerNetwork network, Settings settings, StandbySettings standby) {
+    public WarmStandby(StandbyHost host, PeerNetwork network, PlatformSettings settings, StandbySettings standby) {
         this.host = host;
         this.network = network;
         this.settings = settings;
         this.standby = standby;
-        for (Settings.Peer peer : settings.peers()) {
+        for (PlatformSettings.Peer peer : settings.peers()) {
             PeerLink link = new PeerLink(
                     host, network, peer, settings.node(), standby, decisions, this::received, this::linkChanged);
             links.put(peer.node(), link);
         }
-        conductor =
-                new TakeoverConductor(host, this::suspects, settings.node(), standby.challenge(), this::zoneOf, links);
+        conductor = new FailoverCoordinator(
+                host, this::suspects, settings.node(), standby.challenge(), this::zoneOf, links);
     }
 
     /** Begins to listen, to dial, and to follow. */
@@ -208,9 +208,9 @@
     }
 
     private void sendNotes() {
-        Map<String, List<MachineNote>> byStandby = new HashMap<>();
+        Map<String, List<AgentContact>> byStandby = new HashMap<>();
         if (host.entitled()) {
-            for (MachineNote note : host.machineNotes()) {
+            for (AgentContact note : host.machineNotes()) {
                 String successor = succession.standby(note.machine());
                 if (successor != null && links.containsKey(successor) && FrameCodec.fits(note)) {
                     byStandby.computeIfAbsent(successor, s -> new ArrayList<>()).add(note);
@@ -255,15 +255,15 @@
     }
 
     @Override
-    public void finished(long number, StateStore.Outcome outcome, long edition) {
+    public void finished(long number, StoreClient.Outcome outcome, long edition) {
         decisions.end(number);
-        boolean known = outcome != StateStore.Outcome.UNKNOWN;
+        boolean known = outcome != StoreClient.Outcome.UNKNOWN;
         links.values().forEach(link -> link.send(new Outcome(number, known, edition)));
     }
 
     @Override
     public void viewChanged() {
-        View view = host.view();
+        ClusterView view = host.view();
         succession = new Succession(view);
         previousView.members().forEach((node, incarnation) -> {
             if (!incarnation.equals(view.members().get(node)) && links.containsKey(node)) {
@@ -274,12 +274,12 @@
     }
 
     /** Notes of machines that have come to this node from a member that has left, the most urgent first. */
-    private void takeOver(String node, long incarnation, View view) {
+    private void takeOver(String node, long incarnation, ClusterView view) {
         Follower follower = links.get(node).follower();
         if (follower.incarnation() != incarnation) {
             return;
         }
-        List<MachineNote> mine = follower.machines();
+        List<AgentContact> mine = follower.machines();
         mine.removeIf(note -> !settings.node().equals(view.owner(note.machine())));
         mine.sort(Comparator.comparingInt(note -> host.urgency(note.machine())));
         toContact.addAll(mine);
--- a/src/main/java/org/havenford/storage/Ledger.java
+++ b/src/main/java/org/havenford/storage/ClusterState.java
@@ -17,7 +17,6 @@
 import org.havenford.protocol.Json;
 import org.havenford.protocol.MachineType;
 import org.havenford.protocol.TaskId;
-import org.havenford.storage.records.Chunk;
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
@@ -25,20 +24,21 @@
 import org.havenford.storage.records.MachineRecord;
 import org.havenford.storage.records.MachineRecord.Condition;
 import org.havenford.storage.records.MachineStatuses;
-import org.havenford.storage.records.Quota;
-import org.havenford.storage.records.Quota.Amount;
+import org.havenford.storage.records.TaskRange;
+import org.havenford.storage.records.TeamQuota;
+import org.havenford.storage.records.TeamQuota.Resources;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The mirrored keys in the terms of the field: jobs, tasks, machines, bookings. */
-public final class Ledger implements Replica.Listener {
-    private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
+public final class ClusterState implements StoreReplica.Listener {
+    private static final Logger LOG = LoggerFactory.getLogger(ClusterState.class);
 
     /** What an owner last said of a machine, and since when it has been in that condition. */
-    private record Said(MachineStatuses.Status status, Instant at, Instant since) {}
+    private record ReportedStatus(MachineStatuses.Status status, Instant at, Instant since) {}
 
     /** An intent to rent, stored before the cloud is asked. */
-    public record Booking(String name, String type, String zone, boolean spot, int count, Instant at) {
+    public record InstanceRequest(String name, String type, String zone, boolean spot, int count, Instant at) {
         /** The stored value. */
         public JsonObject toJson() {
             JsonObject o = new JsonObject();
@@ -50,8 +50,8 @@
             return o;
         }
 
-        static Booking parse(String name, JsonObject o) throws Json.BadMessage {
-            return new Booking(
+        static InstanceRequest parse(String name, JsonObject o) throws Json.BadMessage {
+            return new InstanceRequest(
                     name,
                     Json.text(o, "t"),
                     Json.text(o, "z"),
@@ -85,7 +85,7 @@
         void loaded();
     }
 
-    private static final Quota NO_QUOTA = new Quota();
+    private static final TeamQuota NO_QUOTA = new TeamQuota();
 
     /** In order, so that all controllers go through them alike; and by id, since nothing is looked up as often. */
     private final TreeMap<String, Job> jobs = new TreeMap<>();
@@ -101,16 +101,16 @@
     private final Object2ObjectOpenHashMap<String, MachineRecord> machines = new Object2ObjectOpenHashMap<>();
     private final Map<String, MachineBatch> batches = new HashMap<>();
     private final Map<String, Set<String>> batchesOf = new HashMap<>();
-    private final Map<String, Said> said = new HashMap<>();
+    private final Map<String, ReportedStatus> said = new HashMap<>();
     private final Object2ObjectOpenHashMap<String, Map<TaskId, Claim>> claims = new Object2ObjectOpenHashMap<>();
-    private final TreeMap<String, Booking> bookings = new TreeMap<>();
+    private final TreeMap<String, InstanceRequest> bookings = new TreeMap<>();
     private final Map<String, MachineType> types = new TreeMap<>();
     /** Chunks without a job: while keys come one by one, its header is still to come; afterwards the job is over. */
     private final Map<String, JsonObject> orphans = new HashMap<>();
     /** By team and account. */
-    private final Map<String, Map<String, Amount>> charged = new HashMap<>();
+    private final Map<String, Map<String, Resources>> charged = new HashMap<>();
 
-    private final Map<String, Quota> quotas = new HashMap<>();
+    private final Map<String, TeamQuota> quotas = new HashMap<>();
     private Observer observer;
 
     /** Sets who is told of changes. */
@@ -185,7 +185,7 @@
     }
 
     /** Intents to rent that are not settled. */
-    public Collection<Booking> bookings() {
+    public Collection<InstanceRequest> bookings() {
         return bookings.values();
     }
 
@@ -200,27 +200,27 @@
     }
 
     /** What the claims of a team hold, those not confirmed gone included. */
-    public Amount usage(String team) {
-        Amount sum = Amount.NONE;
-        for (Amount a : charged.getOrDefault(team, Map.of()).values()) {
+    public Resources usage(String team) {
+        Resources sum = Resources.NONE;
+        for (Resources a : charged.getOrDefault(team, Map.of()).values()) {
             sum = sum.plus(a);
         }
         return sum;
     }
 
     /** What the claims of a team hold that are charged to one controller's share. */
-    public Amount charged(String team, String account) {
-        return charged.getOrDefault(team, Map.of()).getOrDefault(account, Amount.NONE);
+    public Resources charged(String team, String account) {
+        return charged.getOrDefault(team, Map.of()).getOrDefault(account, Resources.NONE);
     }
 
     /** The shares of a team's limit. */
-    public Quota quota(String team) {
+    public TeamQuota quota(String team) {
         return quotas.getOrDefault(Keys.team(team), NO_QUOTA);
     }
 
     private void charge(Claim c, JobSpec s, int sign) {
-        Map<String, Amount> of = charged.computeIfAbsent(s.team(), t -> new HashMap<>());
-        of.merge(c.account(), new Amount(sign * s.cpus(), sign * s.cards()), Amount::plus);
+        Map<String, Resources> of = charged.computeIfAbsent(s.team(), t -> new HashMap<>());
+        of.merge(c.account(), new Resources(sign * s.cpus(), sign * s.cards()), Resources::plus);
     }
 
     @Override
@@ -249,13 +249,13 @@
             if (value == null) {
                 bookings.remove(name);
             } else {
-                bookings.put(name, Booking.parse(name, value));
+                bookings.put(name, InstanceRequest.parse(name, value));
             }
         } else if (key.startsWith(Keys.TEAMS)) {
             if (value == null) {
                 quotas.remove(key);
             } else {
-                quotas.put(key, Quota.parse(value));
+                quotas.put(key, TeamQuota.parse(value));
             }
         } else if (key.startsWith(Keys.MEMBERS)) {
             observer.memberChanged(key.substring(Keys.MEMBERS.length()), value, stamp);
@@ -300,11 +300,11 @@
 
     private void heard(MachineStatuses h) {
         h.machines().forEach((machine, status) -> {
-            Said before = said.get(machine);
+            ReportedStatus before = said.get(machine);
             if (before == null || !before.at.isAfter(h.at())) {
                 Instant since =
                         before != null && before.status.condition() == status.condition() ? before.since : h.at();
-                said.put(machine, new Said(status, h.at(), since));
+                said.put(machine, new ReportedStatus(status, h.at(), since));
                 compose(machine);
             }
         });
@@ -317,12 +317,12 @@
         // While keys come one by one, owners' words come before the batches: they are kept until the machine goes.
         if (of != null) {
             MachineBatch b = batches.get(of.iterator().next());
-            MachineBatch.Service service = MachineBatch.Service.IN_SERVICE;
+            MachineBatch.ServiceState service = MachineBatch.ServiceState.IN_SERVICE;
             for (String name : of) {
-                MachineBatch.Service s = batches.get(name).machines().get(machine);
+                MachineBatch.ServiceState s = batches.get(name).machines().get(machine);
                 service = s.compareTo(service) > 0 ? s : service;
             }
-            Said s = said.get(machine);
+            ReportedStatus s = said.get(machine);
             Condition c =
                     switch (service) {
                         case RETIRING -> Condition.RETIRING;
@@ -420,8 +420,8 @@
             return;
         }
         int index = Integer.parseInt(path.substring(slash + 1));
-        Chunk before = job.stored(index);
-        Chunk after = value == null ? null : job.fresh(index).read(value);
+        TaskRange before = job.stored(index);
+        TaskRange after = value == null ? null : job.fresh(index).read(value);
         if (before != null) {
             for (Claim c : before.claims()) {
                 if (after == null || !c.equals(after.claim(c.task().index()))) {
--- a/src/main/java/org/havenford/storage/GuardedWriter.java
+++ b/src/main/java/org/havenford/storage/ConditionalWriter.java
@@ -21,8 +21,8 @@
  * Commits transactions, and locks the keys that they decide on within this controller: from the sending of a transaction
  * until its outcome is known and our replica shows it, nothing else is decided on these keys.
  */
-public final class GuardedWriter {
-    private static final Logger LOG = LoggerFactory.getLogger(GuardedWriter.class);
+public final class ConditionalWriter {
+    private static final Logger LOG = LoggerFactory.getLogger(ConditionalWriter.class);
     /** After a transaction that was not executed, or whose outcome is unknown. */
     private static final Duration RETRY = Duration.ofMillis(250);
     /** What the service calls malformed or too large would be so again: other work comes first. */
@@ -31,19 +31,20 @@
     private static final Duration REPLICA_PATIENCE = Duration.ofSeconds(1);
 
     /** Keys on which nothing is decided before our replica has reached an edition. */
-    private record AwaitedEdition(long edition, Instant until, Set<String> keys) {}
+    private record AwaitedRevision(long edition, Instant until, Set<String> keys) {}
 
     private final EventLoop loop;
-    private final StateStore store;
-    private final Replica replica;
+    private final StoreClient store;
+    private final StoreReplica replica;
     private final int nextValueBytes;
     private final Runnable wake;
     private final Set<String> locked = new HashSet<>();
-    private final List<AwaitedEdition> awaitedEditions = new ArrayList<>();
+    private final List<AwaitedRevision> awaitedEditions = new ArrayList<>();
     private boolean limitsLowered;
 
     /** A writer over one replica; {@code wake} asks for another round once keys are free again. */
-    public GuardedWriter(EventLoop loop, StateStore store, Replica replica, int nextValueBytes, Runnable wake) {
+    public ConditionalWriter(
+            EventLoop loop, StoreClient store, StoreReplica replica, int nextValueBytes, Runnable wake) {
         this.loop = loop;
         this.store = store;
         this.replica = replica;
@@ -76,7 +77,11 @@
     }
 
     /** Commits a transaction and keeps its keys locked until the replica has caught up with the outcome. */
-    public void commit(StateStore.Txn txn, StateStore.Urgency urgency, Collection<String> locks, Runnable onSuccess) {
+    public void commit(
+            StoreClient.Transaction txn,
+            StoreClient.CallPriority urgency,
+            Collection<String> locks,
+            Runnable onSuccess) {
         commit(txn, urgency, locks, onSuccess, r -> {});
     }
 
@@ -85,11 +90,11 @@
      * when our replica shows it.
      */
     public void commit(
-            StateStore.Txn txn,
-            StateStore.Urgency urgency,
+            StoreClient.Transaction txn,
+            StoreClient.CallPriority urgency,
             Collection<String> locks,
             Runnable onSuccess,
-            Consumer<StateStore.Result> after) {
+            Consumer<StoreClient.Result> after) {
         locked.addAll(locks);
         store.commit(txn, urgency, () -> isCurrent(txn), result -> {
             if (result.ok()) {
@@ -114,7 +119,7 @@
     }
 
     /** Whether our replica still holds what the transaction was decided on; what others have changed would fail it. */
-    private boolean isCurrent(StateStore.Txn txn) {
+    private boolean isCurrent(StoreClient.Transaction txn) {
         for (Map.Entry<String, Long> guard : txn.guarded().entrySet()) {
             String key = guard.getKey();
             if (key.startsWith(Keys.REPLICATED) && replica.stamp(key) != guard.getValue()) {
@@ -129,7 +134,7 @@
         wake.run();
     }
 
-    private static int largestValue(StateStore.Txn txn) {
+    private static int largestValue(StoreClient.Transaction txn) {
         int largest = 0;
         for (JsonElement value : txn.values()) {
             if (value != null) {
@@ -140,7 +145,7 @@
     }
 
     /** Our replica lacks what made the conflict. Until the watch has brought it, a new decision would only fail again. */
-    private void lockUntilCaughtUp(StateStore.Result result, Collection<String> locks) {
+    private void lockUntilCaughtUp(StoreClient.Result result, Collection<String> locks) {
         Set<String> keys = new HashSet<>(locks);
         try {
             keys.addAll(Json.texts(result.body(), "failed"));
@@ -149,6 +154,6 @@
         }
         keys.removeIf(k -> !locks.contains(k) && locked.contains(k));
         locked.addAll(keys);
-        awaitedEditions.add(new AwaitedEdition(result.edition(), loop.now().plus(REPLICA_PATIENCE), keys));
+        awaitedEditions.add(new AwaitedRevision(result.edition(), loop.now().plus(REPLICA_PATIENCE), keys));
     }
 }
--- a/src/main/java/org/havenford/storage/StateStore.java
+++ b/src/main/java/org/havenford/storage/StoreClient.java
@@ -25,8 +25,8 @@
  * too long fails as not executed. The share starts even and follows what the service takes: it grows slowly while it is
  * used up, and shrinks when the service refuses a call.
  */
-public final class StateStore {
-    private static final Logger LOG = LoggerFactory.getLogger(StateStore.class);
+public final class StoreClient {
+    private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
     private static final int MAX_QUEUED = 400;
     /** How long a call waits for its turn; users ask again sooner than other work. */
@@ -46,7 +46,7 @@
     private static final Duration QUIET = Duration.ofSeconds(2);
 
     /** Classes of calls, the one that is sent first at the front. */
-    public enum Urgency {
+    public enum CallPriority {
         /** Leases, and the view that depends on them. */
         LEASE,
         /** The watch, whose rate its owner limits. */
@@ -90,7 +90,7 @@
     }
 
     /** A guarded transaction. */
-    public static final class Txn {
+    public static final class Transaction {
         private final JsonArray guards = new JsonArray();
         private final JsonArray writes = new JsonArray();
         private final Map<String, Long> guarded = new LinkedHashMap<>();
@@ -98,7 +98,7 @@
         private final List<JsonElement> values = new ArrayList<>();
 
         /** Adds a condition: the key has this stamp; 0 means that it does not exist. */
-        public Txn guard(String key, long stamp) {
+        public Transaction guard(String key, long stamp) {
             JsonObject g = new JsonObject();
             g.addProperty("k", key);
             g.addProperty("stamp", stamp);
@@ -108,12 +108,12 @@
         }
 
         /** Adds a change that sets a key. */
-        public Txn set(String key, JsonElement value) {
+        public Transaction set(String key, JsonElement value) {
             return set(key, value, 0);
         }
 
         /** Adds a change that sets a key and attaches it to a lease. */
-        public Txn set(String key, JsonElement value, long permit) {
+        public Transaction set(String key, JsonElement value, long permit) {
             JsonObject w = new JsonObject();
             w.addProperty("set", key);
             w.add("v", value);
@@ -127,7 +127,7 @@
         }
 
         /** Adds a change that deletes a key. */
-        public Txn delete(String key) {
+        public Transaction delete(String key) {
             JsonObject w = new JsonObject();
             w.addProperty("delete", key);
             writes.add(w);
@@ -178,8 +178,8 @@
         void finished(long number, Outcome outcome, long edition);
     }
 
-    private record Pending(
-            Urgency urgency,
+    private record PendingCall(
+            CallPriority urgency,
             Instant until,
             String method,
             String path,
@@ -197,8 +197,8 @@
     private final double rps;
     private final double writeRps;
     private final double leastShare;
-    private final List<ArrayDeque<Pending>> queues = new ArrayList<>();
-    private final long[] sent = new long[Urgency.values().length];
+    private final List<ArrayDeque<PendingCall>> queues = new ArrayList<>();
+    private final long[] sent = new long[CallPriority.values().length];
     /** Null where nobody follows this controller. */
     private CommitObserver commitObserver;
 
@@ -221,7 +221,7 @@
     private Instant leaseHoldOff = Instant.MIN;
 
     /** {@code nextWriteRps} is what the service's limit of changes may become without notice. */
-    public StateStore(
+    public StoreClient(
             EventLoop loop,
             HttpCalls calls,
             String address,
@@ -239,7 +239,7 @@
         this.changes = new TokenBucket(writeRps, 0.8, loop.now());
         this.adjusted = loop.now();
         share(sharers);
-        for (int i = 0; i < Urgency.values().length; i++) {
+        for (int i = 0; i < CallPriority.values().length; i++) {
             queues.add(new ArrayDeque<>());
         }
     }
@@ -301,13 +301,13 @@
 
     /** Whether work waits for the service's limits. */
     public boolean pressed() {
-        return queued(Urgency.WORK) > 2 || queued(Urgency.CLAIM) > 2 || !changes.has(2, loop.now());
+        return queued(CallPriority.WORK) > 2 || queued(CallPriority.CLAIM) > 2 || !changes.has(2, loop.now());
     }
 
     /** What was asked since the last call, for the log. */
     public String tally() {
         StringBuilder text = new StringBuilder("requests");
-        for (Urgency u : Urgency.values()) {
+        for (CallPriority u : CallPriority.values()) {
             text.append(' ')
                     .append(u.name().toLowerCase(java.util.Locale.ROOT))
                     .append(' ')
@@ -327,7 +327,7 @@
                 .append(", stale ")
                 .append(stale)
                 .append(", waiting ")
-                .append(queued(Urgency.WORK) + queued(Urgency.CLAIM))
+                .append(queued(CallPriority.WORK) + queued(CallPriority.CLAIM))
                 .append(String.format(java.util.Locale.ROOT, ", share %.2f", shares));
         changed = 0;
         conflicts = 0;
@@ -339,19 +339,19 @@
     }
 
     /** Calls of a class that wait for this controller's share of the limits. */
-    public int queued(Urgency urgency) {
+    public int queued(CallPriority urgency) {
         return queues.get(urgency.ordinal()).size();
     }
 
     /** Reads a key. */
-    public void get(String key, Urgency urgency, Consumer<Result> done) {
+    public void get(String key, CallPriority urgency, Consumer<Result> done) {
         submit(urgency, "GET", "/store/" + key, null, 0, TIMEOUT, done);
     }
 
     /** Reads a page of keys with a prefix, beginning after the given key, or at the first if null. */
     public void list(String prefix, String after, Consumer<Result> done) {
         submit(
-                Urgency.WATCH,
+                CallPriority.WATCH,
                 "GET",
                 "/store?prefix=" + prefix + (after == null ? "" : "&since=" + after) + "&limit=500",
                 null,
@@ -361,21 +361,21 @@
     }
 
     /** Commits a transaction. */
-    public void commit(Txn txn, Urgency urgency, Consumer<Result> done) {
-        commit(txn, urgency, StateStore::alwaysCurrent, done);
+    public void commit(Transaction txn, CallPriority urgency, Consumer<Result> done) {
+        commit(txn, urgency, StoreClient::alwaysCurrent, done);
     }
 
     /**
      * Commits a transaction that may have to wait for its turn. If {@code current} then says that its guards are known to
      * fail, it is not sent and its outcome is {@code STALE}: a conflict would cost as many changes as a success.
      */
-    public void commit(Txn txn, Urgency urgency, BooleanSupplier current, Consumer<Result> done) {
+    public void commit(Transaction txn, CallPriority urgency, BooleanSupplier current, Consumer<Result> done) {
         Instant until = loop.now().plus(patience(urgency));
         Consumer<Result> told = commitObserver == null || txn.writes() == 0 ? done : observed(txn, done);
-        submit(new Pending(urgency, until, "POST", "/multi", txn.text(), txn.writes(), TIMEOUT, current, told));
+        submit(new PendingCall(urgency, until, "POST", "/multi", txn.text(), txn.writes(), TIMEOUT, current, told));
     }
 
-    private Consumer<Result> observed(Txn txn, Consumer<Result> done) {
+    private Consumer<Result> observed(Transaction txn, Consumer<Result> done) {
         CommitObserver observer = commitObserver;
         long number = observer.committing(txn.keys());
         return result -> {
@@ -387,7 +387,7 @@
     /** Waits for changes of keys with a prefix after an edition. */
     public void watch(String prefix, long since, Duration block, Consumer<Result> done) {
         submit(
-                Urgency.WATCH,
+                CallPriority.WATCH,
                 "GET",
                 "/changes?prefix=" + prefix + "&since=" + since + "&blockMs=" + block.toMillis(),
                 null,
@@ -398,21 +398,21 @@
 
     /** Creates a lease. */
     public void createLease(Duration life, Consumer<Result> done) {
-        submit(Urgency.LEASE, "POST", "/holds", "{\"lifeMs\":" + life.toMillis() + "}", 0, TIMEOUT, done);
+        submit(CallPriority.LEASE, "POST", "/holds", "{\"lifeMs\":" + life.toMillis() + "}", 0, TIMEOUT, done);
     }
 
     /** Renews a lease. */
     public void renewLease(long permit, Consumer<Result> done) {
-        submit(Urgency.LEASE, "POST", "/holds/" + permit + "/touch", null, 0, TIMEOUT, done);
+        submit(CallPriority.LEASE, "POST", "/holds/" + permit + "/touch", null, 0, TIMEOUT, done);
     }
 
     /** Ends a lease at once. */
     public void endLease(long permit, Consumer<Result> done) {
-        submit(Urgency.LEASE, "DELETE", "/holds/" + permit, null, 0, TIMEOUT, done);
+        submit(CallPriority.LEASE, "DELETE", "/holds/" + permit, null, 0, TIMEOUT, done);
     }
 
     private void submit(
-            Urgency urgency,
+            CallPriority urgency,
             String method,
             String path,
             String body,
@@ -420,15 +420,15 @@
             Duration timeout,
             Consumer<Result> done) {
         Instant until = loop.now().plus(patience(urgency));
-        submit(new Pending(urgency, until, method, path, body, writes, timeout, StateStore::alwaysCurrent, done));
+        submit(new PendingCall(urgency, until, method, path, body, writes, timeout, StoreClient::alwaysCurrent, done));
     }
 
-    private static Duration patience(Urgency urgency) {
-        return urgency == Urgency.USER ? USER_PATIENCE : PATIENCE;
+    private static Duration patience(CallPriority urgency) {
+        return urgency == CallPriority.USER ? USER_PATIENCE : PATIENCE;
     }
 
-    private void submit(Pending call) {
-        ArrayDeque<Pending> queue = queues.get(call.urgency.ordinal());
+    private void submit(PendingCall call) {
+        ArrayDeque<PendingCall> queue = queues.get(call.urgency.ordinal());
         if (queue.size() >= MAX_QUEUED) {
             loop.after(Duration.ZERO, () -> call.done.accept(new Result(Outcome.NOT_EXECUTED, null)));
             return;
@@ -445,10 +445,10 @@
         adjust(now);
         boolean waits = false;
         boolean later = false;
-        for (Urgency u : Urgency.values()) {
-            ArrayDeque<Pending> queue = queues.get(u.ordinal());
+        for (CallPriority u : CallPriority.values()) {
+            ArrayDeque<PendingCall> queue = queues.get(u.ordinal());
             while (!queue.isEmpty()) {
-                Pending p = queue.peek();
+                PendingCall p = queue.peek();
                 if (now.isAfter(p.until)) {
                     queue.poll();
                     givenUp++;
@@ -456,9 +456,9 @@
                     continue;
                 }
                 if (!may(p, now, waits)) {
-                    waits |= u != Urgency.LEASE && u != Urgency.WATCH;
+                    waits |= u != CallPriority.LEASE && u != CallPriority.WATCH;
                     later = true;
-                    usedUp |= u != Urgency.SPARE;
+                    usedUp |= u != CallPriority.SPARE;
                     break;
                 }
                 queue.poll();
@@ -482,11 +482,11 @@
      * A renewal never waits for the budget: losing the lease costs far more than one refused call. After a refusal it waits
      * a moment all the same, and the rest for longer each time: calls that go again at once use up what limit there is.
      */
-    private boolean may(Pending p, Instant now, boolean othersWait) {
-        if (p.urgency == Urgency.LEASE) {
+    private boolean may(PendingCall p, Instant now, boolean othersWait) {
+        if (p.urgency == CallPriority.LEASE) {
             return !now.isBefore(leaseHoldOff);
         }
-        if (p.urgency == Urgency.WATCH) {
+        if (p.urgency == CallPriority.WATCH) {
             return !now.isBefore(holdOff);
         }
         if (othersWait || now.isBefore(holdOff)) {
@@ -504,7 +504,7 @@
                 && (p.writes == 0 || changes.has(p.writes + changes.size() * left, now));
     }
 
-    private void send(Pending p) {
+    private void send(PendingCall p) {
         sent[p.urgency.ordinal()]++;
         changed += p.writes;
         calls.call(address, p.method, p.path, p.body, p.timeout, reply -> {
@@ -544,7 +544,7 @@
         }
     }
 
-    private Result interpret(HttpCalls.Reply reply, Pending p) {
+    private Result interpret(HttpCalls.Reply reply, PendingCall p) {
         JsonObject body = null;
         if (!reply.body().isEmpty()) {
             try {
--- a/src/main/java/org/havenford/storage/Replica.java
+++ b/src/main/java/org/havenford/storage/StoreReplica.java
@@ -15,8 +15,8 @@
  * A copy of all keys below one prefix: read page by page at the start, then kept by a watch. Changes reach the
  * listener in the order of their stamps for every key; those of our own transactions at once when they are answered.
  */
-public final class Replica {
-    private static final Logger LOG = LoggerFactory.getLogger(Replica.class);
+public final class StoreReplica {
+    private static final Logger LOG = LoggerFactory.getLogger(StoreReplica.class);
     /** A quiet store says after this long that nothing has changed; entitlement rests on hearing so. */
     private static final Duration BLOCK = Duration.ofSeconds(2);
     /** Part of this controller's requests that go to reopening the watch. */
@@ -35,7 +35,7 @@
     }
 
     private final EventLoop loop;
-    private final StateStore store;
+    private final StoreClient store;
     private final String prefix;
     private final Listener listener;
     /** Stamps of what we hold; negative for a key that was deleted at that stamp, until the watch has passed it. */
@@ -45,7 +45,7 @@
     private long edition;
 
     /** A replica of the keys with the prefix; it is empty until started. */
-    public Replica(EventLoop loop, StateStore store, String prefix, Listener listener) {
+    public StoreReplica(EventLoop loop, StoreClient store, String prefix, Listener listener) {
         this.loop = loop;
         this.store = store;
         this.prefix = prefix;
@@ -117,7 +117,7 @@
         // Pages are read one after the other, so what they show together may never have been: only after the first
         // watch has told what changed meanwhile is the copy one that once was true.
         store.watch(prefix, edition, loaded ? BLOCK : Duration.ZERO, r -> {
-            if (r.outcome() == StateStore.Outcome.REJECTED) {
+            if (r.outcome() == StoreClient.Outcome.REJECTED) {
                 loaded = false;
                 start();
                 return;
@@ -180,7 +180,7 @@
     }
 
     /** Applies what one of our own transactions has changed, without waiting for the watch. */
-    public void committed(StateStore.Txn txn, long stamp) {
+    public void committed(StoreClient.Transaction txn, long stamp) {
         for (int i = 0; i < txn.keys().size(); i++) {
             if (txn.keys().get(i).startsWith(prefix)) {
                 apply(txn.keys().get(i), txn.values().get(i), stamp);
--- a/src/main/java/org/havenford/storage/records/Job.java
+++ b/src/main/java/org/havenford/storage/records/Job.java
@@ -20,7 +20,7 @@
     /** When all that the job awaits was found to be done in the store; null while it waits, or where it awaits nothing. */
     private final Instant ready;
 
-    private final Chunk[] chunks;
+    private final TaskRange[] chunks;
     private int done;
     private int claimed;
     private int errors;
@@ -41,7 +41,7 @@
         this.submitted = submitted;
         this.chunkSize = chunkSize;
         this.cancelled = cancelled;
-        this.chunks = new Chunk[(spec.tasks() + chunkSize - 1) / chunkSize];
+        this.chunks = new TaskRange[(spec.tasks() + chunkSize - 1) / chunkSize];
     }
 
     /** Tasks per key, so that a full chunk stays within the value limit. */
@@ -97,30 +97,30 @@
     }
 
     /** The chunk, or null when none of its tasks was ever claimed. */
-    public Chunk stored(int index) {
+    public TaskRange stored(int index) {
         return chunks[index];
     }
 
     /** The record, a fresh one if none of its tasks was ever claimed. */
-    public Chunk chunk(int index) {
+    public TaskRange chunk(int index) {
         return chunks[index] == null ? fresh(index) : chunks[index];
     }
 
     /** A record in which no task was ever claimed. */
-    public Chunk fresh(int index) {
+    public TaskRange fresh(int index) {
         int first = index * chunkSize;
-        return new Chunk(id(), first, Math.min(chunkSize, spec.tasks() - first));
+        return new TaskRange(id(), first, Math.min(chunkSize, spec.tasks() - first));
     }
 
     /** Puts a record in place of the one before; null if it was deleted. */
-    public void replace(int index, Chunk chunk) {
+    public void replace(int index, TaskRange chunk) {
         count(chunks[index], -1);
         chunks[index] = chunk;
         count(chunk, 1);
         mediansKnown = false;
     }
 
-    private void count(Chunk c, int sign) {
+    private void count(TaskRange c, int sign) {
         if (c != null) {
             done += sign * c.doneCount();
             claimed += sign * c.claims().size();
@@ -130,7 +130,7 @@
 
     /** The claim of a task, or null. */
     public Claim claim(int task) {
-        Chunk c = task < spec.tasks() ? chunks[chunkOf(task)] : null;
+        TaskRange c = task < spec.tasks() ? chunks[chunkOf(task)] : null;
         return c == null ? null : c.claim(task);
     }
 
@@ -142,7 +142,7 @@
     /** All claims of the job's tasks. */
     public List<Claim> claims() {
         List<Claim> out = new ArrayList<>();
-        for (Chunk c : chunks) {
+        for (TaskRange c : chunks) {
             if (c != null) {
                 out.addAll(c.claims());
             }
@@ -180,14 +180,14 @@
     private void findMedians() {
         if (!mediansKnown) {
             mediansKnown = true;
-            medianFetch = median(Chunk::fetches);
-            medianRun = median(Chunk::runs);
+            medianFetch = median(TaskRange::fetches);
+            medianRun = median(TaskRange::runs);
         }
     }
 
-    private Duration median(Function<Chunk, IntArrayList> durations) {
+    private Duration median(Function<TaskRange, IntArrayList> durations) {
         IntArrayList all = new IntArrayList();
-        for (Chunk c : chunks) {
+        for (TaskRange c : chunks) {
             if (c != null) {
                 all.addAll(durations.apply(c));
             }
--- a/src/main/java/org/havenford/storage/records/MachineBatch.java
+++ b/src/main/java/org/havenford/storage/records/MachineBatch.java
@@ -14,12 +14,12 @@
  * are to go; so hundreds can come and go with a few changes, and claims can be guarded by the key.
  */
 public record MachineBatch(
-        String name, String type, String zone, boolean spot, Instant since, TreeMap<String, Service> machines) {
+        String name, String type, String zone, boolean spot, Instant since, TreeMap<String, ServiceState> machines) {
     /** Most machines in one batch. */
     public static final int MOST = 50;
 
     /** Whether a machine takes claims, or is on its way back to the cloud. */
-    public enum Service {
+    public enum ServiceState {
         IN_SERVICE,
         RETIRING,
         RETURNING
@@ -28,21 +28,21 @@
     /** A batch whose machines are all in service. */
     public static MachineBatch of(
             String name, String type, String zone, boolean spot, Instant since, Collection<String> machines) {
-        TreeMap<String, Service> all = new TreeMap<>();
-        machines.forEach(m -> all.put(m, Service.IN_SERVICE));
+        TreeMap<String, ServiceState> all = new TreeMap<>();
+        machines.forEach(m -> all.put(m, ServiceState.IN_SERVICE));
         return new MachineBatch(name, type, zone, spot, since, all);
     }
 
     /** The batch with one machine's service changed. */
-    public MachineBatch with(String machine, Service service) {
-        TreeMap<String, Service> next = new TreeMap<>(machines);
+    public MachineBatch with(String machine, ServiceState service) {
+        TreeMap<String, ServiceState> next = new TreeMap<>(machines);
         next.put(machine, service);
         return new MachineBatch(name, type, zone, spot, since, next);
     }
 
     /** The batch without some machines. */
     public MachineBatch without(Collection<String> gone) {
-        TreeMap<String, Service> next = new TreeMap<>(machines);
+        TreeMap<String, ServiceState> next = new TreeMap<>(machines);
         next.keySet().removeAll(gone);
         return new MachineBatch(name, type, zone, spot, since, next);
     }
@@ -62,9 +62,9 @@
 
     /** Reads a stored value. */
     public static MachineBatch parse(String name, JsonObject o) throws Json.BadMessage {
-        TreeMap<String, Service> all = new TreeMap<>();
+        TreeMap<String, ServiceState> all = new TreeMap<>();
         for (Map.Entry<String, JsonElement> e : Json.child(o, "m").entrySet()) {
-            all.put(e.getKey(), Service.valueOf(e.getValue().getAsString().toUpperCase(Locale.ROOT)));
+            all.put(e.getKey(), ServiceState.valueOf(e.getValue().getAsString().toUpperCase(Locale.ROOT)));
         }
         return new MachineBatch(
                 name,
--- a/src/main/java/org/havenford/storage/records/Chunk.java
+++ b/src/main/java/org/havenford/storage/records/TaskRange.java
@@ -21,7 +21,7 @@
  * The state of some consecutive tasks of a job, kept under one key so that it changes as a whole. A key that does not
  * exist yet stands for tasks that were never claimed, which keeps a large job small.
  */
-public final class Chunk {
+public final class TaskRange {
     /** Durations that stay when there is no room for all. */
     private static final int KEPT_DURATIONS = 9;
 
@@ -40,15 +40,15 @@
     private int errors;
 
     /** A record of tasks that were never claimed. */
-    public Chunk(String job, int first, int size) {
+    public TaskRange(String job, int first, int size) {
         this.job = job;
         this.first = first;
         this.size = size;
     }
 
     /** An independent copy, to be changed and stored. */
-    public Chunk copy() {
-        Chunk c = new Chunk(job, first, size);
+    public TaskRange copy() {
+        TaskRange c = new TaskRange(job, first, size);
         c.done.or(done);
         c.claims.putAll(claims);
         c.attempts.putAll(attempts);
@@ -321,7 +321,7 @@
     }
 
     /** Fills this fresh chunk with what the store holds. */
-    public Chunk read(JsonObject o) throws Json.BadMessage {
+    public TaskRange read(JsonObject o) throws Json.BadMessage {
         try {
             List<String> words = Json.texts(o, "d");
             for (int w = 0; w < words.size(); w++) {
--- a/src/main/java/org/havenford/storage/records/Quota.java
+++ b/src/main/java/org/havenford/storage/records/TeamQuota.java
@@ -14,39 +14,39 @@
  * add up to more than the limit; what nobody holds is free to be taken. Who finds nothing free is named as short, so that
  * others give back what they can spare.
  */
-public final class Quota {
+public final class TeamQuota {
     /** An amount of CPUs and cards. */
-    public record Amount(double cpus, double cards) {
-        public static final Amount NONE = new Amount(0, 0);
+    public record Resources(double cpus, double cards) {
+        public static final Resources NONE = new Resources(0, 0);
         private static final double GRAIN = 1e-6;
 
         /** The sum. */
-        public Amount plus(Amount o) {
-            return new Amount(cpus + o.cpus, cards + o.cards);
+        public Resources plus(Resources o) {
+            return new Resources(cpus + o.cpus, cards + o.cards);
         }
 
         /** The difference. */
-        public Amount minus(Amount o) {
-            return new Amount(cpus - o.cpus, cards - o.cards);
+        public Resources minus(Resources o) {
+            return new Resources(cpus - o.cpus, cards - o.cards);
         }
 
         /** A multiple. */
-        public Amount times(double n) {
-            return new Amount(cpus * n, cards * n);
+        public Resources times(double n) {
+            return new Resources(cpus * n, cards * n);
         }
 
         /** The smaller of both in each part. */
-        public Amount least(Amount o) {
-            return new Amount(Math.min(cpus, o.cpus), Math.min(cards, o.cards));
+        public Resources least(Resources o) {
+            return new Resources(Math.min(cpus, o.cpus), Math.min(cards, o.cards));
         }
 
         /** The larger of both in each part. */
-        public Amount most(Amount o) {
-            return new Amount(Math.max(cpus, o.cpus), Math.max(cards, o.cards));
+        public Resources most(Resources o) {
+            return new Resources(Math.max(cpus, o.cpus), Math.max(cards, o.cards));
         }
 
         /** Whether no part exceeds the other's. */
-        public boolean within(Amount o) {
+        public boolean within(Resources o) {
             return cpus <= o.cpus + GRAIN && cards <= o.cards + GRAIN;
         }
     }
@@ -54,12 +54,12 @@
     private static final String SHARES = "shares";
     private static final String SHORT = "short";
 
-    private final TreeMap<String, Amount> shares = new TreeMap<>();
+    private final TreeMap<String, Resources> shares = new TreeMap<>();
     private final TreeSet<String> shortOf = new TreeSet<>();
 
     /** The share of a controller. */
-    public Amount share(String node) {
-        return shares.getOrDefault(node, Amount.NONE);
+    public Resources share(String node) {
+        return shares.getOrDefault(node, Resources.NONE);
     }
 
     /** Controllers that hold a share. */
@@ -68,9 +68,9 @@
     }
 
     /** The sum of all shares. */
-    public Amount dealt() {
-        Amount sum = Amount.NONE;
-        for (Amount a : shares.values()) {
+    public Resources dealt() {
+        Resources sum = Resources.NONE;
+        for (Resources a : shares.values()) {
             sum = sum.plus(a);
         }
         return sum;
@@ -81,17 +81,17 @@
         return shortOf;
     }
 
-    private Quota copy() {
-        Quota q = new Quota();
+    private TeamQuota copy() {
+        TeamQuota q = new TeamQuota();
         q.shares.putAll(shares);
         q.shortOf.addAll(shortOf);
         return q;
     }
 
     /** The same with another share for one node. */
-    public Quota with(String node, Amount share) {
-        Quota q = copy();
-        if (share.within(Amount.NONE)) {
+    public TeamQuota with(String node, Resources share) {
+        TeamQuota q = copy();
+        if (share.within(Resources.NONE)) {
             q.shares.remove(node);
         } else {
             q.shares.put(node, share);
@@ -100,8 +100,8 @@
     }
 
     /** The same with a node named as short, or no longer. */
-    public Quota withShort(String node, boolean isShort) {
-        Quota q = copy();
+    public TeamQuota withShort(String node, boolean isShort) {
+        TeamQuota q = copy();
         if (isShort) {
             q.shortOf.add(node);
         } else {
@@ -128,14 +128,14 @@
     }
 
     /** Reads a stored value. */
-    public static Quota parse(JsonObject o) throws Json.BadMessage {
-        Quota q = new Quota();
+    public static TeamQuota parse(JsonObject o) throws Json.BadMessage {
+        TeamQuota q = new TeamQuota();
         try {
             for (Map.Entry<String, JsonElement> e : Json.child(o, SHARES).entrySet()) {
                 JsonArray pair = e.getValue().getAsJsonArray();
                 q.shares.put(
                         e.getKey(),
-                        new Amount(pair.get(0).getAsDouble(), pair.get(1).getAsDouble()));
+                        new Resources(pair.get(0).getAsDouble(), pair.get(1).getAsDouble()));
             }
         } catch (IllegalStateException | NumberFormatException | IndexOutOfBoundsException e) {
             throw new Json.BadMessage("shares of a limit can't be read");
--- a/src/test/java/org/havenford/ArchitectureTest.java
+++ b/src/test/java/org/havenford/ArchitectureTest.java
@@ -93,7 +93,7 @@
     @Test
     void onlyMainClassesPrint() {
         noClasses()
-                .that(not(belongToAnyOf(Main.class, Rehearsal.class)))
+                .that(not(belongToAnyOf(Main.class, ClassDataSharingWarmUp.class)))
                 .should(ACCESS_STANDARD_STREAMS)
                 .check(main);
     }
--- a/src/test/java/org/havenford/coordination/DecisionsTest.java
+++ b/src/test/java/org/havenford/coordination/DecisionsTest.java
@@ -10,9 +10,9 @@
 import java.time.Duration;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.havenford.coordination.agents.Lateness;
-import org.havenford.coordination.membership.View;
-import org.havenford.settings.Operator;
+import org.havenford.coordination.agents.StragglerDetector;
+import org.havenford.coordination.membership.ClusterView;
+import org.havenford.settings.OperatorSettings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -24,12 +24,14 @@
     /** The example of the paper's figure 4, its four phases read as two: 342 s before the run, then 20 s of a median of 400. */
     @Test
     void estimatesFollowThePaper() {
-        assertEquals(s(742), Lateness.estimateRunning(s(342), s(20), s(400)));
-        assertEquals(s(410), Lateness.estimateFetching(s(3), s(10), s(400)));
-        assertEquals(0.5, Lateness.coefficient(s(50), s(50)));
+        assertEquals(s(742), StragglerDetector.estimateRunning(s(342), s(20), s(400)));
+        assertEquals(s(410), StragglerDetector.estimateFetching(s(3), s(10), s(400)));
+        assertEquals(0.5, StragglerDetector.coefficient(s(50), s(50)));
         // With a median of 10 + 30, a fetch is late once t is more than three times 40.
-        assertTrue(Lateness.coefficient(Lateness.estimateFetching(s(89), s(10), s(30)), s(40)) < 0.75);
-        assertTrue(Lateness.coefficient(Lateness.estimateFetching(s(91), s(10), s(30)), s(40)) > 0.75);
+        assertTrue(
+                StragglerDetector.coefficient(StragglerDetector.estimateFetching(s(89), s(10), s(30)), s(40)) < 0.75);
+        assertTrue(
+                StragglerDetector.coefficient(StragglerDetector.estimateFetching(s(91), s(10), s(30)), s(40)) > 0.75);
     }
 
     /** When a member goes, only its machines move. */
@@ -37,8 +39,8 @@
     void rendezvousMovesOnlyWhatItMust() {
         TreeMap<String, Long> three = new TreeMap<>(java.util.Map.of("a", 1L, "b", 2L, "c", 3L));
         TreeMap<String, Long> two = new TreeMap<>(java.util.Map.of("a", 1L, "b", 2L));
-        View before = new View(1, three, new TreeMap<>(), new TreeSet<>());
-        View after = new View(2, two, new TreeMap<>(), new TreeSet<>());
+        ClusterView before = new ClusterView(1, three, new TreeMap<>(), new TreeSet<>());
+        ClusterView after = new ClusterView(2, two, new TreeMap<>(), new TreeSet<>());
         int moved = 0;
         for (int i = 0; i < 300; i++) {
             String m = String.format("host-%06d", i);
@@ -56,33 +58,37 @@
         TreeMap<String, String> moved = new TreeMap<>(java.util.Map.of("host-1", "b"));
         assertEquals(
                 "b",
-                new View(1, new TreeMap<>(java.util.Map.of("a", 1L, "b", 2L)), moved, new TreeSet<>()).owner("host-1"));
+                new ClusterView(1, new TreeMap<>(java.util.Map.of("a", 1L, "b", 2L)), moved, new TreeSet<>())
+                        .owner("host-1"));
         assertEquals(
-                "a", new View(2, new TreeMap<>(java.util.Map.of("a", 1L)), moved, new TreeSet<>()).owner("host-1"));
+                "a",
+                new ClusterView(2, new TreeMap<>(java.util.Map.of("a", 1L)), moved, new TreeSet<>()).owner("host-1"));
     }
 
     @Test
     void operatorsSettingsAreChecked(@TempDir Path dir) throws Exception {
-        Operator o = Operator.read(
+        OperatorSettings o = OperatorSettings.read(
                 write(dir, "<havenford><late-threshold>0.8</late-threshold><unknown>1</unknown></havenford>"));
         assertEquals(0.8, o.lateThreshold());
-        assertEquals(Operator.DEFAULTS.lateMinimumDone(), o.lateMinimumDone());
+        assertEquals(OperatorSettings.DEFAULTS.lateMinimumDone(), o.lateMinimumDone());
         for (String bad : new String[] {
             "<havenford><late-threshold>2</late-threshold></havenford>",
             "<havenford><late-threshold>x</late-threshold></havenford>"
         }) {
-            Operator.BadSetting e = assertThrows(Operator.BadSetting.class, () -> Operator.read(write(dir, bad)));
+            OperatorSettings.InvalidSettingException e = assertThrows(
+                    OperatorSettings.InvalidSettingException.class, () -> OperatorSettings.read(write(dir, bad)));
             assertTrue(e.getMessage().contains("late-threshold"), e.getMessage());
         }
         assertEquals(
-                Operator.SpeedFirst.NEVER,
-                Operator.read(write(dir, "<havenford><speed-first>never</speed-first></havenford>"))
+                OperatorSettings.SpeedFirst.NEVER,
+                OperatorSettings.read(write(dir, "<havenford><speed-first>never</speed-first></havenford>"))
                         .speedFirst());
         assertThrows(
-                Operator.BadSetting.class,
-                () -> Operator.read(write(dir, "<havenford><speed-first>red</speed-first></havenford>")));
-        assertThrows(Operator.BadSetting.class, () -> Operator.read(write(dir, "<havenford>")));
-        assertTrue(Operator.read(write(dir, "<havenford><standby>on</standby></havenford>"))
+                OperatorSettings.InvalidSettingException.class,
+                () -> OperatorSettings.read(write(dir, "<havenford><speed-first>red</speed-first></havenford>")));
+        assertThrows(
+                OperatorSettings.InvalidSettingException.class, () -> OperatorSettings.read(write(dir, "<havenford>")));
+        assertTrue(OperatorSettings.read(write(dir, "<havenford><standby>on</standby></havenford>"))
                 .standby()
                 .enabled());
         for (String bad : new String[] {
@@ -90,10 +96,13 @@
             "<havenford><standby-challenge-ms>1</standby-challenge-ms></havenford>",
             "<havenford><standby-heartbeat-ms>400</standby-heartbeat-ms></havenford>"
         }) {
-            Operator.BadSetting e = assertThrows(Operator.BadSetting.class, () -> Operator.read(write(dir, bad)));
+            OperatorSettings.InvalidSettingException e = assertThrows(
+                    OperatorSettings.InvalidSettingException.class, () -> OperatorSettings.read(write(dir, bad)));
             assertTrue(e.getMessage().contains("<standby"), e.getMessage());
         }
-        assertThrows(Operator.BadSetting.class, () -> Operator.read(write(dir, "<!DOCTYPE x><havenford/>")));
+        assertThrows(
+                OperatorSettings.InvalidSettingException.class,
+                () -> OperatorSettings.read(write(dir, "<!DOCTYPE x><havenford/>")));
     }
 
     private static Path write(Path dir, String text) throws IOException {
--- a/src/test/java/org/havenford/coordination/GoldenCalls.java
+++ b/src/test/java/org/havenford/coordination/GoldenCalls.java
@@ -11,13 +11,13 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import org.havenford.coordination.membership.Evictions;
+import org.havenford.coordination.membership.ClusterView;
+import org.havenford.coordination.membership.MemberEvictions;
 import org.havenford.coordination.membership.Membership;
-import org.havenford.coordination.membership.View;
-import org.havenford.storage.Ledger;
-import org.havenford.storage.Replica;
-import org.havenford.storage.StateStore;
-import org.havenford.storage.StateStore.Urgency;
+import org.havenford.storage.ClusterState;
+import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreClient.CallPriority;
+import org.havenford.storage.StoreReplica;
 import org.havenford.storage.records.Keys;
 import org.havenford.testing.ManualLoop;
 import org.havenford.testing.QuietObservertype;
@@ -28,9 +28,9 @@
     private static final long EDITION = 40;
 
     private final ManualLoop loop = new ManualLoop();
-    private final StateStore store = new StateStore(loop, this, "state:1", 1000, 1000, 1000, 1);
+    private final StoreClient store = new StoreClient(loop, this, "state:1", 1000, 1000, 1000, 1);
     private final Map<String, JsonElement> built = new LinkedHashMap<>();
-    private Replica replica;
+    private StoreReplica replica;
     private String name;
 
     private GoldenCalls() {}
@@ -50,38 +50,41 @@
         Membership membership = calls.membership(Set.of("node-0"));
         TreeMap<String, Long> members =
                 new TreeMap<>(Map.of("node-0", member.get("incarnation").getAsLong()));
-        membership.viewChanged(new View(4, members, new TreeMap<>(), new TreeSet<>()).toJson(), 12);
+        membership.viewChanged(new ClusterView(4, members, new TreeMap<>(), new TreeSet<>()).toJson(), 12);
         membership.memberChanged("node-0", member, 13);
         return membership.allReadFormat2() + " " + membership.allReadEvictions();
     }
 
     private Membership membership(Set<String> configured) {
-        Ledger ledger = new Ledger();
+        ClusterState ledger = new ClusterState();
         ledger.observer(new QuietObservertype());
-        replica = new Replica(loop, store, Keys.REPLICATED, ledger);
+        replica = new StoreReplica(loop, store, Keys.REPLICATED, ledger);
         return new Membership(loop, store, replica, "node-0", configured, Duration.ofSeconds(5), () -> {}, node -> 0);
     }
 
     private void plainCalls() {
         JsonObject value = new JsonObject();
         value.addProperty("x", 1);
-        make("get", () -> store.get("live/job/j-1", Urgency.USER, r -> {}));
+        make("get", () -> store.get("live/job/j-1", CallPriority.USER, r -> {}));
         make("first-page", () -> store.list("live/", null, r -> {}));
         make("next-page", () -> store.list("live/", "live/job/j-1", r -> {}));
         make("watch", () -> store.watch("live/", 431, Duration.ofSeconds(2), r -> {}));
         make("lease", () -> store.createLease(Duration.ofSeconds(5), r -> {}));
         make("lease-renewal", () -> store.renewLease(7, r -> {}));
         make("lease-end", () -> store.endLease(7, r -> {}));
-        make("comparison", () -> store.commit(new StateStore.Txn().guard("a", 0).guard("b", 7), Urgency.USER, r -> {}));
+        make(
+                "comparison",
+                () -> store.commit(
+                        new StoreClient.Transaction().guard("a", 0).guard("b", 7), CallPriority.USER, r -> {}));
         make(
                 "transaction",
                 () -> store.commit(
-                        new StateStore.Txn()
+                        new StoreClient.Transaction()
                                 .guard("a", 3)
                                 .set("a", value)
                                 .set("b", value, 7)
                                 .delete("c"),
-                        Urgency.WORK,
+                        CallPriority.WORK,
                         r -> {}));
     }
 
@@ -89,14 +92,14 @@
         Membership membership = membership(Set.of("node-0", "node-1"));
         TreeMap<String, Long> members = new TreeMap<>(Map.of("node-0", 7L, "node-1", 5L));
         TreeMap<String, String> moved = new TreeMap<>(Map.of("host-000001", "node-1"));
-        membership.viewChanged(new View(4, members, moved, new TreeSet<>(Set.of("node-1"))).toJson(), 12);
+        membership.viewChanged(new ClusterView(4, members, moved, new TreeSet<>(Set.of("node-1"))).toJson(), 12);
         members.forEach((node, incarnation) -> {
             JsonObject member = new JsonObject();
             member.addProperty("incarnation", incarnation);
             member.addProperty("format", 3);
             membership.memberChanged(node, member, 10 + incarnation);
         });
-        Evictions evictions = new Evictions(loop, store, replica, membership, "node-0");
+        MemberEvictions evictions = new MemberEvictions(loop, store, replica, membership, "node-0");
         make("challenge", () -> evictions.challenge("node-1", 5, stamp -> {}));
         JsonObject challenge = written("challenge", Keys.challenge("node-1"));
         make("challenge-answer", () -> evictions.challengeChanged("node-0", challenge, 30));
--- a/src/test/java/org/havenford/coordination/monitoring/LinkMonitorTest.java
+++ b/src/test/java/org/havenford/coordination/monitoring/LinkMonitorTest.java
@@ -7,7 +7,7 @@
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.time.Duration;
-import org.havenford.settings.Settings;
+import org.havenford.settings.PlatformSettings;
 import org.havenford.testing.ManualLoop;
 import org.havenford.transport.HttpCalls;
 import org.junit.jupiter.api.Test;
@@ -27,7 +27,7 @@
     private int status = 200;
 
     LinkMonitorTest() throws Exception {
-        links = new LinkMonitor(Settings.parse(SETTINGS), loop);
+        links = new LinkMonitor(PlatformSettings.parse(SETTINGS), loop);
         calls = links.watching(
                 (address, method, path, body, timeout, done) -> done.accept(new HttpCalls.Reply(status, "")));
     }
--- a/src/test/java/org/havenford/coordination/monitoring/PauseDetectorTest.java
+++ b/src/test/java/org/havenford/coordination/monitoring/ProcessPauseDetectorTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 
 /** Whatever event ends a pause, the pause is told first. */
-class PauseDetectorTest {
+class ProcessPauseDetectorTest {
     private final ManualLoop loop = new ManualLoop();
     private final List<String> happened = new ArrayList<>();
     private final List<HttpCalls.Reply> replies = new ArrayList<>();
     private final HttpCalls calls = (address, method, path, body, timeout, done) ->
             loop.timers.add(() -> done.accept(new HttpCalls.Reply(200, "")));
-    private final PauseDetector detector =
-            new PauseDetector(loop, calls, pause -> happened.add("pause " + pause.toMillis()));
+    private final ProcessPauseDetector detector =
+            new ProcessPauseDetector(loop, calls, pause -> happened.add("pause " + pause.toMillis()));
 
     @Test
     void aTimerAfterAPause() {
--- a/src/test/java/org/havenford/coordination/provisioning/BootTimesTest.java
+++ b/src/test/java/org/havenford/coordination/provisioning/BootTimeEstimatorTest.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
-import org.havenford.coordination.provisioning.Demand.Kind;
-import org.havenford.coordination.provisioning.Demand.Offer;
-import org.havenford.storage.Ledger;
+import org.havenford.coordination.provisioning.CapacityDemand.InstanceKind;
+import org.havenford.coordination.provisioning.CapacityDemand.InstanceOffer;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
 import org.havenford.storage.records.MachineRecord.Condition;
@@ -21,19 +21,19 @@
 import org.junit.jupiter.api.Test;
 
 /** Which rented machines are overdue, and which offers are in trouble. A boot takes 20 s by its type. */
-class BootTimesTest {
+class BootTimeEstimatorTest {
     private static final Instant START = Instant.ofEpochSecond(1_700_000_000L);
     private static final String TYPES =
             "{\"rigs\":[{\"name\":\"large\",\"vcpus\":16,\"memGb\":64,\"bootS\":20,\"halls\":[\"a\",\"b\"]}]}";
-    private static final Offer ZONE_A = new Offer(new Kind("large", true), "a");
-    private static final Offer ZONE_B = new Offer(new Kind("large", true), "b");
+    private static final InstanceOffer ZONE_A = new InstanceOffer(new InstanceKind("large", true), "a");
+    private static final InstanceOffer ZONE_B = new InstanceOffer(new InstanceKind("large", true), "b");
 
-    private final Ledger ledger = new Ledger();
-    private final BootTimes times = new BootTimes(ledger);
+    private final ClusterState ledger = new ClusterState();
+    private final BootTimeEstimator times = new BootTimeEstimator(ledger);
     private long stamp;
     private int batches;
 
-    BootTimesTest() {
+    BootTimeEstimatorTest() {
         ledger.observer(new QuietObservertype());
         ledger.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
     }
@@ -43,7 +43,7 @@
     }
 
     /** Rents machines; their names begin with the batch's. */
-    private List<String> rent(Offer offer, double second, int number) {
+    private List<String> rent(InstanceOffer offer, double second, int number) {
         String batch = "r-" + batches++;
         List<String> names =
                 IntStream.range(0, number).mapToObj(i -> batch + "-" + i).toList();
@@ -117,7 +117,7 @@
     void aSuccessorJudgesAlike() {
         rent(ZONE_A, 0, 5);
         times.update(at(45));
-        BootTimes successor = new BootTimes(ledger);
+        BootTimeEstimator successor = new BootTimeEstimator(ledger);
         successor.update(at(45));
         assertTrue(successor.isTroubled(ZONE_A));
         assertEquals(times.overdue(), successor.overdue());
--- a/src/test/java/org/havenford/coordination/scheduling/FailingJobsTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
@@ -8,19 +8,19 @@
 import com.google.gson.JsonParser;
 import java.time.Instant;
 import java.util.List;
-import org.havenford.coordination.agents.FaultEvidence;
-import org.havenford.coordination.provisioning.Demand;
-import org.havenford.settings.Settings;
-import org.havenford.storage.Ledger;
-import org.havenford.storage.records.Chunk;
+import org.havenford.coordination.agents.MachineFaultDetector;
+import org.havenford.coordination.provisioning.CapacityDemand;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.TaskRange;
 import org.havenford.testing.JobSamples;
 import org.havenford.testing.QuietObservertype;
 import org.junit.jupiter.api.Test;
 
 /** Jobs that fail everywhere, jobs that fail by bad luck, and machines on which both fail. */
-class FailingJobsTest {
+class FailingJobBackoffTest {
     private static final Instant NOW = Instant.ofEpochSecond(1_700_000_000L);
     private static final String TYPES =
             "{\"rigs\":[{\"name\":\"large\",\"vcpus\":16,\"memGb\":64,\"fetchGbPerS\":0.5,\"halls\":[\"a\"]}]}";
@@ -31,11 +31,11 @@
             + "\"state\":{\"rps\":300,\"write_rps\":150,\"value_kb\":8,\"txn_ops\":12},"
             + "\"cloud\":{\"rps\":5,\"list_lag_s\":4}}}";
 
-    private final Ledger ledger = new Ledger();
-    private final FaultEvidence evidence = new FaultEvidence(ledger);
+    private final ClusterState ledger = new ClusterState();
+    private final MachineFaultDetector evidence = new MachineFaultDetector(ledger);
     private long stamp;
 
-    FailingJobsTest() {
+    FailingJobBackoffTest() {
         ledger.observer(new QuietObservertype());
         ledger.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
     }
@@ -51,7 +51,7 @@
 
     private void attempt(String id, int task, boolean succeeds) {
         Job job = ledger.job(id);
-        Chunk chunk = job.chunk(job.chunkOf(task)).copy();
+        TaskRange chunk = job.chunk(job.chunkOf(task)).copy();
         chunk.claim(task, "host-1", 1, NOW, "");
         if (succeeds) {
             chunk.finish(task, 1, 1);
@@ -73,7 +73,7 @@
         submit("j-1", "urgent", 300);
         submit("j-2", "low", 5);
         fail("j-1", 8);
-        JobOrder order = new JobOrder(ledger, Settings.parse(SETTINGS));
+        JobOrder order = new JobOrder(ledger, PlatformSettings.parse(SETTINGS));
         int first = 0;
         for (int second = 0; second < 60; second++) {
             List<String> ids = order.order(NOW.plusSeconds(second)).jobs().stream()
@@ -88,20 +88,20 @@
     void oneTaskAtATimeUntilOneIsDone() {
         submit("j-1", "normal", 10);
         fail("j-1", 8);
-        assertTrue(FailingJobs.isSuspect(ledger.job("j-1")));
-        assertEquals(1, FailingJobs.mostClaims(ledger.job("j-1")));
+        assertTrue(FailingJobBackoff.isSuspect(ledger.job("j-1")));
+        assertEquals(1, FailingJobBackoff.mostClaims(ledger.job("j-1")));
         // A success in one record does not take back the failures noted in the other.
         attempt("j-1", 20, false);
         attempt("j-1", 21, false);
         attempt("j-1", 22, false);
         attempt("j-1", 1, true);
-        assertFalse(FailingJobs.isSuspect(ledger.job("j-1")));
-        assertEquals(2, FailingJobs.mostClaims(ledger.job("j-1")));
+        assertFalse(FailingJobBackoff.isSuspect(ledger.job("j-1")));
+        assertEquals(2, FailingJobBackoff.mostClaims(ledger.job("j-1")));
     }
 
     @Test
     void retriesBackOffPerJob() {
-        FailingJobs failing = new FailingJobs();
+        FailingJobBackoff failing = new FailingJobBackoff();
         submit("j-1", "normal", 10);
         assertFalse(failing.backsOff(ledger.job("j-1"), NOW));
         fail("j-1", 8);
@@ -121,9 +121,12 @@
             submit("j-" + i, "urgent", 300);
             fail("j-" + i, 8);
         }
-        List<Demand.TaskDemand> demands = Demand.taskDemands(ledger, Settings.parse(SETTINGS), NOW, false);
-        assertEquals(2, demands.stream().mapToDouble(Demand.TaskDemand::tasks).sum());
-        double machines = Demand.machines(demands, ledger.types(), kind -> false, java.util.Map.of())
+        List<CapacityDemand.TaskDemand> demands =
+                CapacityDemand.taskDemands(ledger, PlatformSettings.parse(SETTINGS), NOW, false);
+        assertEquals(
+                2,
+                demands.stream().mapToDouble(CapacityDemand.TaskDemand::tasks).sum());
+        double machines = CapacityDemand.machines(demands, ledger.types(), kind -> false, java.util.Map.of())
                 .values()
                 .doubleStream()
                 .sum();
--- a/src/test/java/org/havenford/coordination/scheduling/PipelineDecisionsTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/PipelineDecisionsTest.java
@@ -8,10 +8,10 @@
 import com.google.gson.JsonObject;
 import java.time.Instant;
 import java.util.List;
-import org.havenford.coordination.provisioning.Demand;
+import org.havenford.coordination.provisioning.CapacityDemand;
 import org.havenford.protocol.JobSpec.Priority;
-import org.havenford.settings.Settings;
-import org.havenford.storage.Ledger;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
 import org.havenford.testing.JobSamples;
@@ -28,7 +28,7 @@
                     + "\"workers\":{\"report_s\":3,\"lease_s\":20,\"cancel_s\":44},"
                     + "\"state\":{\"rps\":300,\"write_rps\":150,\"value_kb\":8,\"txn_ops\":12},\"cloud\":{\"rps\":5,\"list_lag_s\":4}}}";
 
-    private final Ledger ledger = new Ledger();
+    private final ClusterState ledger = new ClusterState();
     private long stamp;
 
     PipelineDecisionsTest() {
@@ -63,7 +63,7 @@
     }
 
     private List<String> order(Instant now) throws Exception {
-        JobOrder order = new JobOrder(ledger, Settings.parse(SETTINGS));
+        JobOrder order = new JobOrder(ledger, PlatformSettings.parse(SETTINGS));
         return order.order(now).jobs().stream().map(Job::id).toList();
     }
 
@@ -80,11 +80,11 @@
 
     @Test
     void aWaitingJobHasNoPartOfDemandAndOfTheTeamsLimitThere() throws Exception {
-        Settings settings = Settings.parse(SETTINGS);
+        PlatformSettings settings = PlatformSettings.parse(SETTINGS);
         put(header("j-1", "red", "normal", 60, List.of("j-9"), -1));
         put(header("j-2", "red", "normal", 50, List.of(), -1));
         put(header("j-3", "red", "normal", 40, List.of(), -1));
-        List<Demand.TaskDemand> demands = Demand.taskDemands(ledger, settings, NOW, false);
+        List<CapacityDemand.TaskDemand> demands = CapacityDemand.taskDemands(ledger, settings, NOW, false);
         assertEquals(
                 List.of("j-2", "j-3"), demands.stream().map(d -> d.spec().id()).toList());
         assertTrue(demands.stream().allMatch(d -> d.tasks() == 1), demands::toString);
@@ -117,7 +117,7 @@
         put(header("j-3", "blue", "normal", 12, List.of("j-1"), -1));
         put(due(header("j-4", "blue", "urgent", 13, List.of("j-2", "j-3"), -1), 113));
         put(due(header("j-5", "blue", "low", 10, List.of("j-3"), -1), 60));
-        Inheritance inheritance = new Inheritance(ledger);
+        PriorityInheritance inheritance = new PriorityInheritance(ledger);
         inheritance.refresh();
         Job first = ledger.job("j-1");
         assertEquals(Priority.URGENT, inheritance.priority(first));
--- a/src/test/java/org/havenford/coordination/scheduling/PlannerPlacementTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/PlannerPlacementTest.java
@@ -17,15 +17,15 @@
 import java.util.TreeMap;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.TaskId;
-import org.havenford.settings.Operator;
-import org.havenford.settings.Settings;
-import org.havenford.storage.Ledger;
-import org.havenford.storage.records.Chunk;
+import org.havenford.settings.OperatorSettings;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
 import org.havenford.storage.records.MachineRecord;
+import org.havenford.storage.records.TaskRange;
 import org.havenford.testing.JobSamples;
 import org.havenford.testing.QuietObservertype;
 import org.junit.jupiter.api.Test;
@@ -45,7 +45,7 @@
     /** Tasks in a record, so that larger jobs have several. */
     private static final int CHUNK = 4;
 
-    private final Ledger ledger = new Ledger();
+    private final ClusterState ledger = new ClusterState();
     private final Map<String, List<String>> images = new HashMap<>();
     private final List<String> owners = new ArrayList<>(List.of("n"));
     private long stamp;
@@ -85,13 +85,13 @@
     private void claim(String id, int task, String machine) {
         Job job = ledger.job(id);
         int index = job.chunkOf(task);
-        Chunk chunk = job.chunk(index).copy();
+        TaskRange chunk = job.chunk(index).copy();
         chunk.claim(task, machine, 1, NOW.minusSeconds(60), "");
         ledger.changed(Keys.tasks(id, index), chunk.toJson(), ++stamp);
     }
 
     private Planner.Plan plan() throws Exception {
-        Planner planner = new Planner(ledger, Settings.parse(SETTINGS), Operator.DEFAULTS, this::owner);
+        Planner planner = new Planner(ledger, PlatformSettings.parse(SETTINGS), OperatorSettings.DEFAULTS, this::owner);
         return planner.plan(
                 NOW,
                 new Planner.Limits(
--- a/src/test/java/org/havenford/golden/GoldenConversation.java
+++ b/src/test/java/org/havenford/golden/GoldenConversation.java
@@ -19,17 +19,17 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import org.havenford.controller.Controller;
-import org.havenford.coordination.membership.View;
+import org.havenford.coordination.membership.ClusterView;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.Json;
 import org.havenford.protocol.MachineType;
-import org.havenford.settings.Operator;
-import org.havenford.settings.Settings;
-import org.havenford.storage.records.Chunk;
+import org.havenford.settings.OperatorSettings;
+import org.havenford.settings.PlatformSettings;
 import org.havenford.storage.records.FinalState;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
+import org.havenford.storage.records.TaskRange;
 import org.havenford.testing.JobSamples;
 import org.havenford.transport.EventLoop;
 import org.havenford.transport.HttpCalls;
@@ -78,7 +78,7 @@
     GoldenConversation() throws Json.BadMessage {
         store(
                 Keys.VIEW,
-                new View(
+                new ClusterView(
                                 4,
                                 new TreeMap<>(Map.of(NODE, INCARNATION, "node-1", 5L)),
                                 new TreeMap<>(Map.of("host-000001", NODE, "host-000002", "node-1")),
@@ -88,7 +88,7 @@
         store(Keys.member("node-1"), JsonParser.parseString("{\"incarnation\":5,\"format\":3}"), 13);
         Job running = job("j-1");
         store(Keys.job("j-1"), running.header(false), 20);
-        Chunk chunk = running.fresh(0);
+        TaskRange chunk = running.fresh(0);
         chunk.claim(0, "host-000001", 1, AT, "");
         chunk.claim(1, "host-000001", 1, AT, "");
         chunk.finish(1, 2, 30);
@@ -101,11 +101,11 @@
                 MachineBatch.of("r-1", "small", "a", true, AT, List.of("host-000001", "host-000002"))
                         .toJson(),
                 25);
-        controller = new Controller(this, this, settings(), Operator.DEFAULTS);
+        controller = new Controller(this, this, settings(), OperatorSettings.DEFAULTS);
     }
 
-    private static Settings settings() throws Json.BadMessage {
-        return Settings.parse("{\"node_name\":\"node-0\",\"location\":\"a\",\"bind\":\"node-0:1\","
+    private static PlatformSettings settings() throws Json.BadMessage {
+        return PlatformSettings.parse("{\"node_name\":\"node-0\",\"location\":\"a\",\"bind\":\"node-0:1\","
                 + "\"cluster_listen\":\"node-0:2\",\"others\":[{\"node_name\":\"node-1\",\"location\":\"b\","
                 + "\"peer_addr\":\"node-1:2\"}],\"endpoints\":{\"cloud\":\"cloud:1\",\"state\":\"" + STATE_SERVICE
                 + "\"},\"deployment\":{\"teams\":[{\"name\":\"red\"}],"
--- a/src/test/java/org/havenford/golden/GoldenMessages.java
+++ b/src/test/java/org/havenford/golden/GoldenMessages.java
@@ -11,10 +11,10 @@
 import java.util.Map;
 import org.havenford.protocol.CloudMessages;
 import org.havenford.protocol.Command;
+import org.havenford.protocol.Heartbeat;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.Json;
 import org.havenford.protocol.MachineType;
-import org.havenford.protocol.Report;
 import org.havenford.protocol.TaskId;
 import org.havenford.testing.JobSamples;
 
@@ -104,7 +104,7 @@
     /** The message as it is understood, in the form of the protocol; null for what is only written. */
     static JsonElement rewritten(String name, JsonObject message) throws Json.BadMessage {
         return switch (name.substring(0, name.indexOf('#'))) {
-            case REPORT -> report(Report.parse(message));
+            case REPORT -> report(Heartbeat.parse(message));
             case SUBMISSION -> JobSpec.parse(message).toJson();
             case MACHINE_TYPES -> MachineType.toJson(MachineType.parseAll(message));
             case MACHINE_PAGE -> page(CloudMessages.page(message.toString()));
@@ -113,7 +113,7 @@
         };
     }
 
-    private static JsonObject report(Report report) {
+    private static JsonObject report(Heartbeat report) {
         JsonObject out = new JsonObject();
         out.addProperty("box", report.machine());
         out.addProperty("endpoint", report.endpoint());
@@ -129,7 +129,7 @@
             out.addProperty("warningS", report.noticeS());
         }
         JsonArray shots = new JsonArray();
-        for (Report.Entry entry : report.tasks()) {
+        for (Heartbeat.AttemptStatus entry : report.tasks()) {
             JsonObject shot = new JsonObject();
             shot.addProperty("shot", entry.task().toString());
             shot.addProperty("take", entry.attempt());
@@ -143,7 +143,7 @@
         return out;
     }
 
-    private static String status(Report.State state) {
+    private static String status(Heartbeat.State state) {
         return switch (state) {
             case FETCHING -> "pulling";
             case RUNNING -> "running";
@@ -154,7 +154,7 @@
 
     private static JsonObject page(CloudMessages.Page page) {
         JsonArray boxes = new JsonArray();
-        for (CloudMessages.Listed machine : page.machines()) {
+        for (CloudMessages.ListedMachine machine : page.machines()) {
             JsonObject box = new JsonObject();
             box.addProperty("nameId", machine.machine());
             box.addProperty("endpoint", machine.endpoint());
--- a/src/test/java/org/havenford/golden/GoldenStoredValues.java
+++ b/src/test/java/org/havenford/golden/GoldenStoredValues.java
@@ -15,19 +15,19 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.havenford.coordination.membership.View;
+import org.havenford.coordination.membership.ClusterView;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.Json;
 import org.havenford.protocol.MachineType;
-import org.havenford.storage.Ledger;
-import org.havenford.storage.records.Chunk;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.FinalState;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
 import org.havenford.storage.records.MachineRecord.Condition;
 import org.havenford.storage.records.MachineStatuses;
-import org.havenford.storage.records.Quota;
+import org.havenford.storage.records.TaskRange;
+import org.havenford.storage.records.TeamQuota;
 import org.havenford.testing.JobSamples;
 import org.havenford.testing.QuietObservertype;
 
@@ -53,12 +53,12 @@
         addJobs(values);
         addTasks(values);
         addMachines(values);
-        values.put("live/team/red#plain", new Quota().toJson());
+        values.put("live/team/red#plain", new TeamQuota().toJson());
         values.put(
                 "live/team/red#shared",
-                new Quota()
-                        .with("node-0", new Quota.Amount(32, 0))
-                        .with("node-1", new Quota.Amount(8.5, 2))
+                new TeamQuota()
+                        .with("node-0", new TeamQuota.Resources(32, 0))
+                        .with("node-1", new TeamQuota.Resources(8.5, 2))
                         .withShort("node-0", true)
                         .toJson());
         values.put("final/j-1#done", FinalState.of(FinalState.Status.DONE, 7).toJson());
@@ -75,12 +75,13 @@
         TreeMap<String, String> moved = new TreeMap<>(Map.of("host-000001", "node-0", "host-000002", "node-1"));
         TreeSet<String> resting = new TreeSet<>(List.of("node-2"));
         TreeMap<String, Long> evicted = new TreeMap<>(Map.of("node-3", 9L));
-        values.put("live/view#empty", View.empty().toJson());
-        values.put("live/view#plain", new View(2, members, new TreeMap<>(), new TreeSet<>()).toJson());
-        values.put("live/view#moved", new View(3, members, moved, new TreeSet<>()).toJson());
-        values.put("live/view#resting", new View(4, members, new TreeMap<>(), resting).toJson());
-        values.put("live/view#evicted", new View(5, members, new TreeMap<>(), new TreeSet<>(), evicted).toJson());
-        values.put("live/view#all", new View(6, members, moved, resting, evicted).toJson());
+        values.put("live/view#empty", ClusterView.empty().toJson());
+        values.put("live/view#plain", new ClusterView(2, members, new TreeMap<>(), new TreeSet<>()).toJson());
+        values.put("live/view#moved", new ClusterView(3, members, moved, new TreeSet<>()).toJson());
+        values.put("live/view#resting", new ClusterView(4, members, new TreeMap<>(), resting).toJson());
+        values.put(
+                "live/view#evicted", new ClusterView(5, members, new TreeMap<>(), new TreeSet<>(), evicted).toJson());
+        values.put("live/view#all", new ClusterView(6, members, moved, resting, evicted).toJson());
     }
 
     private static void addJobs(Map<String, JsonElement> values) throws Json.BadMessage {
@@ -119,7 +120,7 @@
 
     private static void addTasks(Map<String, JsonElement> values) {
         values.put("live/tasks/j-1/2#fresh", freshChunk().toJson());
-        Chunk usual = freshChunk();
+        TaskRange usual = freshChunk();
         usual.claim(64, "host-000001", 1, AT, "node-0");
         usual.claim(65, "host-000001", 1, AT, "");
         usual.finish(65, 1.5, 20.2);
@@ -129,13 +130,13 @@
         usual.claim(95, "host-000003", 2, AT, "node-1");
         usual.release(95, false, true);
         values.put("live/tasks/j-1/2#usual", usual.toJson(LARGE, LARGE, true));
-        Chunk thinned = freshChunk();
+        TaskRange thinned = freshChunk();
         for (int task = FIRST_TASK; task < FIRST_TASK + CHUNK_SIZE; task++) {
             thinned.claim(task, "host-000001", 1, AT, "");
             thinned.finish(task, task / 10.0, 200 - task);
         }
         values.put("live/tasks/j-1/2#thinned", thinned.toJson(THINNED_LIMIT, THINNED_LIMIT, false));
-        Chunk shortened = freshChunk();
+        TaskRange shortened = freshChunk();
         for (int task = FIRST_TASK; task < FIRST_TASK + CHUNK_SIZE - 2; task++) {
             shortened.claim(task, "host-0000" + task, 2, AT.plusMillis(250L * task), task % 3 == 0 ? "" : "node-1");
         }
@@ -145,8 +146,8 @@
         values.put("live/tasks/j-1/2#short", shortened.toJson(SHORT_LIMIT, SHORT_LIMIT, true));
     }
 
-    private static Chunk freshChunk() {
-        return new Chunk("j-1", FIRST_TASK, CHUNK_SIZE);
+    private static TaskRange freshChunk() {
+        return new TaskRange("j-1", FIRST_TASK, CHUNK_SIZE);
     }
 
     private static void addMachines(Map<String, JsonElement> values) {
@@ -155,8 +156,8 @@
         values.put("live/machine/r-2-4-1#in-service", batch.toJson());
         values.put(
                 "live/machine/r-2-4-1#all-services",
-                batch.with("host-000002", MachineBatch.Service.RETIRING)
-                        .with("host-000003", MachineBatch.Service.RETURNING)
+                batch.with("host-000002", MachineBatch.ServiceState.RETIRING)
+                        .with("host-000003", MachineBatch.ServiceState.RETURNING)
                         .toJson());
         MachineStatuses statuses = new MachineStatuses(AT, new TreeMap<>());
         values.put("live/heard/node-0/0#empty", statuses.toJson(LARGE));
@@ -167,7 +168,9 @@
         }
         values.put("live/heard/node-0/0#all-conditions", statuses.toJson(LARGE));
         values.put("live/heard/node-0/0#fewer-images", statuses.toJson(SCARCE_LIMIT));
-        values.put("live/booking/r-2-4-1#plain", new Ledger.Booking("r-2-4-1", "large", "b", true, 12, AT).toJson());
+        values.put(
+                "live/booking/r-2-4-1#plain",
+                new ClusterState.InstanceRequest("r-2-4-1", "large", "b", true, 12, AT).toJson());
         values.put("live/types#plain", MachineType.toJson(types()));
     }
 
@@ -199,7 +202,7 @@
     static JsonElement rewritten(String name, JsonObject value) throws Json.BadMessage {
         String key = name.substring(0, name.indexOf('#'));
         if (key.equals(Keys.VIEW)) {
-            return View.parse(value).toJson();
+            return ClusterView.parse(value).toJson();
         } else if (key.startsWith(Keys.JOBS)) {
             Job job = Job.parse(value);
             return job.header(job.cancelled());
@@ -211,7 +214,7 @@
         } else if (key.startsWith(Keys.MACHINE_STATUSES)) {
             return MachineStatuses.parse(value).toJson(LARGE);
         } else if (key.startsWith(Keys.TEAMS)) {
-            return Quota.parse(value).toJson();
+            return TeamQuota.parse(value).toJson();
         } else if (key.startsWith(Keys.BOOKINGS)) {
             return rewrittenBooking(key, value);
         } else if (key.equals(Keys.TYPES)) {
@@ -224,11 +227,11 @@
 
     /** Bookings are read by the ledger alone. */
     private static JsonElement rewrittenBooking(String key, JsonObject value) {
-        Ledger ledger = new Ledger();
+        ClusterState ledger = new ClusterState();
         ledger.observer(new QuietObservertype());
         ledger.changed(key, value, 1);
         JsonArray all = new JsonArray();
-        List<Ledger.Booking> bookings = new ArrayList<>(ledger.bookings());
+        List<ClusterState.InstanceRequest> bookings = new ArrayList<>(ledger.bookings());
         bookings.forEach(booking -> all.add(booking.toJson()));
         return all.size() == 1 ? all.get(0) : all;
     }
--- a/src/test/java/org/havenford/protocol/MessagesTest.java
+++ b/src/test/java/org/havenford/protocol/MessagesTest.java
@@ -7,7 +7,7 @@
 
 import com.google.gson.JsonObject;
 import java.time.Duration;
-import org.havenford.settings.Settings;
+import org.havenford.settings.PlatformSettings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -72,20 +72,20 @@
 
     @Test
     void settingsNeedTheirFields() {
-        Json.BadMessage e = assertThrows(Json.BadMessage.class, () -> Settings.parse("{\"node_name\":\"a\"}"));
+        Json.BadMessage e = assertThrows(Json.BadMessage.class, () -> PlatformSettings.parse("{\"node_name\":\"a\"}"));
         assertTrue(e.getMessage().contains("endpoints"), e.getMessage());
     }
 
     @Test
     void reportsAreOrderedBySessionAndSequence() throws Exception {
-        Report a = report(1, 90);
+        Heartbeat a = report(1, 90);
         assertTrue(report(2, 1).newerThan(a));
         assertTrue(report(1, 91).newerThan(a));
         assertEquals(false, report(1, 90).newerThan(a));
     }
 
-    private static Report report(long session, long seq) throws Json.BadMessage {
-        return Report.parse(Json.object(
+    private static Heartbeat report(long session, long seq) throws Json.BadMessage {
+        return Heartbeat.parse(Json.object(
                 "{\"box\":\"host-1\",\"endpoint\":\"10.0.0.1:9\",\"rig\":\"g8\",\"hall\":\"a\",\"borrowed\":false,"
                         + "\"shift\":" + session + ",\"tally\":" + seq
                         + ",\"baton\":4294967296,\"shots\":[{\"shot\":\"j-1/0\",\"take\":1,\"status\":\"running\"}]}"));
--- a/src/test/java/org/havenford/standby/TakeoverConductorTest.java
+++ b/src/test/java/org/havenford/standby/FailoverCoordinatorTest.java
@@ -10,14 +10,14 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import org.havenford.coordination.membership.View;
-import org.havenford.settings.Settings;
+import org.havenford.coordination.membership.ClusterView;
+import org.havenford.settings.PlatformSettings;
 import org.havenford.settings.StandbySettings;
 import org.havenford.standby.PeerMessage.ReachAnswer;
 import org.junit.jupiter.api.Test;
 
 /** From a suspicion to a verdict: whom it takes, and what happens when the view changes on the way. */
-class TakeoverConductorTest {
+class FailoverCoordinatorTest {
     private static final long INCARNATION = 7;
     private static final Duration WINDOW = Duration.ofMillis(500);
 
@@ -28,9 +28,9 @@
         private boolean stands = true;
 
         @Override
-        public View view() {
+        public ClusterView view() {
             TreeMap<String, Long> members = new TreeMap<>(Map.of("node-0", 3L, "node-1", 5L, "node-2", INCARNATION));
-            return new View(4, members, new TreeMap<>(), new TreeSet<>());
+            return new ClusterView(4, members, new TreeMap<>(), new TreeSet<>());
         }
 
         @Override
@@ -60,7 +60,7 @@
     private boolean suspected = true;
     private final Map<String, PeerLink> links =
             new TreeMap<>(Map.of("node-1", link("node-1"), "node-2", link("node-2")));
-    private final TakeoverConductor conductor = new TakeoverConductor(
+    private final FailoverCoordinator conductor = new FailoverCoordinator(
             host,
             (node, incarnation) -> suspected && node.equals("node-2") && incarnation == INCARNATION,
             "node-0",
@@ -72,7 +72,7 @@
         return new PeerLink(
                 host,
                 null,
-                new Settings.Peer(node, "a", "10.0.0.9:1"),
+                new PlatformSettings.Peer(node, "a", "10.0.0.9:1"),
                 "node-0",
                 StandbySettings.OFF,
                 new DecisionLog(),
--- a/src/test/java/org/havenford/standby/TakeoverModelProperties.java
+++ b/src/test/java/org/havenford/standby/FailoverModelProperties.java
@@ -24,7 +24,7 @@
  * the stream is cut anywhere, the owner ends or stalls, and it is evicted. Whenever the real follower says that it has seen
  * everything, its replica holds every decision that the owner has committed or ever will.
  */
-class TakeoverModelProperties {
+class FailoverModelProperties {
     private static final String SEED = "815";
 
     private enum Step {
--- a/src/test/java/org/havenford/standby/FakeHost.java
+++ b/src/test/java/org/havenford/standby/FakeHost.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import org.havenford.coordination.agents.MachineNote;
+import org.havenford.coordination.agents.AgentContact;
 import org.havenford.coordination.failover.StandbyHost;
-import org.havenford.coordination.membership.View;
+import org.havenford.coordination.membership.ClusterView;
 import org.havenford.transport.EventLoop;
 
 /** A controller that stands still in time until told otherwise, and forgets timers. */
@@ -43,8 +43,8 @@
     public void observe(Observer observer) {}
 
     @Override
-    public View view() {
-        return View.empty();
+    public ClusterView view() {
+        return ClusterView.empty();
     }
 
     @Override
@@ -87,7 +87,7 @@
     public void evict(String node, long incarnation, long challengeStamp, Consumer<Boolean> done) {}
 
     @Override
-    public List<MachineNote> machineNotes() {
+    public List<AgentContact> machineNotes() {
         return List.of();
     }
 
@@ -97,5 +97,5 @@
     }
 
     @Override
-    public void contact(MachineNote note) {}
+    public void contact(AgentContact note) {}
 }
--- a/src/test/java/org/havenford/standby/FrameCodecProperties.java
+++ b/src/test/java/org/havenford/standby/FrameCodecProperties.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
-import org.havenford.coordination.agents.MachineNote;
+import org.havenford.coordination.agents.AgentContact;
 import org.havenford.standby.FrameCodec.Frame;
 import org.havenford.standby.PeerMessage.Heartbeat;
 import org.havenford.standby.PeerMessage.Hello;
@@ -109,8 +109,8 @@
         Arbitrary<Long> number = Arbitraries.longs();
         Arbitrary<Boolean> flag = Arbitraries.of(true, false);
         Arbitrary<List<String>> texts = text.list().ofMaxSize(FrameCodec.MAX_ITEMS);
-        Arbitrary<MachineNote> note =
-                Combinators.combine(text, text, number, number, number).as(MachineNote::new);
+        Arbitrary<AgentContact> note =
+                Combinators.combine(text, text, number, number, number).as(AgentContact::new);
         return Arbitraries.oneOf(
                 Combinators.combine(text, number).as(Hello::new),
                 Arbitraries.of(new Heartbeat(), new SnapshotBegin()),
--- a/src/test/java/org/havenford/standby/GoldenFramesTest.java
+++ b/src/test/java/org/havenford/standby/GoldenFramesTest.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
-import org.havenford.coordination.agents.MachineNote;
+import org.havenford.coordination.agents.AgentContact;
 import org.havenford.standby.FrameCodec.Frame;
 import org.junit.jupiter.api.Test;
 
@@ -25,8 +25,8 @@
                 new PeerMessage.Heartbeat(),
                 new PeerMessage.SnapshotBegin(),
                 new PeerMessage.Machines(List.of(
-                        new MachineNote("host-000001", "10.1.0.1:9000", 1, 88, 17_179_869_184L),
-                        new MachineNote("host-000002", "10.1.0.2:9000", 2, 0, 0))),
+                        new AgentContact("host-000001", "10.1.0.1:9000", 1, 88, 17_179_869_184L),
+                        new AgentContact("host-000002", "10.1.0.2:9000", 2, 0, 0))),
                 new PeerMessage.MachinesGone(List.of("host-000001", "host-000002")),
                 new PeerMessage.Intent(5, List.of("live/job/j-1", "live/tasks/j-1/0")),
                 new PeerMessage.Outcome(5, true, 432),
--- a/src/test/java/org/havenford/standby/PeerLinkTest.java
+++ b/src/test/java/org/havenford/standby/PeerLinkTest.java
@@ -9,8 +9,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import org.havenford.coordination.agents.MachineNote;
-import org.havenford.settings.Settings;
+import org.havenford.coordination.agents.AgentContact;
+import org.havenford.settings.PlatformSettings;
 import org.havenford.settings.StandbySettings;
 import org.havenford.standby.FrameCodec.Frame;
 import org.havenford.standby.PeerMessage.Hello;
@@ -21,7 +21,7 @@
 
 /** One end of a connection: what comes badly ends it, what the other end does not take ends it, and a new one starts afresh. */
 class PeerLinkTest {
-    private static final MachineNote NOTE = new MachineNote("host-1", "10.0.0.1:9000", 1, 7, 42);
+    private static final AgentContact NOTE = new AgentContact("host-1", "10.0.0.1:9000", 1, 7, 42);
 
     private final FakeHost host = new FakeHost();
     private final FakeNetwork network = new FakeNetwork();
@@ -29,7 +29,7 @@
     private final PeerLink link = new PeerLink(
             host,
             network,
-            new Settings.Peer("node-1", "b", "10.0.0.2:8081"),
+            new PlatformSettings.Peer("node-1", "b", "10.0.0.2:8081"),
             "node-0",
             StandbySettings.OFF,
             decisions,
--- a/src/test/java/org/havenford/storage/StateStoreTest.java
+++ b/src/test/java/org/havenford/storage/StoreClientTest.java
@@ -10,14 +10,14 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
-import org.havenford.storage.StateStore.Outcome;
-import org.havenford.storage.StateStore.Urgency;
+import org.havenford.storage.StoreClient.CallPriority;
+import org.havenford.storage.StoreClient.Outcome;
 import org.havenford.transport.EventLoop;
 import org.havenford.transport.HttpCalls;
 import org.junit.jupiter.api.Test;
 
 /** How calls wait for their turn at the state service. */
-class StateStoreTest {
+class StoreClientTest {
     private record Timer(Instant at, Runnable task) {}
 
     private static final class Loop implements EventLoop {
@@ -63,10 +63,10 @@
     };
 
     /** Five changes a second for this controller alone. */
-    private final StateStore store = new StateStore(loop, calls, "state:1", 100, 5, 5, 1);
+    private final StoreClient store = new StoreClient(loop, calls, "state:1", 100, 5, 5, 1);
 
-    private static StateStore.Txn changes(int n) {
-        StateStore.Txn txn = new StateStore.Txn();
+    private static StoreClient.Transaction changes(int n) {
+        StoreClient.Transaction txn = new StoreClient.Transaction();
         for (int i = 0; i < n; i++) {
             txn.set("live/x/" + i, new JsonObject());
         }
@@ -78,9 +78,9 @@
     void aTransactionThatHasBecomeStaleIsNotSent() {
         List<Outcome> outcomes = new ArrayList<>();
         boolean[] current = {true};
-        store.commit(changes(4), Urgency.CLAIM, r -> outcomes.add(r.outcome()));
-        store.commit(changes(2), Urgency.CLAIM, () -> current[0], r -> outcomes.add(r.outcome()));
-        store.commit(changes(1), Urgency.CLAIM, r -> outcomes.add(r.outcome()));
+        store.commit(changes(4), CallPriority.CLAIM, r -> outcomes.add(r.outcome()));
+        store.commit(changes(2), CallPriority.CLAIM, () -> current[0], r -> outcomes.add(r.outcome()));
+        store.commit(changes(1), CallPriority.CLAIM, r -> outcomes.add(r.outcome()));
         assertEquals(List.of(Outcome.OK), outcomes, "the others wait for the limit");
         current[0] = false;
         loop.run(Duration.ofSeconds(3));
--- a/src/test/java/org/havenford/storage/records/StoredValuesTest.java
+++ b/src/test/java/org/havenford/storage/records/StoredValuesTest.java
@@ -19,9 +19,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import org.havenford.coordination.membership.View;
+import org.havenford.coordination.membership.ClusterView;
 import org.havenford.protocol.MachineType;
-import org.havenford.storage.Ledger;
+import org.havenford.storage.ClusterState;
 import org.junit.jupiter.api.Test;
 
 /** Values that earlier versions have stored are read, and written back so that those versions can read them. */
@@ -49,7 +49,7 @@
         } else if (key.startsWith(Keys.TASKS)) {
             String[] path = key.substring(Keys.TASKS.length()).split("/");
             Job job = Job.parse(samples.get(Keys.job(path[0])));
-            Chunk read = job.fresh(Integer.parseInt(path[1])).read(value);
+            TaskRange read = job.fresh(Integer.parseInt(path[1])).read(value);
             return read.toJson(value.has("s") ? 2048 : LARGE, LARGE, true);
         } else if (key.startsWith(Keys.MACHINES)) {
             return MachineBatch.parse(key.substring(Keys.MACHINES.length()), value)
@@ -57,9 +57,9 @@
         } else if (key.startsWith(Keys.MACHINE_STATUSES)) {
             return MachineStatuses.parse(value).toJson(LARGE);
         } else if (key.startsWith(Keys.TEAMS)) {
-            return Quota.parse(value).toJson();
+            return TeamQuota.parse(value).toJson();
         } else if (key.equals(Keys.VIEW)) {
-            return View.parse(value).toJson();
+            return ClusterView.parse(value).toJson();
         } else if (key.equals(Keys.TYPES)) {
             return MachineType.toJson(MachineType.parseAll(value));
         } else if (key.startsWith(Keys.FINALS)) {
@@ -108,7 +108,7 @@
         for (String file : List.of("format-1.txt", "format-2.txt")) {
             List<String> members = new ArrayList<>();
             List<JsonObject> views = new ArrayList<>();
-            Ledger ledger = new Ledger();
+            ClusterState ledger = new ClusterState();
             ledger.observer(observer(members, views));
             long stamp = 0;
             for (Map.Entry<String, JsonObject> sample : samples(file).entrySet()) {
@@ -124,8 +124,8 @@
         }
     }
 
-    private static Ledger.Observer observer(List<String> members, List<JsonObject> views) {
-        return new Ledger.Observer() {
+    private static ClusterState.Observer observer(List<String> members, List<JsonObject> views) {
+        return new ClusterState.Observer() {
             @Override
             public void viewChanged(JsonObject view, long stamp) {
                 views.add(view);
--- a/src/test/java/org/havenford/storage/records/ChunkTest.java
+++ b/src/test/java/org/havenford/storage/records/TaskRangeTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class ChunkTest {
+class TaskRangeTest {
     private static final Instant AT = Instant.ofEpochMilli(1_700_000_000_000L);
 
     /** The largest record that can come about must fit the smallest value limit that a deployment names. */
@@ -20,7 +20,7 @@
     void aFullChunkStaysWithinTheValueLimit() {
         for (int limit : new int[] {8 * 1024, 16 * 1024}) {
             int size = Job.chunkSize(limit);
-            Chunk c = new Chunk("j-1", 99_936, size);
+            TaskRange c = new TaskRange("j-1", 99_936, size);
             for (int i = 99_936; i < 99_936 + size; i++) {
                 c.claim(i, "host-00000123456", 12345, AT, "workhorse-0123456789");
                 c.release(i, true, true);
@@ -40,7 +40,7 @@
     void whatWasWrittenLargerFitsTheLowerLimit() throws Exception {
         for (int limit : new int[] {8 * 1024, 16 * 1024}) {
             int size = Job.chunkSize(limit);
-            Chunk c = new Chunk("j-1", 64, size);
+            TaskRange c = new TaskRange("j-1", 64, size);
             for (int i = 64; i < 64 + size; i++) {
                 c.claim(i, "host-000" + (100 + i), 12, AT.plusMillis(1000L * i), "workhorse-" + i % 7);
                 c.fetches().add(i);
@@ -52,11 +52,11 @@
             assertTrue(
                     c.copy().toJson(2048, limit, false).has("c"),
                     "until then it stays readable for the version before");
-            Chunk small = c.copy();
+            TaskRange small = c.copy();
             String text = small.toJson(2048, limit, true).toString();
             assertTrue(text.length() <= 2048, text);
-            Chunk read =
-                    new Chunk("j-1", 64, size).read(JsonParser.parseString(text).getAsJsonObject());
+            TaskRange read = new TaskRange("j-1", 64, size)
+                    .read(JsonParser.parseString(text).getAsJsonObject());
             assertEquals(List.copyOf(c.claims()), List.copyOf(read.claims()));
             assertEquals("host-000170", read.lateOn(70));
             assertEquals(2, read.claim(70, "host-1", 1, AT, "").attempt(), "attempts go on counting");
@@ -69,7 +69,7 @@
     @Test
     void aFullChunkOfASmallLimitHasAFormThatFits() {
         int size = Job.chunkSize(2048);
-        Chunk c = new Chunk("j-1", 99_936, size);
+        TaskRange c = new TaskRange("j-1", 99_936, size);
         for (int i = 99_936; i < 99_936 + size; i++) {
             c.claim(i, "host-00000123456", 12345, AT.plusMillis(i), "workhorse-0123456789");
             c.fetches().add(99_999);
@@ -84,7 +84,8 @@
         String kept =
                 "{\"d\":[\"5\"],\"c\":[[1,2,\"host-000007\",3,1700000000000,\"workhorse-1\"],[3,1,\"host-000008\",1,1700000000500]],"
                         + "\"n\":{\"1\":2,\"3\":1},\"l\":{\"1\":\"host-000009\"},\"f\":[12],\"r\":[250,260],\"x\":1}";
-        Chunk c = new Chunk("j-1", 0, 16).read(JsonParser.parseString(kept).getAsJsonObject());
+        TaskRange c =
+                new TaskRange("j-1", 0, 16).read(JsonParser.parseString(kept).getAsJsonObject());
         assertEquals(kept, c.toJson(2048, 8192, false).toString());
         assertEquals(kept, c.toJson(2048, 8192, true).toString(), "what fits keeps the form that both read");
     }
@@ -113,13 +114,13 @@
 
     @Test
     void whatIsWrittenIsRead() throws Exception {
-        Chunk c = new Chunk("j-1", 64, 64);
+        TaskRange c = new TaskRange("j-1", 64, 64);
         c.claim(70, "host-1", 3, AT, "node-1");
         c.claim(71, "host-2", 1, AT, "");
         c.finish(71, 1.5, 20.25);
         c.claim(72, "host-2", 1, AT, "");
         c.release(72, true, false);
-        Chunk read = new Chunk("j-1", 64, 64).read(c.toJson());
+        TaskRange read = new TaskRange("j-1", 64, 64).read(c.toJson());
         assertEquals(c.toJson(), read.toJson());
         assertEquals(1, read.doneCount());
         assertEquals(62, read.pendingCount());
@@ -129,7 +130,7 @@
 
     @Test
     void attemptsOnlyGrow() {
-        Chunk c = new Chunk("j-1", 0, 2);
+        TaskRange c = new TaskRange("j-1", 0, 2);
         assertEquals(1, c.claim(0, "host-1", 1, AT, "").attempt());
         c.release(0, false, false);
         assertEquals(2, c.claim(0, "host-1", 1, AT, "").attempt());
--- a/src/test/java/org/havenford/testing/QuietObservertype.java
+++ b/src/test/java/org/havenford/testing/QuietObservertype.java
@@ -1,11 +1,11 @@
 package org.havenford.testing;
 
 import com.google.gson.JsonObject;
-import org.havenford.storage.Ledger;
+import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Job;
 
 /** For tests that read the ledger and need not be told of its changes. */
-public final class QuietObservertype implements Ledger.Observer {
+public final class QuietObservertype implements ClusterState.Observer {
     @Override
     public void viewChanged(JsonObject view, long stamp) {}
 
--- a/src/test/java/org/havenford/world/GrownTest.java
+++ b/src/test/java/org/havenford/world/GrownTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import org.havenford.settings.Settings;
+import org.havenford.settings.PlatformSettings;
 import org.junit.jupiter.api.Test;
 
 /** What only shows at size: counts of what the state service is asked for, and that no kind of work starves. */
@@ -16,7 +16,7 @@
     private static final String TEAMS =
             "{\"name\":\"red\",\"cpus\":1000,\"cpus_max\":4000}," + "{\"name\":\"blue\",\"cpus\":400,\"cpus_max\":900}";
 
-    private static Settings settings(int node) {
+    private static PlatformSettings settings(int node) {
         return Trace.settings(
                 node,
                 NODES,
--- a/src/test/java/org/havenford/world/GuestWorkTest.java
+++ b/src/test/java/org/havenford/world/GuestWorkTest.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import org.havenford.settings.Settings;
+import org.havenford.settings.PlatformSettings;
 import org.junit.jupiter.api.Test;
 
 /** A guest team without a guarantee sends one huge job and hundreds of jobs of one task, beside urgent work of others. */
@@ -19,7 +19,7 @@
     private static final String TEAMS =
             "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0},{\"name\":\"guest\",\"cpus\":0,\"cpus_max\":0}";
 
-    private static Settings settings(int node) {
+    private static PlatformSettings settings(int node) {
         return Trace.settings(
                 node,
                 NODES,
--- a/src/test/java/org/havenford/world/LoopbackWorld.java
+++ b/src/test/java/org/havenford/world/LoopbackWorld.java
@@ -27,7 +27,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.havenford.protocol.Json;
-import org.havenford.settings.Settings;
+import org.havenford.settings.PlatformSettings;
 import org.havenford.transport.HttpCalls.Reply;
 
 /**
@@ -69,12 +69,12 @@
         for (int i = 0; i < nodes; i++) {
             settings.add(settings(i, binds, peers, teams, cloud, state));
         }
-        world = new World(1, Settings.parse(settings.get(0)));
+        world = new World(1, PlatformSettings.parse(settings.get(0)));
         world.endpoints = this::endpoint;
         serve(state);
         serve(cloud);
         for (int i = 0; i < nodes; i++) {
-            Settings parsed = Settings.parse(settings.get(i));
+            PlatformSettings parsed = PlatformSettings.parse(settings.get(i));
             world.addRemoteNode(parsed);
             String bind = parsed.bind();
             world.servers.put(bind, (method, path, body, answer) -> forward(bind, method, path, body, answer));
--- a/src/test/java/org/havenford/world/Rules.java
+++ b/src/test/java/org/havenford/world/Rules.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.havenford.settings.Settings;
+import org.havenford.settings.PlatformSettings;
 
 /** The rules of the protocol, checked after every event against what is really on the machines. */
 final class Rules {
@@ -179,7 +179,7 @@
             Instant tried = lastStartOf.getOrDefault(j.id, Instant.MIN);
             boolean triedLately = j.broken && tried.plus(WAITS_AT_MOST).isAfter(world.now);
             boolean pending = open && unstarted(j) && !triedLately;
-            Settings.Team team = world.template.teams().get(j.team);
+            PlatformSettings.Team team = world.template.teams().get(j.team);
             boolean allowed = team.cpusMax() <= 0 || used.getOrDefault(j.team, 0.0) + j.cpus <= team.cpusMax() + 1e-6;
             Map<String, Integer> byZone = pending && allowed ? tasksByZone(j) : Map.of();
             if (!pending
@@ -253,7 +253,7 @@
             checkWaiting(used);
         }
         used.forEach((team, cpus) -> {
-            Settings.Team limit = world.template.teams().get(team);
+            PlatformSettings.Team limit = world.template.teams().get(team);
             if (limit.cpusMax() > 0 && cpus > limit.cpusMax() + 1e-6) {
                 broken("quota", team + " uses " + cpus);
             }
--- a/src/test/java/org/havenford/world/Trace.java
+++ b/src/test/java/org/havenford/world/Trace.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Set;
 import org.havenford.protocol.Json;
-import org.havenford.settings.Settings;
+import org.havenford.settings.PlatformSettings;
 
 /** A kept trace: one line an event, played in a {@link World}. See src/test/resources/traces/README.md. */
 final class Trace {
@@ -17,11 +17,11 @@
 
     private Trace() {}
 
-    static Settings settings(int node, String teams) {
+    static PlatformSettings settings(int node, String teams) {
         return settings(node, 3, teams, WORKERS, STATE);
     }
 
-    static Settings settings(int node, int nodes, String teams, String workers, String state) {
+    static PlatformSettings settings(int node, int nodes, String teams, String workers, String state) {
         StringBuilder others = new StringBuilder();
         for (int i = 0; i < nodes; i++) {
             if (i != node) {
@@ -36,7 +36,7 @@
             }
         }
         try {
-            return Settings.parse("{\"node_name\":\"node-" + node + "\",\"location\":\"" + zone(node)
+            return PlatformSettings.parse("{\"node_name\":\"node-" + node + "\",\"location\":\"" + zone(node)
                     + "\",\"bind\":\"node-"
                     + node + ":1\",\"cluster_listen\":\"node-" + node + ":2\",\"others\":[" + others
                     + "],\"endpoints\":{\"cloud\":\"cloud:1\",\"state\":\"state:1\"},\"deployment\":{\"teams\":["
@@ -99,7 +99,7 @@
         world.withoutStandby.addAll(withoutStandby);
         world.cloud.perOffer = perOffer > 0 ? perOffer : world.cloud.perOffer;
         for (int i = 0; i < nodes; i++) {
-            Settings before = old ? settings(i, nodes, teamText, WORKERS, STATE) : null;
+            PlatformSettings before = old ? settings(i, nodes, teamText, WORKERS, STATE) : null;
             world.addNode(settings(i, nodes, teamText, WORKERS, state), before);
         }
         for (String[] e : events) {
--- a/src/test/java/org/havenford/world/World.java
+++ b/src/test/java/org/havenford/world/World.java
@@ -16,8 +16,8 @@
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
 import org.havenford.controller.Controller;
-import org.havenford.settings.Operator;
-import org.havenford.settings.Settings;
+import org.havenford.settings.OperatorSettings;
+import org.havenford.settings.PlatformSettings;
 import org.havenford.settings.StandbySettings;
 import org.havenford.standby.WarmStandby;
 import org.havenford.transport.EventLoop;
@@ -88,7 +88,7 @@
     final Rules rules = new Rules(this);
     final Users users = new Users(this);
     final Map<String, Worker> workers = new LinkedHashMap<>();
-    final Settings template;
+    final PlatformSettings template;
     final PeerWires wires = new PeerWires(this);
     /** Whether controllers have a standby, and which of them have none all the same. */
     boolean withStandby;
@@ -100,7 +100,7 @@
     /** Where the worker of a machine is reached. */
     UnaryOperator<String> endpoints = machine -> machine + ":9000";
 
-    World(long seed, Settings template) {
+    World(long seed, PlatformSettings template) {
         this.random = new SplittableRandom(seed);
         this.template = template;
         this.store = new Store(this);
@@ -302,7 +302,7 @@
     // ---- controllers
 
     final class Node implements Server {
-        final Settings settings;
+        final PlatformSettings settings;
         private Life life;
         /** It stands still: nothing that comes in or is due happens, and what it had queued has not gone out. */
         private boolean still;
@@ -314,9 +314,9 @@
         /** It runs the version before format 2, which knows nothing of limits to come. */
         private boolean old;
 
-        private Settings oldSettings;
+        private PlatformSettings oldSettings;
 
-        Node(Settings settings) {
+        Node(PlatformSettings settings) {
             this.settings = settings;
         }
 
@@ -408,7 +408,7 @@
             private final Instant started = World.this.now;
             private final boolean isOld = old;
             private final Controller controller =
-                    new Controller(this, this, isOld ? oldSettings : settings, Operator.DEFAULTS);
+                    new Controller(this, this, isOld ? oldSettings : settings, OperatorSettings.DEFAULTS);
 
             void startStandby() {
                 if (withStandby && !isOld && !withoutStandby.contains(settings.node())) {
@@ -447,17 +447,17 @@
         }
     }
 
-    void addNode(Settings s) {
+    void addNode(PlatformSettings s) {
         addNode(s, null);
     }
 
     /** A controller that runs elsewhere: workers and users know its address. */
-    void addRemoteNode(Settings s) {
+    void addRemoteNode(PlatformSettings s) {
         nodes.put(s.node(), new Node(s));
     }
 
     /** A controller of this version or, where {@code oldSettings} are given, of the one before until it is upgraded. */
-    void addNode(Settings s, Settings oldSettings) {
+    void addNode(PlatformSettings s, PlatformSettings oldSettings) {
         Node n = new Node(s);
         n.old = oldSettings != null;
         n.oldSettings = oldSettings;
