--- a/src/main/java/org/havenford/Main.java
+++ b/src/main/java/org/havenford/Main.java
@@ -107,9 +107,9 @@
         try {
             PlatformSettings settings = PlatformSettings.read(file);
             Path operatorFile = parsed.matchedOptionValue("--operator", (Path) null);
-            OperatorSettings operator =
+            OperatorSettings operatorSettings =
                     operatorFile == null ? OperatorSettings.DEFAULTS : OperatorSettings.read(operatorFile);
-            serve(settings, operator);
+            serve(settings, operatorSettings);
             return -1;
         } catch (NoSuchFileException e) {
             return fail("there is no file " + e.getMessage());
@@ -133,7 +133,7 @@
      * Starts the one event-loop thread and builds everything on it. The calling thread only waits: two threads that load
      * classes at the same time have been seen to crash the process in read() (docs/incidents/start-crash.md).
      */
-    static void serve(PlatformSettings settings, OperatorSettings operator) throws IOException {
+    static void serve(PlatformSettings settings, OperatorSettings operatorSettings) throws IOException {
         XnioWorker worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
                         .set(Options.WORKER_IO_THREADS, 1)
@@ -145,7 +145,7 @@
         CompletableFuture<Void> built = new CompletableFuture<>();
         worker.getIoThread().execute(() -> {
             try {
-                build(worker, settings, operator);
+                build(worker, settings, operatorSettings);
                 built.complete(null);
             } catch (RuntimeException e) {
                 built.completeExceptionally(e);
@@ -154,7 +154,7 @@
         built.join();
     }
 
-    private static void build(XnioWorker worker, PlatformSettings settings, OperatorSettings operator) {
+    private static void build(XnioWorker worker, PlatformSettings settings, OperatorSettings operatorSettings) {
         XnioLoop loop = new XnioLoop(worker.getIoThread());
         DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8 * 1024, 64, 0);
         // When the other controllers are down, all workers and users come here: room for them goes before room for
@@ -166,7 +166,7 @@
                 loop,
                 buffers,
                 () -> Math.max(kept, Math.min(most / 2, most - kept - (server[0] == null ? 0 : server[0].open()))));
-        Controller controller = new Controller(loop, client, settings, operator);
+        Controller controller = new Controller(loop, client, settings, operatorSettings);
         int colon = settings.bind().lastIndexOf(':');
         server[0] = new HttpServer(
                 worker,
@@ -175,9 +175,9 @@
                 Math.max(50, most - 2 * kept),
                 controller);
         server[0].start();
-        if (operator.standby().enabled() && !settings.peers().isEmpty()) {
+        if (operatorSettings.standby().enabled() && !settings.peers().isEmpty()) {
             XnioPeerNetwork peers = new XnioPeerNetwork(worker, loop);
-            new WarmStandby(controller.standbyHost(), peers, settings, operator.standby()).start();
+            new WarmStandby(controller.standbyHost(), peers, settings, operatorSettings.standby()).start();
         }
         LoggerFactory.getLogger(Main.class).info("{} serves on {}", settings.node(), settings.bind());
         controller.start();
--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -53,19 +53,19 @@
     /** Time for a worker to hear of a cancellation, and for clocks that differ. */
     private static final Duration CANCEL_MARGIN = Duration.ofSeconds(6);
 
-    private static final Duration TALLY = Duration.ofSeconds(60);
+    private static final Duration STATISTICS_INTERVAL = Duration.ofSeconds(60);
 
     private final EventLoop loop;
-    private final ProcessPauseDetector pauses;
+    private final ProcessPauseDetector pauseDetector;
     private final LinkMonitor links;
-    private final ClusterState ledger = new ClusterState();
+    private final ClusterState clusterState = new ClusterState();
     private final StoreClient store;
     private final StoreReplica replica;
     private final Membership membership;
-    private final AgentManager fleet;
+    private final AgentManager agentManager;
     private final Scheduler scheduler;
     private final Provisioner provisioner;
-    private final JobApi users;
+    private final JobApi jobApi;
     private final MemberEvictions evictions;
     private final StandbyAccess standbyAccess;
     private final PipelineMetrics pipelineMetrics = new PipelineMetrics();
@@ -73,15 +73,16 @@
     private final Histogram lagMicros = new Histogram(60_000_000L, 2);
     private boolean roundDue;
     private Instant restUntil = Instant.MIN;
-    private Instant nextTally;
-    private Instant lastComplaint = Instant.MIN;
+    private Instant nextStatistics;
+    private Instant lastWarning = Instant.MIN;
 
     /** Puts a controller together; nothing happens before {@link #start}. */
-    public Controller(EventLoop outerLoop, HttpCalls outerCalls, PlatformSettings settings, OperatorSettings operator) {
-        pauses = new ProcessPauseDetector(outerLoop, outerCalls, this::stoodStill);
-        loop = pauses;
+    public Controller(
+            EventLoop outerLoop, HttpCalls outerCalls, PlatformSettings settings, OperatorSettings operatorSettings) {
+        pauseDetector = new ProcessPauseDetector(outerLoop, outerCalls, this::processPaused);
+        loop = pauseDetector;
         links = new LinkMonitor(settings, loop);
-        HttpCalls calls = links.watching(pauses);
+        HttpCalls calls = links.watching(pauseDetector);
         store = new StoreClient(
                 loop,
                 calls,
@@ -90,39 +91,48 @@
                 settings.stateWriteRps(),
                 settings.nextWriteRps(),
                 settings.peers().size() + 1);
-        replica = new StoreReplica(loop, store, Keys.REPLICATED, ledger);
+        replica = new StoreReplica(loop, store, Keys.REPLICATED, clusterState);
         membership = new Membership(
                 loop,
                 store,
                 replica,
                 settings.node(),
                 nodes(settings),
-                membershipLife(settings, operator),
+                membershipLife(settings, operatorSettings),
                 this::viewChanged,
                 this::ownedBy);
-        fleet = new AgentManager(
-                loop, calls, settings, operator, ledger, replica, store, membership, this::endsChanged, this::wake);
+        agentManager = new AgentManager(
+                loop,
+                calls,
+                settings,
+                operatorSettings,
+                clusterState,
+                replica,
+                store,
+                membership,
+                this::endsChanged,
+                this::wake);
         ConditionalWriter writer = new ConditionalWriter(loop, store, replica, settings.valueBytes(), this::wake);
         FinalStateCache finalStates = new FinalStateCache(loop, store, this::wake);
         CoordinationContext context = new CoordinationContext(
-                loop, settings, ledger, replica, store, membership, writer, finalStates, pipelineMetrics);
-        JobDependencies pipelines = new JobDependencies(context);
-        scheduler = new Scheduler(context, operator, fleet, pipelines);
+                loop, settings, clusterState, replica, store, membership, writer, finalStates, pipelineMetrics);
+        JobDependencies dependencies = new JobDependencies(context);
+        scheduler = new Scheduler(context, operatorSettings, agentManager, dependencies);
         provisioner = new Provisioner(new ProvisioningContext(
                 loop,
                 new CloudClient(loop, calls, settings),
                 settings,
-                operator,
-                ledger,
+                operatorSettings,
+                clusterState,
                 replica,
                 store,
                 membership,
                 this::wake));
-        users = new JobApi(context, pipelines, this::wake);
+        jobApi = new JobApi(context, dependencies, this::wake);
         evictions = new MemberEvictions(loop, store, replica, membership, settings.node());
-        standbyAccess =
-                new StandbyAccess(loop, pauses::eventBegins, store, replica, ledger, membership, evictions, fleet);
-        ledger.observer(new ClusterState.Observer() {
+        standbyAccess = new StandbyAccess(
+                loop, pauseDetector::eventStarted, store, replica, clusterState, membership, evictions, agentManager);
+        clusterState.setObserver(new ClusterState.Observer() {
             @Override
             public void viewChanged(JsonObject view, long stamp) {
                 membership.viewChanged(view, stamp);
@@ -134,24 +144,24 @@
             }
 
             @Override
-            public void challengeChanged(String node, JsonObject challenge, long stamp) {
-                evictions.challengeChanged(node, challenge, stamp);
+            public void livenessProbeChanged(String node, JsonObject challenge, long stamp) {
+                evictions.livenessProbeChanged(node, challenge, stamp);
             }
 
             @Override
             public void machineChanged(String machine) {
-                fleet.machineChanged(machine);
+                agentManager.machineChanged(machine);
                 scheduler.machineChanged(machine);
             }
 
             @Override
-            public void settled() {
+            public void changesApplied() {
                 wake();
             }
 
             @Override
             public void jobEnded(Job last) {
-                fleet.jobEnded(last);
+                agentManager.jobEnded(last);
                 scheduler.jobEnded(last);
             }
 
@@ -159,20 +169,21 @@
             public void loaded() {
                 LOG.info(
                         "the store has been read: {} jobs, {} machines",
-                        ledger.jobs().size(),
-                        ledger.machines().size());
+                        clusterState.jobs().size(),
+                        clusterState.machines().size());
             }
         });
-        nextTally = loop.now().plus(TALLY);
+        nextStatistics = loop.now().plus(STATISTICS_INTERVAL);
     }
 
     /**
      * A silent task must be gone within the time for cancellations, even if its owner can't be reached: an owner cut
      * off may renew the worker's lease until its own ends.
      */
-    static Duration membershipLife(PlatformSettings settings, OperatorSettings operator) {
-        Duration most = settings.cancel().minus(settings.workerLease()).minus(CANCEL_MARGIN);
-        Duration life = operator.membershipLease();
+    static Duration membershipLife(PlatformSettings settings, OperatorSettings operatorSettings) {
+        Duration most =
+                settings.cancellationLimit().minus(settings.workerLease()).minus(CANCEL_MARGIN);
+        Duration life = operatorSettings.membershipLease();
         return life.compareTo(most) > 0 && most.compareTo(Duration.ofSeconds(2)) > 0 ? most : life;
     }
 
@@ -195,7 +206,7 @@
     }
 
     private void viewChanged() {
-        fleet.viewChanged();
+        agentManager.viewChanged();
         scheduler.allChanged();
         evictions.viewChanged();
         standbyAccess.viewChanged();
@@ -206,21 +217,21 @@
     }
 
     private int ownedBy(String node) {
-        return fleet.ownedBy(node);
+        return agentManager.ownedBy(node);
     }
 
     /**
      * This process has stood still while its clocks went on. What it knew before is old: others may have taken its place, its
      * machines and its work. It is told here before anything that came or was due meanwhile is handled.
      */
-    private void stoodStill(Duration pause) {
+    private void processPaused(Duration pause) {
         LOG.warn("stood still for {} s: nothing is decided on what was known before", pause.toMillis() / 1e3);
-        links.stoodStill(pause);
-        membership.stoodStill();
-        fleet.stoodStill(pause);
-        scheduler.stoodStill();
-        provisioner.stoodStill();
-        standbyAccess.stoodStill();
+        links.processPaused(pause);
+        membership.processPaused();
+        agentManager.processPaused(pause);
+        scheduler.processPaused();
+        provisioner.processPaused();
+        standbyAccess.processPaused();
     }
 
     private void tick() {
@@ -231,8 +242,8 @@
             tick();
             round();
             provisioner.step();
-            links.step(fleet.expectsReports());
-            tally();
+            links.step(agentManager.expectsHeartbeats());
+            logStatistics();
         });
     }
 
@@ -253,19 +264,19 @@
         roundDue = false;
         Instant start = loop.now();
         membership.step();
-        fleet.step();
+        agentManager.step();
         scheduler.step();
-        fleet.pushChanged();
+        agentManager.sendChangedCommands();
         Instant end = loop.now();
         restUntil =
                 end.plusNanos(Duration.between(start, end).toNanos() * RESTS).plus(BETWEEN_ROUNDS);
     }
 
-    private void tally() {
-        if (loop.now().isBefore(nextTally)) {
+    private void logStatistics() {
+        if (loop.now().isBefore(nextStatistics)) {
             return;
         }
-        nextTally = loop.now().plus(TALLY);
+        nextStatistics = loop.now().plus(STATISTICS_INTERVAL);
         Histogram rounds = scheduler.roundMicros();
         LOG.info(
                 "rounds {} (p50 {} us, p99 {} us), answers {} (p50 {} us, p99 {} us), timers late p99 {} us, late tasks {}, "
@@ -277,11 +288,11 @@
                 answerMicros.getValueAtPercentile(50),
                 answerMicros.getValueAtPercentile(99),
                 lagMicros.getValueAtPercentile(99),
-                fleet.lateStops(),
-                ledger.jobs().size(),
-                ledger.machines().size(),
+                agentManager.stragglerStops(),
+                clusterState.jobs().size(),
+                clusterState.machines().size(),
                 (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 20);
-        LOG.info("store: {}", store.tally());
+        LOG.info("store: {}", store.statistics());
         LOG.info("pipelines: {}", pipelineMetrics.summary());
         LOG.info("links: {}", links.summary());
         String machinesThatBoot = provisioner.summary();
@@ -297,7 +308,7 @@
 
     @Override
     public void handle(Request request, Consumer<Response> answer) {
-        pauses.eventBegins();
+        pauseDetector.eventStarted();
         Instant start = loop.now();
         route(request, response -> {
             answerMicros.recordValue(Math.max(
@@ -315,13 +326,13 @@
         } else if (path.equals("/healthz") && get) {
             answer.accept(health());
         } else if (path.equals("/submissions") && post) {
-            users.submit(request.body(), answer);
+            jobApi.submit(request.body(), answer);
         } else if (path.startsWith("/submissions/")) {
             String rest = path.substring("/submissions/".length());
             if (post && rest.endsWith("/abort")) {
-                users.cancel(rest.substring(0, rest.length() - "/abort".length()), answer);
+                jobApi.cancel(rest.substring(0, rest.length() - "/abort".length()), answer);
             } else if (get) {
-                users.get(rest, answer);
+                jobApi.get(rest, answer);
             } else {
                 answer.accept(Response.of(405, "{\"error\":\"method not allowed\"}"));
             }
@@ -335,9 +346,9 @@
         String reason = null;
         if (!replica.loaded()) {
             reason = "the state service has not been read";
-        } else if (!membership.leaseHolds()) {
+        } else if (!membership.holdsLease()) {
             reason = "the membership lease is over";
-        } else if (ledger.types().isEmpty()) {
+        } else if (clusterState.types().isEmpty()) {
             reason = "the machine types are not known";
         }
         JsonObject body = new JsonObject();
@@ -350,17 +361,17 @@
     }
 
     private Response checkin(byte[] body) {
-        links.reportArrived();
+        links.heartbeatArrived();
         try {
             if (body == null) {
                 throw new Json.BadMessage("too large or incomplete");
             }
-            AgentManager.HeartbeatResponse a =
-                    fleet.checkin(Heartbeat.parse(Json.object(new String(body, StandardCharsets.UTF_8))));
+            AgentManager.HeartbeatResponse a = agentManager.handleHeartbeat(
+                    Heartbeat.parse(Json.object(new String(body, StandardCharsets.UTF_8))));
             return Response.of(a.status(), a.body());
         } catch (Json.BadMessage e) {
-            if (loop.now().isAfter(lastComplaint.plusSeconds(10))) {
-                lastComplaint = loop.now();
+            if (loop.now().isAfter(lastWarning.plusSeconds(10))) {
+                lastWarning = loop.now();
                 LOG.warn("a report can't be read: {}", e.getMessage());
             }
             return Response.of(400, "{\"error\":\"not a report\"}");
--- a/src/main/java/org/havenford/coordination/agents/AgentCommands.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentCommands.java
@@ -42,9 +42,9 @@
 
     private final EventLoop loop;
     private final HttpCalls calls;
-    private final ClusterState ledger;
+    private final ClusterState clusterState;
     private final Membership membership;
-    private final AttemptOutcomes endings;
+    private final AttemptOutcomes outcomes;
     private final Duration reachable;
     private final BiConsumer<AgentState, HttpCalls.Reply> answered;
 
@@ -53,17 +53,17 @@
             EventLoop loop,
             HttpCalls calls,
             PlatformSettings settings,
-            ClusterState ledger,
+            ClusterState clusterState,
             Membership membership,
-            AttemptOutcomes endings,
+            AttemptOutcomes outcomes,
             BiConsumer<AgentState, HttpCalls.Reply> answered) {
         this.loop = loop;
         this.calls = calls;
-        this.ledger = ledger;
+        this.clusterState = clusterState;
         this.membership = membership;
-        this.endings = endings;
+        this.outcomes = outcomes;
         this.answered = answered;
-        this.reachable = settings.report().multipliedBy(3);
+        this.reachable = settings.heartbeatInterval().multipliedBy(3);
     }
 
     /** Commands that go out with the answer to a report. */
@@ -78,9 +78,9 @@
         Instant now = loop.now();
         if (machine.directInFlight
                 || now.isBefore(machine.directNotBefore)
-                || machine.report == null
-                || !membership.entitled()
-                || Duration.between(machine.heard, now).compareTo(reachable) > 0) {
+                || machine.heartbeat == null
+                || !membership.mayAnswerAgents()
+                || Duration.between(machine.lastSignAt, now).compareTo(reachable) > 0) {
             return;
         }
         List<Command> commands = commands(machine, MOST_DIRECT);
@@ -89,13 +89,16 @@
             return;
         }
         noteRuns(machine, commands, true);
-        send(machine, machine.report.endpoint(), Command.direct(machine.token(), machine.report.session(), commands));
+        send(
+                machine,
+                machine.heartbeat.endpoint(),
+                Command.direct(machine.fencingToken(), machine.heartbeat.incarnation(), commands));
     }
 
     /** Shows this owner's token to a worker that was taken over; the reply brings its report. */
-    void contact(AgentState machine, AgentContact note) {
+    void contact(AgentState machine, AgentContact contact) {
         if (!machine.directInFlight) {
-            send(machine, note.endpoint(), Command.direct(machine.token(), note.session(), List.of()));
+            send(machine, contact.endpoint(), Command.direct(machine.fencingToken(), contact.incarnation(), List.of()));
         }
     }
 
@@ -117,9 +120,9 @@
         }
         machine.directNotBefore = loop.now().plus(refused ? AFTER_REFUSAL : AFTER_ANSWER);
         try {
-            Heartbeat report = Heartbeat.parse(Json.object(reply.body()));
+            Heartbeat heartbeat = Heartbeat.parse(Json.object(reply.body()));
             machine.directAnswers++;
-            return report;
+            return heartbeat;
         } catch (Json.BadMessage e) {
             LOG.warn("{}: an answer to /do can't be read: {}", machine.name, e.getMessage());
             return null;
@@ -128,12 +131,12 @@
 
     private List<Command> commands(AgentState machine, int most) {
         List<Command> commands = new ArrayList<>();
-        Heartbeat report = machine.report;
-        if (report == null || ledger.machine(machine.name) == null) {
+        Heartbeat heartbeat = machine.heartbeat;
+        if (heartbeat == null || clusterState.machine(machine.name) == null) {
             return commands;
         }
-        Map<TaskId, Claim> claims = ledger.claimsOn(machine.name);
-        for (Heartbeat.AttemptStatus entry : report.tasks()) {
+        Map<TaskId, Claim> claims = clusterState.claimsOn(machine.name);
+        for (Heartbeat.AttemptStatus entry : heartbeat.tasks()) {
             Command command = forReported(machine, entry, claims.get(entry.task()));
             if (command != null) {
                 commands.add(command);
@@ -143,7 +146,7 @@
             }
         }
         // What others cancelled in our blind seconds must not start: runs wait until our copy has caught up. gap.trace
-        if (membership.current()) {
+        if (membership.mayStartTasks()) {
             addRuns(machine, claims.values(), most, commands);
         }
         return commands;
@@ -151,8 +154,9 @@
 
     /** What to do with a task that the worker reports; null for nothing. */
     private Command forReported(AgentState machine, Heartbeat.AttemptStatus entry, Claim claim) {
-        boolean held =
-                claim != null && claim.attempt() == entry.attempt() && claim.session() == machine.report.session();
+        boolean held = claim != null
+                && claim.attempt() == entry.attempt()
+                && claim.incarnation() == machine.heartbeat.incarnation();
         if (entry.state() == Heartbeat.State.EXITED) {
             return held ? null : forget(machine, entry);
         }
@@ -167,24 +171,24 @@
      * higher than that of any run sent by /do.
      */
     private static Command forget(AgentState machine, Heartbeat.AttemptStatus entry) {
-        if (machine.ranDirectly) {
+        if (machine.startedByDirectCommand) {
             machine.fence++;
-            machine.ranDirectly = false;
+            machine.startedByDirectCommand = false;
         }
         return new Command(Command.Op.FORGET, entry.task(), entry.attempt(), Duration.ZERO);
     }
 
     private Command stop(AgentState machine, Heartbeat.AttemptStatus entry, Claim claim) {
         Attempt attempt = machine.attempt(claim.task(), claim.attempt());
-        if (ledger.isCancelled(claim)) {
-            attempt.stop = StopReason.CANCELLED;
+        if (clusterState.isCancelled(claim)) {
+            attempt.stopReason = StopReason.CANCELLED;
         }
-        boolean cancelled = attempt.stop == StopReason.CANCELLED;
-        if (attempt.stop == null || (entry.state() == Heartbeat.State.SAVING && !cancelled)) {
+        boolean cancelled = attempt.stopReason == StopReason.CANCELLED;
+        if (attempt.stopReason == null || (entry.state() == Heartbeat.State.SAVING && !cancelled)) {
             return null;
         }
-        Job job = ledger.job(claim.task().job());
-        Duration save = job == null || cancelled ? Duration.ZERO : job.spec().save();
+        Job job = clusterState.job(claim.task().job());
+        Duration save = job == null || cancelled ? Duration.ZERO : job.spec().checkpointDuration();
         return new Command(Command.Op.STOP, entry.task(), entry.attempt(), save);
     }
 
@@ -198,25 +202,25 @@
 
     private boolean isToStart(AgentState machine, Claim claim) {
         Attempt attempt = machine.attempt(claim.task(), claim.attempt());
-        return claim.session() == machine.report.session()
+        return claim.incarnation() == machine.heartbeat.incarnation()
                 && !attempt.seen
-                && attempt.stop == null
-                && !ledger.isCancelled(claim)
-                && !endings.contains(claim)
-                && machine.report.find(claim.task(), claim.attempt()) == null;
+                && attempt.stopReason == null
+                && !clusterState.isCancelled(claim)
+                && !outcomes.contains(claim)
+                && machine.heartbeat.find(claim.task(), claim.attempt()) == null;
     }
 
     private void noteRuns(AgentState machine, List<Command> commands, boolean direct) {
         for (Command command : commands) {
             if (command.op() == Command.Op.RUN) {
                 Attempt attempt = machine.attempt(command.task(), command.attempt());
-                if (attempt.fetchFrom == null) {
-                    attempt.fetchFrom = loop.now();
-                    attempt.sawFetchStart = true;
+                if (attempt.pullStartedAt == null) {
+                    attempt.pullStartedAt = loop.now();
+                    attempt.sawPullStart = true;
                 }
                 if (direct) {
-                    attempt.directToken = machine.token();
-                    machine.ranDirectly = true;
+                    attempt.directToken = machine.fencingToken();
+                    machine.startedByDirectCommand = true;
                 }
             }
         }
--- a/src/main/java/org/havenford/coordination/agents/AgentManager.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentManager.java
@@ -44,7 +44,7 @@
 
     private final EventLoop loop;
     private final PlatformSettings settings;
-    private final ClusterState ledger;
+    private final ClusterState clusterState;
     private final StoreReplica replica;
     private final Membership membership;
     private final Runnable wake;
@@ -52,16 +52,16 @@
     /** Machines to be looked at in the next round; the sweep looks at all. */
     private final Set<String> changed = new LinkedHashSet<>();
 
-    private final MachineFaultDetector evidence;
-    private final AttemptOutcomes endings;
-    private final MachineHealthMonitor health;
-    private final HeartbeatReconciler reports;
-    private final AgentCommands commands;
-    private final TaskStopper stops;
-    private final RedirectedAgents misdirected;
+    private final MachineFaultDetector faultDetector;
+    private final AttemptOutcomes outcomes;
+    private final MachineHealthMonitor healthMonitor;
+    private final HeartbeatReconciler heartbeatReconciler;
+    private final AgentCommands agentCommands;
+    private final TaskStopper taskStopper;
+    private final RedirectedAgents redirectedAgents;
     private final MachineStatusPublisher statusPublisher;
     private final MachineAdoption adoption;
-    private final ReachabilityProbe restingProbe;
+    private final ReachabilityProbe reachabilityProbe;
     private Instant nextSweep = Instant.MIN;
     private ClusterView previousView = ClusterView.empty();
     private boolean sawAView;
@@ -71,8 +71,8 @@
             EventLoop loop,
             HttpCalls calls,
             PlatformSettings settings,
-            OperatorSettings operator,
-            ClusterState ledger,
+            OperatorSettings operatorSettings,
+            ClusterState clusterState,
             StoreReplica replica,
             StoreClient store,
             Membership membership,
@@ -80,35 +80,36 @@
             Runnable wake) {
         this.loop = loop;
         this.settings = settings;
-        this.ledger = ledger;
+        this.clusterState = clusterState;
         this.replica = replica;
         this.membership = membership;
         this.wake = wake;
-        endings = new AttemptOutcomes(ledger, capacityChanged);
-        evidence = new MachineFaultDetector(ledger);
-        health = new MachineHealthMonitor(settings, evidence, capacityChanged);
-        ImageCacheTracker images = new ImageCacheTracker(ledger, capacityChanged);
-        reports = new HeartbeatReconciler(loop, ledger, endings, images, evidence, health.fresh());
-        commands = new AgentCommands(loop, calls, settings, ledger, membership, endings, this::answered);
-        stops = new TaskStopper(ledger, operator);
-        statusPublisher = new MachineStatusPublisher(loop, settings, ledger, replica, store);
-        adoption = new MachineAdoption(loop, ledger, replica, store, membership, settings.node());
-        misdirected = new RedirectedAgents(membership, settings.workerLease());
-        restingProbe = new ReachabilityProbe(calls, ledger, membership, settings.node());
+        outcomes = new AttemptOutcomes(clusterState, capacityChanged);
+        faultDetector = new MachineFaultDetector(clusterState);
+        healthMonitor = new MachineHealthMonitor(settings, faultDetector, capacityChanged);
+        ImageCacheTracker imageCache = new ImageCacheTracker(clusterState, capacityChanged);
+        heartbeatReconciler =
+                new HeartbeatReconciler(loop, clusterState, outcomes, imageCache, faultDetector, healthMonitor.fresh());
+        agentCommands = new AgentCommands(loop, calls, settings, clusterState, membership, outcomes, this::answered);
+        taskStopper = new TaskStopper(clusterState, operatorSettings);
+        statusPublisher = new MachineStatusPublisher(loop, settings, clusterState, replica, store);
+        adoption = new MachineAdoption(loop, clusterState, replica, store, membership, settings.node());
+        redirectedAgents = new RedirectedAgents(membership, settings.workerLease());
+        reachabilityProbe = new ReachabilityProbe(calls, clusterState, membership, settings.node());
     }
 
     /** What is known of the workers of the machines that this controller owns. */
-    public List<AgentContact> notes() {
+    public List<AgentContact> contacts() {
         List<AgentContact> notes = new ArrayList<>(machines.size());
         for (AgentState machine : machines.values()) {
-            Heartbeat report = machine.report;
-            if (report != null) {
+            Heartbeat heartbeat = machine.heartbeat;
+            if (heartbeat != null) {
                 notes.add(new AgentContact(
                         machine.name,
-                        report.endpoint(),
-                        report.session(),
-                        report.session() == machine.checkinSession ? machine.checkinSeq : 0,
-                        Math.max(report.token(), machine.token())));
+                        heartbeat.endpoint(),
+                        heartbeat.incarnation(),
+                        heartbeat.incarnation() == machine.checkinIncarnation ? machine.checkinSequence : 0,
+                        Math.max(heartbeat.fencingToken(), machine.fencingToken())));
             }
         }
         return notes;
@@ -118,27 +119,27 @@
      * Takes over what the former owner knew of a worker, and asks the worker itself. A report that is no newer than what the
      * former owner had is a late copy, also for an owner that has not heard the worker yet.
      */
-    public void contact(AgentContact note) {
-        if (!membership.entitled() || !mine(note.machine())) {
+    public void contact(AgentContact contact) {
+        if (!membership.mayAnswerAgents() || !isOwned(contact.machine())) {
             return;
         }
-        AgentState machine = owned(note.machine());
-        if (machine.report != null) {
+        AgentState machine = owned(contact.machine());
+        if (machine.heartbeat != null) {
             return;
         }
-        machine.checkinSession = note.session();
-        machine.checkinSeq = note.checkinSequence();
-        commands.contact(machine, note);
+        machine.checkinIncarnation = contact.incarnation();
+        machine.checkinSequence = contact.checkinSequence();
+        agentCommands.contact(machine, contact);
     }
 
-    private boolean mine(String machine) {
+    private boolean isOwned(String machine) {
         return settings.node().equals(membership.owner(machine));
     }
 
     /** How many of the machines on record a node owns. */
     public int ownedBy(String node) {
         int owned = 0;
-        for (MachineRecord machine : ledger.machines()) {
+        for (MachineRecord machine : clusterState.machines()) {
             if (node.equals(membership.owner(machine.name()))) {
                 owned++;
             }
@@ -152,18 +153,18 @@
     }
 
     /** What this controller knows of a machine that it owns, or null. */
-    public AgentState state(String machine) {
+    public AgentState agent(String machine) {
         return machines.get(machine);
     }
 
     private boolean holds(Claim claim) {
-        Job job = ledger.job(claim.task().job());
+        Job job = clusterState.job(claim.task().job());
         return job != null && claim.equals(job.claim(claim.task().index()));
     }
 
     /** Attempts that ended and whose claims are still in the store. */
-    public AttemptOutcomes endings() {
-        return endings;
+    public AttemptOutcomes outcomes() {
+        return outcomes;
     }
 
     // ---- ownership
@@ -171,26 +172,26 @@
     /** After each change of the view: forgets machines that went elsewhere, takes up those that came. */
     public void viewChanged() {
         ClusterView view = membership.view();
-        restingProbe.viewChanged(previousView.resting().contains(settings.node()));
+        reachabilityProbe.viewChanged(previousView.cordoned().contains(settings.node()));
         for (String name : List.copyOf(machines.keySet())) {
             AgentState machine = machines.get(name);
             // It was ours in the view before, or it would not be here.
-            boolean keeps = mine(name)
+            boolean keeps = isOwned(name)
                     && view.members()
                             .get(settings.node())
                             .equals(previousView.members().get(settings.node()));
-            if (!mine(name)) {
+            if (!isOwned(name)) {
                 machines.remove(name);
-                restingProbe.lost(machine);
+                reachabilityProbe.lost(machine);
             } else if (!keeps) {
                 machines.put(name, takeOver(name));
             } else {
                 machine.epoch = view.epoch();
                 machine.fence = 0;
-                machine.ranDirectly = false;
+                machine.startedByDirectCommand = false;
             }
         }
-        endings.keepOnly(claim -> holds(claim) && mine(claim.machine()));
+        outcomes.keepOnly(claim -> holds(claim) && isOwned(claim.machine()));
         // Machines that are new to us: made with the view before this one still at hand.
         takeOverOwned();
         previousView = view;
@@ -199,13 +200,13 @@
     }
 
     private void takeOverOwned() {
-        for (MachineRecord machine : ledger.machines()) {
-            if (mine(machine.name())) {
+        for (MachineRecord machine : clusterState.machines()) {
+            if (isOwned(machine.name())) {
                 owned(machine.name());
             }
         }
-        for (String name : ledger.claimedMachines()) {
-            if (mine(name)) {
+        for (String name : clusterState.claimedMachines()) {
+            if (isOwned(name)) {
                 owned(name);
             }
         }
@@ -225,10 +226,10 @@
                 && before != null
                 && !membership.isMember(before, incarnation)
                 && !membership.view().wasEvicted(before, incarnation);
-        Instant renewed = gone ? loop.now() : loop.now().plus(membership.life());
+        Instant renewed = gone ? loop.now() : loop.now().plus(membership.leaseDuration());
         AgentState machine = new AgentState(name, renewed);
         machine.epoch = membership.view().epoch();
-        MachineRecord onRecord = ledger.machine(name);
+        MachineRecord onRecord = clusterState.machine(name);
         if (onRecord != null && onRecord.condition() == Condition.SILENT) {
             // Its worker may be one that hears nobody: a report alone does not show the contrary.
             machine.unanswered = MachineHealthMonitor.MOST_UNANSWERED;
@@ -243,37 +244,37 @@
     // ---- reports
 
     /** Answers a worker's report. */
-    public HeartbeatResponse checkin(Heartbeat report) {
-        if (!membership.entitled() || !replica.loaded()) {
+    public HeartbeatResponse handleHeartbeat(Heartbeat heartbeat) {
+        if (!membership.mayAnswerAgents() || !replica.loaded()) {
             return new HeartbeatResponse(503, "{\"error\":\"not entitled\"}");
         }
-        if (!mine(report.machine())) {
-            misdirected.reported(report.machine(), loop.now());
-            return new HeartbeatResponse(421, "{\"director\":\"" + membership.owner(report.machine()) + "\"}");
+        if (!isOwned(heartbeat.machine())) {
+            redirectedAgents.reported(heartbeat.machine(), loop.now());
+            return new HeartbeatResponse(421, "{\"director\":\"" + membership.owner(heartbeat.machine()) + "\"}");
         }
-        misdirected.arrived(report.machine());
-        AgentState machine = owned(report.machine());
-        if (isLateCopy(machine, report)) {
+        redirectedAgents.arrived(heartbeat.machine());
+        AgentState machine = owned(heartbeat.machine());
+        if (isLateCopy(machine, heartbeat)) {
             return new HeartbeatResponse(503, "{\"error\":\"a later report has been here\"}");
         }
-        machine.checkinSession = report.session();
-        machine.checkinSeq = report.seq();
-        machine.reported = loop.now();
+        machine.checkinIncarnation = heartbeat.incarnation();
+        machine.checkinSequence = heartbeat.sequence();
+        machine.lastHeartbeatAt = loop.now();
         List<Command> answer = List.of();
         // A report that says nothing new needs no round: of a thousand machines some hundred say so each second.
         boolean news = false;
-        if (report.newerThan(machine.report)) {
-            news = isNews(machine, report);
-            countAnswered(machine, report);
-            take(machine, report, true);
-            answer = commands.forAnswer(machine);
+        if (heartbeat.newerThan(machine.heartbeat)) {
+            news = isNews(machine, heartbeat);
+            countAnswered(machine, heartbeat);
+            take(machine, heartbeat, true);
+            answer = agentCommands.forAnswer(machine);
             news |= !answer.isEmpty();
         }
-        machine.renewed = later(machine.renewed, loop.now());
+        machine.leaseRenewedAt = later(machine.leaseRenewedAt, loop.now());
         if (news) {
             wake.run();
         }
-        return new HeartbeatResponse(200, Command.reply(machine.token(), answer));
+        return new HeartbeatResponse(200, Command.reply(machine.fencingToken(), answer));
     }
 
     /**
@@ -281,29 +282,30 @@
      * machine that is gone gives its tasks back. An answer to /do may well have overtaken a report that is still waited for:
      * so only reports are compared.
      */
-    private static boolean isLateCopy(AgentState machine, Heartbeat report) {
-        return report.session() < machine.checkinSession
-                || (report.session() == machine.checkinSession && report.seq() <= machine.checkinSeq);
+    private static boolean isLateCopy(AgentState machine, Heartbeat heartbeat) {
+        return heartbeat.incarnation() < machine.checkinIncarnation
+                || (heartbeat.incarnation() == machine.checkinIncarnation
+                        && heartbeat.sequence() <= machine.checkinSequence);
     }
 
-    private static boolean isNews(AgentState machine, Heartbeat report) {
-        return machine.report == null
+    private static boolean isNews(AgentState machine, Heartbeat heartbeat) {
+        return machine.heartbeat == null
                 || machine.condition != Condition.UP
-                || report.session() != machine.report.session()
-                || !report.tasks().equals(machine.report.tasks());
+                || heartbeat.incarnation() != machine.heartbeat.incarnation()
+                || !heartbeat.tasks().equals(machine.heartbeat.tasks());
     }
 
     /**
      * A worker that gets our answer stays here. One that reports elsewhere before each report here, or whose lease runs
      * out although we answer, does not get it: its machine takes no new work until it does.
      */
-    private void countAnswered(AgentState machine, Heartbeat report) {
-        Heartbeat before = machine.report;
+    private void countAnswered(AgentState machine, Heartbeat heartbeat) {
+        Heartbeat before = machine.heartbeat;
         if (before != null) {
-            boolean elsewhere =
-                    report.session() > before.session() || report.seq() > before.seq() + 1 + machine.directAnswers;
+            boolean elsewhere = heartbeat.incarnation() > before.incarnation()
+                    || heartbeat.sequence() > before.sequence() + 1 + machine.directAnswers;
             // A worker that got no answer while this process stood still has asked others meanwhile.
-            boolean counts = elsewhere && !machine.unheardSincePause;
+            boolean counts = elsewhere && !machine.silentSincePause;
             machine.unanswered = counts ? machine.unanswered + 1 : 0;
         }
         machine.directAnswers = 0;
@@ -313,44 +315,44 @@
         return a.isAfter(b) ? a : b;
     }
 
-    private void take(AgentState machine, Heartbeat report, boolean fromCheckin) {
+    private void take(AgentState machine, Heartbeat heartbeat, boolean fromCheckin) {
         changed.add(machine.name);
-        reports.read(machine, report, fromCheckin);
-        MachineRecord onRecord = ledger.machine(machine.name);
+        heartbeatReconciler.read(machine, heartbeat, fromCheckin);
+        MachineRecord onRecord = clusterState.machine(machine.name);
         if (onRecord == null) {
-            adoption.reported(machine, report);
+            adoption.reported(machine, heartbeat);
         } else {
-            health.judge(machine, onRecord, loop.now());
+            healthMonitor.judge(machine, onRecord, loop.now());
         }
     }
 
     /** A job is over. */
     public void jobEnded(Job last) {
-        evidence.jobEnded(last);
+        faultDetector.jobEnded(last);
     }
 
     /** Whether workers should report here: this controller owns machines that are on record as up. */
-    public boolean expectsReports() {
-        return membership.entitled()
+    public boolean expectsHeartbeats() {
+        return membership.mayAnswerAgents()
                 && machines.values().stream().anyMatch(machine -> machine.condition == Condition.UP);
     }
 
     // ---- after a pause
 
     /** This process has stood still for a while, and heard no worker meanwhile. */
-    public void stoodStill(Duration pause) {
-        machines.values().forEach(machine -> machine.stoodStill(pause));
-        misdirected.stoodStill();
+    public void processPaused(Duration pause) {
+        machines.values().forEach(machine -> machine.processPaused(pause));
+        redirectedAgents.processPaused();
         nextSweep = loop.now().plus(SWEEP);
     }
 
     // ---- commands
 
     /** Sends what differs to the worker itself, without waiting for its next report. */
-    public void push(String machine) {
+    public void sendCommands(String machine) {
         AgentState state = machines.get(machine);
         if (state != null) {
-            commands.push(state);
+            agentCommands.push(state);
         }
     }
 
@@ -359,45 +361,45 @@
         if (machines.get(machine.name) != machine) {
             return;
         }
-        Heartbeat report = commands.reportIn(machine, reply);
-        if (report != null && report.machine().equals(machine.name) && report.newerThan(machine.report)) {
-            take(machine, report, false);
+        Heartbeat heartbeat = agentCommands.reportIn(machine, reply);
+        if (heartbeat != null && heartbeat.machine().equals(machine.name) && heartbeat.newerThan(machine.heartbeat)) {
+            take(machine, heartbeat, false);
         }
         wake.run();
     }
 
     /** Sends what differs to the machines where something has changed. */
-    public void pushChanged() {
-        if (!membership.entitled()) {
+    public void sendChangedCommands() {
+        if (!membership.mayAnswerAgents()) {
             return;
         }
         List<String> due = List.copyOf(changed);
         changed.clear();
-        due.forEach(this::push);
+        due.forEach(this::sendCommands);
     }
 
     /** Marks a claim on one of our machines to be stopped for more urgent work. */
     public void preempt(Claim claim) {
-        AgentState machine = mine(claim.machine()) ? machines.get(claim.machine()) : null;
-        if (machine != null && stops.preempt(machine, claim)) {
+        AgentState machine = isOwned(claim.machine()) ? machines.get(claim.machine()) : null;
+        if (machine != null && taskStopper.preempt(machine, claim)) {
             changed.add(claim.machine());
         }
     }
 
     /** How many tasks were stopped for lateness. */
-    public long lateStops() {
-        return stops.lateStops();
+    public long stragglerStops() {
+        return taskStopper.stragglerStops();
     }
 
     // ---- time passing
 
     /** One turn of the loop over the owned machines: lease ends, lateness, records. */
     public void step() {
-        if (!replica.loaded() || !membership.entitled()) {
+        if (!replica.loaded() || !membership.mayAnswerAgents()) {
             return;
         }
         Instant now = loop.now();
-        restingProbe.step(now);
+        reachabilityProbe.step(now);
         if (now.isBefore(nextSweep)) {
             return;
         }
@@ -405,11 +407,11 @@
         takeOverOwned();
         endLeases(now);
         for (AgentState machine : machines.values()) {
-            MachineRecord onRecord = ledger.machine(machine.name);
+            MachineRecord onRecord = clusterState.machine(machine.name);
             if (onRecord != null) {
-                stops.checkLateness(machine, now);
-                stops.drain(machine, now);
-                health.judge(machine, onRecord, now);
+                taskStopper.stopStragglers(machine, now);
+                taskStopper.drain(machine, now);
+                healthMonitor.judge(machine, onRecord, now);
                 if (mayNeedCommands(machine)) {
                     changed.add(machine.name);
                 }
@@ -417,41 +419,44 @@
         }
         statusPublisher.publish(machines.values(), now);
         machines.values().removeIf(machine -> isForgotten(machine, now));
-        endings.keepOnly(this::holds);
-        evidence.keepOnly(machines.keySet());
-        misdirected.forgetOld(now);
+        outcomes.keepOnly(this::holds);
+        faultDetector.keepOnly(machines.keySet());
+        redirectedAgents.forgetOld(now);
     }
 
     /** A machine without tasks and claims needs no commands: of thousands most may be idle. */
     private boolean mayNeedCommands(AgentState machine) {
-        boolean hasTasks = machine.report != null && !machine.report.tasks().isEmpty();
-        return hasTasks || !ledger.claimsOn(machine.name).isEmpty();
+        boolean hasTasks =
+                machine.heartbeat != null && !machine.heartbeat.tasks().isEmpty();
+        return hasTasks || !clusterState.claimsOn(machine.name).isEmpty();
     }
 
     private void endLeases(Instant now) {
-        for (String name : ledger.claimedMachines()) {
-            if (mine(name)) {
+        for (String name : clusterState.claimedMachines()) {
+            if (isOwned(name)) {
                 // The worker's lease has run out on any clock, or the cloud has confirmed that the machine is gone.
                 boolean leaseOver = now.isAfter(leaseEnd(owned(name)));
-                boolean returned = ledger.machine(name) == null;
+                boolean returned = clusterState.machine(name) == null;
                 if (leaseOver || returned) {
-                    ledger.claimsOn(name).values().forEach(claim -> endings.end(claim, AttemptOutcome.RETRY));
+                    clusterState.claimsOn(name).values().forEach(claim -> outcomes.end(claim, AttemptOutcome.RETRY));
                 }
             }
         }
     }
 
     private Instant leaseEnd(AgentState machine) {
-        return machine.renewed
+        return machine.leaseRenewedAt
                 .plusNanos((long) (settings.workerLease().toNanos() * LEASE_DRIFT))
                 .plus(LEASE_MARGIN);
     }
 
     /** Machines that went back to the cloud long ago. */
     private boolean isForgotten(AgentState machine, Instant now) {
-        Instant lastSign = machine.heard.equals(Instant.MIN) ? machine.renewed : later(machine.renewed, machine.heard);
-        return ledger.machine(machine.name) == null
-                && ledger.claimsOn(machine.name).isEmpty()
+        Instant lastSign = machine.lastSignAt.equals(Instant.MIN)
+                ? machine.leaseRenewedAt
+                : later(machine.leaseRenewedAt, machine.lastSignAt);
+        return clusterState.machine(machine.name) == null
+                && clusterState.claimsOn(machine.name).isEmpty()
                 && Duration.between(lastSign, now).compareTo(REMEMBERED) > 0;
     }
 
@@ -462,22 +467,22 @@
     public Predicate<Instant> availability(MachineRecord machine) {
         AgentState state = machines.get(machine.name());
         if (state != null) {
-            return now -> health.usable(state, now);
+            return now -> healthMonitor.usable(state, now);
         }
-        boolean known = !mine(machine.name());
+        boolean known = !isOwned(machine.name());
         return now -> known;
     }
 
     /** Whether a task should not be tried again on a machine. */
     public boolean avoided(TaskId task, String machine) {
         AgentState state = machines.get(machine);
-        return state != null && state.avoid.contains(task);
+        return state != null && state.avoidedTasks.contains(task);
     }
 
     /** The condition of a machine: of our own we know it before it is on record. */
     public Condition condition(MachineRecord machine) {
         boolean goes = machine.condition().compareTo(Condition.RETIRING) >= 0;
-        AgentState state = goes || !mine(machine.name()) ? null : machines.get(machine.name());
+        AgentState state = goes || !isOwned(machine.name()) ? null : machines.get(machine.name());
         return state == null ? machine.condition() : state.condition;
     }
 
--- a/src/main/java/org/havenford/coordination/agents/AgentState.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentState.java
@@ -15,7 +15,7 @@
     /** Why a task is to be stopped, although its claim still holds. */
     enum StopReason {
         CANCELLED,
-        LATE,
+        STRAGGLER,
         PREEMPTED,
         DRAINED
     }
@@ -28,13 +28,13 @@
         /** Token of the last {@code run} that went out by /do; only a higher one, seen by the worker, rules it out. */
         long directToken = -1;
         /** When the phases began, where this controller saw it happen. */
-        Instant fetchFrom;
+        Instant pullStartedAt;
 
-        Instant runFrom;
-        boolean sawFetchStart;
+        Instant runStartedAt;
+        boolean sawPullStart;
         boolean sawRunStart;
-        double fetchSeconds = -1;
-        StopReason stop;
+        double pullSeconds = -1;
+        StopReason stopReason;
         /** This controller has stood still during the present phase: its duration was not seen. */
         boolean interrupted;
 
@@ -44,25 +44,25 @@
     }
 
     final String name;
-    public Heartbeat report;
+    public Heartbeat heartbeat;
     /** Session and sequence of the newest report that came by itself, not as an answer to a command. */
-    long checkinSession = -1;
+    long checkinIncarnation = -1;
 
-    long checkinSeq = -1;
+    long checkinSequence = -1;
     /** Steady time of the newest report, answers to commands included. */
-    Instant heard = Instant.MIN;
+    Instant lastSignAt = Instant.MIN;
     /** Steady time of the newest report that came by itself: only these renew the worker's lease. */
-    Instant reported = Instant.MIN;
+    Instant lastHeartbeatAt = Instant.MIN;
     /** The last moment at which any owner could have renewed the worker's lease. */
-    Instant renewed;
+    Instant leaseRenewedAt;
 
     long epoch;
     long fence;
     /** A {@code run} has gone out by /do under the present fence. */
-    boolean ranDirectly;
+    boolean startedByDirectCommand;
 
     /** This controller has stood still, and has not heard the worker since. */
-    boolean unheardSincePause;
+    boolean silentSincePause;
 
     boolean directInFlight;
     Instant directNotBefore = Instant.MIN;
@@ -82,21 +82,21 @@
 
     final Object2ObjectOpenHashMap<TaskId, Attempt> attempts = new Object2ObjectOpenHashMap<>();
     /** Tasks that failed here; they are placed elsewhere. */
-    final Set<TaskId> avoid = new HashSet<>();
+    final Set<TaskId> avoidedTasks = new HashSet<>();
 
     AgentState(String name, Instant renewed) {
         this.name = name;
-        this.renewed = renewed;
+        this.leaseRenewedAt = renewed;
     }
 
     /**
      * This controller has stood still. The time in which it could hear nobody does not count as silence of the worker, and
      * what began or ended meanwhile was not seen. The worker's lease is not touched: nobody else can have renewed it.
      */
-    void stoodStill(Duration pause) {
-        unheardSincePause = true;
-        reported = afterPause(reported, pause);
-        heard = afterPause(heard, pause);
+    void processPaused(Duration pause) {
+        silentSincePause = true;
+        lastHeartbeatAt = afterPause(lastHeartbeatAt, pause);
+        lastSignAt = afterPause(lastSignAt, pause);
         for (Attempt attempt : attempts.values()) {
             attempt.interrupted = true;
             attempt.sawRunStart = false;
@@ -107,7 +107,7 @@
         return before.equals(Instant.MIN) ? before : before.plus(pause);
     }
 
-    long token() {
+    long fencingToken() {
         return epoch << 32 | fence;
     }
 
--- a/src/main/java/org/havenford/coordination/agents/AttemptOutcomes.java
+++ b/src/main/java/org/havenford/coordination/agents/AttemptOutcomes.java
@@ -73,30 +73,30 @@
         }
     }
 
-    private final ClusterState ledger;
+    private final ClusterState clusterState;
     private final Consumer<String> changed;
     private final Map<Claim, TaskRangeOutcomes> recordOf = new HashMap<>();
     private final Map<String, TaskRangeOutcomes> records = new LinkedHashMap<>();
 
     /** {@code changed} is told of machines on which an attempt has ended. */
-    AttemptOutcomes(ClusterState ledger, Consumer<String> changed) {
-        this.ledger = ledger;
+    AttemptOutcomes(ClusterState clusterState, Consumer<String> changed) {
+        this.clusterState = clusterState;
         this.changed = changed;
     }
 
     /** Notes the end of an attempt; the first end counts. */
-    void end(Claim claim, AttemptOutcome ending) {
-        Job job = ledger.job(claim.task().job());
+    void end(Claim claim, AttemptOutcome outcome) {
+        Job job = clusterState.job(claim.task().job());
         if (job == null || recordOf.containsKey(claim)) {
             return;
         }
-        String key = Keys.tasks(job.id(), job.chunkOf(claim.task().index()));
+        String key = Keys.tasks(job.id(), job.taskRangeIndex(claim.task().index()));
         TaskRangeOutcomes ended = records.computeIfAbsent(key, k -> new TaskRangeOutcomes(k, job));
-        ended.ended.put(claim, ending);
+        ended.ended.put(claim, outcome);
         ended.lookedAt = null;
         recordOf.put(claim, ended);
         changed.accept(claim.machine());
-        LOG.debug("{} attempt {} on {} ended: {}", claim.task(), claim.attempt(), claim.machine(), ending);
+        LOG.debug("{} attempt {} on {} ended: {}", claim.task(), claim.attempt(), claim.machine(), outcome);
     }
 
     /** Whether the outcome of a claim is known but not yet stored. */
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
@@ -21,72 +21,76 @@
     private static final int FENCE_BITS = 32;
 
     private final EventLoop loop;
-    private final ClusterState ledger;
-    private final AttemptOutcomes endings;
-    private final ImageCacheTracker images;
-    private final MachineFaultDetector evidence;
+    private final ClusterState clusterState;
+    private final AttemptOutcomes outcomes;
+    private final ImageCacheTracker imageCache;
+    private final MachineFaultDetector faultDetector;
     private final Duration fresh;
 
     /** Claims younger than {@code fresh} are taken to have begun when they were first seen. */
     HeartbeatReconciler(
             EventLoop loop,
-            ClusterState ledger,
-            AttemptOutcomes endings,
-            ImageCacheTracker images,
-            MachineFaultDetector evidence,
+            ClusterState clusterState,
+            AttemptOutcomes outcomes,
+            ImageCacheTracker imageCache,
+            MachineFaultDetector faultDetector,
             Duration fresh) {
-        this.evidence = evidence;
+        this.faultDetector = faultDetector;
         this.loop = loop;
-        this.ledger = ledger;
-        this.endings = endings;
-        this.images = images;
+        this.clusterState = clusterState;
+        this.outcomes = outcomes;
+        this.imageCache = imageCache;
         this.fresh = fresh;
     }
 
     /** Takes a report over; {@code fromCheckin} tells reports that came by themselves from answers to commands. */
-    void read(AgentState machine, Heartbeat report, boolean fromCheckin) {
-        Heartbeat before = machine.report;
-        machine.report = report;
-        machine.heard = loop.now();
-        machine.unheardSincePause = false;
-        if (report.noticeS() != null && machine.noticeUntil == null) {
-            machine.noticeUntil = loop.now().plusMillis((long) (report.noticeS() * 1000));
+    void read(AgentState machine, Heartbeat heartbeat, boolean fromCheckin) {
+        Heartbeat before = machine.heartbeat;
+        machine.heartbeat = heartbeat;
+        machine.lastSignAt = loop.now();
+        machine.silentSincePause = false;
+        if (heartbeat.spotNoticeSeconds() != null && machine.noticeUntil == null) {
+            machine.noticeUntil = loop.now().plusMillis((long) (heartbeat.spotNoticeSeconds() * 1000));
         }
-        if (before != null && report.session() > before.session()) {
+        if (before != null && heartbeat.incarnation() > before.incarnation()) {
             machine.attempts.clear();
         }
-        for (Claim claim : List.copyOf(ledger.claimsOn(machine.name).values())) {
-            compare(machine, claim, report, fromCheckin);
+        for (Claim claim : List.copyOf(clusterState.claimsOn(machine.name).values())) {
+            compare(machine, claim, heartbeat, fromCheckin);
         }
     }
 
-    private void compare(AgentState machine, Claim claim, Heartbeat report, boolean fromCheckin) {
-        if (claim.session() < report.session()) {
+    private void compare(AgentState machine, Claim claim, Heartbeat heartbeat, boolean fromCheckin) {
+        if (claim.incarnation() < heartbeat.incarnation()) {
             // A later session: the worker has killed and forgotten everything from before.
-            endings.end(claim, AttemptOutcome.RETRY);
-        } else if (claim.session() == report.session()) {
-            Heartbeat.AttemptStatus entry = report.find(claim.task(), claim.attempt());
+            outcomes.end(claim, AttemptOutcome.RETRY);
+        } else if (claim.incarnation() == heartbeat.incarnation()) {
+            Heartbeat.AttemptStatus entry = heartbeat.find(claim.task(), claim.attempt());
             Attempt attempt = machine.attempt(claim.task(), claim.attempt());
             if (entry == null) {
-                absent(machine, claim, attempt, report, fromCheckin);
+                absent(machine, claim, attempt, heartbeat, fromCheckin);
             } else {
                 present(machine, claim, attempt, entry);
             }
         }
     }
 
-    private void absent(AgentState machine, Claim claim, Attempt attempt, Heartbeat report, boolean fromCheckin) {
-        boolean unwanted = attempt.stop != null || ledger.isCancelled(claim);
+    private void absent(AgentState machine, Claim claim, Attempt attempt, Heartbeat heartbeat, boolean fromCheckin) {
+        boolean unwanted = attempt.stopReason != null || clusterState.isCancelled(claim);
         if (!attempt.seen && !unwanted) {
             return;
         }
         // Absence in a report proves something only if no run can arrive any more: answers to reports can't be late
         // beyond the next report, and a run by /do is ruled out once the worker has seen a higher token.
-        if (fromCheckin && report.token() >= machine.epoch << FENCE_BITS && report.token() > attempt.directToken) {
-            endings.end(claim, attempt.stop == StopReason.LATE ? AttemptOutcome.LATE : AttemptOutcome.RETRY);
-        } else if (attempt.directToken >= machine.token()) {
+        if (fromCheckin
+                && heartbeat.fencingToken() >= machine.epoch << FENCE_BITS
+                && heartbeat.fencingToken() > attempt.directToken) {
+            outcomes.end(
+                    claim,
+                    attempt.stopReason == StopReason.STRAGGLER ? AttemptOutcome.STRAGGLER : AttemptOutcome.RETRY);
+        } else if (attempt.directToken >= machine.fencingToken()) {
             machine.fence++;
-            machine.ranDirectly = false;
+            machine.startedByDirectCommand = false;
         }
     }
 
@@ -97,9 +101,9 @@
             case FETCHING -> fetches(claim, attempt, first);
             case RUNNING -> {
                 runs(claim, attempt);
-                images.used(machine, ledger.job(claim.task().job()));
+                imageCache.used(machine, clusterState.job(claim.task().job()));
             }
-            case EXITED -> exited(machine, claim, attempt, entry.why());
+            case EXITED -> exited(machine, claim, attempt, entry.exitCause());
             default -> {
                 // A task that is saving still holds its resources.
             }
@@ -107,21 +111,22 @@
     }
 
     private void fetches(Claim claim, Attempt attempt, boolean first) {
-        if (attempt.fetchFrom == null) {
-            attempt.fetchFrom = first && attempt.sawFetchStart ? attempt.fetchFrom : startOf(claim);
-            attempt.sawFetchStart = true;
+        if (attempt.pullStartedAt == null) {
+            attempt.pullStartedAt = first && attempt.sawPullStart ? attempt.pullStartedAt : startOf(claim);
+            attempt.sawPullStart = true;
         }
     }
 
     private void runs(Claim claim, Attempt attempt) {
-        if (attempt.runFrom != null) {
+        if (attempt.runStartedAt != null) {
             return;
         }
-        attempt.runFrom = loop.now();
-        boolean young = Duration.between(claim.at(), loop.timeOfDay()).compareTo(fresh) < 0;
-        attempt.sawRunStart = !attempt.interrupted && (attempt.sawFetchStart || young);
+        attempt.runStartedAt = loop.now();
+        boolean young = Duration.between(claim.claimedAt(), loop.timeOfDay()).compareTo(fresh) < 0;
+        attempt.sawRunStart = !attempt.interrupted && (attempt.sawPullStart || young);
         if (attempt.sawRunStart) {
-            attempt.fetchSeconds = attempt.fetchFrom == null ? 0 : seconds(attempt.fetchFrom, attempt.runFrom);
+            attempt.pullSeconds =
+                    attempt.pullStartedAt == null ? 0 : seconds(attempt.pullStartedAt, attempt.runStartedAt);
         }
     }
 
@@ -131,7 +136,7 @@
 
     /** The claim's age by the time of day, as a steady instant. */
     private Instant startOf(Claim claim) {
-        Duration age = Duration.between(claim.at(), loop.timeOfDay());
+        Duration age = Duration.between(claim.claimedAt(), loop.timeOfDay());
         return loop.now().minus(age.isNegative() ? Duration.ZERO : age);
     }
 
@@ -139,30 +144,32 @@
         switch (why) {
             case "done" -> done(machine, claim, attempt);
             case "stopped" ->
-                endings.end(claim, attempt.stop == StopReason.LATE ? AttemptOutcome.LATE : AttemptOutcome.RETRY);
+                outcomes.end(
+                        claim,
+                        attempt.stopReason == StopReason.STRAGGLER ? AttemptOutcome.STRAGGLER : AttemptOutcome.RETRY);
             case "error" -> {
                 LOG.info("{} failed on {}", claim.task(), machine.name);
-                machine.avoid.add(claim.task());
-                evidence.failed(machine.name, claim.task().job());
-                endings.end(claim, AttemptOutcome.FAILED);
+                machine.avoidedTasks.add(claim.task());
+                faultDetector.failed(machine.name, claim.task().job());
+                outcomes.end(claim, AttemptOutcome.FAILED);
             }
             case "no_room", "busy" -> {
                 LOG.info("{} refused by {}: {}", claim.task(), machine.name, why);
                 machine.refusedUntil = loop.now().plus(REFUSAL_HOLDS);
-                endings.end(claim, AttemptOutcome.RETRY);
+                outcomes.end(claim, AttemptOutcome.RETRY);
             }
             default -> {
                 LOG.info("{} refused by {}: {}", claim.task(), machine.name, why);
-                endings.end(claim, AttemptOutcome.FAILED);
+                outcomes.end(claim, AttemptOutcome.FAILED);
             }
         }
     }
 
     private void done(AgentState machine, Claim claim, Attempt attempt) {
-        images.used(machine, ledger.job(claim.task().job()));
-        boolean sawRun = attempt.sawRunStart && attempt.runFrom != null;
-        double run = sawRun ? seconds(attempt.runFrom, loop.now()) : -1;
-        evidence.succeeded(machine.name);
-        endings.end(claim, AttemptOutcome.done(attempt.fetchSeconds, run));
+        imageCache.used(machine, clusterState.job(claim.task().job()));
+        boolean sawRun = attempt.sawRunStart && attempt.runStartedAt != null;
+        double run = sawRun ? seconds(attempt.runStartedAt, loop.now()) : -1;
+        faultDetector.succeeded(machine.name);
+        outcomes.end(claim, AttemptOutcome.done(attempt.pullSeconds, run));
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/ImageCacheTracker.java
+++ b/src/main/java/org/havenford/coordination/agents/ImageCacheTracker.java
@@ -15,19 +15,19 @@
     /** Size of an image of which no job is known, in GB. */
     private static final Double USUAL_GB = 5.0;
 
-    private final ClusterState ledger;
+    private final ClusterState clusterState;
     private final Consumer<String> changed;
     private final Object2ObjectOpenHashMap<String, Double> sizes = new Object2ObjectOpenHashMap<>();
 
     /** {@code changed} is told of machines whose images have changed. */
-    ImageCacheTracker(ClusterState ledger, Consumer<String> changed) {
-        this.ledger = ledger;
+    ImageCacheTracker(ClusterState clusterState, Consumer<String> changed) {
+        this.clusterState = clusterState;
         this.changed = changed;
     }
 
     /** A task of the job has its image: it goes to the front, and what no longer fits the cache drops out. */
     void used(AgentState machine, Job job) {
-        MachineRecord machineRecord = ledger.machine(machine.name);
+        MachineRecord machineRecord = clusterState.machine(machine.name);
         if (job == null || machineRecord == null) {
             return;
         }
@@ -42,7 +42,7 @@
         List<String> latestFirst = new ArrayList<>(machine.images);
         latestFirst.remove(image);
         latestFirst.add(0, image);
-        MachineType type = ledger.types().get(machineRecord.type());
+        MachineType type = clusterState.types().get(machineRecord.type());
         machine.images = fitting(latestFirst, type == null ? 0 : type.cacheGb());
         changed.accept(machine.name);
     }
--- a/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
@@ -31,7 +31,7 @@
     private record Kind(String type, String zone, boolean spot) {}
 
     private final EventLoop loop;
-    private final ClusterState ledger;
+    private final ClusterState clusterState;
     private final StoreReplica replica;
     private final StoreClient store;
     private final Membership membership;
@@ -41,13 +41,13 @@
 
     MachineAdoption(
             EventLoop loop,
-            ClusterState ledger,
+            ClusterState clusterState,
             StoreReplica replica,
             StoreClient store,
             Membership membership,
             String node) {
         this.loop = loop;
-        this.ledger = ledger;
+        this.clusterState = clusterState;
         this.replica = replica;
         this.store = store;
         this.membership = membership;
@@ -55,12 +55,13 @@
     }
 
     /** A machine has reported that is in no record. One that was just rented will be, once the rental is answered. */
-    void reported(AgentState state, Heartbeat report) {
+    void reported(AgentState state, Heartbeat heartbeat) {
         Instant now = loop.now();
         if (state.unknownSince == null) {
             state.unknownSince = now;
         }
-        boolean rentalsOpen = !ledger.bookings().isEmpty() && now.isBefore(state.unknownSince.plus(RENTALS_ANSWERED));
+        boolean rentalsOpen =
+                !clusterState.instanceRequests().isEmpty() && now.isBefore(state.unknownSince.plus(RENTALS_ANSWERED));
         if (rentalsOpen || found.containsKey(state.name)) {
             return;
         }
@@ -68,21 +69,21 @@
         if (found.isEmpty()) {
             loop.after(GATHER, this::write);
         }
-        found.put(state.name, report);
+        found.put(state.name, heartbeat);
     }
 
     private void write() {
         Map<String, List<Heartbeat>> alike = new TreeMap<>();
-        for (Heartbeat report : found.values()) {
-            boolean owned = node.equals(membership.owner(report.machine()));
-            if (owned && ledger.machine(report.machine()) == null) {
-                Kind kind = new Kind(report.type(), report.zone(), report.spot());
-                alike.computeIfAbsent(kind.toString(), k -> new ArrayList<>()).add(report);
+        for (Heartbeat heartbeat : found.values()) {
+            boolean owned = node.equals(membership.owner(heartbeat.machine()));
+            if (owned && clusterState.machine(heartbeat.machine()) == null) {
+                Kind kind = new Kind(heartbeat.type(), heartbeat.zone(), heartbeat.spot());
+                alike.computeIfAbsent(kind.toString(), k -> new ArrayList<>()).add(heartbeat);
             }
         }
         found.clear();
         for (List<Heartbeat> reports : alike.values()) {
-            for (List<Heartbeat> batch : Lists.partition(reports, MachineBatch.MOST)) {
+            for (List<Heartbeat> batch : Lists.partition(reports, MachineBatch.MAX_MACHINES)) {
                 write(batch);
             }
         }
@@ -98,13 +99,13 @@
         List<String> machines = reports.stream().map(Heartbeat::machine).toList();
         MachineBatch batch =
                 MachineBatch.of(name, first.type(), first.zone(), first.spot(), loop.timeOfDay(), machines);
-        StoreClient.Transaction txn = new StoreClient.Transaction()
-                .guard(Keys.VIEW, membership.viewStamp())
-                .guard(Keys.batch(name), 0)
-                .set(Keys.batch(name), batch.toJson());
-        store.commit(txn, StoreClient.CallPriority.WORK, result -> {
+        StoreClient.Transaction transaction = new StoreClient.Transaction()
+                .requireRevision(Keys.VIEW, membership.viewRevision())
+                .requireRevision(Keys.batch(name), 0)
+                .put(Keys.batch(name), batch.toJson());
+        store.commit(transaction, StoreClient.CallPriority.WORK, result -> {
             if (result.ok()) {
-                replica.committed(txn, result.edition());
+                replica.applyCommitted(transaction, result.revision());
             }
         });
     }
--- a/src/main/java/org/havenford/coordination/agents/MachineFaultDetector.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineFaultDetector.java
@@ -26,12 +26,12 @@
         private final Set<String> done = new HashSet<>();
     }
 
-    private final ClusterState ledger;
+    private final ClusterState clusterState;
     private final Map<String, Failures> byMachine = new HashMap<>();
 
     /** Evidence over the jobs that the replica shows. */
-    public MachineFaultDetector(ClusterState ledger) {
-        this.ledger = ledger;
+    public MachineFaultDetector(ClusterState clusterState) {
+        this.clusterState = clusterState;
     }
 
     /** A task of a job has failed on a machine. */
@@ -67,7 +67,7 @@
     private List<String> jobsThatProve(Failures failures) {
         List<String> proving = new ArrayList<>(failures.done);
         for (String id : failures.unfinished) {
-            Job job = ledger.job(id);
+            Job job = clusterState.job(id);
             if (job != null && job.doneCount() > 0) {
                 proving.add(id);
             }
--- a/src/main/java/org/havenford/coordination/agents/MachineHealthMonitor.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineHealthMonitor.java
@@ -19,18 +19,18 @@
     private static final Duration SEARCHING = Duration.ofSeconds(10);
 
     private final Consumer<String> changed;
-    private final MachineFaultDetector evidence;
+    private final MachineFaultDetector faultDetector;
     /** Ages of a report, worked out once: they are compared for each machine in each round. */
     private final Duration fresh;
 
     private final Duration silent;
 
     /** {@code changed} is told of machines whose condition has changed. */
-    MachineHealthMonitor(PlatformSettings settings, MachineFaultDetector evidence, Consumer<String> changed) {
-        this.evidence = evidence;
+    MachineHealthMonitor(PlatformSettings settings, MachineFaultDetector faultDetector, Consumer<String> changed) {
+        this.faultDetector = faultDetector;
         this.changed = changed;
-        this.fresh = settings.report().multipliedBy(2);
-        this.silent = settings.report().multipliedBy(5).dividedBy(2);
+        this.fresh = settings.heartbeatInterval().multipliedBy(2);
+        this.silent = settings.heartbeatInterval().multipliedBy(5).dividedBy(2);
     }
 
     /** Age up to which a report says how a machine is. */
@@ -42,22 +42,22 @@
     boolean usable(AgentState machine, Instant now) {
         // Answers to /do renew no lease: what starts on a machine that only answers is killed with it.
         // mute-machine.trace
-        return machine.report != null
+        return machine.heartbeat != null
                 && machine.noticeUntil == null
                 && !now.isBefore(machine.refusedUntil)
-                && now.isBefore(machine.reported.plus(fresh));
+                && now.isBefore(machine.lastHeartbeatAt.plus(fresh));
     }
 
     /** Works out the condition of a machine anew. */
     void judge(AgentState machine, MachineRecord onRecord, Instant now) {
         Condition condition = machine.condition;
-        if (machine.report != null && now.isBefore(machine.reported.plus(fresh))) {
+        if (machine.heartbeat != null && now.isBefore(machine.lastHeartbeatAt.plus(fresh))) {
             condition = heardLately(machine, onRecord);
-        } else if (machine.report == null && onRecord.condition().compareTo(Condition.RETIRING) < 0) {
+        } else if (machine.heartbeat == null && onRecord.condition().compareTo(Condition.RETIRING) < 0) {
             // Not heard yet: what the owner before us said.
             condition = onRecord.condition();
         }
-        Instant lastSign = machine.report == null ? machine.renewed : machine.reported;
+        Instant lastSign = machine.heartbeat == null ? machine.leaseRenewedAt : machine.lastHeartbeatAt;
         boolean expected = condition == Condition.UP || condition == Condition.DRAINING;
         if (expected && Duration.between(lastSign, now).compareTo(silence(machine)) > 0) {
             condition = Condition.SILENT;
@@ -72,7 +72,7 @@
         if (machine.unanswered >= MOST_UNANSWERED) {
             return Condition.SILENT;
         }
-        boolean faulty = evidence.isFaulty(machine.name)
+        boolean faulty = faultDetector.isFaulty(machine.name)
                 || machine.condition == Condition.FAULTY
                 || contradicts(machine, onRecord);
         if (faulty) {
@@ -83,7 +83,7 @@
 
     /** After this long without a report a machine is on record as silent. */
     private Duration silence(AgentState machine) {
-        return machine.report == null ? silent.plus(SEARCHING) : silent;
+        return machine.heartbeat == null ? silent.plus(SEARCHING) : silent;
     }
 
     /**
@@ -91,10 +91,10 @@
      * back to the cloud. contradicting-record.trace
      */
     private static boolean contradicts(AgentState machine, MachineRecord onRecord) {
-        Heartbeat report = machine.report;
-        boolean same = report.type().equals(onRecord.type())
-                && report.zone().equals(onRecord.zone())
-                && report.spot() == onRecord.spot();
+        Heartbeat heartbeat = machine.heartbeat;
+        boolean same = heartbeat.type().equals(onRecord.type())
+                && heartbeat.zone().equals(onRecord.zone())
+                && heartbeat.spot() == onRecord.spot();
         if (!same && machine.condition != Condition.FAULTY) {
             LOG.error(
                     "{} is on record as {}, zone {}, spot {}, and reports {}, zone {}, spot {}",
@@ -102,9 +102,9 @@
                     onRecord.type(),
                     onRecord.zone(),
                     onRecord.spot(),
-                    report.type(),
-                    report.zone(),
-                    report.spot());
+                    heartbeat.type(),
+                    heartbeat.zone(),
+                    heartbeat.spot());
         }
         return !same;
     }
--- a/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
@@ -36,16 +36,20 @@
 
     private final EventLoop loop;
     private final PlatformSettings settings;
-    private final ClusterState ledger;
+    private final ClusterState clusterState;
     private final StoreReplica replica;
     private final StoreClient store;
     private final List<Part> parts = new ArrayList<>();
 
     MachineStatusPublisher(
-            EventLoop loop, PlatformSettings settings, ClusterState ledger, StoreReplica replica, StoreClient store) {
+            EventLoop loop,
+            PlatformSettings settings,
+            ClusterState clusterState,
+            StoreReplica replica,
+            StoreClient store) {
         this.loop = loop;
         this.settings = settings;
-        this.ledger = ledger;
+        this.clusterState = clusterState;
         this.replica = replica;
         this.store = store;
         parts.add(new Part());
@@ -55,7 +59,7 @@
     void publish(Iterable<AgentState> machines, Instant now) {
         List<AgentState> known = new ArrayList<>();
         for (AgentState m : machines) {
-            if (m.condition != Condition.BOOTING && ledger.machine(m.name) != null) {
+            if (m.condition != Condition.BOOTING && clusterState.machine(m.name) != null) {
                 known.add(m);
             }
         }
@@ -79,7 +83,8 @@
             for (int i = 0; i < parts.size() && split.get(part).size() >= MachineStatuses.MAX_MACHINES; i++) {
                 part = (part + 1) % parts.size();
             }
-            List<String> images = m.images == null ? ledger.machine(m.name).images() : m.images;
+            List<String> images =
+                    m.images == null ? clusterState.machine(m.name).images() : m.images;
             split.get(part).put(m.name, new MachineStatuses.Status(m.condition, images));
         }
         return split;
@@ -91,22 +96,22 @@
             return;
         }
         boolean conditionsChanged = conditionsChanged(statuses, part);
-        Duration every = conditionsChanged && !store.pressed() ? PUBLISH_EVERY : PUBLISH_IMAGES_EVERY;
+        Duration every = conditionsChanged && !store.underPressure() ? PUBLISH_EVERY : PUBLISH_IMAGES_EVERY;
         if (now.isBefore(part.at.plus(every))) {
             return;
         }
         MachineStatuses value = new MachineStatuses(loop.timeOfDay(), statuses);
-        StoreClient.Transaction txn = new StoreClient.Transaction()
-                .set(Keys.machineStatuses(settings.node(), index), value.toJson(settings.valueBytes()));
+        StoreClient.Transaction transaction = new StoreClient.Transaction()
+                .put(Keys.machineStatuses(settings.node(), index), value.toJson(settings.valueBytes()));
         part.inFlight = true;
         part.at = now;
         StoreClient.CallPriority urgency =
                 conditionsChanged ? StoreClient.CallPriority.WORK : StoreClient.CallPriority.SPARE;
-        store.commit(txn, urgency, result -> {
+        store.commit(transaction, urgency, result -> {
             part.inFlight = false;
             if (result.ok()) {
                 part.stored = statuses;
-                replica.committed(txn, result.edition());
+                replica.applyCommitted(transaction, result.revision());
             }
         });
     }
--- a/src/main/java/org/havenford/coordination/agents/ReachabilityProbe.java
+++ b/src/main/java/org/havenford/coordination/agents/ReachabilityProbe.java
@@ -19,16 +19,16 @@
     private record FormerAgent(String machine, String endpoint) {}
 
     private final HttpCalls calls;
-    private final ClusterState ledger;
+    private final ClusterState clusterState;
     private final Membership membership;
     private final String node;
     private final List<FormerAgent> workers = new ArrayList<>();
     private Instant nextProbe = Instant.MIN;
     private int answers;
 
-    ReachabilityProbe(HttpCalls calls, ClusterState ledger, Membership membership, String node) {
+    ReachabilityProbe(HttpCalls calls, ClusterState clusterState, Membership membership, String node) {
         this.calls = calls;
-        this.ledger = ledger;
+        this.clusterState = clusterState;
         this.membership = membership;
         this.node = node;
     }
@@ -42,13 +42,13 @@
     }
 
     private boolean isResting() {
-        return membership.view().resting().contains(node);
+        return membership.view().cordoned().contains(node);
     }
 
     /** A machine went to another owner. */
     void lost(AgentState machine) {
-        if (machine.report != null && workers.size() < MAX_WORKERS) {
-            workers.add(new FormerAgent(machine.name, machine.report.endpoint()));
+        if (machine.heartbeat != null && workers.size() < MAX_WORKERS) {
+            workers.add(new FormerAgent(machine.name, machine.heartbeat.endpoint()));
         }
     }
 
@@ -59,9 +59,9 @@
         nextProbe = now.plus(PROBE_EVERY);
         // A machine that is gone never answers; waiting for it, a controller rested for good.
         // rests-while-machines-go.trace
-        workers.removeIf(w -> ledger.machine(w.machine()) == null);
+        workers.removeIf(w -> clusterState.machine(w.machine()) == null);
         if (workers.isEmpty()) {
-            membership.wantToWake();
+            membership.requestUncordon();
         }
         for (FormerAgent worker : workers) {
             calls.call(worker.endpoint(), "GET", "/status", null, TIMEOUT, reply -> answered(reply.ok()));
@@ -71,7 +71,7 @@
     private void answered(boolean ok) {
         answers = ok ? answers + 1 : 0;
         if (answers >= ANSWERS_PER_WORKER * workers.size()) {
-            membership.wantToWake();
+            membership.requestUncordon();
         }
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/RedirectedAgents.java
+++ b/src/main/java/org/havenford/coordination/agents/RedirectedAgents.java
@@ -39,9 +39,9 @@
             return;
         }
         workers.put(machine, new Seen(before.first(), now));
-        membership.reportedElsewhere(machine, membership.owner(machine));
+        membership.recordMisdirectedHeartbeat(machine, membership.owner(machine));
         if (now.isAfter(before.first().plus(patience))) {
-            membership.wantMove(machine);
+            membership.requestReassignment(machine);
             workers.remove(machine);
         }
     }
@@ -52,7 +52,7 @@
     }
 
     /** Reports from before a pause and those that follow it have nothing to do with each other. */
-    void stoodStill() {
+    void processPaused() {
         workers.clear();
     }
 
--- a/src/main/java/org/havenford/coordination/agents/TaskStopper.java
+++ b/src/main/java/org/havenford/coordination/agents/TaskStopper.java
@@ -17,45 +17,45 @@
     /** Part of the time left on a machine that is about to be taken by which an estimate may be exceeded. */
     private static final double ESTIMATE_MARGIN = 1.3;
 
-    private final ClusterState ledger;
-    private final OperatorSettings operator;
-    private long lateStops;
+    private final ClusterState clusterState;
+    private final OperatorSettings operatorSettings;
+    private long stragglerStops;
 
-    TaskStopper(ClusterState ledger, OperatorSettings operator) {
-        this.ledger = ledger;
-        this.operator = operator;
+    TaskStopper(ClusterState clusterState, OperatorSettings operatorSettings) {
+        this.clusterState = clusterState;
+        this.operatorSettings = operatorSettings;
     }
 
     /** How many tasks were stopped for lateness. */
-    long lateStops() {
-        return lateStops;
+    long stragglerStops() {
+        return stragglerStops;
     }
 
     /** Marks a claim to be stopped for more urgent work; whether it was not marked before. */
     boolean preempt(AgentState machine, Claim claim) {
-        if (machine.report == null || claim.session() != machine.report.session()) {
+        if (machine.heartbeat == null || claim.incarnation() != machine.heartbeat.incarnation()) {
             return false;
         }
         Attempt attempt = machine.attempt(claim.task(), claim.attempt());
-        if (!attempt.seen || attempt.stop != null) {
+        if (!attempt.seen || attempt.stopReason != null) {
             return false;
         }
         LOG.info("{} on {} is stopped for more urgent work", claim.task(), claim.machine());
-        attempt.stop = StopReason.PREEMPTED;
+        attempt.stopReason = StopReason.PREEMPTED;
         return true;
     }
 
     /** The paper's trigger: marks attempts whose fetch is late against the medians of their job. */
-    void checkLateness(AgentState machine, Instant now) {
-        if (machine.unheardSincePause) {
+    void stopStragglers(AgentState machine, Instant now) {
+        if (machine.silentSincePause) {
             // The fetch may be over: nobody has listened.
             return;
         }
-        for (Claim claim : ledger.claimsOn(machine.name).values()) {
+        for (Claim claim : clusterState.claimsOn(machine.name).values()) {
             Attempt attempt = machine.attempts.get(claim.task());
-            Job job = ledger.job(claim.task().job());
+            Job job = clusterState.job(claim.task().job());
             if (mayBeLate(attempt, claim, job)) {
-                checkLateness(machine, claim, attempt, job, now);
+                stopStragglers(machine, claim, attempt, job, now);
             }
         }
     }
@@ -65,27 +65,27 @@
         boolean fetches = attempt != null
                 && attempt.number == claim.attempt()
                 && attempt.seen
-                && attempt.runFrom == null
-                && attempt.fetchFrom != null
-                && attempt.stop == null;
+                && attempt.runStartedAt == null
+                && attempt.pullStartedAt != null
+                && attempt.stopReason == null;
         int task = claim.task().index();
         return fetches
                 && job != null
-                && job.doneCount() >= operator.lateMinimumDone()
-                && !job.stored(job.chunkOf(task)).wasLate(task);
+                && job.doneCount() >= operatorSettings.lateMinimumDone()
+                && !job.storedTaskRange(job.taskRangeIndex(task)).wasLate(task);
     }
 
-    private void checkLateness(AgentState machine, Claim claim, Attempt attempt, Job job, Instant now) {
-        Duration fetch = job.medianFetch();
+    private void stopStragglers(AgentState machine, Claim claim, Attempt attempt, Job job, Instant now) {
+        Duration fetch = job.medianPull();
         Duration run = job.medianRun();
         if (fetch == null || run == null) {
             return;
         }
-        Duration elapsed = Duration.between(attempt.fetchFrom, now);
+        Duration elapsed = Duration.between(attempt.pullStartedAt, now);
         Duration estimate = StragglerDetector.estimateFetching(elapsed, fetch, run);
         double coefficient = StragglerDetector.coefficient(estimate, fetch.plus(run));
-        if (coefficient > operator.lateThreshold()) {
-            lateStops++;
+        if (coefficient > operatorSettings.lateThreshold()) {
+            stragglerStops++;
             LOG.info(
                     "late: {} on {} has fetched for {} (medians {} and {}), p = {}",
                     claim.task(),
@@ -94,7 +94,7 @@
                     fetch,
                     run,
                     coefficient);
-            attempt.stop = StopReason.LATE;
+            attempt.stopReason = StopReason.STRAGGLER;
         }
     }
 
@@ -104,20 +104,20 @@
             return;
         }
         Duration left = Duration.between(now, machine.noticeUntil);
-        for (Claim claim : ledger.claimsOn(machine.name).values()) {
+        for (Claim claim : clusterState.claimsOn(machine.name).values()) {
             Attempt attempt = machine.attempts.get(claim.task());
-            Job job = ledger.job(claim.task().job());
-            boolean goesOn = attempt != null && attempt.number == claim.attempt() && attempt.stop == null;
+            Job job = clusterState.job(claim.task().job());
+            boolean goesOn = attempt != null && attempt.number == claim.attempt() && attempt.stopReason == null;
             if (goesOn && job != null && !endsWithin(left, attempt, job, now)) {
-                attempt.stop = StopReason.DRAINED;
+                attempt.stopReason = StopReason.DRAINED;
             }
         }
     }
 
     private static boolean endsWithin(Duration left, Attempt attempt, Job job, Instant now) {
         Duration run = job.medianRun();
-        Duration whole = run == null ? job.spec().guess() : run;
-        Duration elapsed = attempt.runFrom == null ? Duration.ZERO : Duration.between(attempt.runFrom, now);
+        Duration whole = run == null ? job.spec().estimatedDuration() : run;
+        Duration elapsed = attempt.runStartedAt == null ? Duration.ZERO : Duration.between(attempt.runStartedAt, now);
         return whole.minus(elapsed).toMillis() <= left.toMillis() * ESTIMATE_MARGIN;
     }
 }
--- a/src/main/java/org/havenford/coordination/failover/StandbyAccess.java
+++ b/src/main/java/org/havenford/coordination/failover/StandbyAccess.java
@@ -23,10 +23,10 @@
     private final Runnable eventBegins;
     private final StoreClient store;
     private final StoreReplica replica;
-    private final ClusterState ledger;
+    private final ClusterState clusterState;
     private final Membership membership;
     private final MemberEvictions evictions;
-    private final AgentManager fleet;
+    private final AgentManager agentManager;
     private Observer observer;
 
     /** The access to the controller made of these parts. */
@@ -35,18 +35,18 @@
             Runnable eventBegins,
             StoreClient store,
             StoreReplica replica,
-            ClusterState ledger,
+            ClusterState clusterState,
             Membership membership,
             MemberEvictions evictions,
-            AgentManager fleet) {
+            AgentManager agentManager) {
         this.loop = loop;
         this.eventBegins = eventBegins;
         this.store = store;
         this.replica = replica;
-        this.ledger = ledger;
+        this.clusterState = clusterState;
         this.membership = membership;
         this.evictions = evictions;
-        this.fleet = fleet;
+        this.agentManager = agentManager;
     }
 
     /** Tells the observer, if any, of a new view. */
@@ -57,9 +57,9 @@
     }
 
     /** Tells the observer, if any, of a pause of this process. */
-    public void stoodStill() {
+    public void processPaused() {
         if (observer != null) {
-            observer.stoodStill();
+            observer.processPaused();
         }
     }
 
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public void eventBegins() {
+    public void eventStarted() {
         eventBegins.run();
     }
 
@@ -90,38 +90,38 @@
     }
 
     @Override
-    public boolean entitled() {
-        return membership.entitled();
+    public boolean mayDecide() {
+        return membership.mayAnswerAgents();
     }
 
     @Override
-    public long replicaEdition() {
-        return replica.edition();
+    public long replicaRevision() {
+        return replica.revision();
     }
 
     @Override
-    public long viewStamp() {
-        return membership.viewStamp();
+    public long viewRevision() {
+        return membership.viewRevision();
     }
 
     @Override
-    public boolean evictionPermitted(String node) {
-        return evictions.permitted(node);
+    public boolean mayEvict(String node) {
+        return evictions.mayEvict(node);
     }
 
     @Override
-    public void challenge(String node, long incarnation, LongConsumer asked) {
-        evictions.challenge(node, incarnation, asked);
+    public void probe(String node, long incarnation, LongConsumer asked) {
+        evictions.probe(node, incarnation, asked);
     }
 
     @Override
-    public boolean challengeStands(String node, long stamp) {
-        return replica.stamp(Keys.challenge(node)) == stamp;
+    public boolean probeIsUnanswered(String node, long stamp) {
+        return replica.modRevision(Keys.livenessProbe(node)) == stamp;
     }
 
     @Override
-    public void withdrawChallenge(String node, long stamp) {
-        evictions.withdraw(node, stamp);
+    public void withdrawProbe(String node, long stamp) {
+        evictions.withdrawProbe(node, stamp);
     }
 
     @Override
@@ -130,15 +130,15 @@
     }
 
     @Override
-    public List<AgentContact> machineNotes() {
-        return fleet.notes();
+    public List<AgentContact> agentContacts() {
+        return agentManager.contacts();
     }
 
     @Override
     public int urgency(String machine) {
         int most = JobSpec.Priority.values().length;
-        for (Claim claim : ledger.claimsOn(machine).values()) {
-            Job job = ledger.job(claim.task().job());
+        for (Claim claim : clusterState.claimsOn(machine).values()) {
+            Job job = clusterState.job(claim.task().job());
             if (job != null) {
                 most = Math.min(most, job.spec().priority().ordinal());
             }
@@ -147,7 +147,7 @@
     }
 
     @Override
-    public void contact(AgentContact note) {
-        fleet.contact(note);
+    public void contact(AgentContact contact) {
+        agentManager.contact(contact);
     }
 }
--- a/src/main/java/org/havenford/coordination/failover/StandbyHost.java
+++ b/src/main/java/org/havenford/coordination/failover/StandbyHost.java
@@ -16,14 +16,14 @@
         void viewChanged();
 
         /** This process has stood still: silence meanwhile was not seen. */
-        void stoodStill();
+        void processPaused();
     }
 
     /** The controller's loop. */
     EventLoop loop();
 
     /** An event that did not come through the loop begins. */
-    void eventBegins();
+    void eventStarted();
 
     /** Has the observer told from now on. */
     void observe(Observer observer);
@@ -35,35 +35,35 @@
     long incarnation();
 
     /** Whether this node may decide: its lease holds, and its replica has passed the view in force. */
-    boolean entitled();
+    boolean mayDecide();
 
     /** Edition that the replica has reached. */
-    long replicaEdition();
+    long replicaRevision();
 
     /** Stamp of the view in force. */
-    long viewStamp();
+    long viewRevision();
 
     /** Whether a member may be evicted now. */
-    boolean evictionPermitted(String node);
+    boolean mayEvict(String node);
 
     /** Asks a member through the state service whether it is alive; tells the stamp of the question, 0 if it failed. */
-    void challenge(String node, long incarnation, LongConsumer asked);
+    void probe(String node, long incarnation, LongConsumer asked);
 
     /** Whether a question still stands, as far as the replica shows: nobody has answered, replaced or withdrawn it. */
-    boolean challengeStands(String node, long stamp);
+    boolean probeIsUnanswered(String node, long stamp);
 
     /** Takes a question back. */
-    void withdrawChallenge(String node, long stamp);
+    void withdrawProbe(String node, long stamp);
 
     /** Evicts a member that did not answer; tells whether the view without it was committed. */
     void evict(String node, long incarnation, long challengeStamp, Consumer<Boolean> done);
 
     /** What is known of the workers of the machines that this node owns. */
-    List<AgentContact> machineNotes();
+    List<AgentContact> agentContacts();
 
     /** How urgent the claims on a machine are: 0 is the most urgent; without any claim, the largest. */
     int urgency(String machine);
 
     /** Sends this node's token to the worker of a machine that was taken over, which answers with a report. */
-    void contact(AgentContact note);
+    void contact(AgentContact contact);
 }
--- a/src/main/java/org/havenford/coordination/jobs/CoordinationContext.java
+++ b/src/main/java/org/havenford/coordination/jobs/CoordinationContext.java
@@ -15,7 +15,7 @@
 public record CoordinationContext(
         EventLoop loop,
         PlatformSettings settings,
-        ClusterState ledger,
+        ClusterState clusterState,
         StoreReplica replica,
         StoreClient store,
         Membership membership,
@@ -29,21 +29,21 @@
     }
 
     /** The stamp that our replica holds of a key; 0 where the key does not exist. */
-    public long stamp(String key) {
-        return replica.stamp(key);
+    public long modRevision(String key) {
+        return replica.modRevision(key);
     }
 
     /** Whether this member looks after a job; each job is looked after by one member. */
-    boolean responsibleFor(Job job) {
-        return node().equals(membership.view().rendezvous(job.id()));
+    boolean isResponsibleFor(Job job) {
+        return node().equals(membership.view().rendezvousOwner(job.id()));
     }
 
     /**
      * The value to store for a record of tasks; null while no form fits. The short form is written once every controller
      * has been seen to read it.
      */
-    public JsonObject toJson(TaskRange chunk) {
-        boolean shortForm = membership.allReadFormat2() || writer.limitsLowered();
-        return chunk.toJson(settings.valueBytes(), settings.presentValueBytes(), shortForm);
+    public JsonObject toJson(TaskRange taskRange) {
+        boolean shortForm = membership.allReadShortForm() || writer.limitsLowered();
+        return taskRange.toJson(settings.valueBytes(), settings.presentValueBytes(), shortForm);
     }
 }
--- a/src/main/java/org/havenford/coordination/jobs/FinalStateCache.java
+++ b/src/main/java/org/havenford/coordination/jobs/FinalStateCache.java
@@ -71,7 +71,7 @@
         if (reading.size() >= MAX_READS || now.isBefore(retryAt.getOrDefault(id, Instant.MIN)) || !reading.add(id)) {
             return;
         }
-        store.get(Keys.end(id), StoreClient.CallPriority.CLAIM, result -> {
+        store.get(Keys.finalState(id), StoreClient.CallPriority.CLAIM, result -> {
             reading.remove(id);
             retryAt.remove(id);
             if (result.ok() && parsed(id, result) != null) {
--- a/src/main/java/org/havenford/coordination/jobs/JobApi.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobApi.java
@@ -24,10 +24,10 @@
     private final Runnable wake;
 
     /** The handlers of the job API; {@code wake} asks for a scheduling round. */
-    public JobApi(CoordinationContext context, JobDependencies pipelines, Runnable wake) {
+    public JobApi(CoordinationContext context, JobDependencies dependencies, Runnable wake) {
         this.context = context;
-        this.queries = new JobQueries(context, pipelines);
-        this.submissions = new JobSubmissions(context, pipelines, queries, wake);
+        this.queries = new JobQueries(context, dependencies);
+        this.submissions = new JobSubmissions(context, dependencies, queries, wake);
         this.wake = wake;
     }
 
@@ -52,7 +52,7 @@
         FinalState known = context.finalStates().known(spec.id());
         if (known != null) {
             answer.accept(JobApiResponses.ended(spec.id(), known));
-        } else if (overloaded() || context.ledger().types().isEmpty()) {
+        } else if (overloaded() || context.clusterState().types().isEmpty()) {
             answer.accept(JobApiResponses.retryLater());
         } else {
             submissions.submit(spec, answer);
@@ -107,11 +107,11 @@
     /** The stamp of the header decides between the cancellation and the end of the job's last task. */
     private void cancel(Job job, long stamp, int attempts, Consumer<Response> answer) {
         String key = Keys.job(job.id());
-        StoreClient.Transaction txn =
-                new StoreClient.Transaction().guard(key, stamp).set(key, job.header(true));
-        context.store().commit(txn, StoreClient.CallPriority.USER, result -> {
+        StoreClient.Transaction transaction =
+                new StoreClient.Transaction().requireRevision(key, stamp).put(key, job.header(true));
+        context.store().commit(transaction, StoreClient.CallPriority.USER, result -> {
             if (result.ok()) {
-                context.replica().committed(txn, result.edition());
+                context.replica().applyCommitted(transaction, result.revision());
                 answer.accept(JobApiResponses.cancelled(job.id()));
                 wake.run();
             } else if (result.outcome() == Outcome.CONFLICT && attempts > 1) {
--- a/src/main/java/org/havenford/coordination/jobs/JobApiResponses.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobApiResponses.java
@@ -33,7 +33,7 @@
     }
 
     static Response cancelled(String id) {
-        return Response.of(200, state(id, FinalState.Status.WITHDRAWN.text()));
+        return Response.of(200, state(id, FinalState.Status.CANCELLED.text()));
     }
 
     static Response ended(String id, FinalState state) {
@@ -42,7 +42,7 @@
 
     /** A job that is cancelled, but not over. */
     static Response beingCancelled(String id, int done) {
-        return Response.of(200, progress(id, FinalState.Status.WITHDRAWN.text(), done, 0));
+        return Response.of(200, progress(id, FinalState.Status.CANCELLED.text(), done, 0));
     }
 
     static Response unfinished(String id, int done, int running) {
--- a/src/main/java/org/havenford/coordination/jobs/JobCompletion.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobCompletion.java
@@ -31,10 +31,10 @@
 
     /** Ends jobs whose tasks are all done, or that were cancelled and hold no claim any more. */
     public void step() {
-        for (Job job : List.copyOf(context.ledger().jobs())) {
-            boolean done = !job.cancelled() && job.doneCount() == job.spec().tasks();
+        for (Job job : List.copyOf(context.clusterState().jobs())) {
+            boolean done = !job.cancelled() && job.doneCount() == job.spec().taskCount();
             if ((done || isWithdrawn(job))
-                    && context.responsibleFor(job)
+                    && context.isResponsibleFor(job)
                     && !context.writer().isLocked(Keys.job(job.id()))) {
                 end(job, done);
             }
@@ -48,7 +48,7 @@
     private boolean isWithdrawn(Job job) {
         return job.cancelled()
                 && job.claimCount() == 0
-                && context.replica().edition() >= context.stamp(Keys.job(job.id()));
+                && context.replica().revision() >= context.modRevision(Keys.job(job.id()));
     }
 
     /** A job of many records is taken down bit by bit; its header goes last, together with the final state. */
@@ -57,19 +57,20 @@
         int room = context.settings().txnOps() - CHANGES_OF_END;
         boolean last = stored.size() <= Math.min(MAX_FINAL_CHUNKS, room);
         String header = Keys.job(job.id());
-        StoreClient.Transaction txn = new StoreClient.Transaction().guard(header, context.stamp(header));
+        StoreClient.Transaction transaction =
+                new StoreClient.Transaction().requireRevision(header, context.modRevision(header));
         if (last || !done) {
-            stored.subList(0, Math.min(stored.size(), room)).forEach(index -> deleteChunk(job, index, txn));
+            stored.subList(0, Math.min(stored.size(), room)).forEach(index -> deleteChunk(job, index, transaction));
         }
         List<String> locks = new ArrayList<>(List.of(header));
         boolean ends = last || done;
         Runnable onSuccess = () -> {};
         if (ends) {
-            FinalState.Status status = done ? FinalState.Status.DONE : FinalState.Status.WITHDRAWN;
-            onSuccess = addEnd(job, status, txn, locks);
+            FinalState.Status status = done ? FinalState.Status.DONE : FinalState.Status.CANCELLED;
+            onSuccess = addCompletion(job, status, transaction, locks);
         }
         StoreClient.CallPriority urgency = ends ? urgency(job) : StoreClient.CallPriority.WORK;
-        context.writer().commit(txn, urgency, locks, onSuccess);
+        context.writer().commit(transaction, urgency, locks, onSuccess);
     }
 
     /** Users and pipelines wait for the end of a job; only that of low work stands behind the claims of other work. */
@@ -83,18 +84,20 @@
      * committed. Jobs that wait for nothing else are released by the same transaction, as far as its limit allows: they then
      * need not wait until the member that looks after them has read the final state.
      */
-    public Runnable addEnd(Job job, FinalState.Status status, StoreClient.Transaction txn, List<String> locks) {
+    public Runnable addCompletion(
+            Job job, FinalState.Status status, StoreClient.Transaction transaction, List<String> locks) {
         Instant now = context.loop().timeOfDay();
-        Set<String> dependents = context.ledger().dependents(job.id());
+        Set<String> dependents = context.clusterState().dependents(job.id());
         boolean done = status == FinalState.Status.DONE;
-        FinalState state = new FinalState(status, job.spec().tasks(), done && !dependents.isEmpty() ? now : null);
-        txn.set(Keys.end(job.id()), state.toJson()).delete(Keys.job(job.id()));
+        FinalState state = new FinalState(status, job.spec().taskCount(), done && !dependents.isEmpty() ? now : null);
+        transaction.put(Keys.finalState(job.id()), state.toJson()).delete(Keys.job(job.id()));
         if (done) {
             for (String id : dependents) {
-                if (txn.writes() < context.settings().txnOps() && waitsOnlyFor(id, job.id())) {
+                if (transaction.operationCount() < context.settings().txnOps() && waitsOnlyFor(id, job.id())) {
                     String key = Keys.job(id);
-                    txn.guard(key, context.stamp(key))
-                            .set(key, context.ledger().job(id).readyHeader(now));
+                    transaction
+                            .requireRevision(key, context.modRevision(key))
+                            .put(key, context.clusterState().job(id).readyHeader(now));
                     locks.add(key);
                 }
             }
@@ -107,11 +110,11 @@
 
     /** Whether all that a waiting job needs besides the given one is known to be done. */
     private boolean waitsOnlyFor(String waitingId, String lastNeeded) {
-        Job waiting = context.ledger().job(waitingId);
+        Job waiting = context.clusterState().job(waitingId);
         if (waiting.cancelled() || context.writer().isLocked(Keys.job(waitingId))) {
             return false;
         }
-        for (String id : waiting.spec().awaits()) {
+        for (String id : waiting.spec().dependencies()) {
             FinalState state = context.finalStates().known(id);
             boolean done = state != null && state.status() == FinalState.Status.DONE;
             if (!done && !id.equals(lastNeeded)) {
@@ -123,32 +126,34 @@
 
     private static List<Integer> storedChunks(Job job) {
         List<Integer> stored = new ArrayList<>();
-        for (int i = 0; i < job.chunkCount(); i++) {
-            if (job.stored(i) != null) {
+        for (int i = 0; i < job.taskRangeCount(); i++) {
+            if (job.storedTaskRange(i) != null) {
                 stored.add(i);
             }
         }
         return stored;
     }
 
-    private void deleteChunk(Job job, int index, StoreClient.Transaction txn) {
+    private void deleteChunk(Job job, int index, StoreClient.Transaction transaction) {
         String key = Keys.tasks(job.id(), index);
-        txn.guard(key, context.stamp(key)).delete(key);
+        transaction.requireRevision(key, context.modRevision(key)).delete(key);
     }
 
     /** Deletes records of tasks whose job is over. */
-    public void sweep() {
-        boolean first = context.node().equals(context.membership().view().first());
-        if (!first || context.ledger().orphans().isEmpty() || context.writer().isLocked(SWEEP)) {
+    public void deleteTaskRangesWithoutJob() {
+        boolean first = context.node().equals(context.membership().view().provisioningLeader());
+        if (!first
+                || context.clusterState().taskRangesWithoutJob().isEmpty()
+                || context.writer().isLocked(SWEEP)) {
             return;
         }
-        StoreClient.Transaction txn = new StoreClient.Transaction();
-        for (String path : context.ledger().orphans()) {
-            if (txn.writes() < context.settings().txnOps() - CHANGES_OF_END) {
+        StoreClient.Transaction transaction = new StoreClient.Transaction();
+        for (String path : context.clusterState().taskRangesWithoutJob()) {
+            if (transaction.operationCount() < context.settings().txnOps() - CHANGES_OF_END) {
                 String header = Keys.job(path.substring(0, path.indexOf('/')));
-                txn.guard(header, 0).delete(Keys.TASKS + path);
+                transaction.requireRevision(header, 0).delete(Keys.TASKS + path);
             }
         }
-        context.writer().commit(txn, StoreClient.CallPriority.WORK, List.of(SWEEP), () -> {});
+        context.writer().commit(transaction, StoreClient.CallPriority.WORK, List.of(SWEEP), () -> {});
     }
 }
--- a/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
@@ -35,7 +35,7 @@
         /** The end of one has yet to be read from the store. */
         UNKNOWN,
         /** One, directly or through others, is cancelled: it can never be done, nor can what needs it. */
-        WITHDRAWN
+        CANCELLED
     }
 
     private final CoordinationContext context;
@@ -50,21 +50,21 @@
      * The outlook of a job that needs the given ones. A cancelled header can only become a withdrawn job, and a job that
      * needs a withdrawn one can only be withdrawn; so {@code WITHDRAWN} is certain however old our replica is.
      */
-    DependencyStatus outlook(Collection<String> needed) {
+    DependencyStatus statusOf(Collection<String> needed) {
         DependencyStatus all = DependencyStatus.DONE;
         Set<String> seen = new HashSet<>(needed);
         ArrayDeque<String> unvisited = new ArrayDeque<>(needed);
         while (!unvisited.isEmpty()) {
             String id = unvisited.poll();
-            Job job = context.ledger().job(id);
+            Job job = context.clusterState().job(id);
             DependencyStatus one =
-                    job == null ? ended(id) : job.cancelled() ? DependencyStatus.WITHDRAWN : DependencyStatus.OPEN;
-            if (one == DependencyStatus.WITHDRAWN) {
+                    job == null ? ended(id) : job.cancelled() ? DependencyStatus.CANCELLED : DependencyStatus.OPEN;
+            if (one == DependencyStatus.CANCELLED) {
                 return one;
             }
             all = one.compareTo(all) > 0 ? one : all;
-            if (job != null && job.waiting()) {
-                for (String further : job.spec().awaits()) {
+            if (job != null && job.awaitsDependencies()) {
+                for (String further : job.spec().dependencies()) {
                     if (seen.add(further)) {
                         unvisited.add(further);
                     }
@@ -81,18 +81,19 @@
             context.finalStates().read(id);
             return DependencyStatus.UNKNOWN;
         }
-        return state.status() == FinalState.Status.DONE ? DependencyStatus.DONE : DependencyStatus.WITHDRAWN;
+        return state.status() == FinalState.Status.DONE ? DependencyStatus.DONE : DependencyStatus.CANCELLED;
     }
 
     /**
      * Whether a waiting job may be called pending. A cancellation that our replica does not show yet must be so young that
      * the time for cancellations is not over; after an outage the replica may lack older ones.
      */
-    boolean mayBeCalledPending(Job waiting) {
-        DependencyStatus outlook = outlook(waiting.spec().awaits());
+    boolean isCertainlyPending(Job waiting) {
+        DependencyStatus outlook = statusOf(waiting.spec().dependencies());
         return (outlook == DependencyStatus.OPEN || outlook == DependencyStatus.DONE)
                 && context.membership()
-                        .replicaIsYoungerThan(context.settings().cancel().dividedBy(2));
+                        .replicaIsFresherThan(
+                                context.settings().cancellationLimit().dividedBy(2));
     }
 
     /**
@@ -114,17 +115,17 @@
     /** Releases and withdraws what this member is responsible for; each job is looked after by one member. */
     public void step() {
         List<Job> withdrawn = new ArrayList<>();
-        for (String id : List.copyOf(context.ledger().waiting())) {
-            Job job = context.ledger().job(id);
+        for (String id : List.copyOf(context.clusterState().jobsAwaitingDependencies())) {
+            Job job = context.clusterState().job(id);
             if (job.cancelled()) {
                 continue;
             }
             // Every member finds out, so that each can answer users and knows the rest at a take-over.
-            DependencyStatus outlook = outlook(job.spec().awaits());
-            if (context.writer().isLocked(Keys.job(id)) || !context.responsibleFor(job)) {
+            DependencyStatus outlook = statusOf(job.spec().dependencies());
+            if (context.writer().isLocked(Keys.job(id)) || !context.isResponsibleFor(job)) {
                 continue;
             }
-            if (outlook == DependencyStatus.WITHDRAWN) {
+            if (outlook == DependencyStatus.CANCELLED) {
                 withdrawn.add(job);
             } else if (outlook == DependencyStatus.DONE) {
                 release(job);
@@ -133,7 +134,7 @@
         for (List<Job> jobs :
                 Lists.partition(withdrawn, Math.max(1, context.settings().txnOps() / CHANGES_PER_WITHDRAWAL))) {
             if (withdrawalsUnderWay < MAX_WITHDRAWALS_UNDER_WAY) {
-                withdraw(jobs);
+                cancelDependents(jobs);
             }
         }
     }
@@ -141,28 +142,32 @@
     private void release(Job job) {
         String key = Keys.job(job.id());
         LOG.debug("{} has all that it awaits", job.id());
-        Instant at = releaseTime(job.spec().awaits(), job.submitted());
-        StoreClient.Transaction txn =
-                new StoreClient.Transaction().guard(key, context.stamp(key)).set(key, job.readyHeader(at));
-        context.writer().commit(txn, StoreClient.CallPriority.CLAIM, List.of(key), () -> context.pipelineMetrics()
-                .released(at, context.loop().timeOfDay()));
+        Instant at = releaseTime(job.spec().dependencies(), job.submittedAt());
+        StoreClient.Transaction transaction = new StoreClient.Transaction()
+                .requireRevision(key, context.modRevision(key))
+                .put(key, job.readyHeader(at));
+        context.writer()
+                .commit(transaction, StoreClient.CallPriority.CLAIM, List.of(key), () -> context.pipelineMetrics()
+                        .released(at, context.loop().timeOfDay()));
     }
 
     /** They were never released, so they hold no task, and with the guards on their headers none can be claimed any more. */
-    private void withdraw(List<Job> jobs) {
-        StoreClient.Transaction txn = new StoreClient.Transaction();
+    private void cancelDependents(List<Job> jobs) {
+        StoreClient.Transaction transaction = new StoreClient.Transaction();
         List<String> keys = new ArrayList<>();
         for (Job job : jobs) {
             String key = Keys.job(job.id());
             FinalState state =
-                    FinalState.of(FinalState.Status.WITHDRAWN, job.spec().tasks());
+                    FinalState.of(FinalState.Status.CANCELLED, job.spec().taskCount());
             keys.add(key);
-            txn.guard(key, context.stamp(key))
-                    .set(Keys.end(job.id()), state.toJson())
+            transaction
+                    .requireRevision(key, context.modRevision(key))
+                    .put(Keys.finalState(job.id()), state.toJson())
                     .delete(key);
         }
         LOG.info("withdrawn with a job that they need: {}", keys);
         withdrawalsUnderWay++;
-        context.writer().commit(txn, StoreClient.CallPriority.CLAIM, keys, () -> {}, result -> withdrawalsUnderWay--);
+        context.writer()
+                .commit(transaction, StoreClient.CallPriority.CLAIM, keys, () -> {}, result -> withdrawalsUnderWay--);
     }
 }
--- a/src/main/java/org/havenford/coordination/jobs/JobQueries.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobQueries.java
@@ -27,15 +27,15 @@
     private static final int CONDITIONS_PER_CHANGE = 4;
 
     private final CoordinationContext context;
-    private final JobDependencies pipelines;
+    private final JobDependencies dependencies;
     /** Jobs asked for since the last comparison was sent. */
     private final Map<String, List<Consumer<Response>>> waiting = new LinkedHashMap<>();
 
     private boolean comparing;
 
-    JobQueries(CoordinationContext context, JobDependencies pipelines) {
+    JobQueries(CoordinationContext context, JobDependencies dependencies) {
         this.context = context;
-        this.pipelines = pipelines;
+        this.dependencies = dependencies;
     }
 
     /** Answers with the present state of a job; 404 if it was never accepted. */
@@ -43,7 +43,7 @@
         FinalState known = context.finalStates().known(id);
         if (known != null) {
             answer.accept(JobApiResponses.ended(id, known));
-        } else if (context.ledger().job(id) == null) {
+        } else if (context.clusterState().job(id) == null) {
             readFromStore(id, answer);
         } else {
             waiting.computeIfAbsent(id, k -> new ArrayList<>()).add(answer);
@@ -59,14 +59,14 @@
         if (batch.isEmpty()) {
             return;
         }
-        StoreClient.Transaction txn = new StoreClient.Transaction();
+        StoreClient.Transaction transaction = new StoreClient.Transaction();
         Map<String, Job> compared = new HashMap<>();
         for (String id : batch.keySet()) {
-            txn.guard(Keys.job(id), context.stamp(Keys.job(id)));
-            compared.put(id, context.ledger().job(id));
+            transaction.requireRevision(Keys.job(id), context.modRevision(Keys.job(id)));
+            compared.put(id, context.clusterState().job(id));
         }
         comparing = true;
-        context.store().commit(txn, StoreClient.CallPriority.USER, result -> {
+        context.store().commit(transaction, StoreClient.CallPriority.USER, result -> {
             comparing = false;
             boolean answered = result.ok() || result.outcome() == Outcome.CONFLICT;
             Set<String> stale = answered ? stale(result, batch.keySet()) : Set.of();
@@ -92,7 +92,7 @@
         while (entries.hasNext() && batch.size() < most) {
             Map.Entry<String, List<Consumer<Response>>> entry = entries.next();
             entries.remove();
-            if (context.ledger().job(entry.getKey()) == null) {
+            if (context.clusterState().job(entry.getKey()) == null) {
                 entry.getValue().forEach(a -> readFromStore(entry.getKey(), a));
             } else {
                 batch.put(entry.getKey(), entry.getValue());
@@ -133,7 +133,7 @@
 
     /** Answers with how a job ended; 404 if there is no final state. */
     void readFinalState(String id, Consumer<Response> answer) {
-        context.store().get(Keys.end(id), StoreClient.CallPriority.USER, result -> {
+        context.store().get(Keys.finalState(id), StoreClient.CallPriority.USER, result -> {
             if (result.ok()) {
                 FinalState state = context.finalStates().parsed(id, result);
                 answer.accept(state == null ? JobApiResponses.retryLater() : JobApiResponses.ended(id, state));
@@ -155,13 +155,13 @@
 
     /** What a header says that is the present one; how many tasks run and are done is taken from our replica. */
     private Response unfinished(Job header) {
-        Job job = context.ledger().job(header.id());
+        Job job = context.clusterState().job(header.id());
         int done = job == null ? 0 : job.doneCount();
         int running = job == null ? 0 : job.claimCount();
         if (header.cancelled()) {
             return JobApiResponses.beingCancelled(header.id(), done);
         }
-        if (header.waiting() && !pipelines.mayBeCalledPending(header)) {
+        if (header.awaitsDependencies() && !dependencies.isCertainlyPending(header)) {
             return JobApiResponses.retryLater();
         }
         return JobApiResponses.unfinished(header.id(), done, running);
--- a/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
@@ -31,20 +31,20 @@
     private static final int CONDITIONS_PER_JOB = 2;
 
     private final CoordinationContext context;
-    private final JobDependencies pipelines;
+    private final JobDependencies dependencies;
     private final JobQueries queries;
     private final Runnable wake;
 
-    JobSubmissions(CoordinationContext context, JobDependencies pipelines, JobQueries queries, Runnable wake) {
+    JobSubmissions(CoordinationContext context, JobDependencies dependencies, JobQueries queries, Runnable wake) {
         this.context = context;
-        this.pipelines = pipelines;
+        this.dependencies = dependencies;
         this.queries = queries;
         this.wake = wake;
     }
 
     /** Accepts a well-formed job that can run, or answers with the state of one that is known already. */
     void submit(JobSpec spec, Consumer<Response> answer) {
-        if (context.ledger().job(spec.id()) != null) {
+        if (context.clusterState().job(spec.id()) != null) {
             queries.query(spec.id(), answer);
             return;
         }
@@ -68,10 +68,10 @@
             return "unknown team";
         }
         if ((team.cpusMax() > 0 && spec.cpus() > team.cpusMax())
-                || (team.cardsMax() > 0 && spec.cards() > team.cardsMax())) {
+                || (team.gpusMax() > 0 && spec.gpus() > team.gpusMax())) {
             return "a task needs more than the team's limit";
         }
-        for (MachineType type : context.ledger().types().values()) {
+        for (MachineType type : context.clusterState().types().values()) {
             for (String zone : type.zones()) {
                 if (PlacementRules.machine(spec, type, zone, false).allowed()) {
                     return null;
@@ -86,8 +86,8 @@
     /** Awaited jobs that this controller has not seen to be accepted. */
     private ArrayDeque<String> unknown(JobSpec spec) {
         ArrayDeque<String> unknown = new ArrayDeque<>();
-        for (String id : spec.awaits()) {
-            if (context.ledger().job(id) == null && context.finalStates().known(id) == null) {
+        for (String id : spec.dependencies()) {
+            if (context.clusterState().job(id) == null && context.finalStates().known(id) == null) {
                 unknown.add(id);
             }
         }
@@ -104,16 +104,16 @@
             learnEnds(spec, answer);
             return;
         }
-        StoreClient.Transaction txn = new StoreClient.Transaction();
+        StoreClient.Transaction transaction = new StoreClient.Transaction();
         int most = context.settings().txnOps() * CONDITIONS_PER_CHANGE / CONDITIONS_PER_JOB;
         List<String> asked = new ArrayList<>();
         for (String id : unknown) {
             if (asked.size() < most) {
                 asked.add(id);
-                txn.guard(Keys.job(id), 0).guard(Keys.end(id), 0);
+                transaction.requireRevision(Keys.job(id), 0).requireRevision(Keys.finalState(id), 0);
             }
         }
-        context.store().commit(txn, StoreClient.CallPriority.USER, result -> {
+        context.store().commit(transaction, StoreClient.CallPriority.USER, result -> {
             if (result.ok()) {
                 refuse(spec, 422, "awaits a job that was never accepted: " + asked.get(0), answer);
                 return;
@@ -136,7 +136,7 @@
         try {
             List<String> failed = Json.texts(result.body(), "failed");
             for (String id : asked) {
-                if (failed.contains(Keys.job(id)) || failed.contains(Keys.end(id))) {
+                if (failed.contains(Keys.job(id)) || failed.contains(Keys.finalState(id))) {
                     existing.add(id);
                 }
             }
@@ -155,7 +155,7 @@
         }
         int[] left = {over.size()};
         for (String id : over) {
-            context.store().get(Keys.end(id), StoreClient.CallPriority.USER, result -> {
+            context.store().get(Keys.finalState(id), StoreClient.CallPriority.USER, result -> {
                 if (result.ok()) {
                     context.finalStates().parsed(id, result);
                 }
@@ -182,27 +182,27 @@
                     answer);
             return;
         }
-        StoreClient.Transaction txn =
-                new StoreClient.Transaction().guard(Keys.job(id), 0).guard(Keys.end(id), 0);
-        JobDependencies.DependencyStatus outlook = pipelines.outlook(spec.awaits());
-        FinalState withdrawn = outlook == JobDependencies.DependencyStatus.WITHDRAWN
-                ? FinalState.of(FinalState.Status.WITHDRAWN, spec.tasks())
+        StoreClient.Transaction transaction =
+                new StoreClient.Transaction().requireRevision(Keys.job(id), 0).requireRevision(Keys.finalState(id), 0);
+        JobDependencies.DependencyStatus outlook = dependencies.statusOf(spec.dependencies());
+        FinalState withdrawn = outlook == JobDependencies.DependencyStatus.CANCELLED
+                ? FinalState.of(FinalState.Status.CANCELLED, spec.taskCount())
                 : null;
         if (withdrawn != null) {
             // It can never start, so it is over at once.
-            txn.set(Keys.end(id), withdrawn.toJson());
+            transaction.put(Keys.finalState(id), withdrawn.toJson());
         } else if (outlook == JobDependencies.DependencyStatus.DONE
-                && !spec.awaits().isEmpty()) {
-            txn.set(Keys.job(id), job.readyHeader(now));
+                && !spec.dependencies().isEmpty()) {
+            transaction.put(Keys.job(id), job.readyHeader(now));
         } else {
-            txn.set(Keys.job(id), job.header(false));
+            transaction.put(Keys.job(id), job.header(false));
         }
-        context.store().commit(txn, StoreClient.CallPriority.USER, result -> {
+        context.store().commit(transaction, StoreClient.CallPriority.USER, result -> {
             if (result.ok()) {
                 if (withdrawn != null) {
                     context.finalStates().put(id, withdrawn);
                 }
-                context.replica().committed(txn, result.edition());
+                context.replica().applyCommitted(transaction, result.revision());
                 answer.accept(JobApiResponses.accepted(id));
                 wake.run();
             } else if (result.outcome() == Outcome.CONFLICT) {
@@ -219,14 +219,14 @@
             return spec;
         }
         Set<String> kept = new TreeSet<>(spec.types());
-        kept.retainAll(context.ledger().types().keySet());
+        kept.retainAll(context.clusterState().types().keySet());
         return spec.withTypes(kept);
     }
 
     private int chunkSize(JobSpec spec) {
         PlatformSettings settings = context.settings();
         int controllers = settings.peers().size() + 1;
-        return Job.chunkSize(settings.valueBytes(), spec.tasks(), controllers, settings.scarceChanges());
+        return Job.taskRangeSize(settings.valueBytes(), spec.taskCount(), controllers, settings.scarceChanges());
     }
 
     /** Whether the header would not fit a value of the store, now or once the job is released and cancelled. */
--- a/src/main/java/org/havenford/coordination/membership/ClusterView.java
+++ b/src/main/java/org/havenford/coordination/membership/ClusterView.java
@@ -20,15 +20,15 @@
 public record ClusterView(
         long epoch,
         TreeMap<String, Long> members,
-        TreeMap<String, String> moved,
-        TreeSet<String> resting,
+        TreeMap<String, String> reassigned,
+        TreeSet<String> cordoned,
         TreeMap<String, Long> evicted) {
     private static final HashFunction HASH = Hashing.murmur3_128(0x68617665);
 
     /** A view from which nobody was evicted. */
     public ClusterView(
-            long epoch, TreeMap<String, Long> members, TreeMap<String, String> moved, TreeSet<String> resting) {
-        this(epoch, members, moved, resting, new TreeMap<>());
+            long epoch, TreeMap<String, Long> members, TreeMap<String, String> reassigned, TreeSet<String> cordoned) {
+        this(epoch, members, reassigned, cordoned, new TreeMap<>());
     }
 
     /** The view before the first member has joined. */
@@ -37,21 +37,21 @@
     }
 
     /** Reads the stored view. */
-    public static ClusterView parse(JsonObject o) throws Json.BadMessage {
+    public static ClusterView parse(JsonObject json) throws Json.BadMessage {
         TreeMap<String, String> moved = new TreeMap<>();
         for (Map.Entry<String, com.google.gson.JsonElement> e :
-                Json.child(o, "moved").entrySet()) {
+                Json.child(json, "moved").entrySet()) {
             moved.put(e.getKey(), e.getValue().getAsString());
         }
-        TreeMap<String, Long> evicted = Json.has(o, "evicted") ? incarnations(o, "evicted") : new TreeMap<>();
-        TreeSet<String> resting = new TreeSet<>(Json.texts(o, "resting"));
-        return new ClusterView(Json.count(o, "epoch"), incarnations(o, "members"), moved, resting, evicted);
+        TreeMap<String, Long> evicted = Json.has(json, "evicted") ? incarnations(json, "evicted") : new TreeMap<>();
+        TreeSet<String> resting = new TreeSet<>(Json.texts(json, "resting"));
+        return new ClusterView(Json.count(json, "epoch"), incarnations(json, "members"), moved, resting, evicted);
     }
 
-    private static TreeMap<String, Long> incarnations(JsonObject o, String field) throws Json.BadMessage {
+    private static TreeMap<String, Long> incarnations(JsonObject json, String field) throws Json.BadMessage {
         TreeMap<String, Long> incarnations = new TreeMap<>();
         for (Map.Entry<String, com.google.gson.JsonElement> e :
-                Json.child(o, field).entrySet()) {
+                Json.child(json, field).entrySet()) {
             incarnations.put(e.getKey(), e.getValue().getAsLong());
         }
         return incarnations;
@@ -59,37 +59,37 @@
 
     /** The stored value. */
     public JsonObject toJson() {
-        JsonObject o = new JsonObject();
-        o.addProperty("epoch", epoch);
+        JsonObject json = new JsonObject();
+        json.addProperty("epoch", epoch);
         JsonObject m = new JsonObject();
         members.forEach(m::addProperty);
-        o.add("members", m);
+        json.add("members", m);
         JsonObject v = new JsonObject();
-        moved.forEach(v::addProperty);
-        o.add("moved", v);
+        reassigned.forEach(v::addProperty);
+        json.add("moved", v);
         JsonArray r = new JsonArray();
-        resting.forEach(r::add);
-        o.add("resting", r);
+        cordoned.forEach(r::add);
+        json.add("resting", r);
         if (!evicted.isEmpty()) {
             JsonObject out = new JsonObject();
             evicted.forEach(out::addProperty);
-            o.add("evicted", out);
+            json.add("evicted", out);
         }
-        return o;
+        return json;
     }
 
     /** The node that takes a machine's reports: the active member with the highest hash, unless the machine was moved. */
     public String owner(String machine) {
-        String over = moved.get(machine);
-        if (over != null && members.containsKey(over) && !resting.contains(over)) {
+        String over = reassigned.get(machine);
+        if (over != null && members.containsKey(over) && !cordoned.contains(over)) {
             return over;
         }
-        return highest(machine, active());
+        return highest(machine, activeMembers());
     }
 
     /** The member that would own a machine if its owner left the view, or null. */
     public String successor(String machine) {
-        Set<String> others = new TreeSet<>(active());
+        Set<String> others = new TreeSet<>(activeMembers());
         others.remove(owner(machine));
         return highest(machine, others);
     }
@@ -101,14 +101,14 @@
     }
 
     /** The member with the highest hash for a name, resting ones included. */
-    public String rendezvous(String name) {
+    public String rendezvousOwner(String name) {
         return highest(name, members.keySet());
     }
 
     /** Members that own machines; all of them, should all be resting. */
-    public Set<String> active() {
+    public Set<String> activeMembers() {
         Set<String> active = new TreeSet<>(members.keySet());
-        active.removeAll(resting);
+        active.removeAll(cordoned);
         return active.isEmpty() ? members.keySet() : active;
     }
 
@@ -127,7 +127,7 @@
     }
 
     /** The member that rents and returns machines. */
-    public String first() {
-        return members.isEmpty() ? null : active().iterator().next();
+    public String provisioningLeader() {
+        return members.isEmpty() ? null : activeMembers().iterator().next();
     }
 }
--- a/src/main/java/org/havenford/coordination/membership/MemberEvictions.java
+++ b/src/main/java/org/havenford/coordination/membership/MemberEvictions.java
@@ -42,7 +42,7 @@
     /** Evictions that were counted, so that a view that repeats one does not count it twice. */
     private final Map<String, Long> counted = new HashMap<>();
     /** Questions that stand, by the node that is asked, and when they were first seen here. */
-    private final Map<String, Instant> questions = new HashMap<>();
+    private final Map<String, Instant> unansweredProbes = new HashMap<>();
 
     /** Evictions carried out by the given node. */
     public MemberEvictions(
@@ -72,15 +72,15 @@
     }
 
     /** Whether a member may be evicted now: it was not lately, and every member reads the mark of an eviction. */
-    public boolean permitted(String name) {
+    public boolean mayEvict(String name) {
         Latest record = records.get(name);
         boolean spared = record != null && loop.now().isBefore(record.at().plus(record.interval()));
-        return !spared && membership.entitled() && membership.allReadEvictions();
+        return !spared && membership.mayAnswerAgents() && membership.allSupportEvictions();
     }
 
     /** Asks a member through the state service whether it is alive; tells the stamp of the question, 0 if it failed. */
-    public void challenge(String name, long incarnation, LongConsumer asked) {
-        Instant since = questions.get(name);
+    public void probe(String name, long incarnation, LongConsumer asked) {
+        Instant since = unansweredProbes.get(name);
         if (since != null && loop.now().isBefore(since.plus(QUESTION_STANDS))) {
             // Another member's question would be replaced, and its eviction would fail: two would only hinder each
             // other.
@@ -88,25 +88,25 @@
             asked.accept(0);
             return;
         }
-        String key = Keys.challenge(name);
+        String key = Keys.livenessProbe(name);
         JsonObject value = new JsonObject();
         value.addProperty("by", node);
         value.addProperty("incarnation", incarnation);
-        StoreClient.Transaction txn = new StoreClient.Transaction()
-                .guard(Keys.VIEW, membership.viewStamp())
-                .guard(key, replica.stamp(key))
-                .set(key, value);
-        store.commit(txn, StoreClient.CallPriority.LEASE, result -> {
+        StoreClient.Transaction transaction = new StoreClient.Transaction()
+                .requireRevision(Keys.VIEW, membership.viewRevision())
+                .requireRevision(key, replica.modRevision(key))
+                .put(key, value);
+        store.commit(transaction, StoreClient.CallPriority.LEASE, result -> {
             if (result.ok()) {
-                replica.committed(txn, result.edition());
+                replica.applyCommitted(transaction, result.revision());
             }
-            asked.accept(result.ok() ? result.edition() : 0);
+            asked.accept(result.ok() ? result.revision() : 0);
         });
     }
 
     /** Takes a question back. */
-    public void withdraw(String name, long stamp) {
-        remove(Keys.challenge(name), stamp);
+    public void withdrawProbe(String name, long stamp) {
+        remove(Keys.livenessProbe(name), stamp);
     }
 
     /** Evicts a member that did not answer the question with this stamp; tells whether the view without it was committed. */
@@ -121,11 +121,11 @@
     }
 
     /** A question was asked: if it is for this node, removing it is the answer, also for a former life of the node. */
-    public void challengeChanged(String name, JsonObject challenge, long stamp) {
+    public void livenessProbeChanged(String name, JsonObject challenge, long stamp) {
         if (challenge == null) {
-            questions.remove(name);
+            unansweredProbes.remove(name);
         } else {
-            questions.put(name, loop.now());
+            unansweredProbes.put(name, loop.now());
         }
         if (challenge != null && name.equals(node)) {
             String by = "?";
@@ -135,16 +135,16 @@
                 LOG.warn("the question to {} can't be read: {}", name, e.getMessage());
             }
             LOG.info("{} suspects this node: it answers that it is alive", by);
-            remove(Keys.challenge(name), stamp);
+            remove(Keys.livenessProbe(name), stamp);
         }
     }
 
     private void remove(String key, long stamp) {
-        StoreClient.Transaction txn =
-                new StoreClient.Transaction().guard(key, stamp).delete(key);
-        store.commit(txn, StoreClient.CallPriority.LEASE, result -> {
+        StoreClient.Transaction transaction =
+                new StoreClient.Transaction().requireRevision(key, stamp).delete(key);
+        store.commit(transaction, StoreClient.CallPriority.LEASE, result -> {
             if (result.ok()) {
-                replica.committed(txn, result.edition());
+                replica.applyCommitted(transaction, result.revision());
             }
         });
     }
--- a/src/main/java/org/havenford/coordination/membership/Membership.java
+++ b/src/main/java/org/havenford/coordination/membership/Membership.java
@@ -58,10 +58,10 @@
 
     private static final Duration LAST_REJOIN = Duration.ofSeconds(32);
 
-    private record Member(long incarnation, long stamp, long format) {}
+    private record Member(long incarnation, long modRevision, long format) {}
 
     /** The view was found as we hold it, at this edition of the store. */
-    private record Comparison(Instant sent, long edition) {}
+    private record Comparison(Instant sentAt, long revision) {}
 
     private final EventLoop loop;
     private final StoreClient store;
@@ -70,30 +70,30 @@
     private final Set<String> configured;
 
     private final Set<String> renewed = new HashSet<>();
-    private final Duration life;
+    private final Duration leaseDuration;
     private final StoreReplica replica;
     private final Runnable changed;
     private final ToIntFunction<String> ownedBy;
     private final TreeMap<String, Member> members = new TreeMap<>();
-    private final TreeMap<String, String> wantedMoves = new TreeMap<>();
+    private final TreeMap<String, String> requestedReassignments = new TreeMap<>();
     /** Machines that were sent to their owner from here, by owner. */
     private final Map<String, Map<String, Instant>> misdirected = new HashMap<>();
 
     private final Object2ObjectOpenHashMap<String, String> owners = new Object2ObjectOpenHashMap<>();
     private Instant viewSince = Instant.MIN;
-    private boolean wantsToWake;
+    private boolean uncordonRequested;
     private ClusterView view = ClusterView.empty();
-    private long viewStamp;
-    private long permit;
+    private long viewRevision;
+    private long leaseId;
     private boolean registered;
     private boolean proposing;
     private Instant leaseUntil = Instant.MIN;
     /** Comparisons that found our view, and that our copy has yet to catch up with; the oldest first. */
-    private final ArrayDeque<Comparison> compared = new ArrayDeque<>();
+    private final ArrayDeque<Comparison> comparisons = new ArrayDeque<>();
 
-    private Instant verified = Instant.MIN;
+    private Instant verifiedAt = Instant.MIN;
     /** When this process last went on after it had stood still; no older comparison counts. */
-    private Instant wokeAt = Instant.MIN;
+    private Instant lastPauseEnd = Instant.MIN;
 
     private Instant lastProposal = Instant.MIN;
     private Duration rejoinAfter = FIRST_REJOIN;
@@ -114,7 +114,7 @@
         this.replica = replica;
         this.node = node;
         this.configured = configured;
-        this.life = life;
+        this.leaseDuration = life;
         this.changed = changed;
     }
 
@@ -127,7 +127,7 @@
      * Whether every controller has been seen with a program that reads what format 2 writes. None goes back to an older
      * one: a process comes back with the version that it had, or a newer one.
      */
-    public boolean allReadFormat2() {
+    public boolean allReadShortForm() {
         return renewed.containsAll(configured);
     }
 
@@ -150,18 +150,18 @@
     }
 
     /** Whether the copy of the store holds all that was written before the present view. */
-    public boolean sawAllBeforeView() {
-        return replica.edition() >= viewStamp;
+    public boolean replicaCoversView() {
+        return replica.revision() >= viewRevision;
     }
 
     /** Stamp of the view in force. */
-    public long viewStamp() {
-        return viewStamp;
+    public long viewRevision() {
+        return viewRevision;
     }
 
     /** Duration of the membership lease. */
-    public Duration life() {
-        return life;
+    public Duration leaseDuration() {
+        return leaseDuration;
     }
 
     /**
@@ -169,57 +169,57 @@
      * the last comparison that found the view as we hold it and whose edition our copy has reached: a node whose watch is
      * stuck must not go on under a view that others have replaced, nor keep workers at tasks that others have cancelled.
      */
-    public boolean entitled() {
+    public boolean mayAnswerAgents() {
         Instant now = loop.now();
-        return now.isBefore(leaseUntil) && now.isBefore(until(verified(), life)) && isMember();
+        return now.isBefore(leaseUntil) && now.isBefore(until(verifiedAt(), leaseDuration)) && isMember();
     }
 
     /**
      * Whether this node may start tasks as well: its copy was compared so lately that what others have cancelled for
      * longer than a moment is known here. In its blind seconds, and in the first ones afterwards, a node starts nothing.
      */
-    public boolean current() {
-        return entitled() && loop.now().isBefore(until(verified(), life.dividedBy(2)));
+    public boolean mayStartTasks() {
+        return mayAnswerAgents() && loop.now().isBefore(until(verifiedAt(), leaseDuration.dividedBy(2)));
     }
 
     /** Whether the replica of the store holds all that was committed until so long ago. */
-    public boolean replicaIsYoungerThan(Duration age) {
-        return loop.now().isBefore(until(verified(), age));
+    public boolean replicaIsFresherThan(Duration age) {
+        return loop.now().isBefore(until(verifiedAt(), age));
     }
 
     /** When the latest comparison was sent that our copy has caught up with. */
-    private Instant verified() {
-        while (!compared.isEmpty() && compared.peek().edition() <= replica.edition()) {
-            verified = compared.poll().sent();
+    private Instant verifiedAt() {
+        while (!comparisons.isEmpty() && comparisons.peek().revision() <= replica.revision()) {
+            verifiedAt = comparisons.poll().sentAt();
         }
-        return verified;
+        return verifiedAt;
     }
 
     /**
      * This process has stood still: it acts on nothing that it held before. It is entitled again once a comparison that was
      * sent from now on agrees, and judges its peers once workers have had time to find their owners again.
      */
-    public void stoodStill() {
-        compared.clear();
-        verified = Instant.MIN;
-        wokeAt = loop.now();
-        viewSince = wokeAt;
+    public void processPaused() {
+        comparisons.clear();
+        verifiedAt = Instant.MIN;
+        lastPauseEnd = loop.now();
+        viewSince = lastPauseEnd;
         misdirected.clear();
-        wantedMoves.clear();
-        wantsToWake = false;
-        if (registered && viewStamp > 0) {
+        requestedReassignments.clear();
+        uncordonRequested = false;
+        if (registered && viewRevision > 0) {
             compare();
         }
     }
 
     /** Whether the membership lease is certain to hold. */
-    public boolean leaseHolds() {
+    public boolean holdsLease() {
         return loop.now().isBefore(leaseUntil);
     }
 
     private boolean isMember() {
         Long incarnation = view.members().get(node);
-        return incarnation != null && incarnation == permit && permit != 0;
+        return incarnation != null && incarnation == leaseId && leaseId != 0;
     }
 
     /** Whether a node's incarnation is in the view. */
@@ -237,16 +237,16 @@
     private void acquire() {
         Instant sent = loop.now();
         registered = false;
-        store.createLease(life, r -> {
-            if (!r.ok()) {
+        store.createLease(leaseDuration, result -> {
+            if (!result.ok()) {
                 loop.after(Duration.ofMillis(300), this::acquire);
                 return;
             }
             try {
-                permit = Json.count(r.body(), "permit");
-                leaseUntil = until(sent, life);
+                leaseId = Json.count(result.body(), "permit");
+                leaseUntil = until(sent, leaseDuration);
                 register();
-                loop.after(life.dividedBy(4), () -> renew(permit));
+                loop.after(leaseDuration.dividedBy(4), () -> renew(leaseId));
             } catch (Json.BadMessage e) {
                 LOG.warn("state service: a lease could not be read: {}", e.getMessage());
                 loop.after(Duration.ofSeconds(1), this::acquire);
@@ -255,48 +255,52 @@
     }
 
     private void renew(long renewed) {
-        if (renewed != permit) {
+        if (renewed != leaseId) {
             return;
         }
         Instant sent = loop.now();
-        store.renewLease(renewed, r -> {
-            if (renewed != permit) {
+        store.renewLease(renewed, result -> {
+            if (renewed != leaseId) {
                 return;
             }
-            if (r.outcome() == StoreClient.Outcome.ABSENT) {
+            if (result.outcome() == StoreClient.Outcome.ABSENT) {
                 LOG.info("the membership lease has ended");
                 leaseUntil = Instant.MIN;
-                permit = 0;
+                leaseId = 0;
                 acquire();
                 return;
             }
-            if (r.ok()) {
-                leaseUntil = until(sent, life);
+            if (result.ok()) {
+                leaseUntil = until(sent, leaseDuration);
             }
-            loop.after(r.ok() ? life.dividedBy(4) : Duration.ofMillis(300), () -> renew(renewed));
+            loop.after(result.ok() ? leaseDuration.dividedBy(4) : Duration.ofMillis(300), () -> renew(renewed));
         });
-        if (registered && viewStamp > 0) {
+        if (registered && viewRevision > 0) {
             compare();
         }
     }
 
     private void compare() {
         Instant sent = loop.now();
-        long stamp = viewStamp;
-        store.commit(new StoreClient.Transaction().guard(Keys.VIEW, stamp), StoreClient.CallPriority.LEASE, r -> {
-            // Answers may overtake each other; of an older comparison nothing is learnt then.
-            if (r.ok()
-                    && stamp == viewStamp
-                    && !sent.isBefore(wokeAt)
-                    && (compared.isEmpty() || compared.peekLast().sent().isBefore(sent))
-                    && verified.isBefore(sent)) {
-                compared.add(new Comparison(sent, r.edition()));
-            }
-        });
+        long stamp = viewRevision;
+        store.commit(
+                new StoreClient.Transaction().requireRevision(Keys.VIEW, stamp),
+                StoreClient.CallPriority.LEASE,
+                result -> {
+                    // Answers may overtake each other; of an older comparison nothing is learnt then.
+                    if (result.ok()
+                            && stamp == viewRevision
+                            && !sent.isBefore(lastPauseEnd)
+                            && (comparisons.isEmpty()
+                                    || comparisons.peekLast().sentAt().isBefore(sent))
+                            && verifiedAt.isBefore(sent)) {
+                        comparisons.add(new Comparison(sent, result.revision()));
+                    }
+                });
     }
 
     private void register() {
-        long mine = permit;
+        long mine = leaseId;
         if (mine == 0) {
             // A repeat that was due after the lease had ended: a registration without a lease would stay for ever.
             return;
@@ -304,17 +308,17 @@
         JsonObject value = new JsonObject();
         value.addProperty("incarnation", mine);
         value.addProperty("format", FORMAT);
-        StoreClient.Transaction txn = new StoreClient.Transaction().set(Keys.member(node), value, mine);
-        store.commit(txn, StoreClient.CallPriority.LEASE, r -> {
-            if (mine != permit) {
+        StoreClient.Transaction transaction = new StoreClient.Transaction().put(Keys.member(node), value, mine);
+        store.commit(transaction, StoreClient.CallPriority.LEASE, result -> {
+            if (mine != leaseId) {
                 return;
             }
-            if (r.outcome() == StoreClient.Outcome.REJECTED) {
-                permit = 0;
+            if (result.outcome() == StoreClient.Outcome.REJECTED) {
+                leaseId = 0;
                 loop.after(Duration.ofMillis(300), this::acquire);
-            } else if (r.ok()) {
+            } else if (result.ok()) {
                 registered = true;
-                replica.committed(txn, r.edition());
+                replica.applyCommitted(transaction, result.revision());
             } else {
                 loop.after(Duration.ofMillis(300), this::register);
             }
@@ -350,23 +354,25 @@
             owners.clear();
             misdirected.clear();
             viewSince = loop.now();
-            wantsToWake &= view.resting().contains(node);
-            viewStamp = value == null ? 0 : stamp;
-            compared.clear();
-            verified = Instant.MIN;
+            uncordonRequested &= view.cordoned().contains(node);
+            viewRevision = value == null ? 0 : stamp;
+            comparisons.clear();
+            verifiedAt = Instant.MIN;
             LOG.info(
                     "view {}: members {}, moved {}, resting {}",
                     view.epoch(),
                     view.members(),
-                    view.moved().size(),
-                    view.resting());
-            store.share(view.members().size());
+                    view.reassigned().size(),
+                    view.cordoned());
+            store.divideBudgetAmong(view.members().size());
             // Moved by another meanwhile, or to be decided anew among other members.
-            wantedMoves.keySet().removeIf(m -> view.moved().containsKey(m) || node.equals(view.owner(m)));
-            if (registered && viewStamp > 0) {
+            requestedReassignments
+                    .keySet()
+                    .removeIf(m -> view.reassigned().containsKey(m) || node.equals(view.owner(m)));
+            if (registered && viewRevision > 0) {
                 compare();
             }
-            if (permit != 0 && view.wasEvicted(node, permit)) {
+            if (leaseId != 0 && view.wasEvicted(node, leaseId)) {
                 leaveAfterEviction();
             }
             changed.run();
@@ -381,8 +387,8 @@
      */
     private void leaveAfterEviction() {
         LOG.warn("evicted from the view: joining again in {} s", rejoinAfter.toSeconds());
-        long former = permit;
-        permit = 0;
+        long former = leaseId;
+        leaseId = 0;
         registered = false;
         leaseUntil = Instant.MIN;
         store.endLease(former, result -> {});
@@ -393,11 +399,11 @@
 
     /** The incarnation of this node that is in the view, or 0. */
     public long incarnation() {
-        return isMember() ? permit : 0;
+        return isMember() ? leaseId : 0;
     }
 
     /** Whether all members of the view read the mark of an eviction, without which they would release tasks too soon. */
-    public boolean allReadEvictions() {
+    public boolean allSupportEvictions() {
         for (Map.Entry<String, Long> inView : view.members().entrySet()) {
             Member member = members.get(inView.getKey());
             if (member == null || member.incarnation() != inView.getValue() || member.format() < FORMAT_OF_EVICTIONS) {
@@ -412,60 +418,61 @@
      * with the given stamp meanwhile. Its registration goes in the same transaction.
      */
     void evict(String name, long incarnation, long challengeStamp, Consumer<Boolean> done) {
-        if (!isMember(name, incarnation) || proposing || !allReadEvictions()) {
+        if (!isMember(name, incarnation) || proposing || !allSupportEvictions()) {
             done.accept(false);
             return;
         }
         TreeMap<String, Long> remaining = new TreeMap<>(view.members());
         remaining.remove(name);
-        TreeSet<String> resting = new TreeSet<>(view.resting());
+        TreeSet<String> resting = new TreeSet<>(view.cordoned());
         resting.remove(name);
         TreeMap<String, Long> evicted = new TreeMap<>(view.evicted());
         evicted.put(name, incarnation);
         ClusterView next = new ClusterView(view.epoch() + 1, remaining, new TreeMap<>(), resting, evicted);
-        StoreClient.Transaction txn = new StoreClient.Transaction().guard(Keys.VIEW, viewStamp);
-        view.members().keySet().forEach(member -> guardRegistration(txn, member));
-        String challenge = Keys.challenge(name);
-        txn.guard(challenge, challengeStamp)
-                .set(Keys.VIEW, next.toJson())
+        StoreClient.Transaction transaction = new StoreClient.Transaction().requireRevision(Keys.VIEW, viewRevision);
+        view.members().keySet().forEach(member -> guardRegistration(transaction, member));
+        String challenge = Keys.livenessProbe(name);
+        transaction
+                .requireRevision(challenge, challengeStamp)
+                .put(Keys.VIEW, next.toJson())
                 .delete(Keys.member(name))
                 .delete(challenge);
-        propose(txn, done);
+        propose(transaction, done);
     }
 
-    private void guardRegistration(StoreClient.Transaction txn, String name) {
+    private void guardRegistration(StoreClient.Transaction transaction, String name) {
         Member member = members.get(name);
-        txn.guard(Keys.member(name), member == null ? 0 : member.stamp());
+        transaction.requireRevision(Keys.member(name), member == null ? 0 : member.modRevision());
     }
 
-    private void propose(StoreClient.Transaction txn, Consumer<Boolean> done) {
+    private void propose(StoreClient.Transaction transaction, Consumer<Boolean> done) {
         proposing = true;
         lastProposal = loop.now();
-        store.commit(txn, StoreClient.CallPriority.LEASE, result -> {
+        store.commit(transaction, StoreClient.CallPriority.LEASE, result -> {
             proposing = false;
             if (result.ok()) {
-                replica.committed(txn, result.edition());
+                replica.applyCommitted(transaction, result.revision());
             }
             done.accept(result.ok());
         });
     }
 
     /** Asks for a machine that seems unable to reach its owner; once for each set of members, or it would be handed round. */
-    public void wantMove(String machine) {
-        if (wantedMoves.size() + view.moved().size() < MAX_MOVES
-                && !view.moved().containsKey(machine)) {
-            wantedMoves.put(machine, node);
+    public void requestReassignment(String machine) {
+        if (requestedReassignments.size() + view.reassigned().size() < MAX_MOVES
+                && !view.reassigned().containsKey(machine)) {
+            requestedReassignments.put(machine, node);
         }
     }
 
     /** A machine came here although another member owns it. */
-    public void reportedElsewhere(String machine, String owner) {
+    public void recordMisdirectedHeartbeat(String machine, String owner) {
         misdirected.computeIfAbsent(owner, o -> new HashMap<>()).put(machine, loop.now());
     }
 
     /** This member rests, and has found that it reaches workers again. */
-    public void wantToWake() {
-        wantsToWake = view.resting().contains(node);
+    public void requestUncordon() {
+        uncordonRequested = view.cordoned().contains(node);
     }
 
     /**
@@ -474,13 +481,13 @@
      */
     private String outOfReach() {
         Instant now = loop.now();
-        if (view.active().size() < 2 || now.isBefore(viewSince.plus(SETTLING)) || misdirected.isEmpty()) {
+        if (view.activeMembers().size() < 2 || now.isBefore(viewSince.plus(SETTLING)) || misdirected.isEmpty()) {
             return null;
         }
         String worst = null;
         double worstPart = 0;
         double second = 0;
-        for (String owner : view.active()) {
+        for (String owner : view.activeMembers()) {
             Map<String, Instant> of = misdirected.getOrDefault(owner, new HashMap<>());
             of.values().removeIf(at -> now.isAfter(at.plus(MISDIRECTED_WITHIN)));
             int owned = ownedBy.applyAsInt(owner);
@@ -500,13 +507,13 @@
 
     /** One turn of the loop: proposes the wanted view if it differs from the one in force. */
     public void step() {
-        if (!replica.loaded() || !registered || !leaseHolds() || proposing) {
+        if (!replica.loaded() || !registered || !holdsLease() || proposing) {
             return;
         }
         TreeMap<String, Long> wanted = new TreeMap<>();
         members.forEach((name, m) -> wanted.put(name, m.incarnation()));
         Long mine = wanted.get(node);
-        if (mine == null || mine != permit) {
+        if (mine == null || mine != leaseId) {
             // The registration of a former life, carried out again, has taken our key and goes with the lease of that
             // life.
             // registered-by-a-former-life.trace
@@ -516,23 +523,23 @@
         }
         boolean sameMembers = wanted.equals(view.members());
         boolean calm = !loop.now().isBefore(lastProposal.plusSeconds(2));
-        boolean moves = !wantedMoves.isEmpty() && calm;
+        boolean moves = !requestedReassignments.isEmpty() && calm;
         String rest = sameMembers && calm ? outOfReach() : null;
-        boolean wake = wantsToWake && calm;
+        boolean wake = uncordonRequested && calm;
         if (sameMembers && !moves && !wake && rest == null) {
             return;
         }
         TreeMap<String, String> moved = new TreeMap<>();
         if (sameMembers) {
-            moved.putAll(view.moved());
-            moved.putAll(wantedMoves);
+            moved.putAll(view.reassigned());
+            moved.putAll(requestedReassignments);
             // The version before allowed more, which a smaller limit of values may not: a machine goes back to its
             // hash's owner.
             while (moved.size() > MAX_MOVES) {
                 moved.pollLastEntry();
             }
         }
-        TreeSet<String> resting = new TreeSet<>(view.resting());
+        TreeSet<String> resting = new TreeSet<>(view.cordoned());
         // Another life of a node starts afresh.
         resting.removeIf(n -> !Objects.equals(wanted.get(n), view.members().get(n)));
         if (wake) {
@@ -545,13 +552,13 @@
         TreeMap<String, Long> evicted = new TreeMap<>(view.evicted());
         evicted.keySet().removeAll(wanted.keySet());
         ClusterView next = new ClusterView(view.epoch() + 1, wanted, moved, resting, evicted);
-        StoreClient.Transaction txn = new StoreClient.Transaction().guard(Keys.VIEW, viewStamp);
+        StoreClient.Transaction transaction = new StoreClient.Transaction().requireRevision(Keys.VIEW, viewRevision);
         // A member leaves only while its leased key is certainly gone (or a later life of the node has replaced it),
         // so it can no longer hold itself entitled.
         TreeMap<String, Long> all = new TreeMap<>(wanted);
         all.putAll(view.members());
-        all.keySet().forEach(name -> guardRegistration(txn, name));
-        txn.set(Keys.VIEW, next.toJson());
-        propose(txn, committed -> {});
+        all.keySet().forEach(name -> guardRegistration(transaction, name));
+        transaction.put(Keys.VIEW, next.toJson());
+        propose(transaction, committed -> {});
     }
 }
--- a/src/main/java/org/havenford/coordination/monitoring/LinkMonitor.java
+++ b/src/main/java/org/havenford/coordination/monitoring/LinkMonitor.java
@@ -74,7 +74,7 @@
         this.loop = loop;
         this.stateAddress = settings.stateAddress();
         this.cloudAddress = settings.cloudAddress();
-        this.workersLostAfter = settings.report().multipliedBy(REPORTS_MISSED);
+        this.workersLostAfter = settings.heartbeatInterval().multipliedBy(REPORTS_MISSED);
         for (Link link : Link.values()) {
             State state = new State();
             state.lastGood = loop.now();
@@ -107,7 +107,7 @@
     }
 
     /** A worker has reported. */
-    public void reportArrived() {
+    public void heartbeatArrived() {
         works(Link.WORKERS);
     }
 
@@ -146,7 +146,7 @@
     }
 
     /** The process stood still: that it heard nobody meanwhile says nothing of its links. */
-    public void stoodStill(Duration pause) {
+    public void processPaused(Duration pause) {
         for (State state : states.values()) {
             state.failures = 0;
             state.lastGood = state.lastGood.plus(pause);
--- a/src/main/java/org/havenford/coordination/monitoring/ProcessPauseDetector.java
+++ b/src/main/java/org/havenford/coordination/monitoring/ProcessPauseDetector.java
@@ -28,7 +28,7 @@
     }
 
     /** An event of the loop begins. */
-    public void eventBegins() {
+    public void eventStarted() {
         Instant now = loop.now();
         Duration since = lastEvent == null ? Duration.ZERO : Duration.between(lastEvent, now);
         lastEvent = now;
@@ -50,7 +50,7 @@
     @Override
     public void after(Duration delay, Runnable task) {
         loop.after(delay, () -> {
-            eventBegins();
+            eventStarted();
             task.run();
         });
     }
@@ -58,7 +58,7 @@
     @Override
     public void call(String address, String method, String path, String body, Duration timeout, Consumer<Reply> done) {
         calls.call(address, method, path, body, timeout, reply -> {
-            eventBegins();
+            eventStarted();
             done.accept(reply);
         });
     }
--- a/src/main/java/org/havenford/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/havenford/coordination/placement/PlacementRules.java
@@ -67,6 +67,6 @@
 
     /** How many tasks of a job that must stay apart one zone may hold. */
     static int mostInOneZone(JobSpec spec) {
-        return (spec.tasks() + 1) / 2;
+        return (spec.taskCount() + 1) / 2;
     }
 }
--- a/src/main/java/org/havenford/coordination/placement/TaskZones.java
+++ b/src/main/java/org/havenford/coordination/placement/TaskZones.java
@@ -17,10 +17,10 @@
     private int inUnknownZone;
 
     /** The zones of a job's claims. */
-    public static TaskZones ofClaims(Job job, ClusterState ledger) {
+    public static TaskZones ofClaims(Job job, ClusterState clusterState) {
         TaskZones zones = new TaskZones();
         for (Claim claim : job.claims()) {
-            MachineRecord machine = ledger.machine(claim.machine());
+            MachineRecord machine = clusterState.machine(claim.machine());
             if (machine == null) {
                 zones.addUnknown();
             } else {
--- a/src/main/java/org/havenford/coordination/provisioning/BootMonitor.java
+++ b/src/main/java/org/havenford/coordination/provisioning/BootMonitor.java
@@ -26,10 +26,10 @@
 
     private final Map<Group, Told> told = new HashMap<>();
     private int overdueNow;
-    private int givenUp;
+    private int countGivenUp;
 
     /** Machines that are overdue at a moment, by what was rented. */
-    void overdue(Map<InstanceOffer, Integer> machines, BootTimeEstimator times, Instant now) {
+    void reportOverdue(Map<InstanceOffer, Integer> machines, BootTimeEstimator times, Instant now) {
         Map<Group, Integer> groups = new HashMap<>();
         Map<Group, Duration> expected = new HashMap<>();
         machines.forEach((offer, number) -> {
@@ -64,14 +64,14 @@
     }
 
     /** A machine that did not come up is returned. */
-    void givenUp() {
-        givenUp++;
+    void countGivenUp() {
+        countGivenUp++;
     }
 
     /** For the log's line of each minute; counts of machines given up since the last one. */
     String summary() {
-        String text = "overdue " + overdueNow + ", given up " + givenUp;
-        givenUp = 0;
+        String text = "overdue " + overdueNow + ", given up " + countGivenUp;
+        countGivenUp = 0;
         return text;
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/BootTimeEstimator.java
+++ b/src/main/java/org/havenford/coordination/provisioning/BootTimeEstimator.java
@@ -50,14 +50,14 @@
         private Instant lastRentedThatCameUp = Instant.MIN;
     }
 
-    private final ClusterState ledger;
+    private final ClusterState clusterState;
     private final Map<String, Instant> rentedAt = new HashMap<>();
     private final Map<InstanceOffer, ArrayDeque<Duration>> seen = new HashMap<>();
     private Map<InstanceOffer, Booting> booting = Map.of();
     private Instant now = Instant.MIN;
 
-    BootTimeEstimator(ClusterState ledger) {
-        this.ledger = ledger;
+    BootTimeEstimator(ClusterState clusterState) {
+        this.clusterState = clusterState;
     }
 
     /** Forgets what was seen before this controller became the provisioner. */
@@ -72,9 +72,9 @@
         now = timeOfDay;
         learn();
         Map<InstanceOffer, Booting> next = new HashMap<>();
-        for (MachineRecord machine : ledger.machines()) {
+        for (MachineRecord machine : clusterState.machines()) {
             Booting of = next.computeIfAbsent(offerOf(machine), k -> new Booting());
-            Instant rented = ledger.rentedAt(machine.name());
+            Instant rented = clusterState.rentedAt(machine.name());
             of.lastRented = later(of.lastRented, rented);
             if (machine.condition() == Condition.BOOTING) {
                 if (isOverdue(machine)) {
@@ -91,9 +91,9 @@
 
     /** Machines that were booting and are up have told how long it takes. */
     private void learn() {
-        for (MachineRecord machine : ledger.machines()) {
+        for (MachineRecord machine : clusterState.machines()) {
             if (machine.condition() == Condition.BOOTING) {
-                rentedAt.putIfAbsent(machine.name(), ledger.rentedAt(machine.name()));
+                rentedAt.putIfAbsent(machine.name(), clusterState.rentedAt(machine.name()));
             } else if (machine.condition() == Condition.UP && rentedAt.containsKey(machine.name())) {
                 ArrayDeque<Duration> boots = seen.computeIfAbsent(offerOf(machine), k -> new ArrayDeque<>());
                 boots.addLast(Duration.between(rentedAt.remove(machine.name()), now));
@@ -102,7 +102,7 @@
                 }
             }
         }
-        rentedAt.keySet().removeIf(name -> ledger.machine(name) == null);
+        rentedAt.keySet().removeIf(name -> clusterState.machine(name) == null);
     }
 
     private static Instant later(Instant a, Instant b) {
@@ -114,8 +114,8 @@
     }
 
     private Duration nominal(String type) {
-        MachineType known = ledger.types().get(type);
-        return known == null ? UNKNOWN_TYPE : known.boot();
+        MachineType known = clusterState.types().get(type);
+        return known == null ? UNKNOWN_TYPE : known.bootTime();
     }
 
     private static Duration times(Duration duration, double factor) {
@@ -138,7 +138,7 @@
     }
 
     private Duration age(MachineRecord machine) {
-        return Duration.between(ledger.rentedAt(machine.name()), now);
+        return Duration.between(clusterState.rentedAt(machine.name()), now);
     }
 
     /** Whether a machine that boots should have been up by now: then it counts no longer as on its way. */
--- a/src/main/java/org/havenford/coordination/provisioning/CapacityDemand.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CapacityDemand.java
@@ -31,7 +31,7 @@
      * Tasks of one job that should be able to run at the same time; one that is stuck needs a whole machine to begin with, and
      * one that is stuck after failures another machine than those there are.
      */
-    public record TaskDemand(JobSpec spec, double tasks, boolean stuck, boolean needsAnother) {}
+    public record TaskDemand(JobSpec spec, double tasks, boolean unplaceable, boolean needsAnother) {}
 
     /** How many types a demand can be met with, counted once: there may be a thousand jobs. */
     private record Choices(TaskDemand demand, int types) {}
@@ -49,13 +49,13 @@
     private CapacityDemand() {}
 
     /** Tasks of a job that fit on one machine. */
-    static int slots(JobSpec s, MachineType t) {
-        double n = t.cpus() / s.cpus();
-        if (s.cards() > 0) {
-            n = Math.min(n, t.cards() / s.cards());
+    static int slots(JobSpec spec, MachineType type) {
+        double n = type.cpus() / spec.cpus();
+        if (spec.gpus() > 0) {
+            n = Math.min(n, type.gpus() / spec.gpus());
         }
-        if (s.memGb() > 0) {
-            n = Math.min(n, t.memGb() / s.memGb());
+        if (spec.memGb() > 0) {
+            n = Math.min(n, type.memGb() / spec.memGb());
         }
         return (int) Math.floor(n + 1e-9);
     }
@@ -66,54 +66,54 @@
      * will have made room for by then.
      */
     public static List<TaskDemand> taskDemands(
-            ClusterState ledger, PlatformSettings settings, Instant timeOfDay, boolean patient) {
+            ClusterState clusterState, PlatformSettings settings, Instant timeOfDay, boolean patient) {
         List<TaskDemand> out = new ArrayList<>();
         Map<String, Double> used = new HashMap<>();
         Map<String, Integer> suspects = new HashMap<>();
-        for (Job j : ledger.jobs()) {
-            if (j.cancelled() || j.waiting()) {
+        for (Job job : clusterState.jobs()) {
+            if (job.cancelled() || job.awaitsDependencies()) {
                 continue;
             }
-            JobSpec s = j.spec();
-            double left = s.tasks() - j.doneCount();
+            JobSpec spec = job.spec();
+            double left = spec.taskCount() - job.doneCount();
             double tasks = left;
             if (patient) {
-                Duration median = j.medianRun();
-                double run = Math.max(1, (median == null ? s.guess() : median).toMillis() / 1e3);
-                double time = j.due() == null
+                Duration median = job.medianRun();
+                double run = Math.max(1, (median == null ? spec.estimatedDuration() : median).toMillis() / 1e3);
+                double time = job.deadline() == null
                         ? 0
-                        : Duration.between(timeOfDay, j.due()).toMillis() / 1e3 - fetch(s, ledger);
+                        : Duration.between(timeOfDay, job.deadline()).toMillis() / 1e3 - fetch(spec, clusterState);
                 if (time >= run) {
                     tasks = left / Math.max(1, Math.floor(time * 0.8 / run));
                 } else {
                     // Where starts may wait, tasks can follow each other on fewer machines.
-                    double wait = startWithin(s, settings);
-                    tasks = left * run / (run + boot(s, ledger)) / (1 + FOLLOWING * Math.min(1, wait / run));
+                    double wait = startWithin(spec, settings);
+                    tasks = left * run / (run + boot(spec, clusterState)) / (1 + FOLLOWING * Math.min(1, wait / run));
                 }
-                tasks = Math.max(tasks, j.claimCount());
+                tasks = Math.max(tasks, job.claimCount());
             }
-            if (FailingJobBackoff.isSuspect(j)) {
-                boolean counts = suspects.merge(fittingTypes(s, ledger), 1, Integer::sum) <= MOST_SUSPECTS;
+            if (FailingJobBackoff.isSuspect(job)) {
+                boolean counts = suspects.merge(fittingTypes(spec, clusterState), 1, Integer::sum) <= MOST_SUSPECTS;
                 tasks = counts ? Math.min(tasks, 1) : 0;
             }
-            PlatformSettings.Team team = settings.teams().get(s.team());
+            PlatformSettings.Team team = settings.teams().get(spec.team());
             if (team != null && team.cpusMax() > 0) {
-                double sofar = used.getOrDefault(s.team(), 0.0);
-                tasks = Math.min(tasks, Math.max(0, (team.cpusMax() - sofar) / s.cpus()));
-                used.put(s.team(), sofar + tasks * s.cpus());
+                double sofar = used.getOrDefault(spec.team(), 0.0);
+                tasks = Math.min(tasks, Math.max(0, (team.cpusMax() - sofar) / spec.cpus()));
+                used.put(spec.team(), sofar + tasks * spec.cpus());
             }
-            boolean stuck = j.pendingCount() > 0
-                    && j.claimCount() == 0
+            boolean stuck = job.pendingCount() > 0
+                    && job.claimCount() == 0
                     && tasks > 0
-                    && timeOfDay.isAfter(j.released().plus(STUCK));
-            out.add(new TaskDemand(s, tasks, stuck, stuck && j.errors() > 0));
+                    && timeOfDay.isAfter(job.releasedAt().plus(STUCK));
+            out.add(new TaskDemand(spec, tasks, stuck, stuck && job.errors() > 0));
         }
         return out;
     }
 
-    private static String fittingTypes(JobSpec spec, ClusterState ledger) {
+    private static String fittingTypes(JobSpec spec, ClusterState clusterState) {
         List<String> types = new ArrayList<>();
-        for (MachineType type : ledger.types().values()) {
+        for (MachineType type : clusterState.types().values()) {
             if (spec.fits(type) && (spec.types() == null || spec.types().contains(type.name()))) {
                 types.add(type.name());
             }
@@ -122,29 +122,29 @@
     }
 
     /** Seconds within which the class's tasks should start; 0 where nothing is said. */
-    private static double startWithin(JobSpec s, PlatformSettings settings) {
+    private static double startWithin(JobSpec spec, PlatformSettings settings) {
         return settings.objectives().stream()
-                .filter(o -> o.kind().equals("wait") && o.lineup().equals(s.lineup()) && o.within() != null)
+                .filter(o -> o.kind().equals("wait") && o.jobClass().equals(spec.jobClass()) && o.within() != null)
                 .mapToDouble(o -> o.within().toMillis() / 1e3)
                 .min()
                 .orElse(0);
     }
 
-    private static double boot(JobSpec s, ClusterState ledger) {
-        return ledger.types().values().stream()
-                .filter(s::fits)
-                .mapToDouble(t -> t.boot().toMillis() / 1e3)
+    private static double boot(JobSpec spec, ClusterState clusterState) {
+        return clusterState.types().values().stream()
+                .filter(spec::fits)
+                .mapToDouble(type -> type.bootTime().toMillis() / 1e3)
                 .min()
                 .orElse(60);
     }
 
-    private static double fetch(JobSpec s, ClusterState ledger) {
-        double rate = ledger.types().values().stream()
-                .filter(s::fits)
-                .mapToDouble(MachineType::fetchGbPerS)
+    private static double fetch(JobSpec spec, ClusterState clusterState) {
+        double rate = clusterState.types().values().stream()
+                .filter(spec::fits)
+                .mapToDouble(MachineType::imagePullGbPerSecond)
                 .max()
                 .orElse(1);
-        return s.imageGb() / Math.max(0.01, rate);
+        return spec.imageGb() / Math.max(0.01, rate);
     }
 
     /**
@@ -173,7 +173,7 @@
     private static double machinesIn(TaskDemand demand, InstanceOffer offer, Map<String, MachineType> types) {
         double need =
                 demand.tasks() / slots(demand.spec(), types.get(offer.kind().type()));
-        return demand.stuck() ? Math.max(1, need) : need;
+        return demand.unplaceable() ? Math.max(1, need) : need;
     }
 
     /** What the cloud rents out in the job's zone that its tasks may run on. */
@@ -191,28 +191,30 @@
         return offers;
     }
 
-    private static boolean allowed(JobSpec s, MachineType t, boolean spot) {
-        return t.zones().stream()
-                .anyMatch(z -> PlacementRules.machine(s, t, z, spot).allowed());
+    private static boolean allowed(JobSpec spec, MachineType type, boolean spot) {
+        return type.zones().stream()
+                .anyMatch(z -> PlacementRules.machine(spec, type, z, spot).allowed());
     }
 
     /** Price of one task: its share of the machine while it fetches and runs. */
-    private static double cost(JobSpec s, MachineType t, boolean spot) {
-        double seconds = s.guess().toMillis() / 1e3 + s.imageGb() / Math.max(0.01, t.fetchGbPerS());
-        return t.hourly(spot) / slots(s, t) * seconds;
+    private static double cost(JobSpec spec, MachineType type, boolean spot) {
+        double seconds = spec.estimatedDuration().toMillis() / 1e3
+                + spec.imageGb() / Math.max(0.01, type.imagePullGbPerSecond());
+        return type.hourly(spot) / slots(spec, type) * seconds;
     }
 
     /** Kinds that a job may use, the cheapest first; what others can't do without is dearer than its price. */
-    private static List<InstanceKind> kindsByCost(JobSpec s, Map<String, MachineType> types, Set<String> onlyChoice) {
+    private static List<InstanceKind> kindsByCost(
+            JobSpec spec, Map<String, MachineType> types, Set<String> onlyChoice) {
         List<InstanceKind> kinds = new ArrayList<>();
-        for (MachineType t : types.values()) {
+        for (MachineType type : types.values()) {
             for (boolean spot : new boolean[] {true, false}) {
-                if (allowed(s, t, spot)) {
-                    kinds.add(new InstanceKind(t.name(), spot));
+                if (allowed(spec, type, spot)) {
+                    kinds.add(new InstanceKind(type.name(), spot));
                 }
             }
         }
-        kinds.sort(Comparator.comparingDouble((InstanceKind k) -> cost(s, types.get(k.type()), k.spot())
+        kinds.sort(Comparator.comparingDouble((InstanceKind k) -> cost(spec, types.get(k.type()), k.spot())
                 * (kinds.size() > 2 && onlyChoice.contains(k.type()) ? AWAITED : 1)));
         return kinds;
     }
@@ -247,8 +249,8 @@
         boolean another = false;
         for (Choices choices : sorted) {
             TaskDemand demand = choices.demand();
-            JobSpec s = demand.spec();
-            List<InstanceKind> kinds = kindsByCost(s, types, onlyChoice);
+            JobSpec spec = demand.spec();
+            List<InstanceKind> kinds = kindsByCost(spec, types, onlyChoice);
             if (demand.needsAnother() && !another) {
                 // Its tasks have failed on the machines that there are, and may be avoiding them. One more for all such
                 // jobs: most of them were submitted with a mistake. lone-faulty-machine.trace
@@ -257,11 +259,11 @@
             }
             double tasks = demand.tasks();
             for (InstanceKind k : kinds) {
-                int slots = slots(s, types.get(k.type()));
+                int slots = slots(spec, types.get(k.type()));
                 double need = tasks / slots;
                 if (exhausted.test(k)) {
                     need = Math.min(need, Math.max(0, have.getOrDefault(k, 0) - out.getDouble(k)));
-                } else if (demand.stuck()) {
+                } else if (demand.unplaceable()) {
                     // A small part of a machine would be rounded down to none for good. lone-ordinary-task.trace
                     need = Math.max(need, 1 - out.getDouble(k));
                 }
--- a/src/main/java/org/havenford/coordination/provisioning/CapacityRefusals.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CapacityRefusals.java
@@ -25,13 +25,13 @@
     }
 
     /** Whether an offer was refused lately. */
-    boolean lately(InstanceOffer offer, Instant now) {
+    boolean wasRefusedLately(InstanceOffer offer, Instant now) {
         Instant at = refused.get(offer);
         return at != null && now.isBefore(at.plus(REFUSAL_HOLDS));
     }
 
     /** Whether a kind of machine was refused in every zone. */
-    boolean everywhere(InstanceKind kind, MachineType type, Instant now) {
-        return type.zones().stream().allMatch(zone -> lately(new InstanceOffer(kind, zone), now));
+    boolean isRefusedEverywhere(InstanceKind kind, MachineType type, Instant now) {
+        return type.zones().stream().allMatch(zone -> wasRefusedLately(new InstanceOffer(kind, zone), now));
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
@@ -98,7 +98,7 @@
     }
 
     private void typesAnswered(HttpCalls.Reply reply) {
-        boolean unknown = context.ledger().types().isEmpty();
+        boolean unknown = context.clusterState().types().isEmpty();
         nextTypes = context.loop().now().plus(unknown ? TYPES_RETRY : TYPES_EVERY);
         if (!reply.ok()) {
             return;
@@ -107,7 +107,7 @@
             JsonObject value = MachineType.toJson(MachineType.parseAll(Json.object(reply.body())));
             String text = value.toString();
             if (!text.equals(storedTypes)) {
-                context.write(new StoreClient.Transaction().set(Keys.TYPES, value), ok -> {
+                context.write(new StoreClient.Transaction().put(Keys.TYPES, value), ok -> {
                     // Written under a view that has just changed, they are not there: then they come again.
                     storedTypes = ok ? text : storedTypes;
                     nextTypes = ok ? nextTypes : Instant.MIN;
@@ -176,12 +176,12 @@
 
     /** Machines that nobody has a record of: of a rental that was carried out late, or whose answer was lost. */
     private void adopt(Map<String, ListedMachine> all) {
-        if (!context.ledger().bookings().isEmpty()) {
+        if (!context.clusterState().instanceRequests().isEmpty()) {
             return;
         }
         Map<InstanceOffer, List<ListedMachine>> unknown = new LinkedHashMap<>();
         for (ListedMachine machine : all.values()) {
-            boolean known = context.ledger().machine(machine.machine()) != null
+            boolean known = context.clusterState().machine(machine.machine()) != null
                     || returned.containsKey(machine.machine())
                     || machine.age().compareTo(ADOPTED_FROM) <= 0;
             if (!known) {
@@ -191,26 +191,26 @@
                 unknown.computeIfAbsent(offer, k -> new ArrayList<>()).add(machine);
             }
         }
-        StoreClient.Transaction txn = new StoreClient.Transaction();
+        StoreClient.Transaction transaction = new StoreClient.Transaction();
         unknown.forEach((offer, machines) -> {
-            if (txn.writes() < context.settings().txnOps()) {
-                adopt(offer, machines, txn);
+            if (transaction.operationCount() < context.settings().txnOps()) {
+                adopt(offer, machines, transaction);
             }
         });
-        if (txn.writes() > 0) {
-            context.write(txn, ok -> {});
+        if (transaction.operationCount() > 0) {
+            context.write(transaction, ok -> {});
         }
     }
 
-    private void adopt(InstanceOffer offer, List<ListedMachine> machines, StoreClient.Transaction txn) {
+    private void adopt(InstanceOffer offer, List<ListedMachine> machines, StoreClient.Transaction transaction) {
         String name = context.uniqueName("l");
         Instant since = context.loop().timeOfDay().minus(machines.get(0).age());
         List<String> names = machines.stream()
-                .limit(MachineBatch.MOST)
+                .limit(MachineBatch.MAX_MACHINES)
                 .map(ListedMachine::machine)
                 .toList();
         MachineBatch batch = MachineBatch.of(
                 name, offer.kind().type(), offer.zone(), offer.kind().spot(), since, names);
-        txn.guard(Keys.batch(name), 0).set(Keys.batch(name), batch.toJson());
+        transaction.requireRevision(Keys.batch(name), 0).put(Keys.batch(name), batch.toJson());
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/FleetSizeTarget.java
+++ b/src/main/java/org/havenford/coordination/provisioning/FleetSizeTarget.java
@@ -46,7 +46,7 @@
      * room; {@code least} is the need of the moment with patience, so that a burst does not fill the fleet with machines that
      * come up too late for it.
      */
-    Map<InstanceKind, Integer> wanted(
+    Map<InstanceKind, Integer> desired(
             Instant now,
             Iterable<MachineType> types,
             Object2DoubleOpenHashMap<InstanceKind> full,
--- a/src/main/java/org/havenford/coordination/provisioning/MachineBatchChange.java
+++ b/src/main/java/org/havenford/coordination/provisioning/MachineBatchChange.java
@@ -13,22 +13,22 @@
 
 /** Changes of the batches that machines are in, gathered into one transaction. */
 final class MachineBatchChange {
-    private final ClusterState ledger;
+    private final ClusterState clusterState;
     private final int maxBatches;
     private final Predicate<String> isBusy;
     private final TreeMap<String, MachineBatch> next = new TreeMap<>();
     private final List<String> machines = new ArrayList<>();
 
     /** {@code isBusy} tells of batches that are being written. */
-    MachineBatchChange(ClusterState ledger, int maxBatches, Predicate<String> isBusy) {
-        this.ledger = ledger;
+    MachineBatchChange(ClusterState clusterState, int maxBatches, Predicate<String> isBusy) {
+        this.clusterState = clusterState;
         this.maxBatches = maxBatches;
         this.isBusy = isBusy;
     }
 
     /** Whether there is room for the machine's batches, and none of them is being written. */
     private boolean takes(String machine) {
-        Set<String> batches = ledger.batchesOf(machine);
+        Set<String> batches = clusterState.batchesOf(machine);
         long more = batches.stream().filter(b -> !next.containsKey(b)).count();
         return !batches.isEmpty() && batches.stream().noneMatch(isBusy) && next.size() + more <= maxBatches;
     }
@@ -38,8 +38,8 @@
         if (!takes(machine)) {
             return false;
         }
-        for (String name : ledger.batchesOf(machine)) {
-            next.put(name, next.getOrDefault(name, ledger.batch(name)).with(machine, service));
+        for (String name : clusterState.batchesOf(machine)) {
+            next.put(name, next.getOrDefault(name, clusterState.batch(name)).with(machine, service));
         }
         machines.add(machine);
         return true;
@@ -48,8 +48,8 @@
     /** Takes a machine off the record, if the transaction has room for it. */
     void drop(String machine) {
         if (takes(machine)) {
-            for (String name : ledger.batchesOf(machine)) {
-                next.put(name, next.getOrDefault(name, ledger.batch(name)).without(List.of(machine)));
+            for (String name : clusterState.batchesOf(machine)) {
+                next.put(name, next.getOrDefault(name, clusterState.batch(name)).without(List.of(machine)));
             }
         }
     }
@@ -70,16 +70,16 @@
 
     /** The transaction, guarded by the stamps of the batches that were changed. */
     StoreClient.Transaction transaction(StoreReplica replica) {
-        StoreClient.Transaction txn = new StoreClient.Transaction();
+        StoreClient.Transaction transaction = new StoreClient.Transaction();
         next.forEach((name, batch) -> {
             String key = Keys.batch(name);
-            txn.guard(key, replica.stamp(key));
+            transaction.requireRevision(key, replica.modRevision(key));
             if (batch.machines().isEmpty()) {
-                txn.delete(key);
+                transaction.delete(key);
             } else {
-                txn.set(key, batch.toJson());
+                transaction.put(key, batch.toJson());
             }
         });
-        return txn;
+        return transaction;
     }
 }
