--- a/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
+++ b/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
@@ -27,11 +27,11 @@
 
     private final ProvisioningContext context;
     private final CloudInventory inventory;
-    private final CapacityRefusals refusals = new CapacityRefusals();
-    private final ScaleOut rentals;
-    private final ScaleIn returns;
-    private final BootTimeEstimator bootTimes;
-    private final BootMonitor overdueLog = new BootMonitor();
+    private final CapacityRefusals capacityRefusals = new CapacityRefusals();
+    private final ScaleOut scaleOut;
+    private final ScaleIn scaleIn;
+    private final BootTimeEstimator bootTimeEstimator;
+    private final BootMonitor bootMonitor = new BootMonitor();
     private final FleetSizeTarget target;
     private final boolean speedFirst;
     private Instant nextSize = Instant.MIN;
@@ -42,9 +42,9 @@
         this.context = context;
         this.speedFirst = context.operator().speedFirst(context.settings());
         this.inventory = new CloudInventory(context);
-        this.bootTimes = new BootTimeEstimator(context.ledger());
-        this.rentals = new ScaleOut(context, refusals, bootTimes);
-        this.returns = new ScaleIn(context, inventory, refusals, bootTimes, overdueLog, speedFirst);
+        this.bootTimeEstimator = new BootTimeEstimator(context.clusterState());
+        this.scaleOut = new ScaleOut(context, capacityRefusals, bootTimeEstimator);
+        this.scaleIn = new ScaleIn(context, inventory, capacityRefusals, bootTimeEstimator, bootMonitor, speedFirst);
         this.target = new FleetSizeTarget(speedFirst, context.operator().spareShare());
     }
 
@@ -52,8 +52,8 @@
     public void step() {
         Membership membership = context.membership();
         boolean first = context.replica().loaded()
-                && membership.entitled()
-                && context.settings().node().equals(membership.view().first());
+                && membership.mayAnswerAgents()
+                && context.settings().node().equals(membership.view().provisioningLeader());
         if (!first) {
             active = false;
             return;
@@ -64,62 +64,62 @@
             begin(now);
         }
         inventory.step(now);
-        returns.giveBack();
-        rentals.carryOut();
-        if (!now.isBefore(nextSize) && !context.ledger().types().isEmpty()) {
+        scaleIn.returnMachines();
+        scaleOut.sendRequests();
+        if (!now.isBefore(nextSize) && !context.clusterState().types().isEmpty()) {
             nextSize = now.plus(SIZE_EVERY);
-            bootTimes.update(context.loop().timeOfDay());
-            overdueLog.overdue(bootTimes.overdue(), bootTimes, now);
-            returns.markUnfit(now);
-            size(now);
+            bootTimeEstimator.update(context.loop().timeOfDay());
+            bootMonitor.reportOverdue(bootTimeEstimator.overdue(), bootTimeEstimator, now);
+            scaleIn.markUnfit(now);
+            adjustFleetSize(now);
         }
     }
 
     /** Machines that don't come up, for the log's line of each minute; null where this member is not the one that rents. */
     public String summary() {
-        return active ? overdueLog.summary() : null;
+        return active ? bootMonitor.summary() : null;
     }
 
     /** This process has stood still: what was seen of idle and silent machines before is old. */
-    public void stoodStill() {
+    public void processPaused() {
         active = false;
     }
 
     private void begin(Instant now) {
         inventory.reset();
-        bootTimes.reset();
-        rentals.reset();
-        returns.reset(now);
+        bootTimeEstimator.reset();
+        scaleOut.reset();
+        scaleIn.reset(now);
         target.reset();
         nextSize = Instant.MIN;
     }
 
-    private void size(Instant now) {
-        ClusterState ledger = context.ledger();
-        Map<InstanceKind, Integer> have = have();
+    private void adjustFleetSize(Instant now) {
+        ClusterState clusterState = context.clusterState();
+        Map<InstanceKind, Integer> have = machineCounts();
         Instant timeOfDay = context.loop().timeOfDay();
-        List<TaskDemand> allDemands = CapacityDemand.taskDemands(ledger, context.settings(), timeOfDay, false);
-        List<TaskDemand> leastDemands = CapacityDemand.taskDemands(ledger, context.settings(), timeOfDay, true);
+        List<TaskDemand> allDemands = CapacityDemand.taskDemands(clusterState, context.settings(), timeOfDay, false);
+        List<TaskDemand> leastDemands = CapacityDemand.taskDemands(clusterState, context.settings(), timeOfDay, true);
         Object2DoubleOpenHashMap<InstanceKind> full = machines(allDemands, now, have);
         Object2DoubleOpenHashMap<InstanceKind> least = machines(leastDemands, now, have);
         Map<InstanceKind, Integer> wanted =
-                target.wanted(now, ledger.types().values(), full, least, kind -> exhausted(kind, now), have);
+                target.desired(now, clusterState.types().values(), full, least, kind -> exhausted(kind, now), have);
         if (LOG.isDebugEnabled()) {
             LOG.debug("fleet: have {}, idle {}, wanted {}, needed {}, could use {}", have, idle(), wanted, least, full);
         }
-        rentals.rent(now, wanted, have, boundToZones(speedFirst ? allDemands : leastDemands, now));
-        returns.trim(now, wanted, have);
+        scaleOut.requestInstances(now, wanted, have, boundToZones(speedFirst ? allDemands : leastDemands, now));
+        scaleIn.retireSurplus(now, wanted, have);
     }
 
     /** Machines that there are, or that are on their way. */
-    private Map<InstanceKind, Integer> have() {
+    private Map<InstanceKind, Integer> machineCounts() {
         Map<InstanceKind, Integer> have = new HashMap<>();
-        for (MachineRecord machine : context.ledger().machines()) {
+        for (MachineRecord machine : context.clusterState().machines()) {
             if (counts(machine)) {
                 have.merge(new InstanceKind(machine.type(), machine.spot()), 1, Integer::sum);
             }
         }
-        for (InstanceRequest booking : context.ledger().bookings()) {
+        for (InstanceRequest booking : context.clusterState().instanceRequests()) {
             have.merge(new InstanceKind(booking.type(), booking.spot()), booking.count(), Integer::sum);
         }
         return have;
@@ -128,16 +128,16 @@
     private boolean counts(MachineRecord machine) {
         return switch (machine.condition()) {
             case UP, SILENT -> true;
-            case BOOTING -> !bootTimes.isOverdue(machine);
+            case BOOTING -> !bootTimeEstimator.isOverdue(machine);
             default -> false;
         };
     }
 
     private Map<InstanceKind, Integer> idle() {
         Map<InstanceKind, Integer> idle = new HashMap<>();
-        for (MachineRecord machine : context.ledger().machines()) {
+        for (MachineRecord machine : context.clusterState().machines()) {
             boolean isIdle = machine.condition() == Condition.UP
-                    && context.ledger().claimsOn(machine.name()).isEmpty();
+                    && context.clusterState().claimsOn(machine.name()).isEmpty();
             if (isIdle) {
                 idle.merge(new InstanceKind(machine.type(), machine.spot()), 1, Integer::sum);
             }
@@ -146,15 +146,17 @@
     }
 
     private boolean exhausted(InstanceKind kind, Instant now) {
-        return refusals.everywhere(kind, context.ledger().types().get(kind.type()), now);
+        return capacityRefusals.isRefusedEverywhere(
+                kind, context.clusterState().types().get(kind.type()), now);
     }
 
     private Object2DoubleOpenHashMap<InstanceKind> machines(
             List<TaskDemand> demands, Instant now, Map<InstanceKind, Integer> have) {
-        return CapacityDemand.machines(demands, context.ledger().types(), kind -> exhausted(kind, now), have);
+        return CapacityDemand.machines(demands, context.clusterState().types(), kind -> exhausted(kind, now), have);
     }
 
     private Object2DoubleOpenHashMap<InstanceOffer> boundToZones(List<TaskDemand> demands, Instant now) {
-        return CapacityDemand.boundToZones(demands, context.ledger().types(), offer -> refusals.lately(offer, now));
+        return CapacityDemand.boundToZones(
+                demands, context.clusterState().types(), offer -> capacityRefusals.wasRefusedLately(offer, now));
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/ProvisioningContext.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ProvisioningContext.java
@@ -15,10 +15,10 @@
 /** What the parts of the provisioner work with: the replica that decisions are read from, the cloud, and the way to the store. */
 public final class ProvisioningContext {
     private final EventLoop loop;
-    private final CloudClient cloud;
+    private final CloudClient cloudClient;
     private final PlatformSettings settings;
-    private final OperatorSettings operator;
-    private final ClusterState ledger;
+    private final OperatorSettings operatorSettings;
+    private final ClusterState clusterState;
     private final StoreReplica replica;
     private final StoreClient store;
     private final Membership membership;
@@ -28,19 +28,19 @@
     /** The context of one controller. */
     public ProvisioningContext(
             EventLoop loop,
-            CloudClient cloud,
+            CloudClient cloudClient,
             PlatformSettings settings,
-            OperatorSettings operator,
-            ClusterState ledger,
+            OperatorSettings operatorSettings,
+            ClusterState clusterState,
             StoreReplica replica,
             StoreClient store,
             Membership membership,
             Runnable wake) {
         this.loop = loop;
-        this.cloud = cloud;
+        this.cloudClient = cloudClient;
         this.settings = settings;
-        this.operator = operator;
-        this.ledger = ledger;
+        this.operatorSettings = operatorSettings;
+        this.clusterState = clusterState;
         this.replica = replica;
         this.store = store;
         this.membership = membership;
@@ -52,7 +52,7 @@
     }
 
     CloudClient cloud() {
-        return cloud;
+        return cloudClient;
     }
 
     PlatformSettings settings() {
@@ -60,11 +60,11 @@
     }
 
     OperatorSettings operator() {
-        return operator;
+        return operatorSettings;
     }
 
-    ClusterState ledger() {
-        return ledger;
+    ClusterState clusterState() {
+        return clusterState;
     }
 
     StoreReplica replica() {
@@ -88,11 +88,11 @@
     }
 
     /** Commits a transaction under the present view; {@code after} is told whether it was written. */
-    void write(StoreClient.Transaction txn, Consumer<Boolean> after) {
-        txn.guard(Keys.VIEW, membership.viewStamp());
-        store.commit(txn, StoreClient.CallPriority.WORK, result -> {
+    void write(StoreClient.Transaction transaction, Consumer<Boolean> after) {
+        transaction.requireRevision(Keys.VIEW, membership.viewRevision());
+        store.commit(transaction, StoreClient.CallPriority.WORK, result -> {
             if (result.ok()) {
-                replica.committed(txn, result.edition());
+                replica.applyCommitted(transaction, result.revision());
             }
             after.accept(result.ok());
             wake.run();
--- a/src/main/java/org/havenford/coordination/provisioning/ScaleIn.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ScaleIn.java
@@ -46,9 +46,9 @@
 
     private final ProvisioningContext context;
     private final CloudInventory inventory;
-    private final CapacityRefusals refusals;
-    private final BootTimeEstimator bootTimes;
-    private final BootMonitor overdueLog;
+    private final CapacityRefusals capacityRefusals;
+    private final BootTimeEstimator bootTimeEstimator;
+    private final BootMonitor bootMonitor;
     private final Duration idlePatience;
     /** Machines of which a change of their batch, or their return, is under way. */
     private final Set<String> inFlight = new HashSet<>();
@@ -65,15 +65,15 @@
     ScaleIn(
             ProvisioningContext context,
             CloudInventory inventory,
-            CapacityRefusals refusals,
-            BootTimeEstimator bootTimes,
-            BootMonitor overdueLog,
+            CapacityRefusals capacityRefusals,
+            BootTimeEstimator bootTimeEstimator,
+            BootMonitor bootMonitor,
             boolean speedFirst) {
         this.context = context;
-        this.bootTimes = bootTimes;
-        this.overdueLog = overdueLog;
+        this.bootTimeEstimator = bootTimeEstimator;
+        this.bootMonitor = bootMonitor;
         this.inventory = inventory;
-        this.refusals = refusals;
+        this.capacityRefusals = capacityRefusals;
         Duration patience = context.operator().idleBeforeReturn();
         this.idlePatience = speedFirst ? patience.multipliedBy(IDLE_FOR_SPEED) : patience;
     }
@@ -89,7 +89,7 @@
         nextDrop = Instant.MIN;
         // Its predecessor knew since when machines have been idle; half the time is a fair guess.
         Instant guessed = now.minus(context.operator().idleBeforeReturn().dividedBy(2));
-        for (MachineRecord machine : context.ledger().machines()) {
+        for (MachineRecord machine : context.clusterState().machines()) {
             if (isIdle(machine)) {
                 idleSince.put(machine.name(), guessed);
             }
@@ -98,11 +98,11 @@
 
     private boolean isIdle(MachineRecord machine) {
         return machine.condition() == Condition.UP
-                && context.ledger().claimsOn(machine.name()).isEmpty();
+                && context.clusterState().claimsOn(machine.name()).isEmpty();
     }
 
     private MachineBatchChange newChange() {
-        return new MachineBatchChange(context.ledger(), context.settings().txnOps(), busyBatches::contains);
+        return new MachineBatchChange(context.clusterState(), context.settings().txnOps(), busyBatches::contains);
     }
 
     private void write(MachineBatchChange change) {
@@ -123,12 +123,12 @@
     void markUnfit(Instant now) {
         Set<String> silentZones = silentZones();
         MachineBatchChange change = newChange();
-        for (MachineRecord machine : context.ledger().machines()) {
+        for (MachineRecord machine : context.clusterState().machines()) {
             String why = inFlight.contains(machine.name()) ? null : whyUnfit(machine, silentZones, now);
             if (why != null && change.mark(machine.name(), MachineBatch.ServiceState.RETURNING)) {
                 LOG.info("returning {}: {}", machine.name(), why);
                 if (machine.condition() == Condition.BOOTING) {
-                    overdueLog.givenUp();
+                    bootMonitor.countGivenUp();
                 }
             }
         }
@@ -139,7 +139,7 @@
     private Set<String> silentZones() {
         Map<String, Integer> silent = new HashMap<>();
         Map<String, Integer> all = new HashMap<>();
-        for (MachineRecord machine : context.ledger().machines()) {
+        for (MachineRecord machine : context.clusterState().machines()) {
             if (machine.condition() == Condition.SILENT) {
                 silent.merge(machine.zone(), 1, Integer::sum);
             }
@@ -157,7 +157,8 @@
         }
         return switch (machine.condition()) {
             case BOOTING -> doesNotComeUp(machine, now) ? "it does not come up" : null;
-            case FAULTY -> context.ledger().claimsOn(machine.name()).isEmpty() ? "its owner found it faulty" : null;
+            case FAULTY ->
+                context.clusterState().claimsOn(machine.name()).isEmpty() ? "its owner found it faulty" : null;
             case SILENT -> whySilentIsUnfit(machine, silentZones, now);
             default -> null;
         };
@@ -165,10 +166,10 @@
 
     private boolean doesNotComeUp(MachineRecord machine, Instant now) {
         if (now.isBefore(activeSince.plus(SETTLING))
-                || !context.ledger().claimsOn(machine.name()).isEmpty()) {
+                || !context.clusterState().claimsOn(machine.name()).isEmpty()) {
             return false;
         }
-        return bootTimes.isGivenUp(machine);
+        return bootTimeEstimator.isGivenUp(machine);
     }
 
     private String whySilentIsUnfit(MachineRecord machine, Set<String> silentZones, Instant now) {
@@ -184,7 +185,7 @@
     // ---- idle machines
 
     /** Marks idle machines beyond the wanted number to be returned, once they have been idle for long enough. */
-    void trim(Instant now, Map<InstanceKind, Integer> wanted, Map<InstanceKind, Integer> have) {
+    void retireSurplus(Instant now, Map<InstanceKind, Integer> wanted, Map<InstanceKind, Integer> have) {
         List<MachineRecord> idle = idleForLong(now);
         if (now.isBefore(nextTrim)) {
             return;
@@ -214,7 +215,7 @@
     /** Ordinary machines first, then those that have been idle longest. */
     private List<MachineRecord> idleForLong(Instant now) {
         List<MachineRecord> idle = new ArrayList<>();
-        for (MachineRecord machine : context.ledger().machines()) {
+        for (MachineRecord machine : context.clusterState().machines()) {
             if (!isIdle(machine)) {
                 idleSince.remove(machine.name());
             } else if (now.isAfter(
@@ -222,7 +223,7 @@
                 idle.add(machine);
             }
         }
-        idleSince.keySet().removeIf(name -> context.ledger().machine(name) == null);
+        idleSince.keySet().removeIf(name -> context.clusterState().machine(name) == null);
         idle.sort(Comparator.comparing(MachineRecord::spot)
                 .thenComparing(machine -> idleSince.get(machine.name()))
                 .thenComparing(MachineRecord::name));
@@ -232,14 +233,14 @@
     // ---- returns
 
     /** Returns what is marked to go. */
-    void giveBack() {
+    void returnMachines() {
         List<MachineRecord> going = new ArrayList<>();
         MachineBatchChange staying = newChange();
-        for (MachineRecord machine : context.ledger().machines()) {
+        for (MachineRecord machine : context.clusterState().machines()) {
             if (inFlight.contains(machine.name()) || goneNow.contains(machine.name())) {
                 continue;
             }
-            boolean claimed = !context.ledger().claimsOn(machine.name()).isEmpty();
+            boolean claimed = !context.clusterState().claimsOn(machine.name()).isEmpty();
             boolean retired = machine.condition() == Condition.RETIRING && batchesAreCurrent(machine);
             boolean goes = machine.condition() == Condition.RETURNING || (retired && !claimed);
             if (goes && going.size() < MOST_RETURNED) {
@@ -252,17 +253,17 @@
         write(staying);
         dropGone();
         if (!going.isEmpty()) {
-            giveBack(going);
+            returnMachines(going);
         }
     }
 
     /** Whether our replica has passed the last change of all batches that a machine is in. */
     private boolean batchesAreCurrent(MachineRecord machine) {
-        return context.ledger().batchesOf(machine.name()).stream()
-                .allMatch(b -> context.replica().edition() >= context.replica().stamp(Keys.batch(b)));
+        return context.clusterState().batchesOf(machine.name()).stream()
+                .allMatch(b -> context.replica().revision() >= context.replica().modRevision(Keys.batch(b)));
     }
 
-    private void giveBack(List<MachineRecord> going) {
+    private void returnMachines(List<MachineRecord> going) {
         List<String> names = going.stream().map(MachineRecord::name).toList();
         String body = CloudMessages.giveBack(names);
         if (context.cloud().call("POST", "/machines/return", body, reply -> returnAnswered(going, names, reply))) {
@@ -277,14 +278,14 @@
         }
         inFlight.removeAll(names);
         inventory.returned(names);
-        going.forEach(machine -> refusals.available(
+        going.forEach(machine -> capacityRefusals.available(
                 new InstanceOffer(new InstanceKind(machine.type(), machine.spot()), machine.zone())));
         // By now the machines and all on them are gone. The records' absence tells the owners so.
         goneNow.addAll(names);
     }
 
     private void dropGone() {
-        goneNow.removeIf(name -> context.ledger().machine(name) == null);
+        goneNow.removeIf(name -> context.clusterState().machine(name) == null);
         if (goneNow.isEmpty() || context.loop().now().isBefore(nextDrop)) {
             return;
         }
--- a/src/main/java/org/havenford/coordination/provisioning/ScaleOut.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ScaleOut.java
@@ -39,17 +39,17 @@
     private static final int TRIED_WITH = 2;
 
     private final ProvisioningContext context;
-    private final CapacityRefusals refusals;
-    private final BootTimeEstimator bootTimes;
+    private final CapacityRefusals capacityRefusals;
+    private final BootTimeEstimator bootTimeEstimator;
     /** Bookings that the cloud has been asked for, or whose outcome is being written. */
     private final Set<String> inFlight = new HashSet<>();
 
     private boolean writing;
 
-    ScaleOut(ProvisioningContext context, CapacityRefusals refusals, BootTimeEstimator bootTimes) {
-        this.bootTimes = bootTimes;
+    ScaleOut(ProvisioningContext context, CapacityRefusals capacityRefusals, BootTimeEstimator bootTimeEstimator) {
+        this.bootTimeEstimator = bootTimeEstimator;
         this.context = context;
-        this.refusals = refusals;
+        this.capacityRefusals = capacityRefusals;
     }
 
     /** Begins afresh: this controller has become the provisioner. */
@@ -61,31 +61,31 @@
     // ---- intents
 
     /** Stores intents for what is missing. {@code bound} is what must be in a certain zone. */
-    void rent(
+    void requestInstances(
             Instant now,
             Map<InstanceKind, Integer> wanted,
             Map<InstanceKind, Integer> have,
             Object2DoubleOpenHashMap<InstanceOffer> bound) {
-        StoreClient.Transaction txn = new StoreClient.Transaction();
+        StoreClient.Transaction transaction = new StoreClient.Transaction();
         Map<InstanceKind, Integer> missing = new HashMap<>();
         wanted.forEach((kind, number) -> missing.put(kind, number - have.getOrDefault(kind, 0)));
-        bookForZones(bound, missing, txn);
+        requestForZones(bound, missing, transaction);
         List<InstanceKind> kinds = new ArrayList<>(wanted.keySet());
         kinds.sort(Comparator.comparing(InstanceKind::spot).reversed().thenComparing(InstanceKind::type));
         for (InstanceKind kind : kinds) {
-            bookAnywhere(kind, missing.get(kind), now, txn);
+            requestAnywhere(kind, missing.get(kind), now, transaction);
         }
-        if (txn.writes() > 0 && !writing) {
+        if (transaction.operationCount() > 0 && !writing) {
             writing = true;
-            context.write(txn, ok -> writing = false);
+            context.write(transaction, ok -> writing = false);
         }
     }
 
     /** First what can't be met elsewhere. */
-    private void bookForZones(
+    private void requestForZones(
             Object2DoubleOpenHashMap<InstanceOffer> bound,
             Map<InstanceKind, Integer> missing,
-            StoreClient.Transaction txn) {
+            StoreClient.Transaction transaction) {
         if (bound.isEmpty()) {
             return;
         }
@@ -97,8 +97,8 @@
         for (InstanceOffer offer : offers) {
             int lacking = FleetSizeTarget.wholeMachines(bound.getDouble(offer)) - there.getOrDefault(offer, 0);
             int count = Math.min(lacking, mostOf(offer));
-            if (count > 0 && mayBook(txn)) {
-                book(offer, count, txn);
+            if (count > 0 && mayBook(transaction)) {
+                requestInstances(offer, count, transaction);
                 missing.merge(offer.kind(), -count, Integer::sum);
             }
         }
@@ -107,13 +107,13 @@
     /** Machines there are or were asked for, by kind and zone. */
     private Map<InstanceOffer, Integer> byOffer() {
         Map<InstanceOffer, Integer> there = new HashMap<>();
-        for (MachineRecord machine : context.ledger().machines()) {
+        for (MachineRecord machine : context.clusterState().machines()) {
             boolean stays = machine.condition() == Condition.UP || machine.condition() == Condition.BOOTING;
             if (stays) {
                 there.merge(offerOf(machine), 1, Integer::sum);
             }
         }
-        for (InstanceRequest booking : context.ledger().bookings()) {
+        for (InstanceRequest booking : context.clusterState().instanceRequests()) {
             there.merge(offerOf(booking), booking.count(), Integer::sum);
         }
         return there;
@@ -128,19 +128,19 @@
     }
 
     /** In the zones that have the fewest machines; a need that is large is spread over the zones. */
-    private void bookAnywhere(InstanceKind kind, int number, Instant now, StoreClient.Transaction txn) {
+    private void requestAnywhere(InstanceKind kind, int number, Instant now, StoreClient.Transaction transaction) {
         int missing = number;
         if (missing <= 0) {
             return;
         }
         List<String> zones = zonesByMachines(kind, now);
-        for (int i = 0; i < zones.size() && missing > 0 && mayBook(txn); i++) {
+        for (int i = 0; i < zones.size() && missing > 0 && mayBook(transaction); i++) {
             int zonesLeft = zones.size() - i;
             int even = (missing + zonesLeft - 1) / zonesLeft;
             InstanceOffer offer = new InstanceOffer(kind, zones.get(i));
             int count = Math.min(mostOf(offer), missing <= MOST_RENTED / 2 ? missing : even);
             if (count > 0) {
-                book(offer, count, txn);
+                requestInstances(offer, count, transaction);
                 missing -= count;
             }
         }
@@ -148,15 +148,15 @@
 
     private List<String> zonesByMachines(InstanceKind kind, Instant now) {
         Map<String, Integer> inZone = new HashMap<>();
-        for (MachineRecord machine : context.ledger().machines()) {
+        for (MachineRecord machine : context.clusterState().machines()) {
             if (machine.type().equals(kind.type())) {
                 inZone.merge(machine.zone(), 1, Integer::sum);
             }
         }
         List<String> zones =
-                new ArrayList<>(context.ledger().types().get(kind.type()).zones());
-        zones.removeIf(zone -> refusals.lately(new InstanceOffer(kind, zone), now));
-        zones.sort(Comparator.comparing((String zone) -> bootTimes.isTroubled(new InstanceOffer(kind, zone)))
+                new ArrayList<>(context.clusterState().types().get(kind.type()).zones());
+        zones.removeIf(zone -> capacityRefusals.wasRefusedLately(new InstanceOffer(kind, zone), now));
+        zones.sort(Comparator.comparing((String zone) -> bootTimeEstimator.isTroubled(new InstanceOffer(kind, zone)))
                 .thenComparing(zone -> inZone.getOrDefault(zone, 0))
                 .thenComparing(zone -> zone));
         return zones;
@@ -164,19 +164,19 @@
 
     /** Machines of an offer that may be rented at once: few, and now and then, where they don't come up. */
     private int mostOf(InstanceOffer offer) {
-        if (!bootTimes.isTroubled(offer)) {
+        if (!bootTimeEstimator.isTroubled(offer)) {
             return MOST_RENTED;
         }
-        boolean isBooked = context.ledger().bookings().stream()
+        boolean isBooked = context.clusterState().instanceRequests().stream()
                 .anyMatch(booking -> offerOf(booking).equals(offer));
-        return !isBooked && bootTimes.mayBeTried(offer) ? TRIED_WITH : 0;
+        return !isBooked && bootTimeEstimator.mayBeTried(offer) ? TRIED_WITH : 0;
     }
 
-    private boolean mayBook(StoreClient.Transaction txn) {
-        return context.ledger().bookings().size() + txn.writes() < MOST_BOOKINGS;
+    private boolean mayBook(StoreClient.Transaction transaction) {
+        return context.clusterState().instanceRequests().size() + transaction.operationCount() < MOST_BOOKINGS;
     }
 
-    private void book(InstanceOffer offer, int count, StoreClient.Transaction txn) {
+    private void requestInstances(InstanceOffer offer, int count, StoreClient.Transaction transaction) {
         String name = context.uniqueName("r");
         InstanceRequest booking = new InstanceRequest(
                 name,
@@ -185,14 +185,14 @@
                 offer.kind().spot(),
                 count,
                 context.loop().timeOfDay());
-        txn.guard(Keys.booking(name), 0).set(Keys.booking(name), booking.toJson());
+        transaction.requireRevision(Keys.instanceRequest(name), 0).put(Keys.instanceRequest(name), booking.toJson());
     }
 
     // ---- rentals
 
     /** Asks the cloud for what is booked. */
-    void carryOut() {
-        for (InstanceRequest booking : List.copyOf(context.ledger().bookings())) {
+    void sendRequests() {
+        for (InstanceRequest booking : List.copyOf(context.clusterState().instanceRequests())) {
             if (inFlight.contains(booking.name())) {
                 continue;
             }
@@ -213,7 +213,7 @@
                 LOG.warn("cloud: the answer to a rental can't be read: {}", e.getMessage());
             }
         } else if (reply.status() == 503 || reply.status() == 400) {
-            refusals.refused(offerOf(booking), context.loop().now());
+            capacityRefusals.refused(offerOf(booking), context.loop().now());
             settle(booking, withoutBooking(booking));
             return;
         }
@@ -229,34 +229,34 @@
                 booking.zone(),
                 booking.spot() ? ", spot" : "");
         if (names.size() < booking.count()) {
-            refusals.refused(offerOf(booking), context.loop().now());
+            capacityRefusals.refused(offerOf(booking), context.loop().now());
         }
         record(booking, names);
     }
 
     /** The batch takes the booking's place in one transaction. */
     private void record(InstanceRequest booking, List<String> names) {
-        StoreClient.Transaction txn = withoutBooking(booking);
+        StoreClient.Transaction transaction = withoutBooking(booking);
         List<String> fresh = names.stream()
-                .filter(name -> context.ledger().machine(name) == null)
+                .filter(name -> context.clusterState().machine(name) == null)
                 .toList();
         if (!fresh.isEmpty()) {
             Instant now = context.loop().timeOfDay();
             MachineBatch batch =
                     MachineBatch.of(booking.name(), booking.type(), booking.zone(), booking.spot(), now, fresh);
-            txn.guard(Keys.batch(booking.name()), 0).set(Keys.batch(booking.name()), batch.toJson());
+            transaction.requireRevision(Keys.batch(booking.name()), 0).put(Keys.batch(booking.name()), batch.toJson());
         }
-        settle(booking, txn);
+        settle(booking, transaction);
     }
 
     private StoreClient.Transaction withoutBooking(InstanceRequest booking) {
-        String key = Keys.booking(booking.name());
+        String key = Keys.instanceRequest(booking.name());
         return new StoreClient.Transaction()
-                .guard(key, context.replica().stamp(key))
+                .requireRevision(key, context.replica().modRevision(key))
                 .delete(key);
     }
 
-    private void settle(InstanceRequest booking, StoreClient.Transaction txn) {
-        context.write(txn, ok -> inFlight.remove(booking.name()));
+    private void settle(InstanceRequest booking, StoreClient.Transaction transaction) {
+        context.write(transaction, ok -> inFlight.remove(booking.name()));
     }
 }
--- a/src/main/java/org/havenford/coordination/quota/QuotaAllocator.java
+++ b/src/main/java/org/havenford/coordination/quota/QuotaAllocator.java
@@ -58,13 +58,13 @@
     public void settle() {
         Membership membership = context.membership();
         charges.removeIf(c -> !context.writer().isLocked(c.key())
-                && (context.stamp(c.key()) != c.stamp()
-                        || context.ledger().job(c.job()) == null
-                        || (membership.viewStamp() != c.viewStamp() && membership.sawAllBeforeView())));
+                && (context.modRevision(c.key()) != c.stamp()
+                        || context.clusterState().job(c.job()) == null
+                        || (membership.viewRevision() != c.viewStamp() && membership.replicaCoversView())));
     }
 
     private Resources held(String team) {
-        Resources sum = context.ledger().charged(team, context.node());
+        Resources sum = context.clusterState().charged(team, context.node());
         for (Charge c : charges) {
             if (c.team().equals(team)) {
                 sum = sum.plus(c.amount());
@@ -75,30 +75,30 @@
 
     private static Resources limit(PlatformSettings.Team team) {
         return new Resources(
-                team.cpusMax() > 0 ? team.cpusMax() : UNLIMITED, team.cardsMax() > 0 ? team.cardsMax() : UNLIMITED);
+                team.cpusMax() > 0 ? team.cpusMax() : UNLIMITED, team.gpusMax() > 0 ? team.gpusMax() : UNLIMITED);
     }
 
     /**
      * How many of the wanted claims our share of the team's limit allows. The guard on the shares, and where needed a
      * larger share taken from what is free, become part of the claim's transaction.
      */
-    public int take(PlatformSettings.Team team, Resources one, int wanted, StoreClient.Transaction txn) {
+    public int take(PlatformSettings.Team team, Resources one, int wanted, StoreClient.Transaction transaction) {
         String key = Keys.team(team.name());
-        if (context.writer().isLocked(key) || !context.membership().sawAllBeforeView()) {
+        if (context.writer().isLocked(key) || !context.membership().replicaCoversView()) {
             // A former life of this node may have made claims that our replica does not show yet.
             return 0;
         }
-        txn.guard(key, context.stamp(key));
-        TeamQuota quota = context.ledger().quota(team.name());
+        transaction.requireRevision(key, context.modRevision(key));
+        TeamQuota quota = context.clusterState().quota(team.name());
         Resources held = held(team.name());
         Resources share = quota.share(context.node());
         if (held.plus(one.times(wanted)).within(share)) {
             return wanted;
         }
-        Resources free = limit(team).minus(quota.dealt()).most(Resources.NONE);
+        Resources free = limit(team).minus(quota.allocated()).max(Resources.NONE);
         Resources aim =
-                held.plus(one.times(wanted)).plus(lump(team)).most(lump(team).times(LUMPS));
-        Resources next = share.plus(aim.minus(share).most(Resources.NONE).least(free));
+                held.plus(one.times(wanted)).plus(lump(team)).max(lump(team).times(LUMPS));
+        Resources next = share.plus(aim.minus(share).max(Resources.NONE).min(free));
         int allowed = wanted;
         while (allowed > 0 && !held.plus(one.times(allowed)).within(next)) {
             allowed--;
@@ -107,8 +107,8 @@
             shortTeams.add(team.name());
         }
         if (allowed > 0 && !held.plus(one.times(allowed)).within(share)) {
-            TeamQuota taken = quota.with(context.node(), next).withShort(context.node(), allowed < wanted);
-            txn.set(key, taken.toJson());
+            TeamQuota taken = quota.with(context.node(), next).withStarved(context.node(), allowed < wanted);
+            transaction.put(key, taken.toJson());
         }
         return allowed;
     }
@@ -117,7 +117,7 @@
     private Resources lump(PlatformSettings.Team team) {
         int members = Math.max(1, context.membership().view().members().size());
         double part = 1.0 / (LUMPS * members);
-        return new Resources(team.cpusMax() * part, team.cardsMax() * part);
+        return new Resources(team.cpusMax() * part, team.gpusMax() * part);
     }
 
     /**
@@ -125,7 +125,7 @@
      * of the shares fails the team's claims that are under way, so there are none without need.
      */
     public void rebalance(Instant now) {
-        if (now.isBefore(nextRebalance) || !context.membership().sawAllBeforeView()) {
+        if (now.isBefore(nextRebalance) || !context.membership().replicaCoversView()) {
             return;
         }
         nextRebalance = now.plus(REBALANCE_EVERY);
@@ -139,17 +139,17 @@
     }
 
     private void rebalance(PlatformSettings.Team team, String key) {
-        TeamQuota quota = context.ledger().quota(team.name());
+        TeamQuota quota = context.clusterState().quota(team.name());
         TeamQuota next = withOwnShare(team, quota);
-        if (context.node().equals(context.membership().view().first())) {
+        if (context.node().equals(context.membership().view().provisioningLeader())) {
             next = withoutFormerMembers(team, quota, next);
         }
         if (next != quota) {
-            StoreClient.Transaction txn = new StoreClient.Transaction()
-                    .guard(Keys.VIEW, context.membership().viewStamp())
-                    .guard(key, context.stamp(key))
-                    .set(key, next.toJson());
-            context.writer().commit(txn, StoreClient.CallPriority.WORK, List.of(key), () -> {});
+            StoreClient.Transaction transaction = new StoreClient.Transaction()
+                    .requireRevision(Keys.VIEW, context.membership().viewRevision())
+                    .requireRevision(key, context.modRevision(key))
+                    .put(key, next.toJson());
+            context.writer().commit(transaction, StoreClient.CallPriority.WORK, List.of(key), () -> {});
         }
     }
 
@@ -159,15 +159,15 @@
         Resources held = held(team.name());
         Resources share = quota.share(self);
         boolean isShort = shortTeams.contains(team.name());
-        if (isShort != quota.shortOf().contains(self)) {
-            next = next.withShort(self, isShort);
+        if (isShort != quota.starvedHolders().contains(self)) {
+            next = next.withStarved(self, isShort);
         }
-        boolean othersShort = quota.shortOf().stream().anyMatch(n -> !n.equals(self));
-        Resources spare = share.minus(held).most(Resources.NONE);
+        boolean othersShort = quota.starvedHolders().stream().anyMatch(n -> !n.equals(self));
+        Resources spare = share.minus(held).max(Resources.NONE);
         if (othersShort && !isShort && !spare.within(Resources.NONE)) {
             // A part of it, or all where it is little: tasks of our own come in as well.
             boolean little = spare.within(lump(team));
-            next = next.with(self, little ? held.least(share) : share.minus(spare.times(GIVEN_BACK)));
+            next = next.with(self, little ? held.min(share) : share.minus(spare.times(GIVEN_BACK)));
         }
         return next;
     }
@@ -175,10 +175,10 @@
     private TeamQuota withoutFormerMembers(PlatformSettings.Team team, TeamQuota quota, TeamQuota changed) {
         TeamQuota next = changed;
         for (String holder : quota.holders()) {
-            Resources charged = context.ledger().charged(team.name(), holder);
+            Resources charged = context.clusterState().charged(team.name(), holder);
             boolean isMember = context.membership().view().members().containsKey(holder);
             if (!isMember && !quota.share(holder).within(charged)) {
-                next = next.with(holder, charged.least(quota.share(holder))).withShort(holder, false);
+                next = next.with(holder, charged.min(quota.share(holder))).withStarved(holder, false);
             }
         }
         return next;
--- a/src/main/java/org/havenford/coordination/scheduling/FailingJobBackoff.java
+++ b/src/main/java/org/havenford/coordination/scheduling/FailingJobBackoff.java
@@ -39,19 +39,19 @@
     }
 
     /** Whether a job is served behind all sound work at a time of day; all controllers agree on its turns. */
-    static boolean goesLast(Job job, Instant timeOfDay) {
+    static boolean isDeprioritized(Job job, Instant timeOfDay) {
         boolean suspect = job.errors() >= LAST_FROM && job.doneCount() == 0;
         long second = timeOfDay.getEpochSecond() + job.id().hashCode();
         return suspect && Math.floorMod(second, PERIOD_SECONDS) >= TURN_SECONDS;
     }
 
     /** How many tasks of a job may be claimed at a time. */
-    static int mostClaims(Job job) {
+    static int maxClaims(Job job) {
         return job.errors() < SUSPECT_FROM ? Integer.MAX_VALUE : Math.max(1, GROWTH * job.doneCount());
     }
 
     /** Whether the tasks of a job have failed so often that the next attempt has to wait. */
-    boolean backsOff(Job job, Instant now) {
+    boolean isBackingOff(Job job, Instant now) {
         int errors = job.errors();
         if (errors == 0) {
             backoffs.remove(job.id());
--- a/src/main/java/org/havenford/coordination/scheduling/FreeCapacity.java
+++ b/src/main/java/org/havenford/coordination/scheduling/FreeCapacity.java
@@ -29,10 +29,10 @@
     final Set<String> images;
     final List<Claim> claims = new ArrayList<>();
     /** Images that claims on this machine may still be fetching. */
-    final Set<String> fetching = new HashSet<>(4);
+    final Set<String> pulling = new HashSet<>(4);
 
     double cpus;
-    double cards;
+    double gpus;
     double mem;
     /** Work of this priority is about to take what room there is; it is not for lower work meanwhile. */
     JobSpec.Priority reservedFor;
@@ -49,7 +49,7 @@
         this.type = type;
         this.images = Set.copyOf(images);
         cpus = type.cpus();
-        cards = type.cards();
+        gpus = type.gpus();
         mem = type.memGb();
     }
 
@@ -58,44 +58,44 @@
         return availability.test(now);
     }
 
-    boolean fits(JobSpec s) {
-        return s.cpus() <= cpus + EPSILON && s.cards() <= cards + EPSILON && s.memGb() <= mem + EPSILON;
+    boolean fits(JobSpec spec) {
+        return spec.cpus() <= cpus + EPSILON && spec.gpus() <= gpus + EPSILON && spec.memGb() <= mem + EPSILON;
     }
 
     /** Whether an image is on the machine or on its way there. */
-    boolean hasOrFetches(String image) {
-        return images.contains(image) || fetching.contains(image);
+    boolean hasOrPulls(String image) {
+        return images.contains(image) || pulling.contains(image);
     }
 
-    void take(JobSpec s) {
-        cpus -= s.cpus();
-        cards -= s.cards();
-        mem -= s.memGb();
-        if (!images.contains(s.image())) {
-            fetching.add(s.image());
+    void allocate(JobSpec spec) {
+        cpus -= spec.cpus();
+        gpus -= spec.gpus();
+        mem -= spec.memGb();
+        if (!images.contains(spec.image())) {
+            pulling.add(spec.image());
         }
     }
 
-    void give(JobSpec s) {
-        cpus += s.cpus();
-        cards += s.cards();
-        mem += s.memGb();
+    void release(JobSpec spec) {
+        cpus += spec.cpus();
+        gpus += spec.gpus();
+        mem += spec.memGb();
     }
 
     /** How many more tasks fit. */
-    int slots(JobSpec s) {
-        double n = cpus / s.cpus();
-        n = s.cards() > 0 ? Math.min(n, cards / s.cards()) : n;
-        n = s.memGb() > 0 ? Math.min(n, mem / s.memGb()) : n;
+    int slots(JobSpec spec) {
+        double n = cpus / spec.cpus();
+        n = spec.gpus() > 0 ? Math.min(n, gpus / spec.gpus()) : n;
+        n = spec.memGb() > 0 ? Math.min(n, mem / spec.memGb()) : n;
         return (int) (n + EPSILON);
     }
 
     /** Seconds until a task that is claimed now has its image. */
-    double fetchSeconds(JobSpec s) {
-        if (images.contains(s.image())) {
+    double pullSeconds(JobSpec spec) {
+        if (images.contains(spec.image())) {
             return 0;
         }
-        double alone = s.imageGb() / Math.max(SLOWEST_FETCH, type.fetchGbPerS());
-        return fetching.contains(s.image()) ? alone * LEFT_OF_FETCH : alone * (1 + fetching.size());
+        double alone = spec.imageGb() / Math.max(SLOWEST_FETCH, type.imagePullGbPerSecond());
+        return pulling.contains(spec.image()) ? alone * LEFT_OF_FETCH : alone * (1 + pulling.size());
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/JobOrder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/JobOrder.java
@@ -58,24 +58,24 @@
     /** Jobs in the order in which they are served; the first {@code urgent} of them must not stand behind the others. */
     record Queue(List<Job> jobs, int urgent) {}
 
-    private final ClusterState ledger;
+    private final ClusterState clusterState;
     private final PlatformSettings settings;
-    private final PriorityInheritance inheritance;
+    private final PriorityInheritance priorityInheritance;
 
-    JobOrder(ClusterState ledger, PlatformSettings settings) {
-        this.ledger = ledger;
+    JobOrder(ClusterState clusterState, PlatformSettings settings) {
+        this.clusterState = clusterState;
         this.settings = settings;
-        this.inheritance = new PriorityInheritance(ledger);
+        this.priorityInheritance = new PriorityInheritance(clusterState);
     }
 
     /** Priority of a job, its own or that of a job that needs it. */
     JobSpec.Priority priority(Job job) {
-        return inheritance.priority(job);
+        return priorityInheritance.priority(job);
     }
 
     /** When a job must be done for itself and what needs it to be in time; null where there is no deadline. */
-    Instant due(Job job) {
-        return inheritance.due(job);
+    Instant deadline(Job job) {
+        return priorityInheritance.deadline(job);
     }
 
     /** Run time of a task in seconds: the median so far, or its owner's estimate. */
@@ -85,15 +85,15 @@
 
     private static Duration run(Job job) {
         Duration median = job.medianRun();
-        return median == null ? job.spec().guess() : median;
+        return median == null ? job.spec().estimatedDuration() : median;
     }
 
     /** Jobs with work left, the one to be served first at the front. */
     Queue order(Instant now) {
-        inheritance.refresh();
+        priorityInheritance.refresh();
         List<Job> open = new ArrayList<>();
-        for (Job job : ledger.jobs()) {
-            if (!job.cancelled() && !job.waiting()) {
+        for (Job job : clusterState.jobs()) {
+            if (!job.cancelled() && !job.awaitsDependencies()) {
                 open.add(job);
             }
         }
@@ -121,7 +121,7 @@
                 waited.add(job);
             }
         }
-        waited.sort(Comparator.comparing(Job::released).thenComparing(Job::id));
+        waited.sort(Comparator.comparing(Job::releasedAt).thenComparing(Job::id));
         Set<String> starving = new HashSet<>();
         waited.stream().limit(MOST_STARVING).forEach(job -> starving.add(job.id()));
         return starving;
@@ -130,7 +130,7 @@
     private Ranked rank(Job job, Set<String> guaranteed, Set<String> starving, Instant now) {
         return new Ranked(
                 job,
-                FailingJobBackoff.goesLast(job, now),
+                FailingJobBackoff.isDeprioritized(job, now),
                 starving.contains(job.id()),
                 guaranteed.contains(job.id()),
                 priority(job),
@@ -143,15 +143,15 @@
             return Set.of();
         }
         List<Job> bySubmission = new ArrayList<>(open);
-        bySubmission.sort(Comparator.comparing(Job::submitted).thenComparing(Job::id));
+        bySubmission.sort(Comparator.comparing(Job::submittedAt).thenComparing(Job::id));
         Map<String, Resources> used = new HashMap<>();
         Set<String> guaranteed = new HashSet<>();
         for (Job job : bySubmission) {
-            int left = job.spec().tasks() - job.doneCount();
-            Resources needed = new Resources(job.spec().cpus(), job.spec().cards()).times(left);
+            int left = job.spec().taskCount() - job.doneCount();
+            Resources needed = new Resources(job.spec().cpus(), job.spec().gpus()).times(left);
             Resources sum = used.merge(job.spec().team(), needed, Resources::plus);
             PlatformSettings.Team team = settings.teams().get(job.spec().team());
-            if (team != null && team.cpus() > 0 && sum.within(new Resources(team.cpus(), team.cards()))) {
+            if (team != null && team.cpus() > 0 && sum.within(new Resources(team.cpus(), team.gpus()))) {
                 guaranteed.add(job.id());
             }
         }
@@ -161,22 +161,22 @@
     private static boolean starves(Job job, Instant now) {
         return job.claimCount() == 0
                 && job.doneCount() == 0
-                && now.isAfter(job.released().plus(STARVING));
+                && now.isAfter(job.releasedAt().plus(STARVING));
     }
 
     /** When a task of the job must start so that the aim of its class is met. */
     Instant latestStart(Job job, Instant now) {
-        Instant due = due(job);
+        Instant due = deadline(job);
         Instant latest = due == null ? null : latestStart(job, due, now);
         for (PlatformSettings.ServiceObjective aim : settings.objectives()) {
-            boolean concerns =
-                    aim.kind().equals("wait") && aim.lineup().equals(job.spec().lineup());
+            boolean concerns = aim.kind().equals("wait")
+                    && aim.jobClass().equals(job.spec().jobClass());
             if (concerns && aim.within() != null) {
-                Instant at = job.released().plus(aim.within());
+                Instant at = job.releasedAt().plus(aim.within());
                 latest = latest == null || at.isBefore(latest) ? at : latest;
             }
         }
-        return latest == null ? job.released().plus(USUAL_WAIT) : latest;
+        return latest == null ? job.releasedAt().plus(USUAL_WAIT) : latest;
     }
 
     private static Instant latestStart(Job job, Instant due, Instant now) {
@@ -185,8 +185,8 @@
             return latest;
         }
         // It can't be in time any more: those that can go before it, but it is not left to the end of days.
-        Duration allowed = Duration.between(job.submitted(), due);
+        Duration allowed = Duration.between(job.submittedAt(), due);
         Instant late = due.plus(allowed.dividedBy(2)).minus(run(job));
-        return now.isAfter(late) ? job.submitted().plus(AFTER_ALL) : late;
+        return now.isAfter(late) ? job.submittedAt().plus(AFTER_ALL) : late;
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/Planner.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Planner.java
@@ -103,7 +103,7 @@
         WITH_IMAGE
     }
 
-    private final ClusterState ledger;
+    private final ClusterState clusterState;
     private final PlatformSettings settings;
     private final boolean speedFirst;
     private final UnaryOperator<String> owner;
@@ -122,24 +122,29 @@
 
     /** A planner over a replica; {@code owner} names the controller that owns a machine. */
     public Planner(
-            ClusterState ledger, PlatformSettings settings, OperatorSettings operator, UnaryOperator<String> owner) {
-        this.ledger = ledger;
+            ClusterState clusterState,
+            PlatformSettings settings,
+            OperatorSettings operatorSettings,
+            UnaryOperator<String> owner) {
+        this.clusterState = clusterState;
         this.owner = owner;
         this.settings = settings;
-        this.speedFirst = operator.speedFirst(settings);
-        this.order = new JobOrder(ledger, settings);
-        this.preemption = new Preemption(ledger, order, capacities.values(), stale::add);
+        this.speedFirst = operatorSettings.speedFirst(settings);
+        this.order = new JobOrder(clusterState, settings);
+        this.preemption = new Preemption(clusterState, order, capacities.values(), stale::add);
     }
 
     /**
      * Where money decides, ordinary machines are left to run empty. Where speed does, long tasks keep away from spot
      * machines: a run that is lost near its end has to be done again in full.
      */
-    private double kindPenalty(JobSpec s, MachineRecord m) {
+    private double kindPenalty(JobSpec spec, MachineRecord machine) {
         if (speedFirst) {
-            return m.spot() && s.checkpoint().isZero() ? s.guess().toMillis() / 1e3 * SPOT_RISK : 0;
+            return machine.spot() && spec.checkpointInterval().isZero()
+                    ? spec.estimatedDuration().toMillis() / 1e3 * SPOT_RISK
+                    : 0;
         }
-        return m.spot() ? 0 : ORDINARY;
+        return machine.spot() ? 0 : ORDINARY;
     }
 
     private JobSpec.Priority priority(Job job) {
@@ -147,7 +152,7 @@
     }
 
     private Instant due(Job job) {
-        return order.due(job);
+        return order.deadline(job);
     }
 
     private double largePenalty(MachineType type, double smallest) {
@@ -160,10 +165,11 @@
     /** Types that waiting tasks can't do without. */
     private Set<String> awaited(List<Job> waiting) {
         Set<String> out = new HashSet<>();
-        for (Job j : waiting) {
-            List<MachineType> fit = ledger.types().values().stream()
-                    .filter(t -> (j.spec().types() == null || j.spec().types().contains(t.name()))
-                            && j.spec().fits(t))
+        for (Job job : waiting) {
+            List<MachineType> fit = clusterState.types().values().stream()
+                    .filter(type ->
+                            (job.spec().types() == null || job.spec().types().contains(type.name()))
+                                    && job.spec().fits(type))
                     .toList();
             if (fit.size() == 1) {
                 out.add(fit.get(0).name());
@@ -186,8 +192,8 @@
         if (allStale) {
             allStale = false;
             capacities.clear();
-            for (MachineRecord m : ledger.machines()) {
-                stale.add(m.name());
+            for (MachineRecord machine : clusterState.machines()) {
+                stale.add(machine.name());
             }
         }
         for (String name : stale) {
@@ -202,27 +208,27 @@
     }
 
     private FreeCapacity capacity(String name, Limits limits) {
-        MachineRecord m = ledger.machine(name);
-        MachineType type = m == null ? null : ledger.types().get(m.type());
-        if (type == null || limits.condition().apply(m) != MachineRecord.Condition.UP) {
+        MachineRecord machine = clusterState.machine(name);
+        MachineType type = machine == null ? null : clusterState.types().get(machine.type());
+        if (type == null || limits.condition().apply(machine) != MachineRecord.Condition.UP) {
             return null;
         }
         FreeCapacity capacity = new FreeCapacity(
-                m,
+                machine,
                 type,
                 owner.apply(name),
-                limits.images().apply(m),
-                limits.availability().apply(m));
-        for (Claim c : ledger.claimsOn(name).values()) {
-            Job j = ledger.job(c.task().job());
+                limits.images().apply(machine),
+                limits.availability().apply(machine));
+        for (Claim claim : clusterState.claimsOn(name).values()) {
+            Job job = clusterState.job(claim.task().job());
             // A task known to have ended leaves its capacity at once; its release is written with others, a moment
             // later.
-            if (j != null && !limits.ended().test(c)) {
-                capacity.take(j.spec());
-                capacity.claims.add(c);
+            if (job != null && !limits.ended().test(claim)) {
+                capacity.allocate(job.spec());
+                capacity.claims.add(claim);
             }
         }
-        limits.underWay().apply(name).forEach(capacity::take);
+        limits.underWay().apply(name).forEach(capacity::allocate);
         return capacity;
     }
 
@@ -331,67 +337,67 @@
                     && !round.limits.backsOff().test(job)
                     && !round.limits.outOfTime().getAsBoolean();
             if (takesMore) {
-                boolean waitedLong = !round.now.isBefore(job.released().plus(PATIENCE));
+                boolean waitedLong = !round.now.isBefore(job.releasedAt().plus(PATIENCE));
                 place(job, round, waitedLong ? MachineFilter.ALL : MachineFilter.WITH_IMAGE, Integer.MAX_VALUE);
             }
         }
     }
 
-    private double fetchAlone(JobSpec s) {
-        double rate = ledger.types().values().stream()
-                .filter(s::fits)
-                .mapToDouble(MachineType::fetchGbPerS)
+    private double fetchAlone(JobSpec spec) {
+        double rate = clusterState.types().values().stream()
+                .filter(spec::fits)
+                .mapToDouble(MachineType::imagePullGbPerSecond)
                 .max()
                 .orElse(1);
-        return s.imageGb() / Math.max(0.01, rate);
+        return spec.imageGb() / Math.max(0.01, rate);
     }
 
     /**
      * A job with a deadline whose image takes long against a run is cheaper on few machines that have it: it gets no more
      * than it needs to be in time.
      */
-    private boolean isPaced(Job j) {
-        return due(j) != null
-                && priority(j).compareTo(JobSpec.Priority.NORMAL) >= 0
-                && fetchAlone(j.spec()) >= LONG_FETCH * JobOrder.runSeconds(j);
+    private boolean isPaced(Job job) {
+        return due(job) != null
+                && priority(job).compareTo(JobSpec.Priority.NORMAL) >= 0
+                && fetchAlone(job.spec()) >= LONG_FETCH * JobOrder.runSeconds(job);
     }
 
     /** Tasks that must run side by side for the job to be in time; of one that can't be, a third. */
-    private int tasksInTime(Job j, Instant now) {
-        double run = JobOrder.runSeconds(j) * 1.15;
-        double time =
-                Duration.between(now, due(j)).toMillis() / 1e3 - fetchAlone(j.spec()) * (j.claimCount() == 0 ? 1 : 0);
+    private int tasksInTime(Job job, Instant now) {
+        double run = JobOrder.runSeconds(job) * 1.15;
+        double time = Duration.between(now, due(job)).toMillis() / 1e3
+                - fetchAlone(job.spec()) * (job.claimCount() == 0 ? 1 : 0);
         double turns = time < run ? 3 : Math.floor(time / run);
-        return (int) Math.ceil((j.spec().tasks() - j.doneCount()) / turns);
+        return (int) Math.ceil((job.spec().taskCount() - job.doneCount()) / turns);
     }
 
     /** Places tasks of a job, {@code most} at the most. */
     private void place(Job job, PlanningRound round, MachineFilter machines, int most) {
-        JobSpec s = job.spec();
-        PlatformSettings.Team team = settings.teams().get(s.team());
-        Resources one = new Resources(s.cpus(), s.cards());
+        JobSpec spec = job.spec();
+        PlatformSettings.Team team = settings.teams().get(spec.team());
+        Resources one = new Resources(spec.cpus(), spec.gpus());
         int quota = Math.min(most, job.pendingCount() - round.placed(job));
         if (team != null && team.limited()) {
-            quota = Math.min(quota, fitting(team, round.used.computeIfAbsent(s.team(), ledger::usage), one));
+            quota = Math.min(quota, fitting(team, round.used.computeIfAbsent(spec.team(), clusterState::usage), one));
         }
         // A job that fails everywhere keeps one task going, so that it does not eat the fleet.
-        quota = Math.min(quota, Math.max(0, FailingJobBackoff.mostClaims(job) - job.claimCount() - round.placed(job)));
+        quota = Math.min(quota, Math.max(0, FailingJobBackoff.maxClaims(job) - job.claimCount() - round.placed(job)));
         if (quota <= 0) {
             return;
         }
-        TaskZones zones = round.zonesOf(job, ledger);
-        String onlyZone = s.together() && zones.isEmpty() ? bestZone(s, round.open, job.pendingCount()) : null;
+        TaskZones zones = round.zonesOf(job, clusterState);
+        String onlyZone = spec.together() && zones.isEmpty() ? bestZone(spec, round.open, job.pendingCount()) : null;
         Map<String, List<PlacementCandidate>> offers = offers(job, round, zones, onlyZone, machines);
         Set<TaskId> taken = round.taken.computeIfAbsent(job.id(), k -> new HashSet<>());
         int before = taken.size();
         int unplaced = offers.isEmpty() ? quota : 0;
-        for (int i = 0; i < job.chunkCount() && quota > 0 && !offers.isEmpty(); i++) {
-            TaskRange chunk = job.chunk(i);
-            if (chunk.pendingCount() == 0) {
+        for (int i = 0; i < job.taskRangeCount() && quota > 0 && !offers.isEmpty(); i++) {
+            TaskRange taskRange = job.taskRange(i);
+            if (taskRange.pendingCount() == 0) {
                 continue;
             }
             String key = Keys.tasks(job.id(), i);
-            List<TaskId> pending = chunk.pending();
+            List<TaskId> pending = taskRange.pending();
             pending.removeAll(taken);
             if (pending.isEmpty()) {
                 continue;
@@ -399,11 +405,11 @@
             int placed = 0;
             String chosen = round.ownerOf.get(key);
             if (chosen == null) {
-                chosen = owner(key, i, s, offers, Math.min(quota, pending.size()), round.limits);
+                chosen = owner(key, i, spec, offers, Math.min(quota, pending.size()), round.limits);
             }
             if (chosen != null && offers.containsKey(chosen)) {
                 round.ownerOf.put(key, chosen);
-                placed = fill(chunk, pending, quota, s, offers.get(chosen), zones, round);
+                placed = fill(taskRange, pending, quota, spec, offers.get(chosen), zones, round);
                 quota -= placed;
                 round.ownRecords +=
                         placed > 0 && chosen.equals(round.limits.claims().controller()) ? 1 : 0;
@@ -413,12 +419,12 @@
         if (unplaced > 0
                 && machines == MachineFilter.ALL
                 && !FailingJobBackoff.isSuspect(job)
-                && !reserve(s, priority(job), offers, zones, unplaced)
+                && !reserve(spec, priority(job), offers, zones, unplaced)
                 && preemption.isPressing(job, round.now)) {
-            preemption.preempt(s, priority(job), unplaced, zones, onlyZone, round);
+            preemption.preempt(spec, priority(job), unplaced, zones, onlyZone, round);
         }
         if (team != null && team.limited()) {
-            round.used.merge(s.team(), one.times(taken.size() - before), Resources::plus);
+            round.used.merge(spec.team(), one.times(taken.size() - before), Resources::plus);
         }
     }
 
@@ -427,7 +433,7 @@
      * would only be stopped again. Whether there is any.
      */
     private static boolean reserve(
-            JobSpec s,
+            JobSpec spec,
             JobSpec.Priority priority,
             Map<String, List<PlacementCandidate>> offers,
             TaskZones zones,
@@ -437,11 +443,11 @@
         for (List<PlacementCandidate> l : offers.values()) {
             for (PlacementCandidate o : l) {
                 if (left > 0
-                        && o.capacity().fits(s)
-                        && PlacementRules.zone(s, o.capacity().machine.zone(), zones)
+                        && o.capacity().fits(spec)
+                        && PlacementRules.zone(spec, o.capacity().machine.zone(), zones)
                                 .allowed()) {
                     any = true;
-                    left -= o.capacity().slots(s);
+                    left -= o.capacity().slots(spec);
                     o.capacity().reservedFor = priority;
                 }
             }
@@ -454,8 +460,8 @@
         if (team.cpusMax() > 0 && one.cpus() > 0) {
             n = Math.min(n, (team.cpusMax() - used.cpus()) / one.cpus() + 1e-6);
         }
-        if (team.cardsMax() > 0 && one.cards() > 0) {
-            n = Math.min(n, (team.cardsMax() - used.cards()) / one.cards() + 1e-6);
+        if (team.gpusMax() > 0 && one.gpus() > 0) {
+            n = Math.min(n, (team.gpusMax() - used.gpus()) / one.gpus() + 1e-6);
         }
         return (int) Math.max(0, Math.min(Integer.MAX_VALUE, Math.floor(n)));
     }
@@ -463,43 +469,43 @@
     /** What each owner's machines offer to tasks of a job, the best first. */
     private Map<String, List<PlacementCandidate>> offers(
             Job job, PlanningRound round, TaskZones zones, String onlyZone, MachineFilter machines) {
-        JobSpec s = job.spec();
-        double smallest = ledger.types().values().stream()
-                .filter(s::fits)
+        JobSpec spec = job.spec();
+        double smallest = clusterState.types().values().stream()
+                .filter(spec::fits)
                 .mapToDouble(MachineType::cpus)
                 .min()
                 .orElse(0);
         // A large machine that others wait for is not taken while there is time to wait for a small one.
         boolean mayTakeLarge =
                 !round.now.isBefore(order.latestStart(job, round.now).minus(Preemption.PRESSING_BEFORE))
-                        || !round.now.isBefore(job.released().plus(PATIENCE));
+                        || !round.now.isBefore(job.releasedAt().plus(PATIENCE));
         Map<String, List<PlacementCandidate>> offers = new TreeMap<>();
-        if (round.fitsNowhere(s)) {
+        if (round.fitsNowhere(spec)) {
             return offers;
         }
         boolean anyFits = false;
         for (FreeCapacity capacity : round.open) {
-            MachineRecord m = capacity.machine;
-            if (!capacity.fits(s)) {
+            MachineRecord machine = capacity.machine;
+            if (!capacity.fits(spec)) {
                 continue;
             }
             anyFits = true;
-            if (!PlacementRules.task(s, capacity.type, m.zone(), m.spot(), zones)
+            if (!PlacementRules.task(spec, capacity.type, machine.zone(), machine.spot(), zones)
                             .allowed()
-                    || (onlyZone != null && !onlyZone.equals(m.zone()))
+                    || (onlyZone != null && !onlyZone.equals(machine.zone()))
                     || (capacity.reservedFor != null && capacity.reservedFor.compareTo(priority(job)) < 0)
-                    || (machines == MachineFilter.WITH_IMAGE && !capacity.hasOrFetches(s.image()))
+                    || (machines == MachineFilter.WITH_IMAGE && !capacity.hasOrPulls(spec.image()))
                     || (!mayTakeLarge && capacity.type.cpus() > smallest && awaited.contains(capacity.type.name()))) {
                 continue;
             }
-            double score = capacity.fetchSeconds(s)
-                    + (capacity.cpus - s.cpus()) / capacity.type.cpus()
+            double score = capacity.pullSeconds(spec)
+                    + (capacity.cpus - spec.cpus()) / capacity.type.cpus()
                     + largePenalty(capacity.type, smallest)
-                    + kindPenalty(s, m);
+                    + kindPenalty(spec, machine);
             offers.computeIfAbsent(capacity.owner, o -> new ArrayList<>()).add(new PlacementCandidate(score, capacity));
         }
         if (!anyFits) {
-            round.noteFitsNowhere(s);
+            round.noteFitsNowhere(spec);
         }
         boolean single = job.pendingCount() == 1;
         for (List<PlacementCandidate> ofOwner : offers.values()) {
@@ -519,11 +525,16 @@
      * moment still agree.
      */
     private String owner(
-            String key, int index, JobSpec s, Map<String, List<PlacementCandidate>> offers, int tasks, Limits limits) {
+            String key,
+            int index,
+            JobSpec spec,
+            Map<String, List<PlacementCandidate>> offers,
+            int tasks,
+            Limits limits) {
         List<String> owners = limits.owners();
         String best = null;
         double least = Double.MAX_VALUE;
-        int first = (s.id().hashCode() & 0xffff) + index;
+        int first = (spec.id().hashCode() & 0xffff) + index;
         for (int i = 0; i < owners.size(); i++) {
             String o = owners.get((first + i) % owners.size());
             List<PlacementCandidate> offered = offers.getOrDefault(o, List.of());
@@ -533,7 +544,7 @@
             if (limits.crowded()) {
                 return i == 0 || limits.helped().test(key) ? o : null;
             }
-            double cost = cost(s, offered, tasks) + (i == 0 ? 0 : CHANGE_OF_OWNER * tasks);
+            double cost = cost(spec, offered, tasks) + (i == 0 ? 0 : CHANGE_OF_OWNER * tasks);
             if (cost < least) {
                 least = cost;
                 best = o;
@@ -542,14 +553,14 @@
         return best;
     }
 
-    private static double cost(JobSpec s, List<PlacementCandidate> offers, int tasks) {
+    private static double cost(JobSpec spec, List<PlacementCandidate> offers, int tasks) {
         double cost = 0;
         int left = tasks;
         for (PlacementCandidate o : offers) {
             if (left <= 0) {
                 break;
             }
-            int n = Math.min(left, o.capacity().slots(s));
+            int n = Math.min(left, o.capacity().slots(spec));
             cost += n * o.score();
             left -= n;
         }
@@ -557,10 +568,10 @@
     }
 
     private int fill(
-            TaskRange chunk,
+            TaskRange taskRange,
             List<TaskId> pending,
             int most,
-            JobSpec s,
+            JobSpec spec,
             List<PlacementCandidate> offers,
             TaskZones zones,
             PlanningRound round) {
@@ -572,23 +583,23 @@
             for (PlacementCandidate o : offers) {
                 FreeCapacity capacity = o.capacity();
                 String zone = capacity.machine.zone();
-                if (!capacity.fits(s)
-                        || !PlacementRules.zone(s, zone, zones).allowed()
-                        || capacity.machine.name().equals(chunk.lateOn(task.index()))
+                if (!capacity.fits(spec)
+                        || !PlacementRules.zone(spec, zone, zones).allowed()
+                        || capacity.machine.name().equals(taskRange.lateOn(task.index()))
                         || round.limits.avoided().test(new Placement(task, capacity.machine.name()))) {
                     continue;
                 }
-                capacity.take(s);
+                capacity.allocate(spec);
                 stale.add(capacity.machine.name());
-                if (PlacementRules.dependOnOthers(s)) {
+                if (PlacementRules.dependOnOthers(spec)) {
                     zones.add(zone);
                 }
                 round.out.placements().add(new Placement(task, capacity.machine.name()));
-                round.taken.get(s.id()).add(task);
+                round.taken.get(spec.id()).add(task);
                 placed++;
                 break;
             }
-            offers.removeIf(o -> !o.capacity().fits(s));
+            offers.removeIf(o -> !o.capacity().fits(spec));
             if (offers.isEmpty()) {
                 break;
             }
@@ -597,13 +608,13 @@
     }
 
     /** The zone in which most tasks of a job that must stay together find capacity. */
-    private static String bestZone(JobSpec s, List<FreeCapacity> open, int pending) {
+    private static String bestZone(JobSpec spec, List<FreeCapacity> open, int pending) {
         Map<String, Integer> fit = new HashMap<>();
         for (FreeCapacity r : open) {
-            boolean allowed = PlacementRules.machine(s, r.type, r.machine.zone(), r.machine.spot())
+            boolean allowed = PlacementRules.machine(spec, r.type, r.machine.zone(), r.machine.spot())
                     .allowed();
-            if (allowed && r.fits(s)) {
-                int n = (int) Math.min(pending, r.cpus / s.cpus() + 1e-6);
+            if (allowed && r.fits(spec)) {
+                int n = (int) Math.min(pending, r.cpus / spec.cpus() + 1e-6);
                 fit.merge(r.machine.zone(), n, Integer::sum);
             }
         }
--- a/src/main/java/org/havenford/coordination/scheduling/PlanningRound.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PlanningRound.java
@@ -55,9 +55,9 @@
      * Where a job's tasks are. A job may be placed in several passes of a round, all of which go into one claim: counted
      * from the claims alone, a later pass would place what the passes together must not. apart-in-one-round.trace
      */
-    TaskZones zonesOf(Job job, ClusterState ledger) {
+    TaskZones zonesOf(Job job, ClusterState clusterState) {
         return PlacementRules.dependOnOthers(job.spec())
-                ? zones.computeIfAbsent(job.id(), id -> TaskZones.ofClaims(job, ledger))
+                ? zones.computeIfAbsent(job.id(), id -> TaskZones.ofClaims(job, clusterState))
                 : ANYWHERE;
     }
 
@@ -69,7 +69,7 @@
     /** Whether a task that is no larger has found no room in this round. */
     boolean fitsNowhere(JobSpec spec) {
         for (JobSpec other : fitNowhere) {
-            if (spec.cpus() >= other.cpus() && spec.cards() >= other.cards() && spec.memGb() >= other.memGb()) {
+            if (spec.cpus() >= other.cpus() && spec.gpus() >= other.gpus() && spec.memGb() >= other.memGb()) {
                 return true;
             }
         }
--- a/src/main/java/org/havenford/coordination/scheduling/Preemption.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Preemption.java
@@ -26,14 +26,15 @@
     /** Time that a stopped task is taken to need until it starts again. */
     private static final Duration AGAIN = Duration.ofSeconds(25);
 
-    private final ClusterState ledger;
+    private final ClusterState clusterState;
     private final JobOrder order;
     private final Collection<FreeCapacity> capacities;
     private final Consumer<String> changed;
 
     /** {@code changed} is told of machines whose capacity has to be worked out anew. */
-    Preemption(ClusterState ledger, JobOrder order, Collection<FreeCapacity> capacities, Consumer<String> changed) {
-        this.ledger = ledger;
+    Preemption(
+            ClusterState clusterState, JobOrder order, Collection<FreeCapacity> capacities, Consumer<String> changed) {
+        this.clusterState = clusterState;
         this.order = order;
         this.capacities = capacities;
         this.changed = changed;
@@ -57,14 +58,14 @@
      * claims are found again; so controllers and rounds do not stop more and more for the same need.
      */
     void preempt(
-            JobSpec s, JobSpec.Priority priority, int tasks, TaskZones zones, String onlyZone, PlanningRound round) {
+            JobSpec spec, JobSpec.Priority priority, int tasks, TaskZones zones, String onlyZone, PlanningRound round) {
         List<Victims> found = new ArrayList<>();
         for (PreemptibleMachine r : round.stoppable.computeIfAbsent(priority, p -> stoppable(p, round))) {
-            MachineRecord m = r.capacity.machine;
-            boolean allowed = PlacementRules.task(s, r.capacity.type, m.zone(), m.spot(), zones)
+            MachineRecord machine = r.capacity.machine;
+            boolean allowed = PlacementRules.task(spec, r.capacity.type, machine.zone(), machine.spot(), zones)
                     .allowed();
-            if (allowed && (onlyZone == null || onlyZone.equals(m.zone()))) {
-                Victims v = victims(r, s, round.now);
+            if (allowed && (onlyZone == null || onlyZone.equals(machine.zone()))) {
+                Victims v = victims(r, spec, round.now);
                 if (v != null) {
                     found.add(v);
                 }
@@ -79,19 +80,19 @@
                 return;
             }
             String zone = v.capacity().machine.zone();
-            if (!PlacementRules.zone(s, zone, withMade).allowed()) {
+            if (!PlacementRules.zone(spec, zone, withMade).allowed()) {
                 continue;
             }
-            for (Claim c : v.claims()) {
-                v.capacity().give(ledger.job(c.task().job()).spec());
-                v.capacity().claims.remove(c);
-                round.out.preempted().add(c);
+            for (Claim claim : v.claims()) {
+                v.capacity().release(clusterState.job(claim.task().job()).spec());
+                v.capacity().claims.remove(claim);
+                round.out.preempted().add(claim);
             }
             changed.accept(v.capacity().machine.name());
             while (made < tasks
-                    && v.capacity().fits(s)
-                    && PlacementRules.zone(s, zone, withMade).allowed()) {
-                v.capacity().take(s);
+                    && v.capacity().fits(spec)
+                    && PlacementRules.zone(spec, zone, withMade).allowed()) {
+                v.capacity().allocate(spec);
                 withMade.add(zone);
                 made++;
             }
@@ -106,65 +107,65 @@
         List<PreemptibleMachine> out = new ArrayList<>();
         for (FreeCapacity capacity : capacities) {
             List<Claim> young = null;
-            for (Claim c : capacity.claims) {
-                if (spare(c, than, round.now)) {
+            for (Claim claim : capacity.claims) {
+                if (spare(claim, than, round.now)) {
                     young = young == null ? new ArrayList<>(4) : young;
-                    young.add(c);
+                    young.add(claim);
                 }
             }
             if (young != null && capacity.takesTasks(round.limits.steadyNow())) {
-                young.sort(Comparator.comparing(Claim::at).reversed().thenComparing(Claim::task));
+                young.sort(Comparator.comparing(Claim::claimedAt).reversed().thenComparing(Claim::task));
                 out.add(new PreemptibleMachine(capacity, young));
             }
         }
         return out;
     }
 
-    private Victims victims(PreemptibleMachine in, JobSpec s, Instant now) {
+    private Victims victims(PreemptibleMachine in, JobSpec spec, Instant now) {
         List<Claim> victims = new ArrayList<>(4);
         FreeCapacity capacity = in.capacity();
         double cpus = capacity.cpus;
-        double cards = capacity.cards;
+        double cards = capacity.gpus;
         double mem = capacity.mem;
         long loss = 0;
-        for (Claim c : in.claims()) {
-            if (s.cpus() <= cpus + 1e-6 && s.cards() <= cards + 1e-6 && s.memGb() <= mem + 1e-6) {
+        for (Claim claim : in.claims()) {
+            if (spec.cpus() <= cpus + 1e-6 && spec.gpus() <= cards + 1e-6 && spec.memGb() <= mem + 1e-6) {
                 break;
             }
-            if (!capacity.claims.contains(c)) {
+            if (!capacity.claims.contains(claim)) {
                 // Stopped already for a job before this one.
                 continue;
             }
-            JobSpec v = ledger.job(c.task().job()).spec();
+            JobSpec v = clusterState.job(claim.task().job()).spec();
             cpus += v.cpus();
-            cards += v.cards();
+            cards += v.gpus();
             mem += v.memGb();
-            loss += (long) (v.cpus() * Duration.between(c.at(), now).toMillis());
-            victims.add(c);
+            loss += (long) (v.cpus() * Duration.between(claim.claimedAt(), now).toMillis());
+            victims.add(claim);
         }
-        boolean enough = s.cpus() <= cpus + 1e-6 && s.cards() <= cards + 1e-6 && s.memGb() <= mem + 1e-6;
+        boolean enough = spec.cpus() <= cpus + 1e-6 && spec.gpus() <= cards + 1e-6 && spec.memGb() <= mem + 1e-6;
         return enough && !victims.isEmpty() ? new Victims(capacity, victims, loss) : null;
     }
 
     /** Low work that saves its progress when it is stopped loses little, however long it has run. */
     private boolean savesLowWork(Job job) {
         return order.priority(job) == JobSpec.Priority.LOW
-                && !job.spec().checkpoint().isZero();
+                && !job.spec().checkpointInterval().isZero();
     }
 
-    private boolean spare(Claim c, JobSpec.Priority than, Instant now) {
-        Job j = ledger.job(c.task().job());
-        if (j == null || j.cancelled() || order.priority(j).compareTo(than) <= 0) {
+    private boolean spare(Claim claim, JobSpec.Priority than, Instant now) {
+        Job job = clusterState.job(claim.task().job());
+        if (job == null || job.cancelled() || order.priority(job).compareTo(than) <= 0) {
             return false;
         }
-        boolean losesMuch = c.at().plus(MOST_LOST).isBefore(now);
-        if (losesMuch && !savesLowWork(j)) {
+        boolean losesMuch = claim.claimedAt().plus(MOST_LOST).isBefore(now);
+        if (losesMuch && !savesLowWork(job)) {
             return false;
         }
-        Instant due = order.due(j);
+        Instant due = order.deadline(job);
         return due == null
                 || now.plus(AGAIN)
-                        .plusMillis((long) (JobOrder.runSeconds(j) * 1000))
+                        .plusMillis((long) (JobOrder.runSeconds(job) * 1000))
                         .isBefore(due);
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/PriorityInheritance.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PriorityInheritance.java
@@ -16,24 +16,24 @@
  */
 final class PriorityInheritance {
     /** Priority and due time of a job, its own or inherited; {@code due} is null where there is none. */
-    record Inherited(JobSpec.Priority priority, Instant due) {
+    record Inherited(JobSpec.Priority priority, Instant deadline) {
         static Inherited own(Job job) {
-            return new Inherited(job.spec().priority(), job.due());
+            return new Inherited(job.spec().priority(), job.deadline());
         }
 
         Inherited with(JobSpec.Priority otherPriority, Instant otherDue) {
             JobSpec.Priority higher = otherPriority.compareTo(priority) < 0 ? otherPriority : priority;
-            boolean earlier = due == null || (otherDue != null && otherDue.isBefore(due));
-            return new Inherited(higher, earlier ? otherDue : due);
+            boolean earlier = deadline == null || (otherDue != null && otherDue.isBefore(deadline));
+            return new Inherited(higher, earlier ? otherDue : deadline);
         }
     }
 
-    private final ClusterState ledger;
+    private final ClusterState clusterState;
     private long computedFor = -1;
     private Map<String, Inherited> inherited = Map.of();
 
-    PriorityInheritance(ClusterState ledger) {
-        this.ledger = ledger;
+    PriorityInheritance(ClusterState clusterState) {
+        this.clusterState = clusterState;
     }
 
     JobSpec.Priority priority(Job job) {
@@ -41,15 +41,15 @@
         return of == null ? job.spec().priority() : of.priority();
     }
 
-    Instant due(Job job) {
+    Instant deadline(Job job) {
         Inherited of = inherited.get(job.id());
-        return of == null ? job.due() : of.due();
+        return of == null ? job.deadline() : of.deadline();
     }
 
     /** Works everything out anew if a pipeline has changed since the last call. */
     void refresh() {
-        if (computedFor != ledger.pipelineChanges()) {
-            computedFor = ledger.pipelineChanges();
+        if (computedFor != clusterState.pipelineChanges()) {
+            computedFor = clusterState.pipelineChanges();
             inherited = compute();
         }
     }
@@ -62,7 +62,7 @@
         List<Job> waiting = waitingJobs();
         Map<String, Integer> unvisitedDependents = new HashMap<>();
         for (Job job : waiting) {
-            for (String needed : job.spec().awaits()) {
+            for (String needed : job.spec().dependencies()) {
                 unvisitedDependents.merge(needed, 1, Integer::sum);
             }
         }
@@ -75,14 +75,14 @@
         Map<String, Inherited> computed = new HashMap<>();
         while (!visitable.isEmpty()) {
             Job later = visitable.poll();
-            for (String id : later.spec().awaits()) {
-                Job needed = ledger.job(id);
+            for (String id : later.spec().dependencies()) {
+                Job needed = clusterState.job(id);
                 boolean last = unvisitedDependents.merge(id, -1, Integer::sum) == 0;
                 if (needed == null) {
                     continue;
                 }
                 passOn(later, needed, computed);
-                if (last && needed.waiting() && !needed.cancelled()) {
+                if (last && needed.awaitsDependencies() && !needed.cancelled()) {
                     visitable.add(needed);
                 }
             }
@@ -92,8 +92,8 @@
 
     private List<Job> waitingJobs() {
         List<Job> waiting = new ArrayList<>();
-        for (String id : ledger.waiting()) {
-            Job job = ledger.job(id);
+        for (String id : clusterState.jobsAwaitingDependencies()) {
+            Job job = clusterState.job(id);
             if (!job.cancelled()) {
                 waiting.add(job);
             }
@@ -104,7 +104,8 @@
     /** A waiting job has never run, so the time that it still takes is its owner's estimate. */
     private static void passOn(Job later, Job needed, Map<String, Inherited> computed) {
         Inherited of = computed.getOrDefault(later.id(), Inherited.own(later));
-        Instant due = of.due() == null ? null : of.due().minus(later.spec().guess());
+        Instant due =
+                of.deadline() == null ? null : of.deadline().minus(later.spec().estimatedDuration());
         Inherited before = computed.getOrDefault(needed.id(), Inherited.own(needed));
         computed.put(needed.id(), before.with(of.priority(), due));
     }
--- a/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
@@ -22,23 +22,27 @@
 
     private final CoordinationContext context;
     private final Planner planner;
-    private final JobDependencies pipelines;
-    private final QuotaAllocator shares;
-    private final TaskClaimer claims;
-    private final TaskReleaser releases;
-    private final JobCompletion ends;
+    private final JobDependencies dependencies;
+    private final QuotaAllocator quotaAllocator;
+    private final TaskClaimer taskClaimer;
+    private final TaskReleaser taskReleaser;
+    private final JobCompletion jobCompletion;
     private final Histogram roundMicros = new Histogram(MAX_RECORDED_MICROS, 2);
 
     /** A scheduler that works on the given context. */
     public Scheduler(
-            CoordinationContext context, OperatorSettings operator, AgentManager fleet, JobDependencies pipelines) {
+            CoordinationContext context,
+            OperatorSettings operatorSettings,
+            AgentManager agentManager,
+            JobDependencies dependencies) {
         this.context = context;
-        this.pipelines = pipelines;
-        planner = new Planner(context.ledger(), context.settings(), operator, context.membership()::owner);
-        shares = new QuotaAllocator(context);
-        claims = new TaskClaimer(context, fleet, planner, operator.roundBudget(), shares);
-        ends = new JobCompletion(context);
-        releases = new TaskReleaser(context, fleet, ends);
+        this.dependencies = dependencies;
+        planner =
+                new Planner(context.clusterState(), context.settings(), operatorSettings, context.membership()::owner);
+        quotaAllocator = new QuotaAllocator(context);
+        taskClaimer = new TaskClaimer(context, agentManager, planner, operatorSettings.roundBudget(), quotaAllocator);
+        jobCompletion = new JobCompletion(context);
+        taskReleaser = new TaskReleaser(context, agentManager, jobCompletion);
     }
 
     /** Durations of the rounds, in microseconds. */
@@ -48,33 +52,33 @@
 
     /** Runs a round, if this controller is entitled to act. */
     public void step() {
-        if (!context.replica().loaded() || !context.membership().entitled()) {
+        if (!context.replica().loaded() || !context.membership().mayAnswerAgents()) {
             return;
         }
         Instant start = context.loop().now();
-        context.writer().unlockCaughtUp(start);
+        context.writer().unlockKeysCaughtUp(start);
         if (context.writer().isLocked(Keys.VIEW)) {
             return;
         }
-        shares.settle();
-        claims.step(start);
-        releases.step();
-        ends.step();
-        pipelines.step();
-        ends.sweep();
-        shares.rebalance(start);
+        quotaAllocator.settle();
+        taskClaimer.step(start);
+        taskReleaser.step();
+        jobCompletion.step();
+        dependencies.step();
+        jobCompletion.deleteTaskRangesWithoutJob();
+        quotaAllocator.rebalance(start);
         long micros = Duration.between(start, context.loop().now()).toNanos() / 1000;
         roundMicros.recordValue(Math.min(MAX_RECORDED_MICROS, micros));
     }
 
     /** A job is over. */
     public void jobEnded(Job last) {
-        claims.jobEnded(last);
+        taskClaimer.jobEnded(last);
     }
 
     /** This process has stood still for a while. */
-    public void stoodStill() {
-        claims.stoodStill();
+    public void processPaused() {
+        taskClaimer.processPaused();
         planner.allChanged();
     }
 
--- a/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
@@ -73,16 +73,16 @@
     }
 
     private final CoordinationContext context;
-    private final AgentManager fleet;
+    private final AgentManager agentManager;
     private final Planner planner;
     private final Duration planningBudget;
-    private final QuotaAllocator shares;
+    private final QuotaAllocator quotaAllocator;
     private final Object2ObjectOpenHashMap<String, Wait> waits = new Object2ObjectOpenHashMap<>();
     /** Claims under way, by machine: their room is taken already. */
     private final Map<String, List<JobSpec>> underWay = new HashMap<>();
 
     private final Map<String, WithoutRoom> withoutRoom = new HashMap<>();
-    private final FailingJobBackoff failingJobs = new FailingJobBackoff();
+    private final FailingJobBackoff failingJobBackoff = new FailingJobBackoff();
     /** Large jobs of low priority whose room is being gathered, and since when. */
     private final Map<String, Instant> gatheringSince = new HashMap<>();
 
@@ -91,15 +91,15 @@
 
     TaskClaimer(
             CoordinationContext context,
-            AgentManager fleet,
+            AgentManager agentManager,
             Planner planner,
             Duration planningBudget,
-            QuotaAllocator shares) {
+            QuotaAllocator quotaAllocator) {
         this.context = context;
-        this.fleet = fleet;
+        this.agentManager = agentManager;
         this.planner = planner;
         this.planningBudget = planningBudget;
-        this.shares = shares;
+        this.quotaAllocator = quotaAllocator;
     }
 
     /** Plans, claims what is planned for this controller's machines, and stops what makes room for more urgent work. */
@@ -107,11 +107,11 @@
         if (start.isBefore(nextPlan)) {
             return;
         }
-        nextPlan = context.store().pressed() ? start.plus(PLAN_EVERY_UNDER_PRESSURE) : start;
+        nextPlan = context.store().underPressure() ? start.plus(PLAN_EVERY_UNDER_PRESSURE) : start;
         Planner.Plan plan = planner.plan(context.loop().timeOfDay(), limits(start));
         Map<String, List<Planner.Placement>> own = ownPlacements(plan, start);
         withoutRoom.values().removeIf(w -> w.last().isBefore(start.minus(HELP_AFTER)));
-        boolean pressed = context.store().pressed();
+        boolean pressed = context.store().underPressure();
         for (List<Planner.Placement> ofOneRecord : own.values()) {
             if (pressed && isGathered(ofOneRecord, start)) {
                 continue;
@@ -122,17 +122,17 @@
             }
             claim(ofOneRecord);
         }
-        plan.preempted().forEach(fleet::preempt);
+        plan.preempted().forEach(agentManager::preempt);
     }
 
     /** A job is over. */
     void jobEnded(Job last) {
-        failingJobs.jobEnded(last);
+        failingJobBackoff.jobEnded(last);
         gatheringSince.remove(last.id());
     }
 
     /** This process has stood still: how long others have left records lying meanwhile is not known. */
-    void stoodStill() {
+    void processPaused() {
         waits.clear();
         withoutRoom.clear();
     }
@@ -141,20 +141,21 @@
         Instant deadline = start.plus(planningBudget);
         return new Planner.Limits(
                 start,
-                fleet::availability,
-                fleet::images,
-                fleet::condition,
-                job -> failingJobs.backsOff(job, start),
-                p -> fleet.avoided(p.task(), p.machine()),
-                fleet.endings()::contains,
+                agentManager::availability,
+                agentManager::images,
+                agentManager::condition,
+                job -> failingJobBackoff.isBackingOff(job, start),
+                p -> agentManager.avoided(p.task(), p.machine()),
+                agentManager.outcomes()::contains,
                 m -> underWay.getOrDefault(m, List.of()),
-                List.copyOf(context.membership().view().active()),
+                List.copyOf(context.membership().view().activeMembers()),
                 (key, owner) ->
                         waits.containsKey(key) && waits.get(key).passedOver.contains(owner),
                 key -> helped(key, start),
                 start.isBefore(crowdedUntil),
                 new Planner.ClaimQuota(
-                        context.node(), context.store().pressed() ? MOST_RECORDS_UNDER_PRESSURE : Integer.MAX_VALUE),
+                        context.node(),
+                        context.store().underPressure() ? MOST_RECORDS_UNDER_PRESSURE : Integer.MAX_VALUE),
                 () -> context.loop().now().isAfter(deadline));
     }
 
@@ -163,8 +164,8 @@
      * and a change for each would keep the service from more urgent work.
      */
     private boolean isGathered(List<Planner.Placement> ofOneRecord, Instant now) {
-        Job job = context.ledger().job(ofOneRecord.get(0).task().job());
-        if (job.spec().priority() != JobSpec.Priority.LOW || job.spec().tasks() <= LEAST_GATHERED) {
+        Job job = context.clusterState().job(ofOneRecord.get(0).task().job());
+        if (job.spec().priority() != JobSpec.Priority.LOW || job.spec().taskCount() <= LEAST_GATHERED) {
             return false;
         }
         Instant since = gatheringSince.computeIfAbsent(job.id(), id -> now);
@@ -180,12 +181,12 @@
         Map<String, List<Planner.Placement>> own = new LinkedHashMap<>();
         Set<String> foreign = new HashSet<>();
         for (Planner.Placement p : plan.placements()) {
-            Job job = context.ledger().job(p.task().job());
-            String key = Keys.tasks(job.id(), job.chunkOf(p.task().index()));
+            Job job = context.clusterState().job(p.task().job());
+            String key = Keys.tasks(job.id(), job.taskRangeIndex(p.task().index()));
             String owner = context.membership().owner(p.machine());
             if (context.node().equals(owner)) {
                 own.computeIfAbsent(key, k -> new ArrayList<>()).add(p);
-            } else if (foreign.add(key) && !context.store().pressed()) {
+            } else if (foreign.add(key) && !context.store().underPressure()) {
                 waits.computeIfAbsent(key, k -> new Wait()).waitFor(owner, start);
             }
         }
@@ -209,12 +210,12 @@
         private final Job job;
         private final int index;
         private final String key;
-        private final StoreClient.Transaction txn = new StoreClient.Transaction();
+        private final StoreClient.Transaction transaction = new StoreClient.Transaction();
         private final List<String> locks = new ArrayList<>();
         private final Map<Claim, AttemptOutcome> ended = new HashMap<>();
         private final Set<String> machines = new HashSet<>();
         private final boolean firstAfterRelease;
-        private TaskRange chunk;
+        private TaskRange taskRange;
         private int claimed;
         private QuotaAllocator.Charge charge;
 
@@ -223,20 +224,20 @@
             this.index = index;
             this.key = Keys.tasks(job.id(), index);
             locks.add(key);
-            firstAfterRelease = !job.spec().awaits().isEmpty() && job.claimCount() == 0 && job.doneCount() == 0;
+            firstAfterRelease = !job.spec().dependencies().isEmpty() && job.claimCount() == 0 && job.doneCount() == 0;
         }
 
         Resources perTask() {
-            return new Resources(job.spec().cpus(), job.spec().cards());
+            return new Resources(job.spec().cpus(), job.spec().gpus());
         }
 
         /** Machines of the new claims, one for each; a claim that was kept is the same object as before. */
         @SuppressWarnings("ReferenceEquality")
         List<String> claimedMachines() {
             List<String> each = new ArrayList<>();
-            for (Claim c : chunk.claims()) {
-                if (job.claim(c.task().index()) != c) {
-                    each.add(c.machine());
+            for (Claim claim : taskRange.claims()) {
+                if (job.claim(claim.task().index()) != claim) {
+                    each.add(claim.machine());
                 }
             }
             return each;
@@ -244,19 +245,19 @@
     }
 
     private void claim(List<Planner.Placement> planned) {
-        Job job = context.ledger().job(planned.get(0).task().job());
-        if (job.waiting()) {
+        Job job = context.clusterState().job(planned.get(0).task().job());
+        if (job.awaitsDependencies()) {
             // The plan leaves it out. That no task starts before its job is released rests on this and on the guard of
             // the header.
             return;
         }
-        Draft draft = new Draft(job, job.chunkOf(planned.get(0).task().index()));
+        Draft draft = new Draft(job, job.taskRangeIndex(planned.get(0).task().index()));
         String key = draft.key;
         String header = Keys.job(job.id());
-        draft.txn
-                .guard(Keys.VIEW, context.membership().viewStamp())
-                .guard(header, context.stamp(header))
-                .guard(key, context.stamp(key));
+        draft.transaction
+                .requireRevision(Keys.VIEW, context.membership().viewRevision())
+                .requireRevision(header, context.modRevision(header))
+                .requireRevision(key, context.modRevision(key));
         PlatformSettings.Team team = context.settings().teams().get(job.spec().team());
         boolean limited = team != null && team.limited();
         int allowed = limited ? takeShare(draft, team, planned.size()) : planned.size();
@@ -264,29 +265,30 @@
             // Where tasks must stay together or apart, each claim of the job writes its header: so it is seen by the
             // next.
             draft.locks.add(header);
-            draft.txn.set(header, job.header(false));
+            draft.transaction.put(header, job.header(false));
         }
         if (draft.locks.stream().anyMatch(context.writer()::isLocked)) {
             return;
         }
-        fill(draft, PlacementGuard.permitted(job, planned.subList(0, allowed), context.ledger()), limited);
-        JsonObject value = draft.claimed == 0 ? null : context.toJson(draft.chunk);
+        fill(draft, PlacementGuard.permitted(job, planned.subList(0, allowed), context.clusterState()), limited);
+        JsonObject value = draft.claimed == 0 ? null : context.toJson(draft.taskRange);
         if (value == null) {
             return;
         }
-        draft.txn.set(key, value);
+        draft.transaction.put(key, value);
         if (limited) {
             Resources taken = draft.perTask().times(draft.claimed);
-            long viewStamp = context.membership().viewStamp();
-            draft.charge = new QuotaAllocator.Charge(team.name(), taken, job.id(), key, context.stamp(key), viewStamp);
-            shares.add(draft.charge);
+            long viewStamp = context.membership().viewRevision();
+            draft.charge =
+                    new QuotaAllocator.Charge(team.name(), taken, job.id(), key, context.modRevision(key), viewStamp);
+            quotaAllocator.add(draft.charge);
         }
         commit(draft);
     }
 
     private int takeShare(Draft draft, PlatformSettings.Team team, int wanted) {
-        int allowed = shares.take(team, draft.perTask(), wanted, draft.txn);
-        if (draft.txn.writes() > 0) {
+        int allowed = quotaAllocator.take(team, draft.perTask(), wanted, draft.transaction);
+        if (draft.transaction.operationCount() > 0) {
             draft.locks.add(Keys.team(team.name()));
         }
         return allowed;
@@ -295,22 +297,22 @@
     /** Adds the claims, and the ends that are known of the same record, to the draft. */
     private void fill(Draft draft, List<Planner.Placement> placements, boolean limited) {
         int index = draft.index;
-        draft.chunk = draft.job.chunk(index).copy();
-        for (Claim c : draft.job.chunk(index).claims()) {
-            AttemptOutcome ending = fleet.endings().of(c);
-            if (ending != null) {
-                draft.ended.put(c, ending);
+        draft.taskRange = draft.job.taskRange(index).copy();
+        for (Claim claim : draft.job.taskRange(index).claims()) {
+            AttemptOutcome outcome = agentManager.outcomes().of(claim);
+            if (outcome != null) {
+                draft.ended.put(claim, outcome);
             }
         }
-        TaskReleaser.apply(draft.ended, draft.chunk);
+        TaskReleaser.apply(draft.ended, draft.taskRange);
         Set<String> batches = new HashSet<>();
         int maxBatches = context.settings().txnOps() * CONDITIONS_PER_CHANGE - OTHER_CONDITIONS;
         for (Planner.Placement p : placements) {
-            AgentState state = fleet.state(p.machine());
-            Set<String> batchesOf = context.ledger().batchesOf(p.machine());
+            AgentState state = agentManager.agent(p.machine());
+            Set<String> batchesOf = context.clusterState().batchesOf(p.machine());
             if (state == null
-                    || state.report == null
-                    || context.ledger().machine(p.machine()) == null
+                    || state.heartbeat == null
+                    || context.clusterState().machine(p.machine()) == null
                     || batches.size() + batchesOf.size() > maxBatches
                     || batchesOf.stream().anyMatch(b -> context.writer().isLocked(Keys.batch(b)))) {
                 continue;
@@ -318,13 +320,13 @@
             // A machine that is to go changes its batch.
             for (String batch : batchesOf) {
                 if (batches.add(batch)) {
-                    draft.txn.guard(Keys.batch(batch), context.stamp(Keys.batch(batch)));
+                    draft.transaction.requireRevision(Keys.batch(batch), context.modRevision(Keys.batch(batch)));
                 }
             }
             draft.machines.add(p.machine());
             String account = limited ? context.node() : "";
             Instant now = context.loop().timeOfDay();
-            draft.chunk.claim(p.task().index(), p.machine(), state.report.session(), now, account);
+            draft.taskRange.claim(p.task().index(), p.machine(), state.heartbeat.incarnation(), now, account);
             draft.claimed++;
         }
     }
@@ -335,17 +337,17 @@
         claimedMachines.forEach(
                 name -> underWay.computeIfAbsent(name, n -> new ArrayList<>()).add(spec));
         Runnable onSuccess = () -> {
-            fleet.endings().remove(draft.ended.keySet());
-            context.loop().after(Duration.ZERO, () -> draft.machines.forEach(fleet::push));
+            agentManager.outcomes().remove(draft.ended.keySet());
+            context.loop().after(Duration.ZERO, () -> draft.machines.forEach(agentManager::sendCommands));
             if (draft.firstAfterRelease) {
                 context.pipelineMetrics()
-                        .firstClaim(draft.job.released(), context.loop().timeOfDay());
+                        .firstClaim(draft.job.releasedAt(), context.loop().timeOfDay());
             }
         };
-        context.writer().commit(draft.txn, StoreClient.CallPriority.CLAIM, draft.locks, onSuccess, result -> {
+        context.writer().commit(draft.transaction, StoreClient.CallPriority.CLAIM, draft.locks, onSuccess, result -> {
             claimedMachines.forEach(name -> noLongerUnderWay(name, spec));
             if (draft.charge != null && result.outcome() != StoreClient.Outcome.UNKNOWN) {
-                shares.remove(draft.charge);
+                quotaAllocator.remove(draft.charge);
             }
             if (result.outcome() == StoreClient.Outcome.CONFLICT) {
                 crowdedUntil = context.loop().now().plus(CROWDED);
--- a/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
@@ -32,22 +32,22 @@
     private static final int LOW_WAITS = 2;
 
     private final CoordinationContext context;
-    private final AgentManager fleet;
-    private final JobCompletion jobEnds;
+    private final AgentManager agentManager;
+    private final JobCompletion jobCompletion;
     private final Duration gatherPressed;
 
-    TaskReleaser(CoordinationContext context, AgentManager fleet, JobCompletion jobEnds) {
+    TaskReleaser(CoordinationContext context, AgentManager agentManager, JobCompletion jobCompletion) {
         this.context = context;
-        this.fleet = fleet;
-        this.jobEnds = jobEnds;
+        this.agentManager = agentManager;
+        this.jobCompletion = jobCompletion;
         this.gatherPressed = context.settings().scarceChanges() ? GATHER_SCARCE : GATHER_PRESSED;
     }
 
     /** Writes the records that were gathered for long enough, or that somebody waits for. */
     void step() {
-        boolean pressed = context.store().pressed();
+        boolean pressed = context.store().underPressure();
         Instant now = context.loop().now();
-        for (TaskRangeOutcomes ended : fleet.endings().records()) {
+        for (TaskRangeOutcomes ended : agentManager.outcomes().records()) {
             if (!context.writer().isLocked(ended.key())) {
                 step(ended, pressed, now);
             }
@@ -60,7 +60,7 @@
         if (!due && !look) {
             return;
         }
-        fleet.endings().remove(noLongerHeld(ended));
+        agentManager.outcomes().remove(noLongerHeld(ended));
         if (!ended.ended().isEmpty() && (due || isAwaited(ended.ended()))) {
             // Should it fail, it is decided anew as soon as the record is no longer locked.
             write(ended.key(), ended.ended());
@@ -78,7 +78,7 @@
     }
 
     private List<Claim> noLongerHeld(TaskRangeOutcomes ended) {
-        Job job = context.ledger().job(ended.job().id());
+        Job job = context.clusterState().job(ended.job().id());
         return ended.ended().keySet().stream()
                 .filter(claim ->
                         job == null || !claim.equals(job.claim(claim.task().index())))
@@ -86,27 +86,28 @@
     }
 
     private Job jobOf(Map<Claim, AttemptOutcome> ended) {
-        return context.ledger().job(ended.keySet().iterator().next().task().job());
+        return context.clusterState()
+                .job(ended.keySet().iterator().next().task().job());
     }
 
     /** Ends that somebody waits for: the last of a job's tasks, and those that have to start again. */
     private boolean isAwaited(Map<Claim, AttemptOutcome> ended) {
         Job job = jobOf(ended);
-        TaskRange chunk =
-                job.stored(job.chunkOf(ended.keySet().iterator().next().task().index()));
-        return (chunk.doneCount() + ended.size() == chunk.size() && job.pendingCount() == 0)
+        TaskRange taskRange = job.storedTaskRange(
+                job.taskRangeIndex(ended.keySet().iterator().next().task().index()));
+        return (taskRange.doneCount() + ended.size() == taskRange.size() && job.pendingCount() == 0)
                 || job.cancelled()
                 || ended.values().stream().anyMatch(e -> !e.done());
     }
 
     /** Applies ends to a record. */
-    static void apply(Map<Claim, AttemptOutcome> ended, TaskRange chunk) {
+    static void apply(Map<Claim, AttemptOutcome> ended, TaskRange taskRange) {
         ended.forEach((claim, e) -> {
             int task = claim.task().index();
             if (e.done()) {
-                chunk.finish(task, e.fetchSeconds(), e.runSeconds());
+                taskRange.finish(task, e.pullSeconds(), e.runSeconds());
             } else {
-                chunk.release(task, e.late(), e.failed());
+                taskRange.release(task, e.straggler(), e.failed());
             }
         });
     }
@@ -115,34 +116,34 @@
         // More of them may end while these are being written.
         Map<Claim, AttemptOutcome> ended = new LinkedHashMap<>(endedNow);
         Job job = jobOf(ended);
-        int index = job.chunkOf(ended.keySet().iterator().next().task().index());
-        TaskRange next = job.stored(index).copy();
+        int index = job.taskRangeIndex(ended.keySet().iterator().next().task().index());
+        TaskRange next = job.storedTaskRange(index).copy();
         apply(ended, next);
-        StoreClient.Transaction txn = new StoreClient.Transaction()
-                .guard(Keys.VIEW, context.membership().viewStamp())
-                .guard(key, context.stamp(key));
-        boolean ends = job.chunkCount() == 1 && next.complete() && !job.cancelled();
+        StoreClient.Transaction transaction = new StoreClient.Transaction()
+                .requireRevision(Keys.VIEW, context.membership().viewRevision())
+                .requireRevision(key, context.modRevision(key));
+        boolean ends = job.taskRangeCount() == 1 && next.complete() && !job.cancelled();
         List<String> locks = new ArrayList<>(List.of(key));
         Runnable onEnd = () -> {};
         if (ends) {
             String header = Keys.job(job.id());
-            txn.guard(header, context.stamp(header));
-            txn.delete(key);
-            onEnd = jobEnds.addEnd(job, FinalState.Status.DONE, txn, locks);
+            transaction.requireRevision(header, context.modRevision(header));
+            transaction.delete(key);
+            onEnd = jobCompletion.addCompletion(job, FinalState.Status.DONE, transaction, locks);
         } else {
             JsonObject value = context.toJson(next);
             if (value == null) {
                 // Too large for now, as the version before wrote it; it goes when more of its tasks have ended.
                 return;
             }
-            txn.set(key, value);
+            transaction.put(key, value);
         }
         // Users and pipelines wait for the end of a job; it must not stand behind all claims.
         boolean last = job.pendingCount() == 0 && job.claimCount() == ended.size();
         StoreClient.CallPriority urgency = last ? JobCompletion.urgency(job) : StoreClient.CallPriority.WORK;
         Runnable afterEnd = onEnd;
-        context.writer().commit(txn, urgency, locks, () -> {
-            fleet.endings().remove(ended.keySet());
+        context.writer().commit(transaction, urgency, locks, () -> {
+            agentManager.outcomes().remove(ended.keySet());
             afterEnd.run();
         });
     }
--- a/src/main/java/org/havenford/protocol/CloudMessages.java
+++ b/src/main/java/org/havenford/protocol/CloudMessages.java
@@ -26,13 +26,13 @@
 
     /** Body of a rental request. */
     public static String rent(String booking, String type, String zone, boolean spot, int count) {
-        JsonObject o = new JsonObject();
-        o.addProperty("booking", booking);
-        o.addProperty("rig", type);
-        o.addProperty("hall", zone);
-        o.addProperty("borrowed", spot);
-        o.addProperty("count", count);
-        return o.toString();
+        JsonObject json = new JsonObject();
+        json.addProperty("booking", booking);
+        json.addProperty("rig", type);
+        json.addProperty("hall", zone);
+        json.addProperty("borrowed", spot);
+        json.addProperty("count", count);
+        return json.toString();
     }
 
     /** Names of the machines that a rental has brought. */
@@ -44,16 +44,16 @@
     public static String giveBack(List<String> machines) {
         JsonArray a = new JsonArray();
         machines.forEach(a::add);
-        JsonObject o = new JsonObject();
-        o.add("boxes", a);
-        return o.toString();
+        JsonObject json = new JsonObject();
+        json.add("boxes", a);
+        return json.toString();
     }
 
     /** Reads a page of the machine list. */
     public static Page page(String body) throws Json.BadMessage {
-        JsonObject o = Json.object(body);
+        JsonObject json = Json.object(body);
         List<ListedMachine> out = new ArrayList<>();
-        for (JsonObject m : Json.objects(o, "boxes")) {
+        for (JsonObject m : Json.objects(json, "boxes")) {
             Status status =
                     switch (Json.text(m, "status")) {
                         case "starting" -> Status.STARTING;
@@ -70,6 +70,6 @@
                     status,
                     Json.seconds(m, "heldS")));
         }
-        return new Page(out, Json.flagOr(o, "truncated", false));
+        return new Page(out, Json.flagOr(json, "truncated", false));
     }
 }
--- a/src/main/java/org/havenford/protocol/Command.java
+++ b/src/main/java/org/havenford/protocol/Command.java
@@ -22,32 +22,32 @@
 
     /** Body of an answer to a report. */
     public static String reply(long token, List<Command> commands) {
-        JsonObject o = new JsonObject();
-        o.addProperty("baton", token);
-        o.add("cues", array(commands));
-        return o.toString();
+        JsonObject json = new JsonObject();
+        json.addProperty("baton", token);
+        json.add("cues", array(commands));
+        return json.toString();
     }
 
     /** Body of direct commands. */
     public static String direct(long token, long session, List<Command> commands) {
-        JsonObject o = new JsonObject();
-        o.addProperty("baton", token);
-        o.addProperty("shift", session);
-        o.add("cues", array(commands));
-        return o.toString();
+        JsonObject json = new JsonObject();
+        json.addProperty("baton", token);
+        json.addProperty("shift", session);
+        json.add("cues", array(commands));
+        return json.toString();
     }
 
     private static JsonArray array(List<Command> commands) {
         JsonArray a = new JsonArray();
         for (Command c : commands) {
-            JsonObject o = new JsonObject();
-            o.addProperty("cue", c.op.wire);
-            o.addProperty("shot", c.task.toString());
-            o.addProperty("take", c.attempt);
+            JsonObject json = new JsonObject();
+            json.addProperty("cue", c.op.wire);
+            json.addProperty("shot", c.task.toString());
+            json.addProperty("take", c.attempt);
             if (c.op == Op.STOP) {
-                o.addProperty("fadeS", c.grace.toMillis() / 1e3);
+                json.addProperty("fadeS", c.grace.toMillis() / 1e3);
             }
-            a.add(o);
+            a.add(json);
         }
         return a;
     }
--- a/src/main/java/org/havenford/protocol/Heartbeat.java
+++ b/src/main/java/org/havenford/protocol/Heartbeat.java
@@ -11,10 +11,10 @@
         String type,
         String zone,
         boolean spot,
-        long session,
-        long seq,
-        long token,
-        Double noticeS,
+        long incarnation,
+        long sequence,
+        long fencingToken,
+        Double spotNoticeSeconds,
         List<AttemptStatus> tasks) {
 
     /** State of one attempt of a task on its machine. */
@@ -26,12 +26,12 @@
     }
 
     /** One attempt of a task as a worker reports it. */
-    public record AttemptStatus(TaskId task, long attempt, State state, String why) {}
+    public record AttemptStatus(TaskId task, long attempt, State state, String exitCause) {}
 
     /** Reads a worker's report. */
-    public static Heartbeat parse(JsonObject o) throws Json.BadMessage {
+    public static Heartbeat parse(JsonObject json) throws Json.BadMessage {
         List<AttemptStatus> tasks = new ArrayList<>();
-        for (JsonObject t : Json.objects(o, "shots")) {
+        for (JsonObject t : Json.objects(json, "shots")) {
             State state =
                     switch (Json.text(t, "status")) {
                         case "pulling" -> State.FETCHING;
@@ -43,7 +43,7 @@
             tasks.add(new AttemptStatus(
                     TaskId.parse(Json.text(t, "shot")), Json.count(t, "take"), state, Json.textOr(t, "cause", "")));
         }
-        String machine = Json.text(o, "box");
+        String machine = Json.text(json, "box");
         if (machine.isEmpty()
                 || machine.length() > 100
                 || machine.chars().anyMatch(c -> c <= ' ' || c > '~' || c == '/')) {
@@ -51,20 +51,22 @@
         }
         return new Heartbeat(
                 machine,
-                Json.text(o, "endpoint"),
-                Json.text(o, "rig"),
-                Json.text(o, "hall"),
-                Json.flagOr(o, "borrowed", false),
-                Json.count(o, "shift"),
-                Json.count(o, "tally"),
-                Json.count(o, "baton"),
-                Json.has(o, "warningS") ? Json.amount(o, "warningS") : null,
+                Json.text(json, "endpoint"),
+                Json.text(json, "rig"),
+                Json.text(json, "hall"),
+                Json.flagOr(json, "borrowed", false),
+                Json.count(json, "shift"),
+                Json.count(json, "tally"),
+                Json.count(json, "baton"),
+                Json.has(json, "warningS") ? Json.amount(json, "warningS") : null,
                 tasks);
     }
 
     /** Whether this report was made after another of the same machine. */
     public boolean newerThan(Heartbeat other) {
-        return other == null || session > other.session || (session == other.session && seq > other.seq);
+        return other == null
+                || incarnation > other.incarnation
+                || (incarnation == other.incarnation && sequence > other.sequence);
     }
 
     /** The entry of an attempt, or null. */
--- a/src/main/java/org/havenford/protocol/JobSpec.java
+++ b/src/main/java/org/havenford/protocol/JobSpec.java
@@ -11,12 +11,12 @@
 /** A job as its user described it. */
 public record JobSpec(
         String id,
-        String lineup,
+        String jobClass,
         String team,
         Priority priority,
-        int tasks,
+        int taskCount,
         double cpus,
-        double cards,
+        double gpus,
         double memGb,
         Set<String> types,
         String zone,
@@ -25,11 +25,11 @@
         boolean spot,
         String image,
         double imageGb,
-        Duration guess,
-        Duration checkpoint,
-        Duration save,
+        Duration estimatedDuration,
+        Duration checkpointInterval,
+        Duration checkpointDuration,
         Duration deadline,
-        Set<String> awaits) {
+        Set<String> dependencies) {
 
     private static final Pattern ID = Pattern.compile("j-[0-9]{1,40}");
     private static final int MAX_TASKS = 100_000;
@@ -62,51 +62,51 @@
     }
 
     /** Reads a submission, or the description in a stored header. */
-    public static JobSpec parse(JsonObject o) throws Json.BadMessage {
-        String id = Json.text(o, "nameId");
+    public static JobSpec parse(JsonObject json) throws Json.BadMessage {
+        String id = Json.text(json, "nameId");
         if (!validId(id)) {
             throw new Json.BadMessage("nameId is not of the form j-000412");
         }
-        if (!Json.text(o, "shape").equals("batch")) {
+        if (!Json.text(json, "shape").equals("batch")) {
             throw new Json.BadMessage("shape is unknown");
         }
-        long tasks = Json.count(o, "shots");
+        long tasks = Json.count(json, "shots");
         if (tasks < 1 || tasks > MAX_TASKS) {
             throw new Json.BadMessage("shots is out of range");
         }
         Set<String> types = null;
-        if (Json.has(o, "rigs")) {
-            types = new TreeSet<>(Json.texts(o, "rigs"));
+        if (Json.has(json, "rigs")) {
+            types = new TreeSet<>(Json.texts(json, "rigs"));
         }
         return new JobSpec(
                 id,
-                name(o, "lineup"),
-                name(o, "crew"),
-                Priority.parse(Json.text(o, "urgency")),
+                name(json, "lineup"),
+                name(json, "crew"),
+                Priority.parse(Json.text(json, "urgency")),
                 (int) tasks,
-                positive(o, "vcpus"),
-                Json.amount(o, "cards"),
-                Json.amount(o, "memGb"),
+                positive(json, "vcpus"),
+                Json.amount(json, "cards"),
+                Json.amount(json, "memGb"),
                 types,
-                Json.has(o, "hall") ? name(o, "hall") : null,
-                flag(o, "together"),
-                flag(o, "apart"),
-                flag(o, "borrowed"),
-                name(o, "reel"),
-                Json.amount(o, "imageGb"),
-                Json.seconds(o, "guessS"),
-                Json.seconds(o, "keyframeS"),
-                Json.seconds(o, "flushS"),
-                Json.has(o, "airtimeS") ? Json.seconds(o, "airtimeS") : null,
-                awaits(o, id));
+                Json.has(json, "hall") ? name(json, "hall") : null,
+                flag(json, "together"),
+                flag(json, "apart"),
+                flag(json, "borrowed"),
+                name(json, "reel"),
+                Json.amount(json, "imageGb"),
+                Json.seconds(json, "guessS"),
+                Json.seconds(json, "keyframeS"),
+                Json.seconds(json, "flushS"),
+                Json.has(json, "airtimeS") ? Json.seconds(json, "airtimeS") : null,
+                dependencies(json, id));
     }
 
     /** The jobs that must be done before any task starts; a name that comes twice counts once. */
-    private static Set<String> awaits(JsonObject o, String id) throws Json.BadMessage {
-        if (!Json.has(o, "awaits")) {
+    private static Set<String> dependencies(JsonObject json, String id) throws Json.BadMessage {
+        if (!Json.has(json, "awaits")) {
             return Set.of();
         }
-        Set<String> all = new TreeSet<>(Json.texts(o, "awaits"));
+        Set<String> all = new TreeSet<>(Json.texts(json, "awaits"));
         for (String a : all) {
             if (!validId(a) || a.equals(id)) {
                 throw new Json.BadMessage("awaits must name other jobs");
@@ -115,23 +115,23 @@
         return Collections.unmodifiableSet(all);
     }
 
-    private static boolean flag(JsonObject o, String field) throws Json.BadMessage {
-        if (!Json.has(o, field)) {
+    private static boolean flag(JsonObject json, String field) throws Json.BadMessage {
+        if (!Json.has(json, field)) {
             throw new Json.BadMessage(field + " is missing");
         }
-        return Json.flagOr(o, field, false);
+        return Json.flagOr(json, field, false);
     }
 
-    private static String name(JsonObject o, String field) throws Json.BadMessage {
-        String s = Json.text(o, field);
+    private static String name(JsonObject json, String field) throws Json.BadMessage {
+        String s = Json.text(json, field);
         if (s.length() > MAX_NAME) {
             throw new Json.BadMessage(field + " is too long");
         }
         return s;
     }
 
-    private static double positive(JsonObject o, String field) throws Json.BadMessage {
-        double d = Json.amount(o, field);
+    private static double positive(JsonObject json, String field) throws Json.BadMessage {
+        double d = Json.amount(json, field);
         if (d <= 0) {
             throw new Json.BadMessage(field + " must be more than 0");
         }
@@ -142,12 +142,12 @@
     public JobSpec withTypes(Set<String> kept) {
         return new JobSpec(
                 id,
-                lineup,
+                jobClass,
                 team,
                 priority,
-                tasks,
+                taskCount,
                 cpus,
-                cards,
+                gpus,
                 memGb,
                 kept,
                 zone,
@@ -156,50 +156,50 @@
                 spot,
                 image,
                 imageGb,
-                guess,
-                checkpoint,
-                save,
+                estimatedDuration,
+                checkpointInterval,
+                checkpointDuration,
                 deadline,
-                awaits);
+                dependencies);
     }
 
     /** The description as it is stored. */
     public JsonObject toJson() {
-        JsonObject o = new JsonObject();
-        o.addProperty("nameId", id);
-        o.addProperty("lineup", lineup);
-        o.addProperty("crew", team);
-        o.addProperty("shape", "batch");
-        o.addProperty("urgency", priority.wire());
-        o.addProperty("shots", tasks);
-        o.addProperty("vcpus", cpus);
-        o.addProperty("cards", cards);
-        o.addProperty("memGb", memGb);
+        JsonObject json = new JsonObject();
+        json.addProperty("nameId", id);
+        json.addProperty("lineup", jobClass);
+        json.addProperty("crew", team);
+        json.addProperty("shape", "batch");
+        json.addProperty("urgency", priority.wire());
+        json.addProperty("shots", taskCount);
+        json.addProperty("vcpus", cpus);
+        json.addProperty("cards", gpus);
+        json.addProperty("memGb", memGb);
         if (types != null) {
             JsonArray a = new JsonArray();
             types.forEach(a::add);
-            o.add("rigs", a);
+            json.add("rigs", a);
         }
         if (zone != null) {
-            o.addProperty("hall", zone);
+            json.addProperty("hall", zone);
         }
-        o.addProperty("together", together);
-        o.addProperty("apart", apart);
-        o.addProperty("borrowed", spot);
-        o.addProperty("reel", image);
-        o.addProperty("imageGb", imageGb);
-        o.addProperty("guessS", seconds(guess));
-        o.addProperty("keyframeS", seconds(checkpoint));
-        o.addProperty("flushS", seconds(save));
+        json.addProperty("together", together);
+        json.addProperty("apart", apart);
+        json.addProperty("borrowed", spot);
+        json.addProperty("reel", image);
+        json.addProperty("imageGb", imageGb);
+        json.addProperty("guessS", seconds(estimatedDuration));
+        json.addProperty("keyframeS", seconds(checkpointInterval));
+        json.addProperty("flushS", seconds(checkpointDuration));
         if (deadline != null) {
-            o.addProperty("airtimeS", seconds(deadline));
+            json.addProperty("airtimeS", seconds(deadline));
         }
-        if (!awaits.isEmpty()) {
+        if (!dependencies.isEmpty()) {
             JsonArray a = new JsonArray();
-            awaits.forEach(a::add);
-            o.add("awaits", a);
+            dependencies.forEach(a::add);
+            json.add("awaits", a);
         }
-        return o;
+        return json;
     }
 
     private static double seconds(Duration d) {
@@ -208,6 +208,6 @@
 
     /** Whether a task fits an empty machine. */
     public boolean fits(MachineType type) {
-        return cpus <= type.cpus() && cards <= type.cards() && memGb <= type.memGb();
+        return cpus <= type.cpus() && gpus <= type.gpus() && memGb <= type.memGb();
     }
 }
--- a/src/main/java/org/havenford/protocol/Json.java
+++ b/src/main/java/org/havenford/protocol/Json.java
@@ -52,18 +52,18 @@
         }
     }
 
-    private static JsonElement present(JsonObject o, String field) {
-        JsonElement e = o.get(field);
+    private static JsonElement present(JsonObject json, String field) {
+        JsonElement e = json.get(field);
         return e == null || e.isJsonNull() ? null : e;
     }
 
     /** Whether a field is present and not null. */
-    public static boolean has(JsonObject o, String field) {
-        return present(o, field) != null;
+    public static boolean has(JsonObject json, String field) {
+        return present(json, field) != null;
     }
 
-    private static JsonPrimitive primitive(JsonObject o, String field) throws BadMessage {
-        JsonElement e = present(o, field);
+    private static JsonPrimitive primitive(JsonObject json, String field) throws BadMessage {
+        JsonElement e = present(json, field);
         if (e == null) {
             throw new BadMessage(field + " is missing");
         }
@@ -74,8 +74,8 @@
     }
 
     /** A text that must be present. */
-    public static String text(JsonObject o, String field) throws BadMessage {
-        JsonPrimitive p = primitive(o, field);
+    public static String text(JsonObject json, String field) throws BadMessage {
+        JsonPrimitive p = primitive(json, field);
         if (!p.isString()) {
             throw new BadMessage(field + " is not text");
         }
@@ -83,16 +83,16 @@
     }
 
     /** A text, or {@code otherwise} where it is absent. */
-    public static String textOr(JsonObject o, String field, String otherwise) throws BadMessage {
-        return has(o, field) ? text(o, field) : otherwise;
+    public static String textOr(JsonObject json, String field, String otherwise) throws BadMessage {
+        return has(json, field) ? text(json, field) : otherwise;
     }
 
     /** A boolean, or {@code otherwise} where it is absent. */
-    public static boolean flagOr(JsonObject o, String field, boolean otherwise) throws BadMessage {
-        if (!has(o, field)) {
+    public static boolean flagOr(JsonObject json, String field, boolean otherwise) throws BadMessage {
+        if (!has(json, field)) {
             return otherwise;
         }
-        JsonPrimitive p = primitive(o, field);
+        JsonPrimitive p = primitive(json, field);
         if (!p.isBoolean()) {
             throw new BadMessage(field + " is not true or false");
         }
@@ -100,8 +100,8 @@
     }
 
     /** A number from 0 on that must be present. */
-    public static double amount(JsonObject o, String field) throws BadMessage {
-        JsonPrimitive p = primitive(o, field);
+    public static double amount(JsonObject json, String field) throws BadMessage {
+        JsonPrimitive p = primitive(json, field);
         if (!p.isNumber()) {
             throw new BadMessage(field + " is not a number");
         }
@@ -113,18 +113,18 @@
     }
 
     /** A number from 0 on, or {@code otherwise} where it is absent. */
-    public static double amountOr(JsonObject o, String field, double otherwise) throws BadMessage {
-        return has(o, field) ? amount(o, field) : otherwise;
+    public static double amountOr(JsonObject json, String field, double otherwise) throws BadMessage {
+        return has(json, field) ? amount(json, field) : otherwise;
     }
 
     /** A duration in seconds that must be present. */
-    public static Duration seconds(JsonObject o, String field) throws BadMessage {
-        return Duration.ofNanos((long) (amount(o, field) * 1e9));
+    public static Duration seconds(JsonObject json, String field) throws BadMessage {
+        return Duration.ofNanos((long) (amount(json, field) * 1e9));
     }
 
     /** A whole number from 0 on that must be present. */
-    public static long count(JsonObject o, String field) throws BadMessage {
-        JsonPrimitive p = primitive(o, field);
+    public static long count(JsonObject json, String field) throws BadMessage {
+        JsonPrimitive p = primitive(json, field);
         if (!p.isNumber()) {
             throw new BadMessage(field + " is not a number");
         }
@@ -154,13 +154,13 @@
     }
 
     /** A whole number from 0 on, or {@code otherwise} where it is absent. */
-    public static long countOr(JsonObject o, String field, long otherwise) throws BadMessage {
-        return has(o, field) ? count(o, field) : otherwise;
+    public static long countOr(JsonObject json, String field, long otherwise) throws BadMessage {
+        return has(json, field) ? count(json, field) : otherwise;
     }
 
     /** An object that must be present. */
-    public static JsonObject child(JsonObject o, String field) throws BadMessage {
-        JsonElement e = present(o, field);
+    public static JsonObject child(JsonObject json, String field) throws BadMessage {
+        JsonElement e = present(json, field);
         if (e == null || !e.isJsonObject()) {
             throw new BadMessage(field + " is not an object");
         }
@@ -168,8 +168,8 @@
     }
 
     /** An array; an empty one where it is absent. */
-    public static JsonArray array(JsonObject o, String field) throws BadMessage {
-        JsonElement e = present(o, field);
+    public static JsonArray array(JsonObject json, String field) throws BadMessage {
+        JsonElement e = present(json, field);
         if (e == null) {
             return new JsonArray();
         }
@@ -180,9 +180,9 @@
     }
 
     /** An array of objects; an empty one where it is absent. */
-    public static List<JsonObject> objects(JsonObject o, String field) throws BadMessage {
+    public static List<JsonObject> objects(JsonObject json, String field) throws BadMessage {
         List<JsonObject> out = new ArrayList<>();
-        for (JsonElement e : array(o, field)) {
+        for (JsonElement e : array(json, field)) {
             if (!e.isJsonObject()) {
                 throw new BadMessage(field + " holds something that is not an object");
             }
@@ -192,9 +192,9 @@
     }
 
     /** An array of texts; an empty one where it is absent. */
-    public static List<String> texts(JsonObject o, String field) throws BadMessage {
+    public static List<String> texts(JsonObject json, String field) throws BadMessage {
         List<String> out = new ArrayList<>();
-        for (JsonElement e : array(o, field)) {
+        for (JsonElement e : array(json, field)) {
             if (!e.isJsonPrimitive() || !e.getAsJsonPrimitive().isString()) {
                 throw new BadMessage(field + " holds something that is not text");
             }
--- a/src/main/java/org/havenford/protocol/MachineType.java
+++ b/src/main/java/org/havenford/protocol/MachineType.java
@@ -10,19 +10,19 @@
 public record MachineType(
         String name,
         double cpus,
-        double cards,
+        double gpus,
         double memGb,
         double cacheGb,
-        double fetchGbPerS,
+        double imagePullGbPerSecond,
         double price,
         double spotPrice,
-        Duration boot,
+        Duration bootTime,
         List<String> zones) {
 
     /** Reads the cloud's answer, or its stored copy. */
-    public static List<MachineType> parseAll(JsonObject o) throws Json.BadMessage {
+    public static List<MachineType> parseAll(JsonObject json) throws Json.BadMessage {
         List<MachineType> out = new ArrayList<>();
-        for (JsonObject t : Json.objects(o, "rigs")) {
+        for (JsonObject t : Json.objects(json, "rigs")) {
             out.add(new MachineType(
                     Json.text(t, "name"),
                     Json.amount(t, "vcpus"),
@@ -41,21 +41,21 @@
     /** The stored value, in the cloud's own form. */
     public static JsonObject toJson(Iterable<MachineType> types) {
         JsonArray rigs = new JsonArray();
-        for (MachineType t : types) {
-            JsonObject o = new JsonObject();
-            o.addProperty("name", t.name);
-            o.addProperty("vcpus", t.cpus);
-            o.addProperty("cards", t.cards);
-            o.addProperty("memGb", t.memGb);
-            o.addProperty("localGb", t.cacheGb);
-            o.addProperty("fetchGbPerS", t.fetchGbPerS);
-            o.addProperty("hourly", t.price);
-            o.addProperty("spotPrice", t.spotPrice);
-            o.addProperty("bootS", t.boot.toMillis() / 1e3);
+        for (MachineType type : types) {
+            JsonObject json = new JsonObject();
+            json.addProperty("name", type.name);
+            json.addProperty("vcpus", type.cpus);
+            json.addProperty("cards", type.gpus);
+            json.addProperty("memGb", type.memGb);
+            json.addProperty("localGb", type.cacheGb);
+            json.addProperty("fetchGbPerS", type.imagePullGbPerSecond);
+            json.addProperty("hourly", type.price);
+            json.addProperty("spotPrice", type.spotPrice);
+            json.addProperty("bootS", type.bootTime.toMillis() / 1e3);
             JsonArray halls = new JsonArray();
-            t.zones.forEach(halls::add);
-            o.add("halls", halls);
-            rigs.add(o);
+            type.zones.forEach(halls::add);
+            json.add("halls", halls);
+            rigs.add(json);
         }
         JsonObject out = new JsonObject();
         out.add("rigs", rigs);
--- a/src/main/java/org/havenford/settings/OperatorSettings.java
+++ b/src/main/java/org/havenford/settings/OperatorSettings.java
@@ -47,7 +47,8 @@
             case ALWAYS -> true;
             case NEVER -> false;
             case UNMETERED ->
-                settings.teams().values().stream().noneMatch(t -> t.limited() || t.cpus() > 0 || t.cards() > 0);
+                settings.teams().values().stream()
+                        .noneMatch(team -> team.limited() || team.cpus() > 0 || team.gpus() > 0);
         };
     }
 
@@ -74,11 +75,11 @@
                 builder.set(e.getTagName(), e.getTextContent().strip());
             }
         }
-        OperatorSettings operator = builder.build();
-        if (!operator.standby().isConsistent()) {
+        OperatorSettings operatorSettings = builder.build();
+        if (!operatorSettings.standby().isConsistent()) {
             throw new InvalidSettingException("<standby-suspect-ms> must be more than twice <standby-heartbeat-ms>");
         }
-        return operator;
+        return operatorSettings;
     }
 
     /** Settings while they are read, with the defaults of those that are not named. */
--- a/src/main/java/org/havenford/settings/PlatformSettings.java
+++ b/src/main/java/org/havenford/settings/PlatformSettings.java
@@ -24,9 +24,9 @@
         String cloudAddress,
         String stateAddress,
         Map<String, Team> teams,
-        Duration report,
+        Duration heartbeatInterval,
         Duration workerLease,
-        Duration cancel,
+        Duration cancellationLimit,
         double stateRps,
         double stateWriteRps,
         double nextWriteRps,
@@ -45,13 +45,13 @@
     public record Peer(String node, String zone, String address) {}
 
     /** An aim of a class of jobs; {@code within} is null for deadlines, which every job brings itself. */
-    public record ServiceObjective(String kind, String lineup, Duration within) {}
+    public record ServiceObjective(String kind, String jobClass, Duration within) {}
 
     /** A team's share; a limit of 0 means none. */
-    public record Team(String name, double cpus, double cpusMax, double cards, double cardsMax) {
+    public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
         /** Whether the team has a limit. */
         public boolean limited() {
-            return cpusMax > 0 || cardsMax > 0;
+            return cpusMax > 0 || gpusMax > 0;
         }
     }
 
@@ -67,9 +67,9 @@
 
     /** Reads and checks settings. */
     public static PlatformSettings parse(String text) throws Json.BadMessage {
-        JsonObject o = Json.object(text);
-        JsonObject endpoints = Json.child(o, "endpoints");
-        JsonObject deployment = Json.child(o, "deployment");
+        JsonObject json = Json.object(text);
+        JsonObject endpoints = Json.child(json, "endpoints");
+        JsonObject deployment = Json.child(json, "deployment");
         JsonObject workers = Json.child(deployment, "workers");
         JsonObject state = Json.child(deployment, "state");
         JsonObject next = Json.has(state, "next") ? Json.child(state, "next") : state;
@@ -77,7 +77,7 @@
         JsonObject resources =
                 Json.has(deployment, "resources") ? Json.child(deployment, "resources") : new JsonObject();
         List<Peer> peers = new ArrayList<>();
-        for (JsonObject p : Json.objects(o, "others")) {
+        for (JsonObject p : Json.objects(json, "others")) {
             peers.add(new Peer(Json.text(p, "node_name"), Json.textOr(p, "location", ""), Json.text(p, "peer_addr")));
         }
         Map<String, Team> teams = new LinkedHashMap<>();
@@ -98,10 +98,10 @@
                     Json.has(a, "within_s") ? Json.seconds(a, "within_s") : null));
         }
         return new PlatformSettings(
-                Json.text(o, "node_name"),
-                Json.text(o, "location"),
-                address(o, "bind"),
-                address(o, "cluster_listen"),
+                Json.text(json, "node_name"),
+                Json.text(json, "location"),
+                address(json, "bind"),
+                address(json, "cluster_listen"),
                 List.copyOf(peers),
                 address(endpoints, "cloud"),
                 address(endpoints, "state"),
@@ -121,8 +121,8 @@
                 List.copyOf(objectives));
     }
 
-    private static double positive(JsonObject o, String field) throws Json.BadMessage {
-        double d = Json.amount(o, field);
+    private static double positive(JsonObject json, String field) throws Json.BadMessage {
+        double d = Json.amount(json, field);
         if (d <= 0) {
             throw new Json.BadMessage(field + " must be more than 0");
         }
@@ -134,8 +134,8 @@
         return Json.has(next, field) ? Math.min(present, positive(next, field)) : present;
     }
 
-    private static String address(JsonObject o, String field) throws Json.BadMessage {
-        String a = Json.text(o, field);
+    private static String address(JsonObject json, String field) throws Json.BadMessage {
+        String a = Json.text(json, field);
         int colon = a.lastIndexOf(':');
         try {
             int port = Integer.parseInt(a.substring(colon + 1));
--- a/src/main/java/org/havenford/standby/FailoverCoordinator.java
+++ b/src/main/java/org/havenford/standby/FailoverCoordinator.java
@@ -108,12 +108,12 @@
         attempts.remove(node);
         if (attempt.challengeStamp != 0) {
             LOG.info("{} is not suspected any more", node);
-            host.withdrawChallenge(node, attempt.challengeStamp);
+            host.withdrawProbe(node, attempt.challengeStamp);
         }
     }
 
     private void begin(String node, long incarnation) {
-        if (host.evictionPermitted(node)) {
+        if (host.mayEvict(node)) {
             attempts.put(node, new Attempt(incarnation, host.loop().now()));
             ask(node, incarnation);
         }
@@ -143,11 +143,11 @@
     private void challengeInTurn(String node, Attempt attempt, ClusterView view, Instant now) {
         List<String> conductors = Succession.conductors(view, node, zoneOf);
         Duration turn = PER_RANK.multipliedBy(Math.max(0, conductors.indexOf(self)));
-        if (now.isBefore(attempt.since.plus(turn)) || !host.evictionPermitted(node)) {
+        if (now.isBefore(attempt.since.plus(turn)) || !host.mayEvict(node)) {
             return;
         }
         attempt.phase = Phase.CHALLENGING;
-        host.challenge(node, attempt.incarnation, stamp -> {
+        host.probe(node, attempt.incarnation, stamp -> {
             if (stamp == 0) {
                 // Another member asks, the view has changed, or the state service is out of reach.
                 attempts.remove(node, attempt);
@@ -164,7 +164,7 @@
         attempt.phase = Phase.EVICTING;
         Duration after = Duration.between(attempt.since, host.loop().now());
         host.evict(node, attempt.incarnation, attempt.challengeStamp, committed -> {
-            if (!committed && host.challengeStands(node, attempt.challengeStamp)) {
+            if (!committed && host.probeIsUnanswered(node, attempt.challengeStamp)) {
                 // The view has changed meanwhile, as by a move of machines: the question is as good under the new one.
                 attempt.phase = Phase.WAITING;
                 return;
--- a/src/main/java/org/havenford/standby/Follower.java
+++ b/src/main/java/org/havenford/standby/Follower.java
@@ -50,7 +50,7 @@
         } else if (message instanceof SnapshotBegin) {
             clear();
         } else if (message instanceof Machines told) {
-            told.notes().forEach(note -> machines.put(note.machine(), note));
+            told.notes().forEach(contact -> machines.put(contact.machine(), contact));
         } else if (message instanceof MachinesGone gone) {
             gone.machines().forEach(machines::remove);
         } else if (message instanceof Intent intent) {
--- a/src/main/java/org/havenford/standby/FrameCodec.java
+++ b/src/main/java/org/havenford/standby/FrameCodec.java
@@ -58,8 +58,8 @@
     private FrameCodec() {}
 
     /** Whether a note can be sent: a worker may name any endpoint. */
-    static boolean fits(AgentContact note) {
-        return note.endpoint().length() * MAX_BYTES_OF_CHAR <= MAX_TEXT_BYTES;
+    static boolean fits(AgentContact contact) {
+        return contact.endpoint().length() * MAX_BYTES_OF_CHAR <= MAX_TEXT_BYTES;
     }
 
     /** The frame of a message, ready to be sent. */
@@ -97,7 +97,7 @@
         }
         if (message instanceof Machines machines) {
             out.putShort((short) machines.notes().size());
-            machines.notes().forEach(note -> putNote(out, note));
+            machines.notes().forEach(contact -> putNote(out, contact));
             return Type.MACHINES;
         }
         if (message instanceof MachinesGone gone) {
@@ -133,12 +133,12 @@
         out.put((byte) (flag ? 1 : 0));
     }
 
-    private static void putNote(ByteBuffer out, AgentContact note) {
-        putText(out, note.machine());
-        putText(out, note.endpoint());
-        out.putLong(note.session());
-        out.putLong(note.checkinSequence());
-        out.putLong(note.token());
+    private static void putNote(ByteBuffer out, AgentContact contact) {
+        putText(out, contact.machine());
+        putText(out, contact.endpoint());
+        out.putLong(contact.incarnation());
+        out.putLong(contact.checkinSequence());
+        out.putLong(contact.fencingToken());
     }
 
     private static void putTexts(ByteBuffer out, List<String> texts) {
--- a/src/main/java/org/havenford/standby/PeerLink.java
+++ b/src/main/java/org/havenford/standby/PeerLink.java
@@ -108,14 +108,14 @@
         }
         dialing = true;
         network.connect(peer.address(), DIAL_TIMEOUT, this::dialed, reason -> {
-            host.eventBegins();
+            host.eventStarted();
             dialing = false;
             dialFailed(reason);
         });
     }
 
     private void dialed(Connection opened) {
-        host.eventBegins();
+        host.eventStarted();
         dialing = false;
         if (connection != null || !dials()) {
             // The other side dials: this was only to see whether anybody is there.
@@ -161,7 +161,7 @@
         opened.receiver(new PeerNetwork.Receiver() {
             @Override
             public void received(ByteBuffer bytes) {
-                host.eventBegins();
+                host.eventStarted();
                 if (connection == opened) {
                     read(bytes);
                 }
@@ -169,7 +169,7 @@
 
             @Override
             public void closed(String reason) {
-                host.eventBegins();
+                host.eventStarted();
                 if (connection == opened) {
                     disconnected(reason);
                 }
@@ -271,10 +271,10 @@
         }
         List<AgentContact> news = new ArrayList<>();
         Set<String> named = new HashSet<>();
-        for (AgentContact note : notes) {
-            named.add(note.machine());
-            if (!note.equals(sentNotes.put(note.machine(), note))) {
-                news.add(note);
+        for (AgentContact contact : notes) {
+            named.add(contact.machine());
+            if (!contact.equals(sentNotes.put(contact.machine(), contact))) {
+                news.add(contact);
             }
         }
         List<String> gone = new ArrayList<>(sentNotes.keySet());
--- a/src/main/java/org/havenford/standby/WarmStandby.java
+++ b/src/main/java/org/havenford/standby/WarmStandby.java
@@ -49,7 +49,7 @@
     private final PlatformSettings settings;
     private final StandbySettings standby;
     private final Map<String, PeerLink> links = new TreeMap<>();
-    private final FailoverCoordinator conductor;
+    private final FailoverCoordinator failoverCoordinator;
     private final ArrayDeque<AgentContact> toContact = new ArrayDeque<>();
     private final DecisionLog decisions = new DecisionLog();
     private int unnamed;
@@ -89,7 +89,7 @@
                     host, network, peer, settings.node(), standby, decisions, this::received, this::linkChanged);
             links.put(peer.node(), link);
         }
-        conductor = new FailoverCoordinator(
+        failoverCoordinator = new FailoverCoordinator(
                 host, this::suspects, settings.node(), standby.challenge(), this::zoneOf, links);
     }
 
@@ -119,7 +119,7 @@
 
     /** Who has opened a connection is known with its first message. */
     private void accepted(Connection connection) {
-        host.eventBegins();
+        host.eventStarted();
         if (unnamed >= MAX_UNNAMED) {
             connection.close();
             return;
@@ -142,7 +142,7 @@
         connection.receiver(new PeerNetwork.Receiver() {
             @Override
             public void received(ByteBuffer bytes) {
-                host.eventBegins();
+                host.eventStarted();
                 if (!over[0]) {
                     firstBytes(connection, decoder, bytes, named);
                 }
@@ -175,15 +175,15 @@
 
     private void received(PeerLink from, PeerMessage message) {
         if (message instanceof ReachQuestion question) {
-            conductor.question(from, question);
+            failoverCoordinator.question(from, question);
         } else if (message instanceof ReachAnswer answer) {
-            conductor.answer(from, answer);
+            failoverCoordinator.answer(from, answer);
         }
     }
 
     private void linkChanged() {
         // Not in the middle of what has told of it.
-        host.loop().after(Duration.ZERO, conductor::step);
+        host.loop().after(Duration.ZERO, failoverCoordinator::step);
     }
 
     // ---- time
@@ -202,18 +202,18 @@
                 nextNotes = now.plus(NOTES_EVERY);
                 sendNotes();
             }
-            conductor.step();
+            failoverCoordinator.step();
             summary(now);
         });
     }
 
     private void sendNotes() {
         Map<String, List<AgentContact>> byStandby = new HashMap<>();
-        if (host.entitled()) {
-            for (AgentContact note : host.machineNotes()) {
-                String successor = succession.standby(note.machine());
-                if (successor != null && links.containsKey(successor) && FrameCodec.fits(note)) {
-                    byStandby.computeIfAbsent(successor, s -> new ArrayList<>()).add(note);
+        if (host.mayDecide()) {
+            for (AgentContact contact : host.agentContacts()) {
+                String successor = succession.standby(contact.machine());
+                if (successor != null && links.containsKey(successor) && FrameCodec.fits(contact)) {
+                    byStandby.computeIfAbsent(successor, s -> new ArrayList<>()).add(contact);
                 }
             }
         }
@@ -233,7 +233,7 @@
             states.add(link.name() + (link.connected() ? " connected" : " not connected")
                     + ", machines " + follower.machines().size()
                     + ", open decisions " + follower.openDecisions()
-                    + ", editions behind " + Math.max(0, follower.highestEdition() - host.replicaEdition()));
+                    + ", editions behind " + Math.max(0, follower.highestEdition() - host.replicaRevision()));
         }
         LOG.info("standby: {}; {} decisions and {} bytes sent", states, decisions.takeCount(), bytes);
     }
@@ -241,9 +241,9 @@
     // ---- what the host tells
 
     @Override
-    public void stoodStill() {
+    public void processPaused() {
         links.values().forEach(PeerLink::forgiveSilence);
-        conductor.stoodStill();
+        failoverCoordinator.stoodStill();
         lastTick = host.loop().now();
     }
 
@@ -280,8 +280,8 @@
             return;
         }
         List<AgentContact> mine = follower.machines();
-        mine.removeIf(note -> !settings.node().equals(view.owner(note.machine())));
-        mine.sort(Comparator.comparingInt(note -> host.urgency(note.machine())));
+        mine.removeIf(contact -> !settings.node().equals(view.owner(contact.machine())));
+        mine.sort(Comparator.comparingInt(contact -> host.urgency(contact.machine())));
         toContact.addAll(mine);
         Instant now = host.loop().now();
         takeover = new Takeover(node, now, mine.size(), follower.openDecisions());
@@ -301,7 +301,7 @@
         if (now.isAfter(contactUntil)) {
             toContact.clear();
         }
-        if (host.entitled() && host.replicaEdition() >= host.viewStamp()) {
+        if (host.mayDecide() && host.replicaRevision() >= host.viewRevision()) {
             takeover.decidedAt = takeover.decidedAt == null ? now : takeover.decidedAt;
             int sent = 0;
             while (!toContact.isEmpty()
--- a/src/main/java/org/havenford/storage/ClusterState.java
+++ b/src/main/java/org/havenford/storage/ClusterState.java
@@ -41,23 +41,23 @@
     public record InstanceRequest(String name, String type, String zone, boolean spot, int count, Instant at) {
         /** The stored value. */
         public JsonObject toJson() {
-            JsonObject o = new JsonObject();
-            o.addProperty("t", type);
-            o.addProperty("z", zone);
-            o.addProperty("b", spot);
-            o.addProperty("n", count);
-            o.addProperty("at", at.toEpochMilli());
-            return o;
+            JsonObject json = new JsonObject();
+            json.addProperty("t", type);
+            json.addProperty("z", zone);
+            json.addProperty("b", spot);
+            json.addProperty("n", count);
+            json.addProperty("at", at.toEpochMilli());
+            return json;
         }
 
-        static InstanceRequest parse(String name, JsonObject o) throws Json.BadMessage {
+        static InstanceRequest parse(String name, JsonObject json) throws Json.BadMessage {
             return new InstanceRequest(
                     name,
-                    Json.text(o, "t"),
-                    Json.text(o, "z"),
-                    Json.flagOr(o, "b", false),
-                    (int) Json.count(o, "n"),
-                    Instant.ofEpochMilli(Json.count(o, "at")));
+                    Json.text(json, "t"),
+                    Json.text(json, "z"),
+                    Json.flagOr(json, "b", false),
+                    (int) Json.count(json, "n"),
+                    Instant.ofEpochMilli(Json.count(json, "at")));
         }
     }
 
@@ -70,13 +70,13 @@
         void memberChanged(String node, JsonObject member, long stamp);
 
         /** A member is asked whether it is alive; {@code challenge} is null when the question is gone. */
-        void challengeChanged(String node, JsonObject challenge, long stamp);
+        void livenessProbeChanged(String node, JsonObject challenge, long stamp);
 
         /** The claims on a machine, or its record, have changed, or what is wanted of them. */
         void machineChanged(String machine);
 
         /** A batch of changes has been told. */
-        void settled();
+        void changesApplied();
 
         /** A job is over, and its header gone; {@code last} is what was known of it before. */
         void jobEnded(Job last);
@@ -92,7 +92,7 @@
 
     private final Object2ObjectOpenHashMap<String, Job> jobsById = new Object2ObjectOpenHashMap<>();
     /** Jobs that wait for others. */
-    private final TreeSet<String> waiting = new TreeSet<>();
+    private final TreeSet<String> jobsAwaitingDependencies = new TreeSet<>();
     /** Waiting jobs by the jobs that they name. */
     private final Map<String, Set<String>> dependents = new HashMap<>();
 
@@ -101,21 +101,21 @@
     private final Object2ObjectOpenHashMap<String, MachineRecord> machines = new Object2ObjectOpenHashMap<>();
     private final Map<String, MachineBatch> batches = new HashMap<>();
     private final Map<String, Set<String>> batchesOf = new HashMap<>();
-    private final Map<String, ReportedStatus> said = new HashMap<>();
+    private final Map<String, ReportedStatus> reportedStatuses = new HashMap<>();
     private final Object2ObjectOpenHashMap<String, Map<TaskId, Claim>> claims = new Object2ObjectOpenHashMap<>();
-    private final TreeMap<String, InstanceRequest> bookings = new TreeMap<>();
+    private final TreeMap<String, InstanceRequest> instanceRequests = new TreeMap<>();
     private final Map<String, MachineType> types = new TreeMap<>();
     /** Chunks without a job: while keys come one by one, its header is still to come; afterwards the job is over. */
-    private final Map<String, JsonObject> orphans = new HashMap<>();
+    private final Map<String, JsonObject> taskRangesWithoutJob = new HashMap<>();
     /** By team and account. */
     private final Map<String, Map<String, Resources>> charged = new HashMap<>();
 
     private final Map<String, TeamQuota> quotas = new HashMap<>();
-    private Observer observer;
+    private Observer setObserver;
 
     /** Sets who is told of changes. */
-    public void observer(Observer o) {
-        observer = o;
+    public void setObserver(Observer o) {
+        setObserver = o;
     }
 
     /** Jobs that are not over, by id. */
@@ -135,8 +135,8 @@
     }
 
     /** Jobs that wait for others. */
-    public Collection<String> waiting() {
-        return waiting;
+    public Collection<String> jobsAwaitingDependencies() {
+        return jobsAwaitingDependencies;
     }
 
     /** Waiting jobs that name the given one. */
@@ -185,13 +185,13 @@
     }
 
     /** Intents to rent that are not settled. */
-    public Collection<InstanceRequest> bookings() {
-        return bookings.values();
+    public Collection<InstanceRequest> instanceRequests() {
+        return instanceRequests.values();
     }
 
     /** Records of tasks, as ID/CHUNK, whose job is over or not read yet. */
-    public Collection<String> orphans() {
-        return orphans.keySet();
+    public Collection<String> taskRangesWithoutJob() {
+        return taskRangesWithoutJob.keySet();
     }
 
     /** What the cloud offers, by name. */
@@ -202,8 +202,8 @@
     /** What the claims of a team hold, those not confirmed gone included. */
     public Resources usage(String team) {
         Resources sum = Resources.NONE;
-        for (Resources a : charged.getOrDefault(team, Map.of()).values()) {
-            sum = sum.plus(a);
+        for (Resources amount : charged.getOrDefault(team, Map.of()).values()) {
+            sum = sum.plus(amount);
         }
         return sum;
     }
@@ -218,9 +218,9 @@
         return quotas.getOrDefault(Keys.team(team), NO_QUOTA);
     }
 
-    private void charge(Claim c, JobSpec s, int sign) {
-        Map<String, Resources> of = charged.computeIfAbsent(s.team(), t -> new HashMap<>());
-        of.merge(c.account(), new Resources(sign * s.cpus(), sign * s.cards()), Resources::plus);
+    private void charge(Claim claim, JobSpec spec, int sign) {
+        Map<String, Resources> of = charged.computeIfAbsent(spec.team(), t -> new HashMap<>());
+        of.merge(claim.quotaHolder(), new Resources(sign * spec.cpus(), sign * spec.gpus()), Resources::plus);
     }
 
     @Override
@@ -242,14 +242,14 @@
             batchChanged(name, value == null ? null : MachineBatch.parse(name, value));
         } else if (key.startsWith(Keys.MACHINE_STATUSES)) {
             if (value != null) {
-                heard(MachineStatuses.parse(value));
+                applyStatuses(MachineStatuses.parse(value));
             }
-        } else if (key.startsWith(Keys.BOOKINGS)) {
-            String name = key.substring(Keys.BOOKINGS.length());
+        } else if (key.startsWith(Keys.INSTANCE_REQUESTS)) {
+            String name = key.substring(Keys.INSTANCE_REQUESTS.length());
             if (value == null) {
-                bookings.remove(name);
+                instanceRequests.remove(name);
             } else {
-                bookings.put(name, InstanceRequest.parse(name, value));
+                instanceRequests.put(name, InstanceRequest.parse(name, value));
             }
         } else if (key.startsWith(Keys.TEAMS)) {
             if (value == null) {
@@ -258,17 +258,17 @@
                 quotas.put(key, TeamQuota.parse(value));
             }
         } else if (key.startsWith(Keys.MEMBERS)) {
-            observer.memberChanged(key.substring(Keys.MEMBERS.length()), value, stamp);
-        } else if (key.startsWith(Keys.CHALLENGES)) {
-            observer.challengeChanged(key.substring(Keys.CHALLENGES.length()), value, stamp);
+            setObserver.memberChanged(key.substring(Keys.MEMBERS.length()), value, stamp);
+        } else if (key.startsWith(Keys.LIVENESS_PROBES)) {
+            setObserver.livenessProbeChanged(key.substring(Keys.LIVENESS_PROBES.length()), value, stamp);
         } else if (key.equals(Keys.VIEW)) {
-            observer.viewChanged(value, stamp);
+            setObserver.viewChanged(value, stamp);
         } else if (key.equals(Keys.TYPES) && value != null) {
             types.clear();
-            for (MachineType t : MachineType.parseAll(value)) {
-                types.put(t.name(), t);
+            for (MachineType type : MachineType.parseAll(value)) {
+                types.put(type.name(), type);
             }
-            machines.keySet().forEach(observer::machineChanged);
+            machines.keySet().forEach(setObserver::machineChanged);
         }
     }
 
@@ -294,24 +294,24 @@
             }
         }
         gone.removeIf(batchesOf::containsKey);
-        said.keySet().removeAll(gone);
-        touched.forEach(this::compose);
+        reportedStatuses.keySet().removeAll(gone);
+        touched.forEach(this::rebuildMachine);
     }
 
-    private void heard(MachineStatuses h) {
+    private void applyStatuses(MachineStatuses h) {
         h.machines().forEach((machine, status) -> {
-            ReportedStatus before = said.get(machine);
+            ReportedStatus before = reportedStatuses.get(machine);
             if (before == null || !before.at.isAfter(h.at())) {
                 Instant since =
                         before != null && before.status.condition() == status.condition() ? before.since : h.at();
-                said.put(machine, new ReportedStatus(status, h.at(), since));
-                compose(machine);
+                reportedStatuses.put(machine, new ReportedStatus(status, h.at(), since));
+                rebuildMachine(machine);
             }
         });
     }
 
     /** Puts together what batches and owners say of a machine. One that is in two batches is to go if either says so. */
-    private void compose(String machine) {
+    private void rebuildMachine(String machine) {
         Set<String> of = batchesOf.get(machine);
         MachineRecord after = null;
         // While keys come one by one, owners' words come before the batches: they are kept until the machine goes.
@@ -322,7 +322,7 @@
                 MachineBatch.ServiceState s = batches.get(name).machines().get(machine);
                 service = s.compareTo(service) > 0 ? s : service;
             }
-            ReportedStatus s = said.get(machine);
+            ReportedStatus s = reportedStatuses.get(machine);
             Condition c =
                     switch (service) {
                         case RETIRING -> Condition.RETIRING;
@@ -340,7 +340,7 @@
         }
         MachineRecord before = after == null ? machines.remove(machine) : machines.put(machine, after);
         if (!Objects.equals(before, after)) {
-            observer.machineChanged(machine);
+            setObserver.machineChanged(machine);
         }
     }
 
@@ -349,13 +349,13 @@
         if (value == null) {
             jobs.remove(id);
             jobsById.remove(id);
-            noLongerWaiting(before);
+            removeDependent(before);
             if (before != null) {
-                before.claims().forEach(c -> unindex(c, before.spec()));
-                observer.jobEnded(before);
-                for (int i = 0; i < before.chunkCount(); i++) {
-                    if (before.stored(i) != null) {
-                        orphans.put(id + "/" + i, new JsonObject());
+                before.claims().forEach(claim -> unindex(claim, before.spec()));
+                setObserver.jobEnded(before);
+                for (int i = 0; i < before.taskRangeCount(); i++) {
+                    if (before.storedTaskRange(i) != null) {
+                        taskRangesWithoutJob.put(id + "/" + i, new JsonObject());
                     }
                 }
             }
@@ -364,42 +364,42 @@
         Job job = Job.parse(value);
         jobs.put(id, job);
         jobsById.put(id, job);
-        noLongerWaiting(before);
-        if (job.waiting()) {
-            nowWaiting(job);
+        removeDependent(before);
+        if (job.awaitsDependencies()) {
+            addDependent(job);
         }
         if (dependents.containsKey(id)) {
             pipelineChanges++;
         }
         if (before != null) {
-            for (int i = 0; i < job.chunkCount(); i++) {
-                job.replace(i, before.stored(i));
+            for (int i = 0; i < job.taskRangeCount(); i++) {
+                job.replace(i, before.storedTaskRange(i));
             }
-            before.claims().forEach(c -> observer.machineChanged(c.machine()));
+            before.claims().forEach(claim -> setObserver.machineChanged(claim.machine()));
         }
-        if (!orphans.isEmpty()) {
-            for (String path : List.copyOf(orphans.keySet())) {
+        if (!taskRangesWithoutJob.isEmpty()) {
+            for (String path : List.copyOf(taskRangesWithoutJob.keySet())) {
                 if (path.startsWith(id + "/")) {
-                    tasksChanged(path, orphans.remove(path));
+                    tasksChanged(path, taskRangesWithoutJob.remove(path));
                 }
             }
         }
     }
 
-    private void nowWaiting(Job job) {
+    private void addDependent(Job job) {
         pipelineChanges++;
-        waiting.add(job.id());
-        for (String needed : job.spec().awaits()) {
+        jobsAwaitingDependencies.add(job.id());
+        for (String needed : job.spec().dependencies()) {
             dependents.computeIfAbsent(needed, k -> new TreeSet<>()).add(job.id());
         }
     }
 
-    private void noLongerWaiting(Job before) {
-        if (before == null || !waiting.remove(before.id())) {
+    private void removeDependent(Job before) {
+        if (before == null || !jobsAwaitingDependencies.remove(before.id())) {
             return;
         }
         pipelineChanges++;
-        for (String needed : before.spec().awaits()) {
+        for (String needed : before.spec().dependencies()) {
             Set<String> of = dependents.get(needed);
             of.remove(before.id());
             if (of.isEmpty()) {
@@ -413,53 +413,54 @@
         Job job = jobsById.get(path.substring(0, slash));
         if (job == null) {
             if (value == null) {
-                orphans.remove(path);
+                taskRangesWithoutJob.remove(path);
             } else {
-                orphans.put(path, value);
+                taskRangesWithoutJob.put(path, value);
             }
             return;
         }
         int index = Integer.parseInt(path.substring(slash + 1));
-        TaskRange before = job.stored(index);
-        TaskRange after = value == null ? null : job.fresh(index).read(value);
+        TaskRange before = job.storedTaskRange(index);
+        TaskRange after = value == null ? null : job.emptyTaskRange(index).read(value);
         if (before != null) {
-            for (Claim c : before.claims()) {
-                if (after == null || !c.equals(after.claim(c.task().index()))) {
-                    unindex(c, job.spec());
+            for (Claim claim : before.claims()) {
+                if (after == null || !claim.equals(after.claim(claim.task().index()))) {
+                    unindex(claim, job.spec());
                 }
             }
         }
         job.replace(index, after);
         if (after != null) {
-            for (Claim c : after.claims()) {
-                if (before == null || !c.equals(before.claim(c.task().index()))) {
-                    claims.computeIfAbsent(c.machine(), m -> new TreeMap<>()).put(c.task(), c);
-                    charge(c, job.spec(), 1);
-                    observer.machineChanged(c.machine());
+            for (Claim claim : after.claims()) {
+                if (before == null || !claim.equals(before.claim(claim.task().index()))) {
+                    claims.computeIfAbsent(claim.machine(), m -> new TreeMap<>())
+                            .put(claim.task(), claim);
+                    charge(claim, job.spec(), 1);
+                    setObserver.machineChanged(claim.machine());
                 }
             }
         }
     }
 
-    private void unindex(Claim c, JobSpec spec) {
-        Map<TaskId, Claim> on = claims.get(c.machine());
+    private void unindex(Claim claim, JobSpec spec) {
+        Map<TaskId, Claim> on = claims.get(claim.machine());
         if (on != null) {
-            on.remove(c.task(), c);
+            on.remove(claim.task(), claim);
             if (on.isEmpty()) {
-                claims.remove(c.machine());
+                claims.remove(claim.machine());
             }
         }
-        charge(c, spec, -1);
-        observer.machineChanged(c.machine());
+        charge(claim, spec, -1);
+        setObserver.machineChanged(claim.machine());
     }
 
     @Override
     public void loaded() {
-        observer.loaded();
+        setObserver.loaded();
     }
 
     @Override
-    public void settled() {
-        observer.settled();
+    public void changesApplied() {
+        setObserver.changesApplied();
     }
 }
--- a/src/main/java/org/havenford/storage/ConditionalWriter.java
+++ b/src/main/java/org/havenford/storage/ConditionalWriter.java
@@ -31,7 +31,7 @@
     private static final Duration REPLICA_PATIENCE = Duration.ofSeconds(1);
 
     /** Keys on which nothing is decided before our replica has reached an edition. */
-    private record AwaitedRevision(long edition, Instant until, Set<String> keys) {}
+    private record AwaitedRevision(long revision, Instant until, Set<String> keys) {}
 
     private final EventLoop loop;
     private final StoreClient store;
@@ -39,7 +39,7 @@
     private final int nextValueBytes;
     private final Runnable wake;
     private final Set<String> locked = new HashSet<>();
-    private final List<AwaitedRevision> awaitedEditions = new ArrayList<>();
+    private final List<AwaitedRevision> awaitedRevisions = new ArrayList<>();
     private boolean limitsLowered;
 
     /** A writer over one replica; {@code wake} asks for another round once keys are free again. */
@@ -66,9 +66,9 @@
     }
 
     /** Unlocks what was locked until our replica has caught up. */
-    public void unlockCaughtUp(Instant now) {
-        awaitedEditions.removeIf(a -> {
-            boolean over = replica.edition() >= a.edition() || now.isAfter(a.until());
+    public void unlockKeysCaughtUp(Instant now) {
+        awaitedRevisions.removeIf(a -> {
+            boolean over = replica.revision() >= a.revision() || now.isAfter(a.until());
             if (over) {
                 locked.removeAll(a.keys());
             }
@@ -78,11 +78,11 @@
 
     /** Commits a transaction and keeps its keys locked until the replica has caught up with the outcome. */
     public void commit(
-            StoreClient.Transaction txn,
+            StoreClient.Transaction transaction,
             StoreClient.CallPriority urgency,
             Collection<String> locks,
             Runnable onSuccess) {
-        commit(txn, urgency, locks, onSuccess, r -> {});
+        commit(transaction, urgency, locks, onSuccess, result -> {});
     }
 
     /**
@@ -90,16 +90,16 @@
      * when our replica shows it.
      */
     public void commit(
-            StoreClient.Transaction txn,
+            StoreClient.Transaction transaction,
             StoreClient.CallPriority urgency,
             Collection<String> locks,
             Runnable onSuccess,
             Consumer<StoreClient.Result> after) {
         locked.addAll(locks);
-        store.commit(txn, urgency, () -> isCurrent(txn), result -> {
+        store.commit(transaction, urgency, () -> isCurrent(transaction), result -> {
             if (result.ok()) {
                 onSuccess.run();
-                replica.committed(txn, result.edition());
+                replica.applyCommitted(transaction, result.revision());
                 after.accept(result);
                 unlock(locks);
                 return;
@@ -109,7 +109,7 @@
                 case CONFLICT -> lockUntilCaughtUp(result, locks);
                 case STALE -> unlock(locks);
                 case REJECTED -> {
-                    boolean shorterFormHelps = !limitsLowered && largestValue(txn) > nextValueBytes;
+                    boolean shorterFormHelps = !limitsLowered && largestValue(transaction) > nextValueBytes;
                     limitsLowered |= shorterFormHelps;
                     loop.after(shorterFormHelps ? RETRY : REJECTED_RETRY, () -> unlock(locks));
                 }
@@ -119,10 +119,10 @@
     }
 
     /** Whether our replica still holds what the transaction was decided on; what others have changed would fail it. */
-    private boolean isCurrent(StoreClient.Transaction txn) {
-        for (Map.Entry<String, Long> guard : txn.guarded().entrySet()) {
+    private boolean isCurrent(StoreClient.Transaction transaction) {
+        for (Map.Entry<String, Long> guard : transaction.requiredRevisions().entrySet()) {
             String key = guard.getKey();
-            if (key.startsWith(Keys.REPLICATED) && replica.stamp(key) != guard.getValue()) {
+            if (key.startsWith(Keys.REPLICATED) && replica.modRevision(key) != guard.getValue()) {
                 return false;
             }
         }
@@ -134,9 +134,9 @@
         wake.run();
     }
 
-    private static int largestValue(StoreClient.Transaction txn) {
+    private static int largestValue(StoreClient.Transaction transaction) {
         int largest = 0;
-        for (JsonElement value : txn.values()) {
+        for (JsonElement value : transaction.values()) {
             if (value != null) {
                 largest = Math.max(largest, value.toString().getBytes(StandardCharsets.UTF_8).length);
             }
@@ -154,6 +154,6 @@
         }
         keys.removeIf(k -> !locks.contains(k) && locked.contains(k));
         locked.addAll(keys);
-        awaitedEditions.add(new AwaitedRevision(result.edition(), loop.now().plus(REPLICA_PATIENCE), keys));
+        awaitedRevisions.add(new AwaitedRevision(result.revision(), loop.now().plus(REPLICA_PATIENCE), keys));
     }
 }
--- a/src/main/java/org/havenford/storage/StoreClient.java
+++ b/src/main/java/org/havenford/storage/StoreClient.java
@@ -80,7 +80,7 @@
         }
 
         /** The store's edition that the response names, or 0. */
-        public long edition() {
+        public long revision() {
             try {
                 return body == null ? 0 : Json.countOr(body, "edition", 0);
             } catch (Json.BadMessage e) {
@@ -91,36 +91,36 @@
 
     /** A guarded transaction. */
     public static final class Transaction {
-        private final JsonArray guards = new JsonArray();
-        private final JsonArray writes = new JsonArray();
-        private final Map<String, Long> guarded = new LinkedHashMap<>();
+        private final JsonArray conditionCount = new JsonArray();
+        private final JsonArray operationCount = new JsonArray();
+        private final Map<String, Long> requiredRevisions = new LinkedHashMap<>();
         private final List<String> keys = new ArrayList<>();
         private final List<JsonElement> values = new ArrayList<>();
 
         /** Adds a condition: the key has this stamp; 0 means that it does not exist. */
-        public Transaction guard(String key, long stamp) {
+        public Transaction requireRevision(String key, long stamp) {
             JsonObject g = new JsonObject();
             g.addProperty("k", key);
             g.addProperty("stamp", stamp);
-            guards.add(g);
-            guarded.put(key, stamp);
+            conditionCount.add(g);
+            requiredRevisions.put(key, stamp);
             return this;
         }
 
         /** Adds a change that sets a key. */
-        public Transaction set(String key, JsonElement value) {
-            return set(key, value, 0);
+        public Transaction put(String key, JsonElement value) {
+            return put(key, value, 0);
         }
 
         /** Adds a change that sets a key and attaches it to a lease. */
-        public Transaction set(String key, JsonElement value, long permit) {
+        public Transaction put(String key, JsonElement value, long permit) {
             JsonObject w = new JsonObject();
             w.addProperty("set", key);
             w.add("v", value);
             if (permit != 0) {
                 w.addProperty("permit", permit);
             }
-            writes.add(w);
+            operationCount.add(w);
             keys.add(key);
             values.add(value);
             return this;
@@ -130,25 +130,25 @@
         public Transaction delete(String key) {
             JsonObject w = new JsonObject();
             w.addProperty("delete", key);
-            writes.add(w);
+            operationCount.add(w);
             keys.add(key);
             values.add(null);
             return this;
         }
 
         /** Number of changes. */
-        public int writes() {
-            return writes.size();
+        public int operationCount() {
+            return operationCount.size();
         }
 
         /** Guarded keys, and the stamps that they must have. */
-        public Map<String, Long> guarded() {
-            return guarded;
+        public Map<String, Long> requiredRevisions() {
+            return requiredRevisions;
         }
 
         /** Number of conditions. */
-        public int guards() {
-            return guards.size();
+        public int conditionCount() {
+            return conditionCount.size();
         }
 
         /** Keys that are changed, in order. */
@@ -162,10 +162,10 @@
         }
 
         String text() {
-            JsonObject o = new JsonObject();
-            o.add("guards", guards);
-            o.add("writes", writes);
-            return o.toString();
+            JsonObject json = new JsonObject();
+            json.add("guards", conditionCount);
+            json.add("writes", operationCount);
+            return json.toString();
         }
     }
 
@@ -238,7 +238,7 @@
         this.requests = new TokenBucket(rps, 0.5, loop.now());
         this.changes = new TokenBucket(writeRps, 0.8, loop.now());
         this.adjusted = loop.now();
-        share(sharers);
+        divideBudgetAmong(sharers);
         for (int i = 0; i < CallPriority.values().length; i++) {
             queues.add(new ArrayDeque<>());
         }
@@ -250,7 +250,7 @@
     }
 
     /** Divides the service's limits among the controllers that are alive. */
-    public void share(int among) {
+    public void divideBudgetAmong(int among) {
         sharers = Math.max(1, among);
         shares = Math.min(shares, sharers);
         applyShare();
@@ -295,17 +295,17 @@
     }
 
     /** Requests and changes of one controller that leave the others theirs, a second. */
-    public double evenRequestRate() {
+    public double evenShareOfRequests() {
         return rps * SAFETY / sharers;
     }
 
     /** Whether work waits for the service's limits. */
-    public boolean pressed() {
+    public boolean underPressure() {
         return queued(CallPriority.WORK) > 2 || queued(CallPriority.CLAIM) > 2 || !changes.has(2, loop.now());
     }
 
     /** What was asked since the last call, for the log. */
-    public String tally() {
+    public String statistics() {
         StringBuilder text = new StringBuilder("requests");
         for (CallPriority u : CallPriority.values()) {
             text.append(' ')
@@ -361,25 +361,35 @@
     }
 
     /** Commits a transaction. */
-    public void commit(Transaction txn, CallPriority urgency, Consumer<Result> done) {
-        commit(txn, urgency, StoreClient::alwaysCurrent, done);
+    public void commit(Transaction transaction, CallPriority urgency, Consumer<Result> done) {
+        commit(transaction, urgency, StoreClient::alwaysCurrent, done);
     }
 
     /**
      * Commits a transaction that may have to wait for its turn. If {@code current} then says that its guards are known to
      * fail, it is not sent and its outcome is {@code STALE}: a conflict would cost as many changes as a success.
      */
-    public void commit(Transaction txn, CallPriority urgency, BooleanSupplier current, Consumer<Result> done) {
+    public void commit(Transaction transaction, CallPriority urgency, BooleanSupplier current, Consumer<Result> done) {
         Instant until = loop.now().plus(patience(urgency));
-        Consumer<Result> told = commitObserver == null || txn.writes() == 0 ? done : observed(txn, done);
-        submit(new PendingCall(urgency, until, "POST", "/multi", txn.text(), txn.writes(), TIMEOUT, current, told));
-    }
-
-    private Consumer<Result> observed(Transaction txn, Consumer<Result> done) {
+        Consumer<Result> told =
+                commitObserver == null || transaction.operationCount() == 0 ? done : observed(transaction, done);
+        submit(new PendingCall(
+                urgency,
+                until,
+                "POST",
+                "/multi",
+                transaction.text(),
+                transaction.operationCount(),
+                TIMEOUT,
+                current,
+                told));
+    }
+
+    private Consumer<Result> observed(Transaction transaction, Consumer<Result> done) {
         CommitObserver observer = commitObserver;
-        long number = observer.committing(txn.keys());
+        long number = observer.committing(transaction.keys());
         return result -> {
-            observer.finished(number, result.outcome(), result.ok() ? result.edition() : 0);
+            observer.finished(number, result.outcome(), result.ok() ? result.revision() : 0);
             done.accept(result);
         };
     }
@@ -530,10 +540,10 @@
     }
 
     /** By the kind of the keys that had changed, which is what a remedy starts from. */
-    private void countConflict(Result r) {
+    private void countConflict(Result result) {
         conflicts++;
         try {
-            for (String key : Json.texts(r.body, "failed")) {
+            for (String key : Json.texts(result.body, "failed")) {
                 int first = key.indexOf('/');
                 int second = key.indexOf('/', first + 1);
                 conflictsOf.merge(
--- a/src/main/java/org/havenford/storage/StoreReplica.java
+++ b/src/main/java/org/havenford/storage/StoreReplica.java
@@ -18,9 +18,9 @@
 public final class StoreReplica {
     private static final Logger LOG = LoggerFactory.getLogger(StoreReplica.class);
     /** A quiet store says after this long that nothing has changed; entitlement rests on hearing so. */
-    private static final Duration BLOCK = Duration.ofSeconds(2);
+    private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(2);
     /** Part of this controller's requests that go to reopening the watch. */
-    private static final double WATCHING = 0.25;
+    private static final double WATCH_SHARE = 0.25;
 
     /** Receives the changes of the mirrored keys. */
     public interface Listener {
@@ -31,7 +31,7 @@
         void loaded();
 
         /** A batch of changes has been told. */
-        void settled();
+        void changesApplied();
     }
 
     private final EventLoop loop;
@@ -39,10 +39,10 @@
     private final String prefix;
     private final Listener listener;
     /** Stamps of what we hold; negative for a key that was deleted at that stamp, until the watch has passed it. */
-    private final Object2LongOpenHashMap<String> stamps = new Object2LongOpenHashMap<>();
+    private final Object2LongOpenHashMap<String> modRevisions = new Object2LongOpenHashMap<>();
 
     private boolean loaded;
-    private long edition;
+    private long revision;
 
     /** A replica of the keys with the prefix; it is empty until started. */
     public StoreReplica(EventLoop loop, StoreClient store, String prefix, Listener listener) {
@@ -63,38 +63,38 @@
     }
 
     /** Everything up to here has been told; our own transactions may have been told earlier than that. */
-    public long edition() {
-        return edition;
+    public long revision() {
+        return revision;
     }
 
     /** Stamp of a key in this replica; 0 if the key does not exist. */
-    public long stamp(String key) {
-        return Math.max(0, stamps.getLong(key));
+    public long modRevision(String key) {
+        return Math.max(0, modRevisions.getLong(key));
     }
 
     private void load(String after, long first, Object2LongOpenHashMap<String> seen) {
-        store.list(prefix, after, r -> {
-            if (!r.ok()) {
+        store.list(prefix, after, result -> {
+            if (!result.ok()) {
                 loop.after(Duration.ofMillis(200), () -> load(after, first, seen));
                 return;
             }
             try {
                 // The watch starts at the edition of the first page, so that whatever changes while the pages are
                 // being read is told again, in order.
-                long from = after == null ? r.edition() : first;
+                long from = after == null ? result.revision() : first;
                 String last = null;
-                for (JsonObject item : Json.objects(r.body(), "items")) {
+                for (JsonObject item : Json.objects(result.body(), "items")) {
                     last = Json.text(item, "k");
                     long stamp = Json.count(item, "stamp");
                     seen.put(last, stamp);
                     apply(last, item.get("v"), stamp);
                 }
-                if (Json.flagOr(r.body(), "truncated", false) && last != null) {
+                if (Json.flagOr(result.body(), "truncated", false) && last != null) {
                     load(last, from, seen);
                     return;
                 }
                 dropUnseen(seen, from);
-                edition = from;
+                revision = from;
                 watch();
             } catch (Json.BadMessage e) {
                 LOG.warn("state service: a page of keys could not be read: {}", e.getMessage());
@@ -105,8 +105,8 @@
 
     /** After a second reading: keys that are gone meanwhile. */
     private void dropUnseen(Object2LongOpenHashMap<String> seen, long from) {
-        for (String key : List.copyOf(stamps.keySet())) {
-            long stamp = stamps.getLong(key);
+        for (String key : List.copyOf(modRevisions.keySet())) {
+            long stamp = modRevisions.getLong(key);
             if (stamp > 0 && stamp <= from && !seen.containsKey(key)) {
                 apply(key, null, from);
             }
@@ -116,19 +116,19 @@
     private void watch() {
         // Pages are read one after the other, so what they show together may never have been: only after the first
         // watch has told what changed meanwhile is the copy one that once was true.
-        store.watch(prefix, edition, loaded ? BLOCK : Duration.ZERO, r -> {
-            if (r.outcome() == StoreClient.Outcome.REJECTED) {
+        store.watch(prefix, revision, loaded ? WATCH_TIMEOUT : Duration.ZERO, result -> {
+            if (result.outcome() == StoreClient.Outcome.REJECTED) {
                 loaded = false;
                 start();
                 return;
             }
-            if (!r.ok()) {
+            if (!result.ok()) {
                 loop.after(Duration.ofMillis(200), this::watch);
                 return;
             }
             try {
                 boolean any = false;
-                for (JsonObject event : Json.objects(r.body(), "log")) {
+                for (JsonObject event : Json.objects(result.body(), "log")) {
                     long stamp = Json.count(event, "stamp");
                     if (Json.has(event, "set")) {
                         apply(Json.text(event, "set"), event.get("v"), stamp);
@@ -137,7 +137,7 @@
                     }
                     any = true;
                 }
-                edition = Math.max(edition, r.edition());
+                revision = Math.max(revision, result.revision());
                 forgetTombstones();
                 if (!loaded) {
                     loaded = true;
@@ -145,9 +145,9 @@
                     any = true;
                 }
                 if (any) {
-                    listener.settled();
+                    listener.changesApplied();
                 }
-                loop.after(gap(), this::watch);
+                loop.after(watchInterval(), this::watch);
             } catch (Json.BadMessage e) {
                 LOG.warn("state service: changes could not be read: {}", e.getMessage());
                 loop.after(Duration.ofMillis(500), this::watch);
@@ -156,36 +156,37 @@
     }
 
     /** A watch returns with each change, and each opening is a request: changes are gathered for as long as it takes. */
-    private Duration gap() {
-        return Duration.ofMillis((long) Math.max(20, Math.min(2000, 1000 / (WATCHING * store.evenRequestRate()))));
+    private Duration watchInterval() {
+        return Duration.ofMillis(
+                (long) Math.max(20, Math.min(2000, 1000 / (WATCH_SHARE * store.evenShareOfRequests()))));
     }
 
     private void forgetTombstones() {
         ObjectIterator<it.unimi.dsi.fastutil.objects.Object2LongMap.Entry<String>> it =
-                stamps.object2LongEntrySet().iterator();
+                modRevisions.object2LongEntrySet().iterator();
         while (it.hasNext()) {
             long stamp = it.next().getLongValue();
-            if (stamp < 0 && -stamp <= edition) {
+            if (stamp < 0 && -stamp <= revision) {
                 it.remove();
             }
         }
     }
 
     private void apply(String key, JsonElement value, long stamp) {
-        if (stamp <= Math.abs(stamps.getLong(key))) {
+        if (stamp <= Math.abs(modRevisions.getLong(key))) {
             return;
         }
-        stamps.put(key, value == null ? -stamp : stamp);
+        modRevisions.put(key, value == null ? -stamp : stamp);
         listener.changed(key, value, stamp);
     }
 
     /** Applies what one of our own transactions has changed, without waiting for the watch. */
-    public void committed(StoreClient.Transaction txn, long stamp) {
-        for (int i = 0; i < txn.keys().size(); i++) {
-            if (txn.keys().get(i).startsWith(prefix)) {
-                apply(txn.keys().get(i), txn.values().get(i), stamp);
+    public void applyCommitted(StoreClient.Transaction transaction, long stamp) {
+        for (int i = 0; i < transaction.keys().size(); i++) {
+            if (transaction.keys().get(i).startsWith(prefix)) {
+                apply(transaction.keys().get(i), transaction.values().get(i), stamp);
             }
         }
-        listener.settled();
+        listener.changesApplied();
     }
 }
--- a/src/main/java/org/havenford/storage/records/Claim.java
+++ b/src/main/java/org/havenford/storage/records/Claim.java
@@ -7,7 +7,8 @@
  * One attempt of a task, bound to a session of a machine. It holds until a release says otherwise. {@code account} is the
  * controller whose share of the team's limit it is charged to; empty where the team has no limit.
  */
-public record Claim(TaskId task, long attempt, String machine, long session, Instant at, String account) {
+public record Claim(
+        TaskId task, long attempt, String machine, long incarnation, Instant claimedAt, String quotaHolder) {
     /** Claims are looked up often; those of different attempts are what is to be told apart. */
     @Override
     public int hashCode() {
@@ -18,10 +19,10 @@
     public boolean equals(Object other) {
         return other instanceof Claim claim
                 && attempt == claim.attempt
-                && session == claim.session
+                && incarnation == claim.incarnation
                 && task.equals(claim.task)
                 && machine.equals(claim.machine)
-                && at.equals(claim.at)
-                && account.equals(claim.account);
+                && claimedAt.equals(claim.claimedAt)
+                && quotaHolder.equals(claim.quotaHolder);
     }
 }
--- a/src/main/java/org/havenford/storage/records/FinalState.java
+++ b/src/main/java/org/havenford/storage/records/FinalState.java
@@ -5,7 +5,7 @@
 import org.havenford.protocol.Json;
 
 /**
- * How a job ended. It is stored once, under {@link Keys#end}, and never changes.
+ * How a job ended. It is stored once, under {@link Keys#finalState}, and never changes.
  *
  * @param endedAt when the job ended, or null where the store does not say: it is written only for jobs that others await
  */
@@ -20,7 +20,7 @@
         /** All tasks are done. */
         DONE("done"),
         /** The job, or one that it needs, was cancelled. */
-        WITHDRAWN("withdrawn");
+        CANCELLED("withdrawn");
 
         private final String stored;
 
@@ -57,7 +57,7 @@
 
     /** Reads a stored value of this version or of an earlier one. */
     public static FinalState parse(JsonObject value) throws Json.BadMessage {
-        Status status = Json.text(value, STATUS).equals(Status.DONE.text()) ? Status.DONE : Status.WITHDRAWN;
+        Status status = Json.text(value, STATUS).equals(Status.DONE.text()) ? Status.DONE : Status.CANCELLED;
         Instant endedAt = Json.has(value, ENDED_AT) ? Instant.ofEpochMilli(Json.count(value, ENDED_AT)) : null;
         return new FinalState(status, (int) Json.countOr(value, TASKS, 0), endedAt);
     }
