--- a/src/main/java/org/havenford/storage/records/Job.java
+++ b/src/main/java/org/havenford/storage/records/Job.java
@@ -14,20 +14,20 @@
 public final class Job {
     private static final int LEAST_CHUNK = 16;
     private final JobSpec spec;
-    private final Instant submitted;
-    private final int chunkSize;
+    private final Instant submittedAt;
+    private final int taskRangeSize;
     private final boolean cancelled;
     /** When all that the job awaits was found to be done in the store; null while it waits, or where it awaits nothing. */
-    private final Instant ready;
+    private final Instant dependenciesDoneAt;
 
-    private final TaskRange[] chunks;
+    private final TaskRange[] taskRanges;
     private int done;
     private int claimed;
     private int errors;
     /** Middles of the phases, worked out when asked for after a change. */
     private boolean mediansKnown;
 
-    private Duration medianFetch;
+    private Duration medianPull;
     private Duration medianRun;
 
     /** A job that was just accepted, or one that awaits no other. */
@@ -36,24 +36,24 @@
     }
 
     private Job(JobSpec spec, Instant submitted, int chunkSize, boolean cancelled, Instant ready) {
-        this.ready = ready;
+        this.dependenciesDoneAt = ready;
         this.spec = spec;
-        this.submitted = submitted;
-        this.chunkSize = chunkSize;
+        this.submittedAt = submitted;
+        this.taskRangeSize = chunkSize;
         this.cancelled = cancelled;
-        this.chunks = new TaskRange[(spec.tasks() + chunkSize - 1) / chunkSize];
+        this.taskRanges = new TaskRange[(spec.taskCount() + chunkSize - 1) / chunkSize];
     }
 
     /** Tasks per key, so that a full chunk stays within the value limit. */
-    public static int chunkSize(int valueBytes) {
+    public static int taskRangeSize(int valueBytes) {
         // Small values take more tasks than full records would allow: those are written in the short form.
         return Math.max(Math.min(32, (valueBytes - 250) / 56), Math.max(4, Math.min(64, (valueBytes - 600) / 130)));
     }
 
     /** Keys for the controllers to share a job by, none so small that a write says little. */
-    public static int chunkSize(int valueBytes, int tasks, int controllers, boolean scarceChanges) {
+    public static int taskRangeSize(int valueBytes, int tasks, int controllers, boolean scarceChanges) {
         int even = (tasks + controllers - 1) / Math.max(1, controllers);
-        return Math.min(chunkSize(valueBytes), Math.max(scarceChanges ? 2 * LEAST_CHUNK : LEAST_CHUNK, even));
+        return Math.min(taskRangeSize(valueBytes), Math.max(scarceChanges ? 2 * LEAST_CHUNK : LEAST_CHUNK, even));
     }
 
     /** The job as its user described it. */
@@ -67,8 +67,8 @@
     }
 
     /** When the job was accepted, by the clock of the controller that accepted it. */
-    public Instant submitted() {
-        return submitted;
+    public Instant submittedAt() {
+        return submittedAt;
     }
 
     /** Whether the job's cancellation was confirmed to its user. */
@@ -77,61 +77,61 @@
     }
 
     /** Whether jobs that this one needs are not known to be done: then none of its tasks may be claimed. */
-    public boolean waiting() {
-        return ready == null && !spec.awaits().isEmpty();
+    public boolean awaitsDependencies() {
+        return dependenciesDoneAt == null && !spec.dependencies().isEmpty();
     }
 
     /** From when on the job could start: its times count from here, its deadline from the submission. */
-    public Instant released() {
-        return ready == null ? submitted : ready;
+    public Instant releasedAt() {
+        return dependenciesDoneAt == null ? submittedAt : dependenciesDoneAt;
     }
 
     /** Number of records that hold the job's tasks. */
-    public int chunkCount() {
-        return chunks.length;
+    public int taskRangeCount() {
+        return taskRanges.length;
     }
 
     /** Index of the record that holds a task. */
-    public int chunkOf(int task) {
-        return task / chunkSize;
+    public int taskRangeIndex(int task) {
+        return task / taskRangeSize;
     }
 
     /** The chunk, or null when none of its tasks was ever claimed. */
-    public TaskRange stored(int index) {
-        return chunks[index];
+    public TaskRange storedTaskRange(int index) {
+        return taskRanges[index];
     }
 
     /** The record, a fresh one if none of its tasks was ever claimed. */
-    public TaskRange chunk(int index) {
-        return chunks[index] == null ? fresh(index) : chunks[index];
+    public TaskRange taskRange(int index) {
+        return taskRanges[index] == null ? emptyTaskRange(index) : taskRanges[index];
     }
 
     /** A record in which no task was ever claimed. */
-    public TaskRange fresh(int index) {
-        int first = index * chunkSize;
-        return new TaskRange(id(), first, Math.min(chunkSize, spec.tasks() - first));
+    public TaskRange emptyTaskRange(int index) {
+        int first = index * taskRangeSize;
+        return new TaskRange(id(), first, Math.min(taskRangeSize, spec.taskCount() - first));
     }
 
     /** Puts a record in place of the one before; null if it was deleted. */
-    public void replace(int index, TaskRange chunk) {
-        count(chunks[index], -1);
-        chunks[index] = chunk;
-        count(chunk, 1);
+    public void replace(int index, TaskRange taskRange) {
+        count(taskRanges[index], -1);
+        taskRanges[index] = taskRange;
+        count(taskRange, 1);
         mediansKnown = false;
     }
 
-    private void count(TaskRange c, int sign) {
-        if (c != null) {
-            done += sign * c.doneCount();
-            claimed += sign * c.claims().size();
-            errors += sign * c.errors();
+    private void count(TaskRange taskRange, int sign) {
+        if (taskRange != null) {
+            done += sign * taskRange.doneCount();
+            claimed += sign * taskRange.claims().size();
+            errors += sign * taskRange.errors();
         }
     }
 
     /** The claim of a task, or null. */
     public Claim claim(int task) {
-        TaskRange c = task < spec.tasks() ? chunks[chunkOf(task)] : null;
-        return c == null ? null : c.claim(task);
+        TaskRange taskRange = task < spec.taskCount() ? taskRanges[taskRangeIndex(task)] : null;
+        return taskRange == null ? null : taskRange.claim(task);
     }
 
     /** Number of tasks that are done. */
@@ -142,9 +142,9 @@
     /** All claims of the job's tasks. */
     public List<Claim> claims() {
         List<Claim> out = new ArrayList<>();
-        for (TaskRange c : chunks) {
-            if (c != null) {
-                out.addAll(c.claims());
+        for (TaskRange taskRange : taskRanges) {
+            if (taskRange != null) {
+                out.addAll(taskRange.claims());
             }
         }
         return out;
@@ -157,7 +157,7 @@
 
     /** Number of tasks that are neither done nor claimed. */
     public int pendingCount() {
-        return spec.tasks() - done - claimed;
+        return spec.taskCount() - done - claimed;
     }
 
     /** Failures since the last success, summed over the records. */
@@ -166,9 +166,9 @@
     }
 
     /** The middle of the tasks' fetches, or null while there are none. */
-    public Duration medianFetch() {
+    public Duration medianPull() {
         findMedians();
-        return medianFetch;
+        return medianPull;
     }
 
     /** The middle of the tasks' runs, or null while there are none. */
@@ -180,16 +180,16 @@
     private void findMedians() {
         if (!mediansKnown) {
             mediansKnown = true;
-            medianFetch = median(TaskRange::fetches);
-            medianRun = median(TaskRange::runs);
+            medianPull = median(TaskRange::pullDurations);
+            medianRun = median(TaskRange::runDurations);
         }
     }
 
     private Duration median(Function<TaskRange, IntArrayList> durations) {
         IntArrayList all = new IntArrayList();
-        for (TaskRange c : chunks) {
-            if (c != null) {
-                all.addAll(durations.apply(c));
+        for (TaskRange taskRange : taskRanges) {
+            if (taskRange != null) {
+                all.addAll(durations.apply(taskRange));
             }
         }
         if (all.isEmpty()) {
@@ -202,36 +202,36 @@
     }
 
     /** When the job should be done; jobs without a deadline get none. */
-    public Instant due() {
-        return spec.deadline() == null ? null : submitted.plus(spec.deadline());
+    public Instant deadline() {
+        return spec.deadline() == null ? null : submittedAt.plus(spec.deadline());
     }
 
     /** The stored header, cancelled or not. */
     public JsonObject header(boolean withCancel) {
-        JsonObject o = spec.toJson();
-        o.addProperty("_at", submitted.toEpochMilli());
-        o.addProperty("_chunk", chunkSize);
+        JsonObject json = spec.toJson();
+        json.addProperty("_at", submittedAt.toEpochMilli());
+        json.addProperty("_chunk", taskRangeSize);
         if (withCancel) {
-            o.addProperty("_cancelled", true);
+            json.addProperty("_cancelled", true);
         }
-        if (ready != null) {
-            o.addProperty("_ready", ready.toEpochMilli());
+        if (dependenciesDoneAt != null) {
+            json.addProperty("_ready", dependenciesDoneAt.toEpochMilli());
         }
-        return o;
+        return json;
     }
 
     /** The header that lets the job's tasks be claimed. */
     public JsonObject readyHeader(Instant at) {
-        return new Job(spec, submitted, chunkSize, cancelled, at).header(cancelled);
+        return new Job(spec, submittedAt, taskRangeSize, cancelled, at).header(cancelled);
     }
 
     /** Reads a stored header of this version or of an earlier one. */
-    public static Job parse(JsonObject o) throws Json.BadMessage {
+    public static Job parse(JsonObject json) throws Json.BadMessage {
         return new Job(
-                JobSpec.parse(o),
-                Instant.ofEpochMilli(Json.count(o, "_at")),
-                (int) Math.max(1, Json.count(o, "_chunk")),
-                Json.flagOr(o, "_cancelled", false),
-                Json.has(o, "_ready") ? Instant.ofEpochMilli(Json.count(o, "_ready")) : null);
+                JobSpec.parse(json),
+                Instant.ofEpochMilli(Json.count(json, "_at")),
+                (int) Math.max(1, Json.count(json, "_chunk")),
+                Json.flagOr(json, "_cancelled", false),
+                Json.has(json, "_ready") ? Instant.ofEpochMilli(Json.count(json, "_ready")) : null);
     }
 }
--- a/src/main/java/org/havenford/storage/records/Keys.java
+++ b/src/main/java/org/havenford/storage/records/Keys.java
@@ -11,9 +11,9 @@
     public static final String MACHINES = "live/machine/";
     public static final String MACHINE_STATUSES = "live/heard/";
     public static final String TEAMS = "live/team/";
-    public static final String BOOKINGS = "live/booking/";
-    public static final String CHALLENGES = "live/challenge/";
-    public static final String FINALS = "final/";
+    public static final String INSTANCE_REQUESTS = "live/booking/";
+    public static final String LIVENESS_PROBES = "live/challenge/";
+    public static final String FINAL_STATES = "final/";
 
     private Keys() {}
 
@@ -49,17 +49,17 @@
     }
 
     /** Key of the question to a suspected member whether it is alive. */
-    public static String challenge(String node) {
-        return CHALLENGES + node;
+    public static String livenessProbe(String node) {
+        return LIVENESS_PROBES + node;
     }
 
     /** Key of an intent to rent. */
-    public static String booking(String name) {
-        return BOOKINGS + name;
+    public static String instanceRequest(String name) {
+        return INSTANCE_REQUESTS + name;
     }
 
     /** Key of a job's final state. */
-    public static String end(String job) {
-        return FINALS + job;
+    public static String finalState(String job) {
+        return FINAL_STATES + job;
     }
 }
--- a/src/main/java/org/havenford/storage/records/MachineBatch.java
+++ b/src/main/java/org/havenford/storage/records/MachineBatch.java
@@ -16,7 +16,7 @@
 public record MachineBatch(
         String name, String type, String zone, boolean spot, Instant since, TreeMap<String, ServiceState> machines) {
     /** Most machines in one batch. */
-    public static final int MOST = 50;
+    public static final int MAX_MACHINES = 50;
 
     /** Whether a machine takes claims, or is on its way back to the cloud. */
     public enum ServiceState {
@@ -49,29 +49,29 @@
 
     /** The stored value. */
     public JsonObject toJson() {
-        JsonObject o = new JsonObject();
-        o.addProperty("t", type);
-        o.addProperty("z", zone);
-        o.addProperty("b", spot);
-        o.addProperty("at", since.toEpochMilli());
+        JsonObject json = new JsonObject();
+        json.addProperty("t", type);
+        json.addProperty("z", zone);
+        json.addProperty("b", spot);
+        json.addProperty("at", since.toEpochMilli());
         JsonObject all = new JsonObject();
         machines.forEach((m, s) -> all.addProperty(m, s.name().toLowerCase(Locale.ROOT)));
-        o.add("m", all);
-        return o;
+        json.add("m", all);
+        return json;
     }
 
     /** Reads a stored value. */
-    public static MachineBatch parse(String name, JsonObject o) throws Json.BadMessage {
+    public static MachineBatch parse(String name, JsonObject json) throws Json.BadMessage {
         TreeMap<String, ServiceState> all = new TreeMap<>();
-        for (Map.Entry<String, JsonElement> e : Json.child(o, "m").entrySet()) {
+        for (Map.Entry<String, JsonElement> e : Json.child(json, "m").entrySet()) {
             all.put(e.getKey(), ServiceState.valueOf(e.getValue().getAsString().toUpperCase(Locale.ROOT)));
         }
         return new MachineBatch(
                 name,
-                Json.text(o, "t"),
-                Json.text(o, "z"),
-                Json.flagOr(o, "b", false),
-                Instant.ofEpochMilli(Json.count(o, "at")),
+                Json.text(json, "t"),
+                Json.text(json, "z"),
+                Json.flagOr(json, "b", false),
+                Instant.ofEpochMilli(Json.count(json, "at")),
                 all);
     }
 }
--- a/src/main/java/org/havenford/storage/records/MachineStatuses.java
+++ b/src/main/java/org/havenford/storage/records/MachineStatuses.java
@@ -29,17 +29,17 @@
     /** Names fewer images where they would not fit: a hint that is shorter is still true. */
     public JsonObject toJson(int valueBytes) {
         for (int images = MAX_IMAGES; images > 0; images--) {
-            JsonObject o = toJsonWith(images);
-            if (o.toString().length() <= valueBytes) {
-                return o;
+            JsonObject json = toJsonWith(images);
+            if (json.toString().length() <= valueBytes) {
+                return json;
             }
         }
         return toJsonWith(0);
     }
 
     private JsonObject toJsonWith(int maxImages) {
-        JsonObject o = new JsonObject();
-        o.addProperty("at", at.toEpochMilli());
+        JsonObject json = new JsonObject();
+        json.addProperty("at", at.toEpochMilli());
         List<String> names = new ArrayList<>();
         JsonObject all = new JsonObject();
         machines.forEach((machine, s) -> {
@@ -57,17 +57,17 @@
         });
         JsonArray images = new JsonArray();
         names.forEach(images::add);
-        o.add("i", images);
-        o.add("m", all);
-        return o;
+        json.add("i", images);
+        json.add("m", all);
+        return json;
     }
 
     /** Reads a stored value. */
-    public static MachineStatuses parse(JsonObject o) throws Json.BadMessage {
-        List<String> names = Json.texts(o, "i");
+    public static MachineStatuses parse(JsonObject json) throws Json.BadMessage {
+        List<String> names = Json.texts(json, "i");
         TreeMap<String, Status> all = new TreeMap<>();
         try {
-            for (Map.Entry<String, JsonElement> e : Json.child(o, "m").entrySet()) {
+            for (Map.Entry<String, JsonElement> e : Json.child(json, "m").entrySet()) {
                 JsonArray a = e.getValue().getAsJsonArray();
                 List<String> images = new ArrayList<>();
                 for (int i = 1; i < a.size(); i++) {
@@ -80,6 +80,6 @@
         } catch (IllegalStateException | IllegalArgumentException | IndexOutOfBoundsException e) {
             throw new Json.BadMessage("what was heard of machines can't be read");
         }
-        return new MachineStatuses(Instant.ofEpochMilli(Json.count(o, "at")), all);
+        return new MachineStatuses(Instant.ofEpochMilli(Json.count(json, "at")), all);
     }
 }
--- a/src/main/java/org/havenford/storage/records/TaskRange.java
+++ b/src/main/java/org/havenford/storage/records/TaskRange.java
@@ -34,9 +34,9 @@
     /** Tasks restarted for lateness, with the machine that each was late on. */
     private final Int2ObjectOpenHashMap<String> late = new Int2ObjectOpenHashMap<>();
     /** Durations of finished phases, in tenths of a second. */
-    private final IntArrayList fetches = new IntArrayList();
+    private final IntArrayList pullDurations = new IntArrayList();
 
-    private final IntArrayList runs = new IntArrayList();
+    private final IntArrayList runDurations = new IntArrayList();
     private int errors;
 
     /** A record of tasks that were never claimed. */
@@ -48,15 +48,15 @@
 
     /** An independent copy, to be changed and stored. */
     public TaskRange copy() {
-        TaskRange c = new TaskRange(job, first, size);
-        c.done.or(done);
-        c.claims.putAll(claims);
-        c.attempts.putAll(attempts);
-        c.late.putAll(late);
-        c.fetches.addAll(fetches);
-        c.runs.addAll(runs);
-        c.errors = errors;
-        return c;
+        TaskRange taskRange = new TaskRange(job, first, size);
+        taskRange.done.or(done);
+        taskRange.claims.putAll(claims);
+        taskRange.attempts.putAll(attempts);
+        taskRange.late.putAll(late);
+        taskRange.pullDurations.addAll(pullDurations);
+        taskRange.runDurations.addAll(runDurations);
+        taskRange.errors = errors;
+        return taskRange;
     }
 
     /** Number of tasks in this record. */
@@ -95,13 +95,13 @@
     }
 
     /** Durations of image fetches, in tenths of a second. */
-    public IntArrayList fetches() {
-        return fetches;
+    public IntArrayList pullDurations() {
+        return pullDurations;
     }
 
     /** Durations of runs, in tenths of a second. */
-    public IntArrayList runs() {
-        return runs;
+    public IntArrayList runDurations() {
+        return runDurations;
     }
 
     /** Failures since the last success. */
@@ -129,9 +129,9 @@
     public Claim claim(int task, String machine, long session, Instant at, String account) {
         long attempt = attempts.get(task) + 1;
         attempts.put(task, attempt);
-        Claim c = new Claim(new TaskId(job, task), attempt, machine, session, at, account);
-        claims.put(task, c);
-        return c;
+        Claim claim = new Claim(new TaskId(job, task), attempt, machine, session, at, account);
+        claims.put(task, claim);
+        return claim;
     }
 
     /** Marks a task as done; seconds are negative where they were not seen. */
@@ -141,18 +141,18 @@
         done.set(task - first);
         errors = 0;
         if (fetchSeconds >= 0) {
-            fetches.add((int) Math.round(fetchSeconds * 10));
+            pullDurations.add((int) Math.round(fetchSeconds * 10));
         }
         if (runSeconds >= 0) {
-            runs.add((int) Math.round(runSeconds * 10));
+            runDurations.add((int) Math.round(runSeconds * 10));
         }
     }
 
     /** Gives a claim up, so that the task can be claimed again. */
     public void release(int task, boolean forLateness, boolean failed) {
-        Claim c = claims.remove(task);
-        if (c != null && forLateness) {
-            late.put(task, c.machine());
+        Claim claim = claims.remove(task);
+        if (claim != null && forLateness) {
+            late.put(task, claim.machine());
         }
         if (failed) {
             errors = Math.min(1000, errors + 1);
@@ -168,28 +168,28 @@
         if (estimate() <= limit) {
             return toJson();
         }
-        JsonObject o = toJson();
-        if (o.toString().length() <= limit) {
-            return o;
+        JsonObject json = toJson();
+        if (json.toString().length() <= limit) {
+            return json;
         }
-        thin(fetches);
-        thin(runs);
-        o = toJson();
-        if (o.toString().length() <= limit) {
-            return o;
+        thin(pullDurations);
+        thin(runDurations);
+        json = toJson();
+        if (json.toString().length() <= limit) {
+            return json;
         }
         if (shortForm) {
-            o = toShortJson();
-            return o.toString().length() <= limit ? o : null;
+            json = toShortJson();
+            return json.toString().length() <= limit ? json : null;
         }
-        return o.toString().length() <= presentLimit ? o : null;
+        return json.toString().length() <= presentLimit ? json : null;
     }
 
     /** No less than the length of the usual form, without writing it. */
     private int estimate() {
-        int n = 100 + size / 2 + attempts.size() * 14 + 6 * (fetches.size() + runs.size());
-        for (Claim c : claims.values()) {
-            n += 48 + c.machine().length() + c.account().length();
+        int n = 100 + size / 2 + attempts.size() * 14 + 6 * (pullDurations.size() + runDurations.size());
+        for (Claim claim : claims.values()) {
+            n += 48 + claim.machine().length() + claim.quotaHolder().length();
         }
         for (String machine : late.values()) {
             n += 14 + machine.length();
@@ -210,32 +210,32 @@
 
     /** Claims as one text, with what they share said once; attempts only where a claim does not say them. */
     private JsonObject toShortJson() {
-        JsonObject o = toJson();
-        o.add("c", new JsonArray());
+        JsonObject json = toJson();
+        json.add("c", new JsonArray());
         List<String> accounts = new ArrayList<>();
         String prefix = null;
         long base = Long.MAX_VALUE;
-        for (Claim c : claims.values()) {
-            prefix = prefix == null ? c.machine() : Strings.commonPrefix(prefix, c.machine());
-            base = Math.min(base, c.at().toEpochMilli());
+        for (Claim claim : claims.values()) {
+            prefix = prefix == null ? claim.machine() : Strings.commonPrefix(prefix, claim.machine());
+            base = Math.min(base, claim.claimedAt().toEpochMilli());
         }
         StringBuilder text = new StringBuilder();
-        for (Claim c : claims.values()) {
-            if (!accounts.contains(c.account())) {
-                accounts.add(c.account());
+        for (Claim claim : claims.values()) {
+            if (!accounts.contains(claim.quotaHolder())) {
+                accounts.add(claim.quotaHolder());
             }
             text.append(text.isEmpty() ? "" : ";")
-                    .append(c.task().index() - first)
+                    .append(claim.task().index() - first)
                     .append(' ')
-                    .append(c.attempt())
+                    .append(claim.attempt())
                     .append(' ')
-                    .append(c.machine().substring(prefix.length()))
+                    .append(claim.machine().substring(prefix.length()))
                     .append(' ')
-                    .append(c.session())
+                    .append(claim.incarnation())
                     .append(' ')
-                    .append(c.at().toEpochMilli() - base)
+                    .append(claim.claimedAt().toEpochMilli() - base)
                     .append(' ')
-                    .append(accounts.indexOf(c.account()));
+                    .append(accounts.indexOf(claim.quotaHolder()));
         }
         JsonObject s = new JsonObject();
         s.addProperty("p", prefix == null ? "" : prefix);
@@ -244,15 +244,15 @@
         accounts.forEach(a::add);
         s.add("a", a);
         s.addProperty("c", text.toString());
-        o.add("s", s);
+        json.add("s", s);
         JsonObject n = new JsonObject();
         attempts.int2LongEntrySet().forEach(e -> {
             if (!claims.containsKey(e.getIntKey())) {
                 n.addProperty(Integer.toString(e.getIntKey()), e.getLongValue());
             }
         });
-        o.add("n", n);
-        return o;
+        json.add("n", n);
+        return json;
     }
 
     private void readShort(JsonObject s) throws Json.BadMessage {
@@ -262,56 +262,56 @@
         String text = Json.text(s, "c");
         for (String one : text.isEmpty() ? new String[0] : text.split(";")) {
             String[] w = one.split(" ", -1);
-            Claim c = new Claim(
+            Claim claim = new Claim(
                     new TaskId(job, first + Integer.parseInt(w[0])),
                     Long.parseLong(w[1]),
                     prefix + w[2],
                     Long.parseLong(w[3]),
                     Instant.ofEpochMilli(base + Long.parseLong(w[4])),
                     accounts.get(Integer.parseInt(w[5])));
-            claims.put(c.task().index(), c);
-            attempts.put(c.task().index(), c.attempt());
+            claims.put(claim.task().index(), claim);
+            attempts.put(claim.task().index(), claim.attempt());
         }
     }
 
     /** The usual form of the stored value, whatever its size. */
     public JsonObject toJson() {
-        JsonObject o = new JsonObject();
+        JsonObject json = new JsonObject();
         JsonArray d = new JsonArray();
         for (long word : done.toLongArray()) {
             d.add(Long.toHexString(word));
         }
-        o.add("d", d);
+        json.add("d", d);
         JsonArray c = new JsonArray();
         for (Claim claim : claims.values()) {
             JsonArray a = new JsonArray();
             a.add(claim.task().index());
             a.add(claim.attempt());
             a.add(claim.machine());
-            a.add(claim.session());
-            a.add(claim.at().toEpochMilli());
-            if (!claim.account().isEmpty()) {
-                a.add(claim.account());
+            a.add(claim.incarnation());
+            a.add(claim.claimedAt().toEpochMilli());
+            if (!claim.quotaHolder().isEmpty()) {
+                a.add(claim.quotaHolder());
             }
             c.add(a);
         }
-        o.add("c", c);
+        json.add("c", c);
         if (!attempts.isEmpty()) {
             JsonObject n = new JsonObject();
             attempts.int2LongEntrySet().forEach(e -> n.addProperty(Integer.toString(e.getIntKey()), e.getLongValue()));
-            o.add("n", n);
+            json.add("n", n);
         }
         if (!late.isEmpty()) {
             JsonObject l = new JsonObject();
             late.int2ObjectEntrySet().forEach(e -> l.addProperty(Integer.toString(e.getIntKey()), e.getValue()));
-            o.add("l", l);
+            json.add("l", l);
         }
-        o.add("f", numbers(fetches));
-        o.add("r", numbers(runs));
+        json.add("f", numbers(pullDurations));
+        json.add("r", numbers(runDurations));
         if (errors > 0) {
-            o.addProperty("x", errors);
+            json.addProperty("x", errors);
         }
-        return o;
+        return json;
     }
 
     private static JsonArray numbers(IntArrayList list) {
@@ -321,9 +321,9 @@
     }
 
     /** Fills this fresh chunk with what the store holds. */
-    public TaskRange read(JsonObject o) throws Json.BadMessage {
+    public TaskRange read(JsonObject json) throws Json.BadMessage {
         try {
-            List<String> words = Json.texts(o, "d");
+            List<String> words = Json.texts(json, "d");
             for (int w = 0; w < words.size(); w++) {
                 long bits = Long.parseUnsignedLong(words.get(w), 16);
                 for (int b = 0; b < 64; b++) {
@@ -332,41 +332,41 @@
                     }
                 }
             }
-            for (JsonElement e : Json.array(o, "c")) {
+            for (JsonElement e : Json.array(json, "c")) {
                 JsonArray a = e.getAsJsonArray();
-                Claim c = new Claim(
+                Claim claim = new Claim(
                         new TaskId(job, a.get(0).getAsInt()),
                         a.get(1).getAsLong(),
                         a.get(2).getAsString(),
                         a.get(3).getAsLong(),
                         Instant.ofEpochMilli(a.get(4).getAsLong()),
                         a.size() > 5 ? a.get(5).getAsString() : "");
-                claims.put(c.task().index(), c);
+                claims.put(claim.task().index(), claim);
             }
-            if (Json.has(o, "s")) {
-                readShort(Json.child(o, "s"));
+            if (Json.has(json, "s")) {
+                readShort(Json.child(json, "s"));
             }
-            if (Json.has(o, "n")) {
-                Json.child(o, "n")
+            if (Json.has(json, "n")) {
+                Json.child(json, "n")
                         .entrySet()
                         .forEach(e -> attempts.put(
                                 Integer.parseInt(e.getKey()), e.getValue().getAsLong()));
             }
-            if (Json.has(o, "l")) {
-                Json.child(o, "l")
+            if (Json.has(json, "l")) {
+                Json.child(json, "l")
                         .entrySet()
                         .forEach(e -> late.put(
                                 Integer.parseInt(e.getKey()), e.getValue().getAsString()));
             }
-            Json.array(o, "f").forEach(e -> fetches.add(e.getAsInt()));
-            Json.array(o, "r").forEach(e -> runs.add(e.getAsInt()));
+            Json.array(json, "f").forEach(e -> pullDurations.add(e.getAsInt()));
+            Json.array(json, "r").forEach(e -> runDurations.add(e.getAsInt()));
         } catch (IllegalStateException
                 | NumberFormatException
                 | UnsupportedOperationException
                 | IndexOutOfBoundsException e) {
             throw new Json.BadMessage("tasks of " + job + " can't be read");
         }
-        errors = (int) Json.countOr(o, "x", 0);
+        errors = (int) Json.countOr(json, "x", 0);
         return this;
     }
 }
--- a/src/main/java/org/havenford/storage/records/TeamQuota.java
+++ b/src/main/java/org/havenford/storage/records/TeamQuota.java
@@ -16,38 +16,38 @@
  */
 public final class TeamQuota {
     /** An amount of CPUs and cards. */
-    public record Resources(double cpus, double cards) {
+    public record Resources(double cpus, double gpus) {
         public static final Resources NONE = new Resources(0, 0);
         private static final double GRAIN = 1e-6;
 
         /** The sum. */
-        public Resources plus(Resources o) {
-            return new Resources(cpus + o.cpus, cards + o.cards);
+        public Resources plus(Resources other) {
+            return new Resources(cpus + other.cpus, gpus + other.gpus);
         }
 
         /** The difference. */
-        public Resources minus(Resources o) {
-            return new Resources(cpus - o.cpus, cards - o.cards);
+        public Resources minus(Resources other) {
+            return new Resources(cpus - other.cpus, gpus - other.gpus);
         }
 
         /** A multiple. */
         public Resources times(double n) {
-            return new Resources(cpus * n, cards * n);
+            return new Resources(cpus * n, gpus * n);
         }
 
         /** The smaller of both in each part. */
-        public Resources least(Resources o) {
-            return new Resources(Math.min(cpus, o.cpus), Math.min(cards, o.cards));
+        public Resources min(Resources other) {
+            return new Resources(Math.min(cpus, other.cpus), Math.min(gpus, other.gpus));
         }
 
         /** The larger of both in each part. */
-        public Resources most(Resources o) {
-            return new Resources(Math.max(cpus, o.cpus), Math.max(cards, o.cards));
+        public Resources max(Resources other) {
+            return new Resources(Math.max(cpus, other.cpus), Math.max(gpus, other.gpus));
         }
 
         /** Whether no part exceeds the other's. */
-        public boolean within(Resources o) {
-            return cpus <= o.cpus + GRAIN && cards <= o.cards + GRAIN;
+        public boolean within(Resources other) {
+            return cpus <= other.cpus + GRAIN && gpus <= other.gpus + GRAIN;
         }
     }
 
@@ -55,7 +55,7 @@
     private static final String SHORT = "short";
 
     private final TreeMap<String, Resources> shares = new TreeMap<>();
-    private final TreeSet<String> shortOf = new TreeSet<>();
+    private final TreeSet<String> starvedHolders = new TreeSet<>();
 
     /** The share of a controller. */
     public Resources share(String node) {
@@ -68,23 +68,23 @@
     }
 
     /** The sum of all shares. */
-    public Resources dealt() {
+    public Resources allocated() {
         Resources sum = Resources.NONE;
-        for (Resources a : shares.values()) {
-            sum = sum.plus(a);
+        for (Resources amount : shares.values()) {
+            sum = sum.plus(amount);
         }
         return sum;
     }
 
     /** Controllers whose share does not suffice. */
-    public Set<String> shortOf() {
-        return shortOf;
+    public Set<String> starvedHolders() {
+        return starvedHolders;
     }
 
     private TeamQuota copy() {
         TeamQuota q = new TeamQuota();
         q.shares.putAll(shares);
-        q.shortOf.addAll(shortOf);
+        q.starvedHolders.addAll(starvedHolders);
         return q;
     }
 
@@ -100,12 +100,12 @@
     }
 
     /** The same with a node named as short, or no longer. */
-    public TeamQuota withShort(String node, boolean isShort) {
+    public TeamQuota withStarved(String node, boolean isShort) {
         TeamQuota q = copy();
         if (isShort) {
-            q.shortOf.add(node);
+            q.starvedHolders.add(node);
         } else {
-            q.shortOf.remove(node);
+            q.starvedHolders.remove(node);
         }
         return q;
     }
@@ -113,25 +113,25 @@
     /** The stored value. */
     public JsonObject toJson() {
         JsonObject all = new JsonObject();
-        shares.forEach((node, a) -> {
+        shares.forEach((node, amount) -> {
             JsonArray pair = new JsonArray();
-            pair.add(a.cpus);
-            pair.add(a.cards);
+            pair.add(amount.cpus);
+            pair.add(amount.gpus);
             all.add(node, pair);
         });
         JsonArray names = new JsonArray();
-        shortOf.forEach(names::add);
-        JsonObject o = new JsonObject();
-        o.add(SHARES, all);
-        o.add(SHORT, names);
-        return o;
+        starvedHolders.forEach(names::add);
+        JsonObject json = new JsonObject();
+        json.add(SHARES, all);
+        json.add(SHORT, names);
+        return json;
     }
 
     /** Reads a stored value. */
-    public static TeamQuota parse(JsonObject o) throws Json.BadMessage {
+    public static TeamQuota parse(JsonObject json) throws Json.BadMessage {
         TeamQuota q = new TeamQuota();
         try {
-            for (Map.Entry<String, JsonElement> e : Json.child(o, SHARES).entrySet()) {
+            for (Map.Entry<String, JsonElement> e : Json.child(json, SHARES).entrySet()) {
                 JsonArray pair = e.getValue().getAsJsonArray();
                 q.shares.put(
                         e.getKey(),
@@ -140,7 +140,7 @@
         } catch (IllegalStateException | NumberFormatException | IndexOutOfBoundsException e) {
             throw new Json.BadMessage("shares of a limit can't be read");
         }
-        q.shortOf.addAll(Json.texts(o, SHORT));
+        q.starvedHolders.addAll(Json.texts(json, SHORT));
         return q;
     }
 }
--- a/src/test/java/org/havenford/coordination/GoldenCalls.java
+++ b/src/test/java/org/havenford/coordination/GoldenCalls.java
@@ -52,40 +52,42 @@
                 new TreeMap<>(Map.of("node-0", member.get("incarnation").getAsLong()));
         membership.viewChanged(new ClusterView(4, members, new TreeMap<>(), new TreeSet<>()).toJson(), 12);
         membership.memberChanged("node-0", member, 13);
-        return membership.allReadFormat2() + " " + membership.allReadEvictions();
+        return membership.allReadShortForm() + " " + membership.allSupportEvictions();
     }
 
     private Membership membership(Set<String> configured) {
-        ClusterState ledger = new ClusterState();
-        ledger.observer(new QuietObservertype());
-        replica = new StoreReplica(loop, store, Keys.REPLICATED, ledger);
+        ClusterState clusterState = new ClusterState();
+        clusterState.setObserver(new QuietObservertype());
+        replica = new StoreReplica(loop, store, Keys.REPLICATED, clusterState);
         return new Membership(loop, store, replica, "node-0", configured, Duration.ofSeconds(5), () -> {}, node -> 0);
     }
 
     private void plainCalls() {
         JsonObject value = new JsonObject();
         value.addProperty("x", 1);
-        make("get", () -> store.get("live/job/j-1", CallPriority.USER, r -> {}));
-        make("first-page", () -> store.list("live/", null, r -> {}));
-        make("next-page", () -> store.list("live/", "live/job/j-1", r -> {}));
-        make("watch", () -> store.watch("live/", 431, Duration.ofSeconds(2), r -> {}));
-        make("lease", () -> store.createLease(Duration.ofSeconds(5), r -> {}));
-        make("lease-renewal", () -> store.renewLease(7, r -> {}));
-        make("lease-end", () -> store.endLease(7, r -> {}));
+        make("get", () -> store.get("live/job/j-1", CallPriority.USER, result -> {}));
+        make("first-page", () -> store.list("live/", null, result -> {}));
+        make("next-page", () -> store.list("live/", "live/job/j-1", result -> {}));
+        make("watch", () -> store.watch("live/", 431, Duration.ofSeconds(2), result -> {}));
+        make("lease", () -> store.createLease(Duration.ofSeconds(5), result -> {}));
+        make("lease-renewal", () -> store.renewLease(7, result -> {}));
+        make("lease-end", () -> store.endLease(7, result -> {}));
         make(
                 "comparison",
                 () -> store.commit(
-                        new StoreClient.Transaction().guard("a", 0).guard("b", 7), CallPriority.USER, r -> {}));
+                        new StoreClient.Transaction().requireRevision("a", 0).requireRevision("b", 7),
+                        CallPriority.USER,
+                        result -> {}));
         make(
                 "transaction",
                 () -> store.commit(
                         new StoreClient.Transaction()
-                                .guard("a", 3)
-                                .set("a", value)
-                                .set("b", value, 7)
+                                .requireRevision("a", 3)
+                                .put("a", value)
+                                .put("b", value, 7)
                                 .delete("c"),
                         CallPriority.WORK,
-                        r -> {}));
+                        result -> {}));
     }
 
     private void evictions() {
@@ -100,10 +102,10 @@
             membership.memberChanged(node, member, 10 + incarnation);
         });
         MemberEvictions evictions = new MemberEvictions(loop, store, replica, membership, "node-0");
-        make("challenge", () -> evictions.challenge("node-1", 5, stamp -> {}));
-        JsonObject challenge = written("challenge", Keys.challenge("node-1"));
-        make("challenge-answer", () -> evictions.challengeChanged("node-0", challenge, 30));
-        make("challenge-withdrawal", () -> evictions.withdraw("node-1", 31));
+        make("challenge", () -> evictions.probe("node-1", 5, stamp -> {}));
+        JsonObject challenge = written("challenge", Keys.livenessProbe("node-1"));
+        make("challenge-answer", () -> evictions.livenessProbeChanged("node-0", challenge, 30));
+        make("challenge-withdrawal", () -> evictions.withdrawProbe("node-1", 31));
         make("eviction", () -> evictions.evict("node-1", 5, 32, evicted -> {}));
     }
 
--- a/src/test/java/org/havenford/coordination/monitoring/LinkMonitorTest.java
+++ b/src/test/java/org/havenford/coordination/monitoring/LinkMonitorTest.java
@@ -71,13 +71,13 @@
 
     @Test
     void noWorkerReports() {
-        links.reportArrived();
+        links.heartbeatArrived();
         for (int i = 0; i < 40; i++) {
             loop.pass(0.25);
             links.step(true);
         }
         assertTrue(links.isLost(LinkMonitor.Link.WORKERS));
-        links.reportArrived();
+        links.heartbeatArrived();
         assertFalse(links.isLost(LinkMonitor.Link.WORKERS));
     }
 
@@ -94,10 +94,10 @@
     /** While it stood still it could hear nobody: no link is lost for that. */
     @Test
     void aPauseLosesNoLink() {
-        links.reportArrived();
+        links.heartbeatArrived();
         call("s:1");
         loop.pass(40);
-        links.stoodStill(Duration.ofSeconds(40));
+        links.processPaused(Duration.ofSeconds(40));
         links.step(true);
         status = HttpCalls.NO_ANSWER;
         call("s:1");
--- a/src/test/java/org/havenford/coordination/monitoring/ProcessPauseDetectorTest.java
+++ b/src/test/java/org/havenford/coordination/monitoring/ProcessPauseDetectorTest.java
@@ -21,7 +21,7 @@
 
     @Test
     void aTimerAfterAPause() {
-        detector.eventBegins();
+        detector.eventStarted();
         detector.after(Duration.ofMillis(250), () -> happened.add("timer"));
         loop.pass(13);
         loop.timers.get(0).run();
@@ -30,7 +30,7 @@
 
     @Test
     void aReplyAfterAPause() {
-        detector.eventBegins();
+        detector.eventStarted();
         detector.call("state:1", "GET", "/", null, Duration.ofSeconds(2), replies::add);
         loop.pass(2);
         loop.timers.get(0).run();
@@ -41,20 +41,20 @@
     @Test
     void aBusyLoopIsNoPause() {
         for (int i = 0; i < 20; i++) {
-            detector.eventBegins();
+            detector.eventStarted();
             loop.pass(1.9);
         }
-        detector.eventBegins();
+        detector.eventStarted();
         assertEquals(List.of(), happened);
     }
 
     @Test
     void twoPausesInARow() {
-        detector.eventBegins();
+        detector.eventStarted();
         loop.pass(40);
-        detector.eventBegins();
+        detector.eventStarted();
         loop.pass(5);
-        detector.eventBegins();
+        detector.eventStarted();
         assertEquals(List.of("pause 40000", "pause 5000"), happened);
     }
 }
--- a/src/test/java/org/havenford/coordination/placement/PlacementRulesTest.java
+++ b/src/test/java/org/havenford/coordination/placement/PlacementRulesTest.java
@@ -24,19 +24,19 @@
 
     /** A job of two CPUs a task; {@code constraints} are fields of its submission. */
     private static JobSpec spec(int tasks, Map<String, Object> constraints) throws Exception {
-        JsonObject o = JobSamples.submission("j-1", tasks, 2);
-        o.addProperty("together", constraints.containsKey("together"));
-        o.addProperty("apart", constraints.containsKey("apart"));
-        o.addProperty("borrowed", !constraints.containsKey("ordinary"));
+        JsonObject json = JobSamples.submission("j-1", tasks, 2);
+        json.addProperty("together", constraints.containsKey("together"));
+        json.addProperty("apart", constraints.containsKey("apart"));
+        json.addProperty("borrowed", !constraints.containsKey("ordinary"));
         if (constraints.containsKey("zone")) {
-            o.addProperty("hall", (String) constraints.get("zone"));
+            json.addProperty("hall", (String) constraints.get("zone"));
         }
         if (constraints.containsKey("types")) {
             JsonArray types = new JsonArray();
             ((List<?>) constraints.get("types")).forEach(t -> types.add((String) t));
-            o.add("rigs", types);
+            json.add("rigs", types);
         }
-        return JobSpec.parse(o);
+        return JobSpec.parse(json);
     }
 
     private static TaskZones in(String... zones) {
--- a/src/test/java/org/havenford/coordination/provisioning/BootTimeEstimatorTest.java
+++ b/src/test/java/org/havenford/coordination/provisioning/BootTimeEstimatorTest.java
@@ -28,14 +28,14 @@
     private static final InstanceOffer ZONE_A = new InstanceOffer(new InstanceKind("large", true), "a");
     private static final InstanceOffer ZONE_B = new InstanceOffer(new InstanceKind("large", true), "b");
 
-    private final ClusterState ledger = new ClusterState();
-    private final BootTimeEstimator times = new BootTimeEstimator(ledger);
+    private final ClusterState clusterState = new ClusterState();
+    private final BootTimeEstimator times = new BootTimeEstimator(clusterState);
     private long stamp;
     private int batches;
 
     BootTimeEstimatorTest() {
-        ledger.observer(new QuietObservertype());
-        ledger.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
+        clusterState.setObserver(new QuietObservertype());
+        clusterState.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
     }
 
     private static Instant at(double second) {
@@ -48,21 +48,21 @@
         List<String> names =
                 IntStream.range(0, number).mapToObj(i -> batch + "-" + i).toList();
         MachineBatch rented = MachineBatch.of(batch, offer.kind().type(), offer.zone(), true, at(second), names);
-        ledger.changed(Keys.batch(batch), rented.toJson(), ++stamp);
+        clusterState.changed(Keys.batch(batch), rented.toJson(), ++stamp);
         return names;
     }
 
     private void up(String machine, double second) {
         TreeMap<String, MachineStatuses.Status> all =
                 new TreeMap<>(Map.of(machine, new MachineStatuses.Status(Condition.UP, List.of())));
-        ledger.changed(
+        clusterState.changed(
                 Keys.machineStatuses("n", batches + machine.hashCode()),
                 new MachineStatuses(at(second), all).toJson(8192),
                 ++stamp);
     }
 
     private boolean overdue(String machine) {
-        return times.isOverdue(ledger.machine(machine));
+        return times.isOverdue(clusterState.machine(machine));
     }
 
     @Test
@@ -72,9 +72,9 @@
         assertFalse(overdue(machine), "1.5 times its nominal time is usual");
         times.update(at(40));
         assertTrue(overdue(machine));
-        assertFalse(times.isGivenUp(ledger.machine(machine)));
+        assertFalse(times.isGivenUp(clusterState.machine(machine)));
         times.update(at(81));
-        assertTrue(times.isGivenUp(ledger.machine(machine)));
+        assertTrue(times.isGivenUp(clusterState.machine(machine)));
     }
 
     /** Where machines were seen to take longer, the next are waited for longer; in the other zone nothing has changed. */
@@ -117,7 +117,7 @@
     void aSuccessorJudgesAlike() {
         rent(ZONE_A, 0, 5);
         times.update(at(45));
-        BootTimeEstimator successor = new BootTimeEstimator(ledger);
+        BootTimeEstimator successor = new BootTimeEstimator(clusterState);
         successor.update(at(45));
         assertTrue(successor.isTroubled(ZONE_A));
         assertEquals(times.overdue(), successor.overdue());
--- a/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
@@ -31,13 +31,13 @@
             + "\"state\":{\"rps\":300,\"write_rps\":150,\"value_kb\":8,\"txn_ops\":12},"
             + "\"cloud\":{\"rps\":5,\"list_lag_s\":4}}}";
 
-    private final ClusterState ledger = new ClusterState();
-    private final MachineFaultDetector evidence = new MachineFaultDetector(ledger);
+    private final ClusterState clusterState = new ClusterState();
+    private final MachineFaultDetector faultDetector = new MachineFaultDetector(clusterState);
     private long stamp;
 
     FailingJobBackoffTest() {
-        ledger.observer(new QuietObservertype());
-        ledger.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
+        clusterState.setObserver(new QuietObservertype());
+        clusterState.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
     }
 
     private Job submit(String id, String urgency, int submittedAgo) {
@@ -45,20 +45,20 @@
         header.addProperty("urgency", urgency);
         header.addProperty("_at", NOW.minusSeconds(submittedAgo).toEpochMilli());
         header.addProperty("_chunk", 16);
-        ledger.changed(Keys.job(id), header, ++stamp);
-        return ledger.job(id);
+        clusterState.changed(Keys.job(id), header, ++stamp);
+        return clusterState.job(id);
     }
 
     private void attempt(String id, int task, boolean succeeds) {
-        Job job = ledger.job(id);
-        TaskRange chunk = job.chunk(job.chunkOf(task)).copy();
-        chunk.claim(task, "host-1", 1, NOW, "");
+        Job job = clusterState.job(id);
+        TaskRange taskRange = job.taskRange(job.taskRangeIndex(task)).copy();
+        taskRange.claim(task, "host-1", 1, NOW, "");
         if (succeeds) {
-            chunk.finish(task, 1, 1);
+            taskRange.finish(task, 1, 1);
         } else {
-            chunk.release(task, false, true);
+            taskRange.release(task, false, true);
         }
-        ledger.changed(Keys.tasks(id, job.chunkOf(task)), chunk.toJson(), ++stamp);
+        clusterState.changed(Keys.tasks(id, job.taskRangeIndex(task)), taskRange.toJson(), ++stamp);
     }
 
     private void fail(String id, int times) {
@@ -73,7 +73,7 @@
         submit("j-1", "urgent", 300);
         submit("j-2", "low", 5);
         fail("j-1", 8);
-        JobOrder order = new JobOrder(ledger, PlatformSettings.parse(SETTINGS));
+        JobOrder order = new JobOrder(clusterState, PlatformSettings.parse(SETTINGS));
         int first = 0;
         for (int second = 0; second < 60; second++) {
             List<String> ids = order.order(NOW.plusSeconds(second)).jobs().stream()
@@ -88,30 +88,32 @@
     void oneTaskAtATimeUntilOneIsDone() {
         submit("j-1", "normal", 10);
         fail("j-1", 8);
-        assertTrue(FailingJobBackoff.isSuspect(ledger.job("j-1")));
-        assertEquals(1, FailingJobBackoff.mostClaims(ledger.job("j-1")));
+        assertTrue(FailingJobBackoff.isSuspect(clusterState.job("j-1")));
+        assertEquals(1, FailingJobBackoff.maxClaims(clusterState.job("j-1")));
         // A success in one record does not take back the failures noted in the other.
         attempt("j-1", 20, false);
         attempt("j-1", 21, false);
         attempt("j-1", 22, false);
         attempt("j-1", 1, true);
-        assertFalse(FailingJobBackoff.isSuspect(ledger.job("j-1")));
-        assertEquals(2, FailingJobBackoff.mostClaims(ledger.job("j-1")));
+        assertFalse(FailingJobBackoff.isSuspect(clusterState.job("j-1")));
+        assertEquals(2, FailingJobBackoff.maxClaims(clusterState.job("j-1")));
     }
 
     @Test
     void retriesBackOffPerJob() {
         FailingJobBackoff failing = new FailingJobBackoff();
         submit("j-1", "normal", 10);
-        assertFalse(failing.backsOff(ledger.job("j-1"), NOW));
+        assertFalse(failing.isBackingOff(clusterState.job("j-1"), NOW));
         fail("j-1", 8);
-        assertTrue(failing.backsOff(ledger.job("j-1"), NOW));
-        assertTrue(failing.backsOff(ledger.job("j-1"), NOW.plusSeconds(59)));
-        assertFalse(failing.backsOff(ledger.job("j-1"), NOW.plusSeconds(61)));
+        assertTrue(failing.isBackingOff(clusterState.job("j-1"), NOW));
+        assertTrue(failing.isBackingOff(clusterState.job("j-1"), NOW.plusSeconds(59)));
+        assertFalse(failing.isBackingOff(clusterState.job("j-1"), NOW.plusSeconds(61)));
         attempt("j-1", 20, true);
         attempt("j-1", 9, false);
-        assertTrue(failing.backsOff(ledger.job("j-1"), NOW.plusSeconds(61)));
-        assertFalse(failing.backsOff(ledger.job("j-1"), NOW.plusSeconds(66)), "a job that works waits a moment only");
+        assertTrue(failing.isBackingOff(clusterState.job("j-1"), NOW.plusSeconds(61)));
+        assertFalse(
+                failing.isBackingOff(clusterState.job("j-1"), NOW.plusSeconds(66)),
+                "a job that works waits a moment only");
     }
 
     /** Rentals: a dozen broken jobs ask for no more than two tasks' machines, and for one machine that none has tried. */
@@ -122,11 +124,11 @@
             fail("j-" + i, 8);
         }
         List<CapacityDemand.TaskDemand> demands =
-                CapacityDemand.taskDemands(ledger, PlatformSettings.parse(SETTINGS), NOW, false);
+                CapacityDemand.taskDemands(clusterState, PlatformSettings.parse(SETTINGS), NOW, false);
         assertEquals(
                 2,
                 demands.stream().mapToDouble(CapacityDemand.TaskDemand::tasks).sum());
-        double machines = CapacityDemand.machines(demands, ledger.types(), kind -> false, java.util.Map.of())
+        double machines = CapacityDemand.machines(demands, clusterState.types(), kind -> false, java.util.Map.of())
                 .values()
                 .doubleStream()
                 .sum();
@@ -138,17 +140,17 @@
         for (String id : List.of("j-1", "j-2", "j-3")) {
             submit(id, "normal", 10);
             fail(id, 2);
-            evidence.failed("host-1", id);
+            faultDetector.failed("host-1", id);
         }
-        assertFalse(evidence.isFaulty("host-1"));
-        Job cancelled = ledger.job("j-1");
-        evidence.jobEnded(new Job(cancelled.spec(), cancelled.submitted(), 16, true));
-        assertFalse(evidence.isFaulty("host-1"), "a cancelled job proves nothing");
+        assertFalse(faultDetector.isFaulty("host-1"));
+        Job cancelled = clusterState.job("j-1");
+        faultDetector.jobEnded(new Job(cancelled.spec(), cancelled.submittedAt(), 16, true));
+        assertFalse(faultDetector.isFaulty("host-1"), "a cancelled job proves nothing");
         attempt("j-2", 4, true);
-        assertFalse(evidence.isFaulty("host-1"), "one job is not enough");
-        evidence.jobEnded(ledger.job("j-3"));
-        assertTrue(evidence.isFaulty("host-1"), "one works elsewhere, the other was done to its end");
-        assertFalse(evidence.isFaulty("host-2"));
+        assertFalse(faultDetector.isFaulty("host-1"), "one job is not enough");
+        faultDetector.jobEnded(clusterState.job("j-3"));
+        assertTrue(faultDetector.isFaulty("host-1"), "one works elsewhere, the other was done to its end");
+        assertFalse(faultDetector.isFaulty("host-2"));
     }
 
     @Test
@@ -157,11 +159,11 @@
         submit("j-2", "normal", 10);
         attempt("j-1", 0, true);
         attempt("j-2", 0, true);
-        evidence.failed("host-1", "j-1");
-        evidence.succeeded("host-1");
-        evidence.failed("host-1", "j-2");
-        assertFalse(evidence.isFaulty("host-1"));
-        evidence.failed("host-1", "j-1");
-        assertTrue(evidence.isFaulty("host-1"));
+        faultDetector.failed("host-1", "j-1");
+        faultDetector.succeeded("host-1");
+        faultDetector.failed("host-1", "j-2");
+        assertFalse(faultDetector.isFaulty("host-1"));
+        faultDetector.failed("host-1", "j-1");
+        assertTrue(faultDetector.isFaulty("host-1"));
     }
 }
--- a/src/test/java/org/havenford/coordination/scheduling/PipelineDecisionsTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/PipelineDecisionsTest.java
@@ -28,33 +28,33 @@
                     + "\"workers\":{\"report_s\":3,\"lease_s\":20,\"cancel_s\":44},"
                     + "\"state\":{\"rps\":300,\"write_rps\":150,\"value_kb\":8,\"txn_ops\":12},\"cloud\":{\"rps\":5,\"list_lag_s\":4}}}";
 
-    private final ClusterState ledger = new ClusterState();
+    private final ClusterState clusterState = new ClusterState();
     private long stamp;
 
     PipelineDecisionsTest() {
-        ledger.observer(new QuietObservertype());
+        clusterState.setObserver(new QuietObservertype());
     }
 
     /** A stored header; {@code readyAgo} is negative for a job that was not released. */
     private JsonObject header(
             String id, String team, String urgency, long submittedAgo, List<String> awaits, long readyAgo) {
-        JsonObject o = JobSamples.submission(id, 1, 8);
-        o.addProperty("crew", team);
-        o.addProperty("urgency", urgency);
-        o.addProperty("guessS", 10.0);
+        JsonObject json = JobSamples.submission(id, 1, 8);
+        json.addProperty("crew", team);
+        json.addProperty("urgency", urgency);
+        json.addProperty("guessS", 10.0);
         JsonArray names = new JsonArray();
         awaits.forEach(names::add);
-        o.add("awaits", names);
-        o.addProperty("_at", NOW.minusSeconds(submittedAgo).toEpochMilli());
-        o.addProperty("_chunk", 16);
+        json.add("awaits", names);
+        json.addProperty("_at", NOW.minusSeconds(submittedAgo).toEpochMilli());
+        json.addProperty("_chunk", 16);
         if (readyAgo >= 0) {
-            o.addProperty("_ready", NOW.minusSeconds(readyAgo).toEpochMilli());
+            json.addProperty("_ready", NOW.minusSeconds(readyAgo).toEpochMilli());
         }
-        return o;
+        return json;
     }
 
     private void put(JsonObject header) {
-        ledger.changed(Keys.job(header.get("nameId").getAsString()), header, ++stamp);
+        clusterState.changed(Keys.job(header.get("nameId").getAsString()), header, ++stamp);
     }
 
     private static JsonObject due(JsonObject header, double seconds) {
@@ -63,7 +63,7 @@
     }
 
     private List<String> order(Instant now) throws Exception {
-        JobOrder order = new JobOrder(ledger, PlatformSettings.parse(SETTINGS));
+        JobOrder order = new JobOrder(clusterState, PlatformSettings.parse(SETTINGS));
         return order.order(now).jobs().stream().map(Job::id).toList();
     }
 
@@ -84,7 +84,7 @@
         put(header("j-1", "red", "normal", 60, List.of("j-9"), -1));
         put(header("j-2", "red", "normal", 50, List.of(), -1));
         put(header("j-3", "red", "normal", 40, List.of(), -1));
-        List<CapacityDemand.TaskDemand> demands = CapacityDemand.taskDemands(ledger, settings, NOW, false);
+        List<CapacityDemand.TaskDemand> demands = CapacityDemand.taskDemands(clusterState, settings, NOW, false);
         assertEquals(
                 List.of("j-2", "j-3"), demands.stream().map(d -> d.spec().id()).toList());
         assertTrue(demands.stream().allMatch(d -> d.tasks() == 1), demands::toString);
@@ -104,9 +104,9 @@
     void timesSurviveATakeOver() throws Exception {
         JsonObject stored = due(header("j-1", "blue", "low", 600, List.of("j-9"), 10), 700);
         Job read = Job.parse(Job.parse(stored).header(false));
-        assertEquals(NOW.minusSeconds(10), read.released());
-        assertEquals(NOW.plusSeconds(100), read.due(), "the deadline counts from the submission");
-        assertFalse(read.waiting());
+        assertEquals(NOW.minusSeconds(10), read.releasedAt());
+        assertEquals(NOW.plusSeconds(100), read.deadline(), "the deadline counts from the submission");
+        assertFalse(read.awaitsDependencies());
     }
 
     /** Through a chain and a diamond, also when the clocks of accepting controllers put the later job first. */
@@ -117,19 +117,25 @@
         put(header("j-3", "blue", "normal", 12, List.of("j-1"), -1));
         put(due(header("j-4", "blue", "urgent", 13, List.of("j-2", "j-3"), -1), 113));
         put(due(header("j-5", "blue", "low", 10, List.of("j-3"), -1), 60));
-        PriorityInheritance inheritance = new PriorityInheritance(ledger);
-        inheritance.refresh();
-        Job first = ledger.job("j-1");
-        assertEquals(Priority.URGENT, inheritance.priority(first));
-        assertEquals(NOW.plusSeconds(30), inheritance.due(first), "due of j-5 at 50, less two estimates of 10 s");
-        assertEquals(NOW.plusSeconds(90), inheritance.due(ledger.job("j-2")));
-        assertEquals(NOW.plusSeconds(40), inheritance.due(ledger.job("j-3")));
-        assertEquals(Priority.URGENT, inheritance.priority(ledger.job("j-2")));
-        ledger.changed(Keys.job("j-5"), null, ++stamp);
-        inheritance.refresh();
-        assertEquals(NOW.plusSeconds(80), inheritance.due(first), "worked out anew when a job of the pipeline goes");
+        PriorityInheritance priorityInheritance = new PriorityInheritance(clusterState);
+        priorityInheritance.refresh();
+        Job first = clusterState.job("j-1");
+        assertEquals(Priority.URGENT, priorityInheritance.priority(first));
+        assertEquals(
+                NOW.plusSeconds(30),
+                priorityInheritance.deadline(first),
+                "due of j-5 at 50, less two estimates of 10 s");
+        assertEquals(NOW.plusSeconds(90), priorityInheritance.deadline(clusterState.job("j-2")));
+        assertEquals(NOW.plusSeconds(40), priorityInheritance.deadline(clusterState.job("j-3")));
+        assertEquals(Priority.URGENT, priorityInheritance.priority(clusterState.job("j-2")));
+        clusterState.changed(Keys.job("j-5"), null, ++stamp);
+        priorityInheritance.refresh();
+        assertEquals(
+                NOW.plusSeconds(80),
+                priorityInheritance.deadline(first),
+                "worked out anew when a job of the pipeline goes");
         put(due(header("j-6", "blue", "low", 0, List.of("j-1"), -1), 15));
-        inheritance.refresh();
-        assertEquals(NOW.plusSeconds(5), inheritance.due(first), "and when one is submitted later");
+        priorityInheritance.refresh();
+        assertEquals(NOW.plusSeconds(5), priorityInheritance.deadline(first), "and when one is submitted later");
     }
 }
--- a/src/test/java/org/havenford/coordination/scheduling/PlannerPlacementTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/PlannerPlacementTest.java
@@ -45,30 +45,30 @@
     /** Tasks in a record, so that larger jobs have several. */
     private static final int CHUNK = 4;
 
-    private final ClusterState ledger = new ClusterState();
+    private final ClusterState clusterState = new ClusterState();
     private final Map<String, List<String>> images = new HashMap<>();
     private final List<String> owners = new ArrayList<>(List.of("n"));
     private long stamp;
     private int machines;
 
     PlannerPlacementTest() {
-        ledger.observer(new QuietObservertype());
-        ledger.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
+        clusterState.setObserver(new QuietObservertype());
+        clusterState.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
     }
 
     private String machine(String type, String zone, boolean spot, String... cached) {
         String name = String.format("host-%06d", machines++);
         MachineBatch batch = MachineBatch.of("b-" + name, type, zone, spot, NOW.minusSeconds(300), List.of(name));
-        ledger.changed(Keys.batch(batch.name()), batch.toJson(), ++stamp);
+        clusterState.changed(Keys.batch(batch.name()), batch.toJson(), ++stamp);
         images.put(name, List.of(cached));
         return name;
     }
 
     private static JsonObject job(String id, int tasks, double cpus) {
-        JsonObject o = JobSamples.submission(id, tasks, cpus);
-        o.addProperty("_at", NOW.minusSeconds(1).toEpochMilli());
-        o.addProperty("_chunk", CHUNK);
-        return o;
+        JsonObject json = JobSamples.submission(id, tasks, cpus);
+        json.addProperty("_at", NOW.minusSeconds(1).toEpochMilli());
+        json.addProperty("_chunk", CHUNK);
+        return json;
     }
 
     /** With time to spare and an image that takes long against a run, a job is placed in several passes of one round. */
@@ -79,29 +79,30 @@
     }
 
     private void submit(JsonObject job) {
-        ledger.changed(Keys.job(job.get("nameId").getAsString()), job, ++stamp);
+        clusterState.changed(Keys.job(job.get("nameId").getAsString()), job, ++stamp);
     }
 
     private void claim(String id, int task, String machine) {
-        Job job = ledger.job(id);
-        int index = job.chunkOf(task);
-        TaskRange chunk = job.chunk(index).copy();
-        chunk.claim(task, machine, 1, NOW.minusSeconds(60), "");
-        ledger.changed(Keys.tasks(id, index), chunk.toJson(), ++stamp);
+        Job job = clusterState.job(id);
+        int index = job.taskRangeIndex(task);
+        TaskRange taskRange = job.taskRange(index).copy();
+        taskRange.claim(task, machine, 1, NOW.minusSeconds(60), "");
+        clusterState.changed(Keys.tasks(id, index), taskRange.toJson(), ++stamp);
     }
 
     private Planner.Plan plan() throws Exception {
-        Planner planner = new Planner(ledger, PlatformSettings.parse(SETTINGS), OperatorSettings.DEFAULTS, this::owner);
+        Planner planner =
+                new Planner(clusterState, PlatformSettings.parse(SETTINGS), OperatorSettings.DEFAULTS, this::owner);
         return planner.plan(
                 NOW,
                 new Planner.Limits(
                         NOW,
-                        m -> now -> true,
-                        m -> images.get(m.name()),
-                        m -> MachineRecord.Condition.UP,
-                        j -> false,
+                        machine -> now -> true,
+                        machine -> images.get(machine.name()),
+                        machine -> MachineRecord.Condition.UP,
+                        job -> false,
                         p -> false,
-                        c -> false,
+                        claim -> false,
                         m -> List.of(),
                         owners,
                         (key, owner) -> false,
@@ -118,13 +119,13 @@
     /** Tasks of a job by zone, claimed or placed. */
     private Map<String, Integer> byZone(String id, Planner.Plan plan) {
         Map<String, Integer> zones = new TreeMap<>();
-        for (Claim c : ledger.job(id).claims()) {
-            MachineRecord m = ledger.machine(c.machine());
-            zones.merge(m == null ? "gone" : m.zone(), 1, Integer::sum);
+        for (Claim claim : clusterState.job(id).claims()) {
+            MachineRecord machine = clusterState.machine(claim.machine());
+            zones.merge(machine == null ? "gone" : machine.zone(), 1, Integer::sum);
         }
         for (Planner.Placement p : plan.placements()) {
             if (p.task().job().equals(id)) {
-                zones.merge(ledger.machine(p.machine()).zone(), 1, Integer::sum);
+                zones.merge(clusterState.machine(p.machine()).zone(), 1, Integer::sum);
             }
         }
         return zones;
@@ -207,7 +208,7 @@
         for (int i = 0; i < planned.length; i++) {
             placements.add(new Planner.Placement(new TaskId(id, i + 1), planned[i]));
         }
-        return PlacementGuard.permitted(ledger.job(id), placements, ledger).stream()
+        return PlacementGuard.permitted(clusterState.job(id), placements, clusterState).stream()
                 .map(p -> p.task().index())
                 .toList();
     }
@@ -235,38 +236,38 @@
         }
         for (int i = 0; i < 8; i++) {
             String id = "j-" + i;
-            JsonObject o = job(id, 1 + r.nextInt(14), 1 + r.nextInt(4));
-            o.addProperty("reel", "img-" + r.nextInt(3));
-            o.addProperty("together", r.nextInt(3) == 0);
-            o.addProperty("apart", r.nextInt(3) == 0);
-            o.addProperty("borrowed", r.nextInt(4) > 0);
+            JsonObject json = job(id, 1 + r.nextInt(14), 1 + r.nextInt(4));
+            json.addProperty("reel", "img-" + r.nextInt(3));
+            json.addProperty("together", r.nextInt(3) == 0);
+            json.addProperty("apart", r.nextInt(3) == 0);
+            json.addProperty("borrowed", r.nextInt(4) > 0);
             if (r.nextInt(4) == 0) {
-                o.addProperty("hall", zone(r));
+                json.addProperty("hall", zone(r));
             }
             if (r.nextInt(4) == 0) {
                 JsonArray rigs = new JsonArray();
                 rigs.add(r.nextBoolean() ? "small" : "large");
-                o.add("rigs", rigs);
+                json.add("rigs", rigs);
             }
             if (r.nextInt(3) > 0) {
-                withTimeAndLongImage(o);
+                withTimeAndLongImage(json);
             }
             if (r.nextInt(4) == 0) {
-                o.addProperty("urgency", "urgent");
+                json.addProperty("urgency", "urgent");
             }
-            submit(o);
+            submit(json);
             if (r.nextInt(3) == 0) {
-                claimSomewhere(ledger.job(id).spec(), r);
+                claimSomewhere(clusterState.job(id).spec(), r);
             }
         }
     }
 
     /** What a job says of machines, worked out apart from the code that is tested. */
-    private boolean allows(JobSpec spec, MachineRecord m) {
-        return (spec.types() == null || spec.types().contains(m.type()))
-                && (spec.zone() == null || spec.zone().equals(m.zone()))
-                && (spec.spot() || !m.spot())
-                && spec.cpus() <= ledger.types().get(m.type()).cpus();
+    private boolean allows(JobSpec spec, MachineRecord machine) {
+        return (spec.types() == null || spec.types().contains(machine.type()))
+                && (spec.zone() == null || spec.zone().equals(machine.zone()))
+                && (spec.spot() || !machine.spot())
+                && spec.cpus() <= clusterState.types().get(machine.type()).cpus();
     }
 
     private static String zone(SplittableRandom r) {
@@ -276,9 +277,9 @@
     /** A first task, on a machine that the job allows. */
     private void claimSomewhere(JobSpec spec, SplittableRandom r) {
         List<MachineRecord> allowed = new ArrayList<>();
-        for (MachineRecord m : ledger.machines()) {
-            if (allows(spec, m) && ledger.claimsOn(m.name()).isEmpty()) {
-                allowed.add(m);
+        for (MachineRecord machine : clusterState.machines()) {
+            if (allows(spec, machine) && clusterState.claimsOn(machine.name()).isEmpty()) {
+                allowed.add(machine);
             }
         }
         allowed.sort(Comparator.comparing(MachineRecord::name));
@@ -289,18 +290,18 @@
 
     private void assertAllInPlace(String seed, Planner.Plan plan) {
         for (Planner.Placement p : plan.placements()) {
-            MachineRecord m = ledger.machine(p.machine());
-            JobSpec spec = ledger.job(p.task().job()).spec();
-            assertTrue(allows(spec, m), () -> seed + ": " + p.task() + " on " + m);
+            MachineRecord machine = clusterState.machine(p.machine());
+            JobSpec spec = clusterState.job(p.task().job()).spec();
+            assertTrue(allows(spec, machine), () -> seed + ": " + p.task() + " on " + machine);
         }
-        for (Job job : ledger.jobs()) {
+        for (Job job : clusterState.jobs()) {
             JobSpec spec = job.spec();
             Map<String, Integer> zones = byZone(job.id(), plan);
             assertTrue(!spec.together() || zones.size() <= 1, () -> seed + ": together " + job.id() + " " + zones);
-            boolean apart = zones.values().stream().allMatch(n -> n <= (spec.tasks() + 1) / 2);
+            boolean apart = zones.values().stream().allMatch(n -> n <= (spec.taskCount() + 1) / 2);
             assertTrue(
                     !spec.apart() || apart,
-                    () -> seed + ": apart " + job.id() + ", " + spec.tasks() + " tasks, " + zones);
+                    () -> seed + ": apart " + job.id() + ", " + spec.taskCount() + " tasks, " + zones);
         }
     }
 }
--- a/src/test/java/org/havenford/golden/GoldenConversation.java
+++ b/src/test/java/org/havenford/golden/GoldenConversation.java
@@ -57,11 +57,11 @@
 
     private record Call(String method, String path, JsonElement body) {
         JsonObject toJson() {
-            JsonObject o = new JsonObject();
-            o.addProperty("method", method);
-            o.addProperty("path", path);
-            o.add("body", body);
-            return o;
+            JsonObject json = new JsonObject();
+            json.addProperty("method", method);
+            json.addProperty("path", path);
+            json.add("body", body);
+            return json;
         }
     }
 
@@ -88,14 +88,17 @@
         store(Keys.member("node-1"), JsonParser.parseString("{\"incarnation\":5,\"format\":3}"), 13);
         Job running = job("j-1");
         store(Keys.job("j-1"), running.header(false), 20);
-        TaskRange chunk = running.fresh(0);
-        chunk.claim(0, "host-000001", 1, AT, "");
-        chunk.claim(1, "host-000001", 1, AT, "");
-        chunk.finish(1, 2, 30);
-        store(Keys.tasks("j-1", 0), chunk.toJson(), 21);
+        TaskRange taskRange = running.emptyTaskRange(0);
+        taskRange.claim(0, "host-000001", 1, AT, "");
+        taskRange.claim(1, "host-000001", 1, AT, "");
+        taskRange.finish(1, 2, 30);
+        store(Keys.tasks("j-1", 0), taskRange.toJson(), 21);
         store(Keys.job("j-6"), job("j-6").header(false), 22);
-        store(Keys.end("j-3"), FinalState.of(FinalState.Status.DONE, 6).toJson(), 23);
-        store(Keys.end("j-4"), FinalState.of(FinalState.Status.WITHDRAWN, 6).toJson(), 24);
+        store(Keys.finalState("j-3"), FinalState.of(FinalState.Status.DONE, 6).toJson(), 23);
+        store(
+                Keys.finalState("j-4"),
+                FinalState.of(FinalState.Status.CANCELLED, 6).toJson(),
+                24);
         store(
                 Keys.batch("r-1"),
                 MachineBatch.of("r-1", "small", "a", true, AT, List.of("host-000001", "host-000002"))
@@ -217,7 +220,7 @@
         out.put("controller-types", firstSetting(Keys.TYPES));
         out.put("controller-acceptance", firstSetting(Keys.job("j-2")));
         out.put("controller-cancellation", firstSetting(Keys.job("j-6")));
-        out.put("controller-final-state", first(c -> c.path().equals("/store/" + Keys.end("j-3"))));
+        out.put("controller-final-state", first(c -> c.path().equals("/store/" + Keys.finalState("j-3"))));
         out.put("controller-claim", firstSetting(Keys.tasks("j-1", 0)));
         out.put("cloud-types", first(c -> c.path().equals("/machine_types")));
         out.put("cloud-list", first(c -> c.path().startsWith("/machines?")));
--- a/src/test/java/org/havenford/golden/GoldenMessages.java
+++ b/src/test/java/org/havenford/golden/GoldenMessages.java
@@ -113,29 +113,29 @@
         };
     }
 
-    private static JsonObject report(Heartbeat report) {
+    private static JsonObject report(Heartbeat heartbeat) {
         JsonObject out = new JsonObject();
-        out.addProperty("box", report.machine());
-        out.addProperty("endpoint", report.endpoint());
-        out.addProperty("rig", report.type());
-        out.addProperty("hall", report.zone());
-        out.addProperty("borrowed", report.spot());
-        out.addProperty("shift", report.session());
-        out.addProperty("tally", report.seq());
-        out.addProperty("baton", report.token());
-        if (report.noticeS() == null) {
+        out.addProperty("box", heartbeat.machine());
+        out.addProperty("endpoint", heartbeat.endpoint());
+        out.addProperty("rig", heartbeat.type());
+        out.addProperty("hall", heartbeat.zone());
+        out.addProperty("borrowed", heartbeat.spot());
+        out.addProperty("shift", heartbeat.incarnation());
+        out.addProperty("tally", heartbeat.sequence());
+        out.addProperty("baton", heartbeat.fencingToken());
+        if (heartbeat.spotNoticeSeconds() == null) {
             out.add("warningS", JsonNull.INSTANCE);
         } else {
-            out.addProperty("warningS", report.noticeS());
+            out.addProperty("warningS", heartbeat.spotNoticeSeconds());
         }
         JsonArray shots = new JsonArray();
-        for (Heartbeat.AttemptStatus entry : report.tasks()) {
+        for (Heartbeat.AttemptStatus entry : heartbeat.tasks()) {
             JsonObject shot = new JsonObject();
             shot.addProperty("shot", entry.task().toString());
             shot.addProperty("take", entry.attempt());
             shot.addProperty("status", status(entry.state()));
-            if (!entry.why().isEmpty()) {
-                shot.addProperty("cause", entry.why());
+            if (!entry.exitCause().isEmpty()) {
+                shot.addProperty("cause", entry.exitCause());
             }
             shots.add(shot);
         }
--- a/src/test/java/org/havenford/golden/GoldenStoredValues.java
+++ b/src/test/java/org/havenford/golden/GoldenStoredValues.java
@@ -59,14 +59,14 @@
                 new TeamQuota()
                         .with("node-0", new TeamQuota.Resources(32, 0))
                         .with("node-1", new TeamQuota.Resources(8.5, 2))
-                        .withShort("node-0", true)
+                        .withStarved("node-0", true)
                         .toJson());
         values.put("final/j-1#done", FinalState.of(FinalState.Status.DONE, 7).toJson());
         values.put(
                 "final/j-1#withdrawn",
-                FinalState.of(FinalState.Status.WITHDRAWN, 7).toJson());
+                FinalState.of(FinalState.Status.CANCELLED, 7).toJson());
         values.put("final/j-1#done-at", new FinalState(FinalState.Status.DONE, 7, AT).toJson());
-        values.put("final/j-1#withdrawn-at", new FinalState(FinalState.Status.WITHDRAWN, 7, AT).toJson());
+        values.put("final/j-1#withdrawn-at", new FinalState(FinalState.Status.CANCELLED, 7, AT).toJson());
         return values;
     }
 
@@ -215,11 +215,11 @@
             return MachineStatuses.parse(value).toJson(LARGE);
         } else if (key.startsWith(Keys.TEAMS)) {
             return TeamQuota.parse(value).toJson();
-        } else if (key.startsWith(Keys.BOOKINGS)) {
+        } else if (key.startsWith(Keys.INSTANCE_REQUESTS)) {
             return rewrittenBooking(key, value);
         } else if (key.equals(Keys.TYPES)) {
             return MachineType.toJson(MachineType.parseAll(value));
-        } else if (key.startsWith(Keys.FINALS)) {
+        } else if (key.startsWith(Keys.FINAL_STATES)) {
             return FinalState.parse(value).toJson();
         }
         return null;
@@ -227,11 +227,11 @@
 
     /** Bookings are read by the ledger alone. */
     private static JsonElement rewrittenBooking(String key, JsonObject value) {
-        ClusterState ledger = new ClusterState();
-        ledger.observer(new QuietObservertype());
-        ledger.changed(key, value, 1);
+        ClusterState clusterState = new ClusterState();
+        clusterState.setObserver(new QuietObservertype());
+        clusterState.changed(key, value, 1);
         JsonArray all = new JsonArray();
-        List<ClusterState.InstanceRequest> bookings = new ArrayList<>(ledger.bookings());
+        List<ClusterState.InstanceRequest> bookings = new ArrayList<>(clusterState.instanceRequests());
         bookings.forEach(booking -> all.add(booking.toJson()));
         return all.size() == 1 ? all.get(0) : all;
     }
--- a/src/test/java/org/havenford/protocol/MessagesTest.java
+++ b/src/test/java/org/havenford/protocol/MessagesTest.java
@@ -22,10 +22,10 @@
 
     @Test
     void aJobSurvivesTheStore() throws Exception {
-        JobSpec s = JobSpec.parse(Json.object(JOB));
-        assertEquals(s, JobSpec.parse(s.toJson()));
-        assertEquals(Duration.ofMinutes(15), s.deadline());
-        assertNull(s.types());
+        JobSpec spec = JobSpec.parse(Json.object(JOB));
+        assertEquals(spec, JobSpec.parse(spec.toJson()));
+        assertEquals(Duration.ofMinutes(15), spec.deadline());
+        assertNull(spec.types());
     }
 
     @ParameterizedTest
@@ -53,9 +53,9 @@
         "reel,'[]'"
     })
     void aBadFieldIsNamed(String field, String value) throws Exception {
-        JsonObject o = Json.object(JOB);
-        o.add(field, com.google.gson.JsonParser.parseString(value));
-        Json.BadMessage e = assertThrows(Json.BadMessage.class, () -> JobSpec.parse(o));
+        JsonObject json = Json.object(JOB);
+        json.add(field, com.google.gson.JsonParser.parseString(value));
+        Json.BadMessage e = assertThrows(Json.BadMessage.class, () -> JobSpec.parse(json));
         assertTrue(e.getMessage().contains(field), e.getMessage());
     }
 
--- a/src/test/java/org/havenford/standby/FailoverCoordinatorTest.java
+++ b/src/test/java/org/havenford/standby/FailoverCoordinatorTest.java
@@ -34,18 +34,18 @@
         }
 
         @Override
-        public void challenge(String node, long incarnation, LongConsumer stamp) {
+        public void probe(String node, long incarnation, LongConsumer stamp) {
             asked.add("challenge " + node);
             stamp.accept(11);
         }
 
         @Override
-        public boolean challengeStands(String node, long stamp) {
+        public boolean probeIsUnanswered(String node, long stamp) {
             return stands;
         }
 
         @Override
-        public void withdrawChallenge(String node, long stamp) {
+        public void withdrawProbe(String node, long stamp) {
             asked.add("withdraw " + node);
         }
 
@@ -60,7 +60,7 @@
     private boolean suspected = true;
     private final Map<String, PeerLink> links =
             new TreeMap<>(Map.of("node-1", link("node-1"), "node-2", link("node-2")));
-    private final FailoverCoordinator conductor = new FailoverCoordinator(
+    private final FailoverCoordinator failoverCoordinator = new FailoverCoordinator(
             host,
             (node, incarnation) -> suspected && node.equals("node-2") && incarnation == INCARNATION,
             "node-0",
@@ -81,23 +81,23 @@
     }
 
     private void majorityAgrees() {
-        conductor.step();
-        conductor.answer(links.get("node-1"), new ReachAnswer("node-2", INCARNATION, false));
+        failoverCoordinator.step();
+        failoverCoordinator.answer(links.get("node-1"), new ReachAnswer("node-2", INCARNATION, false));
     }
 
     private void windowPasses() {
         host.pass(WINDOW.plusMillis(10));
-        conductor.step();
+        failoverCoordinator.step();
     }
 
     @Test
     void aMajorityAndAnUnansweredQuestionAreAVerdict() {
-        conductor.step();
+        failoverCoordinator.step();
         windowPasses();
         assertEquals(List.of(), host.asked, "one voice of three is no majority");
         majorityAgrees();
         assertEquals(List.of("challenge node-2"), host.asked);
-        conductor.step();
+        failoverCoordinator.step();
         assertEquals(List.of("challenge node-2"), host.asked, "the question stands for its time");
         windowPasses();
         assertEquals(List.of("challenge node-2", "evict node-2"), host.asked);
@@ -117,7 +117,7 @@
         host.failures = 1;
         majorityAgrees();
         windowPasses();
-        conductor.step();
+        failoverCoordinator.step();
         assertEquals(List.of("challenge node-2", "evict node-2", "evict node-2"), host.asked);
     }
 
--- a/src/test/java/org/havenford/standby/FakeHost.java
+++ b/src/test/java/org/havenford/standby/FakeHost.java
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public void eventBegins() {}
+    public void eventStarted() {}
 
     @Override
     public void observe(Observer observer) {}
@@ -53,41 +53,41 @@
     }
 
     @Override
-    public boolean entitled() {
+    public boolean mayDecide() {
         return true;
     }
 
     @Override
-    public long replicaEdition() {
+    public long replicaRevision() {
         return 0;
     }
 
     @Override
-    public long viewStamp() {
+    public long viewRevision() {
         return 0;
     }
 
     @Override
-    public boolean evictionPermitted(String node) {
+    public boolean mayEvict(String node) {
         return true;
     }
 
     @Override
-    public void challenge(String node, long incarnation, LongConsumer asked) {}
+    public void probe(String node, long incarnation, LongConsumer asked) {}
 
     @Override
-    public boolean challengeStands(String node, long stamp) {
+    public boolean probeIsUnanswered(String node, long stamp) {
         return true;
     }
 
     @Override
-    public void withdrawChallenge(String node, long stamp) {}
+    public void withdrawProbe(String node, long stamp) {}
 
     @Override
     public void evict(String node, long incarnation, long challengeStamp, Consumer<Boolean> done) {}
 
     @Override
-    public List<AgentContact> machineNotes() {
+    public List<AgentContact> agentContacts() {
         return List.of();
     }
 
@@ -97,5 +97,5 @@
     }
 
     @Override
-    public void contact(AgentContact note) {}
+    public void contact(AgentContact contact) {}
 }
--- a/src/test/java/org/havenford/storage/StoreClientTest.java
+++ b/src/test/java/org/havenford/storage/StoreClientTest.java
@@ -66,11 +66,11 @@
     private final StoreClient store = new StoreClient(loop, calls, "state:1", 100, 5, 5, 1);
 
     private static StoreClient.Transaction changes(int n) {
-        StoreClient.Transaction txn = new StoreClient.Transaction();
+        StoreClient.Transaction transaction = new StoreClient.Transaction();
         for (int i = 0; i < n; i++) {
-            txn.set("live/x/" + i, new JsonObject());
+            transaction.put("live/x/" + i, new JsonObject());
         }
-        return txn;
+        return transaction;
     }
 
     /** What would only fail is not sent when its turn comes; what is behind it goes in its place. */
@@ -78,9 +78,9 @@
     void aTransactionThatHasBecomeStaleIsNotSent() {
         List<Outcome> outcomes = new ArrayList<>();
         boolean[] current = {true};
-        store.commit(changes(4), CallPriority.CLAIM, r -> outcomes.add(r.outcome()));
-        store.commit(changes(2), CallPriority.CLAIM, () -> current[0], r -> outcomes.add(r.outcome()));
-        store.commit(changes(1), CallPriority.CLAIM, r -> outcomes.add(r.outcome()));
+        store.commit(changes(4), CallPriority.CLAIM, result -> outcomes.add(result.outcome()));
+        store.commit(changes(2), CallPriority.CLAIM, () -> current[0], result -> outcomes.add(result.outcome()));
+        store.commit(changes(1), CallPriority.CLAIM, result -> outcomes.add(result.outcome()));
         assertEquals(List.of(Outcome.OK), outcomes, "the others wait for the limit");
         current[0] = false;
         loop.run(Duration.ofSeconds(3));
--- a/src/test/java/org/havenford/storage/records/StoredValuesTest.java
+++ b/src/test/java/org/havenford/storage/records/StoredValuesTest.java
@@ -49,7 +49,7 @@
         } else if (key.startsWith(Keys.TASKS)) {
             String[] path = key.substring(Keys.TASKS.length()).split("/");
             Job job = Job.parse(samples.get(Keys.job(path[0])));
-            TaskRange read = job.fresh(Integer.parseInt(path[1])).read(value);
+            TaskRange read = job.emptyTaskRange(Integer.parseInt(path[1])).read(value);
             return read.toJson(value.has("s") ? 2048 : LARGE, LARGE, true);
         } else if (key.startsWith(Keys.MACHINES)) {
             return MachineBatch.parse(key.substring(Keys.MACHINES.length()), value)
@@ -62,7 +62,7 @@
             return ClusterView.parse(value).toJson();
         } else if (key.equals(Keys.TYPES)) {
             return MachineType.toJson(MachineType.parseAll(value));
-        } else if (key.startsWith(Keys.FINALS)) {
+        } else if (key.startsWith(Keys.FINAL_STATES)) {
             return FinalState.parse(value).toJson();
         }
         return null;
@@ -108,19 +108,19 @@
         for (String file : List.of("format-1.txt", "format-2.txt")) {
             List<String> members = new ArrayList<>();
             List<JsonObject> views = new ArrayList<>();
-            ClusterState ledger = new ClusterState();
-            ledger.observer(observer(members, views));
+            ClusterState clusterState = new ClusterState();
+            clusterState.setObserver(observer(members, views));
             long stamp = 0;
             for (Map.Entry<String, JsonObject> sample : samples(file).entrySet()) {
-                ledger.changed(sample.getKey(), sample.getValue(), ++stamp);
+                clusterState.changed(sample.getKey(), sample.getValue(), ++stamp);
             }
             assertEquals(5, members.size());
             assertEquals(1, views.size());
-            assertFalse(ledger.bookings().isEmpty());
-            assertEquals(90, ledger.job("j-3").spec().tasks());
-            assertTrue(ledger.job("j-3").claimCount() > 30);
-            assertTrue(ledger.machines().size() > 5);
-            assertEquals(2, ledger.types().size());
+            assertFalse(clusterState.instanceRequests().isEmpty());
+            assertEquals(90, clusterState.job("j-3").spec().taskCount());
+            assertTrue(clusterState.job("j-3").claimCount() > 30);
+            assertTrue(clusterState.machines().size() > 5);
+            assertEquals(2, clusterState.types().size());
         }
     }
 
@@ -137,13 +137,13 @@
             }
 
             @Override
-            public void challengeChanged(String node, JsonObject challenge, long stamp) {}
+            public void livenessProbeChanged(String node, JsonObject challenge, long stamp) {}
 
             @Override
             public void machineChanged(String machine) {}
 
             @Override
-            public void settled() {}
+            public void changesApplied() {}
 
             @Override
             public void jobEnded(Job last) {}
@@ -171,11 +171,11 @@
     void headersOfPipelinesKeepTheirFields() throws Exception {
         Map<String, JsonObject> samples = samples("format-2.txt");
         Job released = Job.parse(samples.get("live/job/j-9"));
-        assertFalse(released.waiting());
-        assertEquals(Set.of("j-7"), released.spec().awaits());
+        assertFalse(released.awaitsDependencies());
+        assertEquals(Set.of("j-7"), released.spec().dependencies());
         JsonObject cancelled = released.header(true);
         assertNotNull(cancelled.get("_ready"));
-        assertEquals(released.released(), Job.parse(cancelled).released());
-        assertTrue(Job.parse(samples.get("live/job/j-8")).waiting());
+        assertEquals(released.releasedAt(), Job.parse(cancelled).releasedAt());
+        assertTrue(Job.parse(samples.get("live/job/j-8")).awaitsDependencies());
     }
 }
--- a/src/test/java/org/havenford/storage/records/TaskRangeTest.java
+++ b/src/test/java/org/havenford/storage/records/TaskRangeTest.java
@@ -19,18 +19,18 @@
     @Test
     void aFullChunkStaysWithinTheValueLimit() {
         for (int limit : new int[] {8 * 1024, 16 * 1024}) {
-            int size = Job.chunkSize(limit);
-            TaskRange c = new TaskRange("j-1", 99_936, size);
+            int size = Job.taskRangeSize(limit);
+            TaskRange taskRange = new TaskRange("j-1", 99_936, size);
             for (int i = 99_936; i < 99_936 + size; i++) {
-                c.claim(i, "host-00000123456", 12345, AT, "workhorse-0123456789");
-                c.release(i, true, true);
-                c.claim(i, "host-00000123456", 12345, AT, "workhorse-0123456789");
+                taskRange.claim(i, "host-00000123456", 12345, AT, "workhorse-0123456789");
+                taskRange.release(i, true, true);
+                taskRange.claim(i, "host-00000123456", 12345, AT, "workhorse-0123456789");
             }
             for (int i = 0; i < size; i++) {
-                c.fetches().add(99_999);
-                c.runs().add(99_999);
+                taskRange.pullDurations().add(99_999);
+                taskRange.runDurations().add(99_999);
             }
-            int bytes = c.toJson().toString().getBytes(StandardCharsets.UTF_8).length;
+            int bytes = taskRange.toJson().toString().getBytes(StandardCharsets.UTF_8).length;
             assertTrue(bytes <= limit, bytes + " of " + limit);
         }
     }
@@ -39,43 +39,45 @@
     @Test
     void whatWasWrittenLargerFitsTheLowerLimit() throws Exception {
         for (int limit : new int[] {8 * 1024, 16 * 1024}) {
-            int size = Job.chunkSize(limit);
-            TaskRange c = new TaskRange("j-1", 64, size);
+            int size = Job.taskRangeSize(limit);
+            TaskRange taskRange = new TaskRange("j-1", 64, size);
             for (int i = 64; i < 64 + size; i++) {
-                c.claim(i, "host-000" + (100 + i), 12, AT.plusMillis(1000L * i), "workhorse-" + i % 7);
-                c.fetches().add(i);
-                c.runs().add(1000 - i);
+                taskRange.claim(i, "host-000" + (100 + i), 12, AT.plusMillis(1000L * i), "workhorse-" + i % 7);
+                taskRange.pullDurations().add(i);
+                taskRange.runDurations().add(1000 - i);
             }
-            c.release(70, true, true);
-            int median = c.runs().getInt(c.runs().size() / 2);
-            assertNull(c.copy().toJson(2048, 2048, false), "no form that the version before reads is that short");
+            taskRange.release(70, true, true);
+            int median =
+                    taskRange.runDurations().getInt(taskRange.runDurations().size() / 2);
+            assertNull(
+                    taskRange.copy().toJson(2048, 2048, false), "no form that the version before reads is that short");
             assertTrue(
-                    c.copy().toJson(2048, limit, false).has("c"),
+                    taskRange.copy().toJson(2048, limit, false).has("c"),
                     "until then it stays readable for the version before");
-            TaskRange small = c.copy();
+            TaskRange small = taskRange.copy();
             String text = small.toJson(2048, limit, true).toString();
             assertTrue(text.length() <= 2048, text);
             TaskRange read = new TaskRange("j-1", 64, size)
                     .read(JsonParser.parseString(text).getAsJsonObject());
-            assertEquals(List.copyOf(c.claims()), List.copyOf(read.claims()));
+            assertEquals(List.copyOf(taskRange.claims()), List.copyOf(read.claims()));
             assertEquals("host-000170", read.lateOn(70));
             assertEquals(2, read.claim(70, "host-1", 1, AT, "").attempt(), "attempts go on counting");
-            assertEquals(13, read.claims().iterator().next().session() + 1);
-            assertEquals(median, read.runs().getInt(read.runs().size() / 2), 20);
+            assertEquals(13, read.claims().iterator().next().incarnation() + 1);
+            assertEquals(median, read.runDurations().getInt(read.runDurations().size() / 2), 20);
         }
     }
 
     /** What new jobs' records can grow to under the lower limit. */
     @Test
     void aFullChunkOfASmallLimitHasAFormThatFits() {
-        int size = Job.chunkSize(2048);
-        TaskRange c = new TaskRange("j-1", 99_936, size);
+        int size = Job.taskRangeSize(2048);
+        TaskRange taskRange = new TaskRange("j-1", 99_936, size);
         for (int i = 99_936; i < 99_936 + size; i++) {
-            c.claim(i, "host-00000123456", 12345, AT.plusMillis(i), "workhorse-0123456789");
-            c.fetches().add(99_999);
-            c.runs().add(99_999);
+            taskRange.claim(i, "host-00000123456", 12345, AT.plusMillis(i), "workhorse-0123456789");
+            taskRange.pullDurations().add(99_999);
+            taskRange.runDurations().add(99_999);
         }
-        assertTrue(c.toJson(2048, 2048, true).toString().length() <= 2048);
+        assertTrue(taskRange.toJson(2048, 2048, true).toString().length() <= 2048);
     }
 
     /** Kept as the version in production writes it. */
@@ -84,10 +86,10 @@
         String kept =
                 "{\"d\":[\"5\"],\"c\":[[1,2,\"host-000007\",3,1700000000000,\"workhorse-1\"],[3,1,\"host-000008\",1,1700000000500]],"
                         + "\"n\":{\"1\":2,\"3\":1},\"l\":{\"1\":\"host-000009\"},\"f\":[12],\"r\":[250,260],\"x\":1}";
-        TaskRange c =
+        TaskRange taskRange =
                 new TaskRange("j-1", 0, 16).read(JsonParser.parseString(kept).getAsJsonObject());
-        assertEquals(kept, c.toJson(2048, 8192, false).toString());
-        assertEquals(kept, c.toJson(2048, 8192, true).toString(), "what fits keeps the form that both read");
+        assertEquals(kept, taskRange.toJson(2048, 8192, false).toString());
+        assertEquals(kept, taskRange.toJson(2048, 8192, true).toString(), "what fits keeps the form that both read");
     }
 
     /** A header as the version in production writes it, and what a pipeline's header keeps over a rewriting. */
@@ -99,29 +101,33 @@
                         + "\"guessS\":240.0,\"keyframeS\":30.0,\"flushS\":4.0,\"airtimeS\":900.0,\"_at\":1700000000000,\"_chunk\":58}";
         Job old = Job.parse(JsonParser.parseString(kept).getAsJsonObject());
         assertEquals(kept, old.header(false).toString());
-        assertTrue(!old.waiting() && old.chunkCount() == 1 && old.released().equals(old.submitted()));
+        assertTrue(!old.awaitsDependencies()
+                && old.taskRangeCount() == 1
+                && old.releasedAt().equals(old.submittedAt()));
         JsonObject asked = JsonParser.parseString(kept).getAsJsonObject();
         asked.add("awaits", JsonParser.parseString("[\"j-2\",\"j-1\",\"j-2\"]"));
         Job waits = Job.parse(asked);
-        assertTrue(waits.waiting());
-        assertEquals(Set.of("j-1", "j-2"), Job.parse(waits.header(true)).spec().awaits());
+        assertTrue(waits.awaitsDependencies());
+        assertEquals(Set.of("j-1", "j-2"), Job.parse(waits.header(true)).spec().dependencies());
         Job ready = Job.parse(waits.readyHeader(AT.plusSeconds(9)));
-        assertTrue(!ready.waiting()
-                && ready.released().equals(AT.plusSeconds(9))
-                && ready.due().equals(old.due()));
-        assertTrue(!Job.parse(ready.header(false)).waiting(), "a claim of a spread job writes the header again");
+        assertTrue(!ready.awaitsDependencies()
+                && ready.releasedAt().equals(AT.plusSeconds(9))
+                && ready.deadline().equals(old.deadline()));
+        assertTrue(
+                !Job.parse(ready.header(false)).awaitsDependencies(),
+                "a claim of a spread job writes the header again");
     }
 
     @Test
     void whatIsWrittenIsRead() throws Exception {
-        TaskRange c = new TaskRange("j-1", 64, 64);
-        c.claim(70, "host-1", 3, AT, "node-1");
-        c.claim(71, "host-2", 1, AT, "");
-        c.finish(71, 1.5, 20.25);
-        c.claim(72, "host-2", 1, AT, "");
-        c.release(72, true, false);
-        TaskRange read = new TaskRange("j-1", 64, 64).read(c.toJson());
-        assertEquals(c.toJson(), read.toJson());
+        TaskRange taskRange = new TaskRange("j-1", 64, 64);
+        taskRange.claim(70, "host-1", 3, AT, "node-1");
+        taskRange.claim(71, "host-2", 1, AT, "");
+        taskRange.finish(71, 1.5, 20.25);
+        taskRange.claim(72, "host-2", 1, AT, "");
+        taskRange.release(72, true, false);
+        TaskRange read = new TaskRange("j-1", 64, 64).read(taskRange.toJson());
+        assertEquals(taskRange.toJson(), read.toJson());
         assertEquals(1, read.doneCount());
         assertEquals(62, read.pendingCount());
         assertEquals("host-2", read.lateOn(72));
@@ -130,9 +136,9 @@
 
     @Test
     void attemptsOnlyGrow() {
-        TaskRange c = new TaskRange("j-1", 0, 2);
-        assertEquals(1, c.claim(0, "host-1", 1, AT, "").attempt());
-        c.release(0, false, false);
-        assertEquals(2, c.claim(0, "host-1", 1, AT, "").attempt());
+        TaskRange taskRange = new TaskRange("j-1", 0, 2);
+        assertEquals(1, taskRange.claim(0, "host-1", 1, AT, "").attempt());
+        taskRange.release(0, false, false);
+        assertEquals(2, taskRange.claim(0, "host-1", 1, AT, "").attempt());
     }
 }
--- a/src/test/java/org/havenford/testing/JobSamples.java
+++ b/src/test/java/org/havenford/testing/JobSamples.java
@@ -8,24 +8,24 @@
 
     /** A submission of team red that says nothing of where its tasks may run, and does not await others. */
     public static JsonObject submission(String id, int tasks, double cpus) {
-        JsonObject o = new JsonObject();
-        o.addProperty("nameId", id);
-        o.addProperty("lineup", "class");
-        o.addProperty("crew", "red");
-        o.addProperty("shape", "batch");
-        o.addProperty("urgency", "normal");
-        o.addProperty("shots", tasks);
-        o.addProperty("vcpus", cpus);
-        o.addProperty("cards", 0.0);
-        o.addProperty("memGb", 1.0);
-        o.addProperty("together", false);
-        o.addProperty("apart", false);
-        o.addProperty("borrowed", true);
-        o.addProperty("reel", "img");
-        o.addProperty("imageGb", 1.0);
-        o.addProperty("guessS", 20.0);
-        o.addProperty("keyframeS", 0.0);
-        o.addProperty("flushS", 0.0);
-        return o;
+        JsonObject json = new JsonObject();
+        json.addProperty("nameId", id);
+        json.addProperty("lineup", "class");
+        json.addProperty("crew", "red");
+        json.addProperty("shape", "batch");
+        json.addProperty("urgency", "normal");
+        json.addProperty("shots", tasks);
+        json.addProperty("vcpus", cpus);
+        json.addProperty("cards", 0.0);
+        json.addProperty("memGb", 1.0);
+        json.addProperty("together", false);
+        json.addProperty("apart", false);
+        json.addProperty("borrowed", true);
+        json.addProperty("reel", "img");
+        json.addProperty("imageGb", 1.0);
+        json.addProperty("guessS", 20.0);
+        json.addProperty("keyframeS", 0.0);
+        json.addProperty("flushS", 0.0);
+        return json;
     }
 }
--- a/src/test/java/org/havenford/testing/QuietObservertype.java
+++ b/src/test/java/org/havenford/testing/QuietObservertype.java
@@ -13,13 +13,13 @@
     public void memberChanged(String node, JsonObject member, long stamp) {}
 
     @Override
-    public void challengeChanged(String node, JsonObject challenge, long stamp) {}
+    public void livenessProbeChanged(String node, JsonObject challenge, long stamp) {}
 
     @Override
     public void machineChanged(String machine) {}
 
     @Override
-    public void settled() {}
+    public void changesApplied() {}
 
     @Override
     public void jobEnded(Job last) {}
--- a/src/test/java/org/havenford/world/Cloud.java
+++ b/src/test/java/org/havenford/world/Cloud.java
@@ -60,17 +60,17 @@
 
     Worker boot(String type, String zone, boolean spot, Duration in) {
         String name = String.format("host-%06d", created++);
-        JsonObject o = new JsonObject();
-        o.addProperty("nameId", name);
-        o.addProperty("endpoint", world.endpoints.apply(name));
-        o.addProperty("rig", type);
-        o.addProperty("hall", zone);
-        o.addProperty("borrowed", spot);
-        o.addProperty("status", "starting");
-        o.addProperty("heldS", 60.0);
+        JsonObject json = new JsonObject();
+        json.addProperty("nameId", name);
+        json.addProperty("endpoint", world.endpoints.apply(name));
+        json.addProperty("rig", type);
+        json.addProperty("hall", zone);
+        json.addProperty("borrowed", spot);
+        json.addProperty("status", "starting");
+        json.addProperty("heldS", 60.0);
         world.after(Duration.ofSeconds(4), () -> {
             if (!gone.contains(name)) {
-                listed.put(name, o);
+                listed.put(name, json);
             }
         });
         Worker w = new Worker(world, name, type, zone, spot);
@@ -100,24 +100,24 @@
         } else if (path.equals("/machine_types")) {
             JsonArray rigs = new JsonArray();
             TYPES.forEach((name, size) -> {
-                JsonObject o = new JsonObject();
-                o.addProperty("name", name);
-                o.addProperty("vcpus", size[0]);
-                o.addProperty("cards", 0);
-                o.addProperty("memGb", size[1]);
-                o.addProperty("localGb", 40);
-                o.addProperty("fetchGbPerS", FETCH_GB_PER_S);
-                o.addProperty("hourly", size[0] * 0.06);
-                o.addProperty("spotPrice", size[0] * 0.02);
-                o.addProperty("bootS", 20);
+                JsonObject json = new JsonObject();
+                json.addProperty("name", name);
+                json.addProperty("vcpus", size[0]);
+                json.addProperty("cards", 0);
+                json.addProperty("memGb", size[1]);
+                json.addProperty("localGb", 40);
+                json.addProperty("fetchGbPerS", FETCH_GB_PER_S);
+                json.addProperty("hourly", size[0] * 0.06);
+                json.addProperty("spotPrice", size[0] * 0.02);
+                json.addProperty("bootS", 20);
                 JsonArray halls = new JsonArray();
                 zones.forEach(halls::add);
-                o.add("halls", halls);
-                rigs.add(o);
+                json.add("halls", halls);
+                rigs.add(json);
             });
-            JsonObject o = new JsonObject();
-            o.add("rigs", rigs);
-            answer.accept(new Reply(200, o.toString()));
+            JsonObject json = new JsonObject();
+            json.add("rigs", rigs);
+            answer.accept(new Reply(200, json.toString()));
         } else if (path.equals("/machines")) {
             answer.accept(rent(JsonParser.parseString(body).getAsJsonObject()));
         } else if (path.equals("/machines/return")) {
@@ -147,23 +147,23 @@
             }
             boxes.add(machine.getValue());
         }
-        JsonObject o = new JsonObject();
-        o.add("boxes", boxes);
-        o.addProperty("truncated", truncated);
-        return new Reply(200, o.toString());
+        JsonObject json = new JsonObject();
+        json.add("boxes", boxes);
+        json.addProperty("truncated", truncated);
+        return new Reply(200, json.toString());
     }
 
-    private Reply rent(JsonObject o) {
-        String booking = o.get("booking").getAsString();
+    private Reply rent(JsonObject json) {
+        String booking = json.get("booking").getAsString();
         List<String> names = bookings.get(booking);
         if (names == null) {
-            String type = o.get("rig").getAsString();
-            String zone = o.get("hall").getAsString();
-            boolean spot = o.get("borrowed").getAsBoolean();
+            String type = json.get("rig").getAsString();
+            String zone = json.get("hall").getAsString();
+            boolean spot = json.get("borrowed").getAsBoolean();
             long there = world.workers.values().stream()
                     .filter(w -> !gone.contains(w.name) && w.type.equals(type) && w.zone.equals(zone) && w.spot == spot)
                     .count();
-            int n = (int) Math.min(o.get("count").getAsInt(), perOffer - there);
+            int n = (int) Math.min(json.get("count").getAsInt(), perOffer - there);
             if (n <= 0) {
                 return new Reply(503, "{\"error\":\"no capacity\"}");
             }
--- a/src/test/java/org/havenford/world/FormatOne.java
+++ b/src/test/java/org/havenford/world/FormatOne.java
@@ -22,9 +22,9 @@
     static String written(String body) {
         JsonObject txn = JsonParser.parseString(body).getAsJsonObject();
         for (JsonElement write : txn.getAsJsonArray("writes")) {
-            JsonObject o = write.getAsJsonObject();
-            if (o.has("set")) {
-                strip(o.get("set").getAsString(), o.get("v"));
+            JsonObject json = write.getAsJsonObject();
+            if (json.has("set")) {
+                strip(json.get("set").getAsString(), json.get("v"));
             }
         }
         return txn.toString();
--- a/src/test/java/org/havenford/world/GrownTest.java
+++ b/src/test/java/org/havenford/world/GrownTest.java
@@ -139,8 +139,8 @@
         assertEquals(
                 List.of(),
                 world.users.jobs.values().stream()
-                        .filter(j -> j.doneTold == null)
-                        .map(j -> j.id + " of " + j.tasks + " by " + j.team + ", begun " + j.begun)
+                        .filter(job -> job.doneTold == null)
+                        .map(job -> job.id + " of " + job.tasks + " by " + job.team + ", begun " + job.begun)
                         .toList(),
                 () -> world.store.changesOf + " " + world.store.conflictsOf);
         assertEquals(total, world.rules.starts, () -> String.join("\n", world.log));
@@ -151,8 +151,8 @@
                 world.store.conflicts - conflicts,
                 world.store.refused - refused,
                 world.users.jobs.values().stream()
-                                .mapToLong(j ->
-                                        Duration.between(j.submitted, j.begun).toMillis())
+                                .mapToLong(job -> Duration.between(job.submitted, job.begun)
+                                        .toMillis())
                                 .max()
                                 .orElse(0)
                         / 1e3);
@@ -192,11 +192,11 @@
         world.runUntil(300);
         assertEquals(List.of(), world.rules.broken);
         assertTrue(
-                world.users.jobs.values().stream().allMatch(j -> j.doneTold != null),
+                world.users.jobs.values().stream().allMatch(job -> job.doneTold != null),
                 () -> "all jobs are done: " + world.store.requests + " " + world.store.refused + " "
                         + world.store.changesOf + " "
                         + world.users.jobs.values().stream()
-                                .map(j -> j.id + j.accepted + j.begun + j.doneTold)
+                                .map(job -> job.id + job.accepted + job.begun + job.doneTold)
                                 .toList());
         world.behaviour.assertKept("grown/tenth-of-the-limits");
     }
--- a/src/test/java/org/havenford/world/InterfaceTest.java
+++ b/src/test/java/org/havenford/world/InterfaceTest.java
@@ -31,15 +31,15 @@
     }
 
     private static String job(String id, String team, int tasks, double cpus) {
-        Users.Job j = new Users.Job();
-        j.id = id;
-        j.team = team;
-        j.tasks = tasks;
-        j.cpus = cpus;
-        j.runS = 5;
-        j.image = "img-1";
-        j.spot = true;
-        return Users.body(j).toString();
+        Users.Job job = new Users.Job();
+        job.id = id;
+        job.team = team;
+        job.tasks = tasks;
+        job.cpus = cpus;
+        job.runS = 5;
+        job.image = "img-1";
+        job.spot = true;
+        return Users.body(job).toString();
     }
 
     @Test
--- a/src/test/java/org/havenford/world/Rules.java
+++ b/src/test/java/org/havenford/world/Rules.java
@@ -91,24 +91,25 @@
         lastStartOf.put(jobOf(t.shot), world.now);
         touched = true;
         world.note(t.shot + " take " + t.take + " starts on " + on.name);
-        Users.Job j = world.users.jobs.get(jobOf(t.shot));
-        if (j.begun == null) {
-            j.begun = world.now;
+        Users.Job job = world.users.jobs.get(jobOf(t.shot));
+        if (job.begun == null) {
+            job.begun = world.now;
         }
         checkOnce(on, t);
-        checkPlace(on, t, j);
-        for (String a : j.awaits) {
+        checkPlace(on, t, job);
+        for (String a : job.awaits) {
             JsonElement end = world.store.value("final/" + a);
             if (end == null
                     || !end.getAsJsonObject().get("status").getAsString().equals("done")) {
                 broken("too_early", t.shot + " starts before " + a + " is done");
             }
         }
-        if (j.cancelTold != null) {
+        if (job.cancelTold != null) {
             startsAfterCancel++;
             world.note(t.shot + " starts after its job was cancelled");
         }
-        if (j.cancelTold != null && Duration.between(j.cancelTold, world.now).compareTo(world.template.cancel()) > 0) {
+        if (job.cancelTold != null
+                && Duration.between(job.cancelTold, world.now).compareTo(world.template.cancellationLimit()) > 0) {
             broken("ran_cancelled", t.shot + " starts");
         }
     }
@@ -124,22 +125,22 @@
     }
 
     /** All five constraints of a job, given its other tasks that are on machines at this moment. */
-    private void checkPlace(Worker on, Worker.Task t, Users.Job j) {
-        if (!j.types.isEmpty() && !j.types.contains(on.type)) {
-            wrongPlace("type", t.shot + " on " + on.name + ", which is " + on.type + ", not of " + j.types);
+    private void checkPlace(Worker on, Worker.Task t, Users.Job job) {
+        if (!job.types.isEmpty() && !job.types.contains(on.type)) {
+            wrongPlace("type", t.shot + " on " + on.name + ", which is " + on.type + ", not of " + job.types);
         }
-        if (j.zone != null && !j.zone.equals(on.zone)) {
-            wrongPlace("zone", t.shot + " in zone " + on.zone + ", not " + j.zone);
+        if (job.zone != null && !job.zone.equals(on.zone)) {
+            wrongPlace("zone", t.shot + " in zone " + on.zone + ", not " + job.zone);
         }
-        if (on.spot && !j.spot) {
+        if (on.spot && !job.spot) {
             wrongPlace("kind", t.shot + " on " + on.name + ", a spot machine");
         }
-        Map<String, Integer> byZone = tasksByZone(j);
-        if (j.together && byZone.size() > 1) {
+        Map<String, Integer> byZone = tasksByZone(job);
+        if (job.together && byZone.size() > 1) {
             wrongPlace("together", t.shot + " on " + on.name + ", tasks by zone " + byZone);
         }
-        if (j.apart && byZone.getOrDefault(on.zone, 0) > mostInOneZone(j)) {
-            wrongPlace("apart", t.shot + " on " + on.name + ", of " + j.tasks + " tasks by zone " + byZone);
+        if (job.apart && byZone.getOrDefault(on.zone, 0) > mostInOneZone(job)) {
+            wrongPlace("apart", t.shot + " on " + on.name + ", of " + job.tasks + " tasks by zone " + byZone);
         }
     }
 
@@ -147,16 +148,16 @@
         broken("wrong_place", constraint + ": " + what);
     }
 
-    private static int mostInOneZone(Users.Job j) {
-        return (j.tasks + 1) / 2;
+    private static int mostInOneZone(Users.Job job) {
+        return (job.tasks + 1) / 2;
     }
 
     /** How many tasks of a job are on machines of each zone. */
-    private Map<String, Integer> tasksByZone(Users.Job j) {
+    private Map<String, Integer> tasksByZone(Users.Job job) {
         Map<String, Integer> byZone = new TreeMap<>();
         for (Worker w : world.workers.values()) {
             for (Worker.Task o : w.tasks.values()) {
-                if (on(w, o) && jobOf(o.shot).equals(j.id)) {
+                if (on(w, o) && jobOf(o.shot).equals(job.id)) {
                     byZone.merge(w.zone, 1, Integer::sum);
                 }
             }
@@ -170,34 +171,35 @@
             waiting.clear();
             return;
         }
-        for (Users.Job j : world.users.jobs.values()) {
-            boolean open = j.accepted
-                    && j.doneTold == null
-                    && !world.users.mayBeWithdrawn(j)
-                    && j.awaits.stream().allMatch(a -> world.store.value("final/" + a) != null);
+        for (Users.Job job : world.users.jobs.values()) {
+            boolean open = job.accepted
+                    && job.doneTold == null
+                    && !world.users.mayBeWithdrawn(job)
+                    && job.awaits.stream().allMatch(a -> world.store.value("final/" + a) != null);
             // Of a job that fails on every machine no task is ever done: it must be tried often enough.
-            Instant tried = lastStartOf.getOrDefault(j.id, Instant.MIN);
-            boolean triedLately = j.broken && tried.plus(WAITS_AT_MOST).isAfter(world.now);
-            boolean pending = open && unstarted(j) && !triedLately;
-            PlatformSettings.Team team = world.template.teams().get(j.team);
-            boolean allowed = team.cpusMax() <= 0 || used.getOrDefault(j.team, 0.0) + j.cpus <= team.cpusMax() + 1e-6;
-            Map<String, Integer> byZone = pending && allowed ? tasksByZone(j) : Map.of();
+            Instant tried = lastStartOf.getOrDefault(job.id, Instant.MIN);
+            boolean triedLately = job.broken && tried.plus(WAITS_AT_MOST).isAfter(world.now);
+            boolean pending = open && unstarted(job) && !triedLately;
+            PlatformSettings.Team team = world.template.teams().get(job.team);
+            boolean allowed =
+                    team.cpusMax() <= 0 || used.getOrDefault(job.team, 0.0) + job.cpus <= team.cpusMax() + 1e-6;
+            Map<String, Integer> byZone = pending && allowed ? tasksByZone(job) : Map.of();
             if (!pending
                     || !allowed
-                    || world.workers.values().stream().noneMatch(w -> hasRoom(w, j) && mayJoin(w, j, byZone))) {
-                waiting.remove(j.id);
-            } else if (Duration.between(waiting.computeIfAbsent(j.id, k -> world.now), world.now)
+                    || world.workers.values().stream().noneMatch(w -> hasRoom(w, job) && mayJoin(w, job, byZone))) {
+                waiting.remove(job.id);
+            } else if (Duration.between(waiting.computeIfAbsent(job.id, k -> world.now), world.now)
                             .compareTo(WAITS_AT_MOST)
                     > 0) {
-                broken("waited", j.id + " has waited beside fitting room");
-                waiting.remove(j.id);
+                broken("waited", job.id + " has waited beside fitting room");
+                waiting.remove(job.id);
             }
         }
     }
 
-    private boolean unstarted(Users.Job j) {
-        for (int i = 0; i < j.tasks; i++) {
-            String shot = j.id + "/" + i;
+    private boolean unstarted(Users.Job job) {
+        for (int i = 0; i < job.tasks; i++) {
+            String shot = job.id + "/" + i;
             if (!world.users.finished.contains(shot)
                     && world.workers.values().stream()
                             .noneMatch(w -> w.tasks.values().stream().anyMatch(t -> t.shot.equals(shot)))) {
@@ -208,12 +210,12 @@
     }
 
     /** Whether one more task may start in the machine's zone beside those that are on machines now. */
-    private static boolean mayJoin(Worker w, Users.Job j, Map<String, Integer> byZone) {
-        return (!j.together || byZone.isEmpty() || byZone.containsKey(w.zone))
-                && (!j.apart || byZone.getOrDefault(w.zone, 0) < mostInOneZone(j));
+    private static boolean mayJoin(Worker w, Users.Job job, Map<String, Integer> byZone) {
+        return (!job.together || byZone.isEmpty() || byZone.containsKey(w.zone))
+                && (!job.apart || byZone.getOrDefault(w.zone, 0) < mostInOneZone(job));
     }
 
-    private boolean hasRoom(Worker w, Users.Job j) {
+    private boolean hasRoom(Worker w, Users.Job job) {
         double taken = w.tasks.values().stream()
                 .filter(t -> !t.status.equals("exited"))
                 .mapToDouble(t -> world.users.jobs.get(jobOf(t.shot)).cpus)
@@ -222,10 +224,10 @@
                 && !w.hung
                 && !w.faulty
                 && w.notice == null
-                && (j.spot || !w.spot)
-                && (j.types.isEmpty() || j.types.contains(w.type))
-                && (j.zone == null || j.zone.equals(w.zone))
-                && taken + j.cpus <= Cloud.TYPES.get(w.type)[0] + 1e-6;
+                && (job.spot || !w.spot)
+                && (job.types.isEmpty() || job.types.contains(w.type))
+                && (job.zone == null || job.zone.equals(w.zone))
+                && taken + job.cpus <= Cloud.TYPES.get(w.type)[0] + 1e-6;
     }
 
     void check() {
@@ -240,10 +242,11 @@
                 if (!on(w, t)) {
                     continue;
                 }
-                Users.Job j = world.users.jobs.get(jobOf(t.shot));
-                used.merge(j.team, j.cpus, Double::sum);
-                if (j.cancelTold != null
-                        && Duration.between(j.cancelTold, world.now).compareTo(world.template.cancel()) > 0) {
+                Users.Job job = world.users.jobs.get(jobOf(t.shot));
+                used.merge(job.team, job.cpus, Double::sum);
+                if (job.cancelTold != null
+                        && Duration.between(job.cancelTold, world.now).compareTo(world.template.cancellationLimit())
+                                > 0) {
                     broken("ran_cancelled", t.shot + " is still on " + w.name);
                 }
             }
@@ -261,12 +264,12 @@
     }
 
     /** A question about a job had no answer: after the troubles none may stay without one for longer than this. */
-    void unanswered(Users.Job j) {
-        Instant since = j.answered.isAfter(troublesOver) ? j.answered : troublesOver;
+    void unanswered(Users.Job job) {
+        Instant since = job.answered.isAfter(troublesOver) ? job.answered : troublesOver;
         if (Duration.between(since, world.now).compareTo(KNOWN_WITHIN) > 0) {
             broken(
                     "forgotten",
-                    j.id + " has had no answer since "
+                    job.id + " has had no answer since "
                             + Duration.between(Instant.EPOCH, since).toMillis() / 1e3);
         }
     }
@@ -275,26 +278,27 @@
     void endOfDay() {
         Map<String, List<Users.Job>> groups = new TreeMap<>();
         Map<String, Integer> largest = new HashMap<>();
-        for (Users.Job j : world.users.jobs.values()) {
-            largest.merge(j.lineup, j.tasks, Math::max);
+        for (Users.Job job : world.users.jobs.values()) {
+            largest.merge(job.lineup, job.tasks, Math::max);
         }
-        for (Users.Job j : world.users.jobs.values()) {
-            if (!j.accepted || j.broken || j.cancelTold != null || j.takenAlong != null) {
+        for (Users.Job job : world.users.jobs.values()) {
+            if (!job.accepted || job.broken || job.cancelTold != null || job.takenAlong != null) {
                 continue;
             }
-            groups.computeIfAbsent("class " + j.lineup, k -> new ArrayList<>()).add(j);
-            groups.computeIfAbsent("team " + j.team, k -> new ArrayList<>()).add(j);
-            if (j.tasks >= largest.get(j.lineup) * LARGE) {
-                groups.computeIfAbsent("largest of class " + j.lineup, k -> new ArrayList<>())
-                        .add(j);
-                Instant by = j.submitted.plus(LARGE_BEGIN_WITHIN);
-                if (j.awaits.isEmpty() && by.isBefore(world.now) && (j.begun == null || j.begun.isAfter(by))) {
-                    broken("unserved", j.id + ", of the largest of its class, has not begun in time");
+            groups.computeIfAbsent("class " + job.lineup, k -> new ArrayList<>())
+                    .add(job);
+            groups.computeIfAbsent("team " + job.team, k -> new ArrayList<>()).add(job);
+            if (job.tasks >= largest.get(job.lineup) * LARGE) {
+                groups.computeIfAbsent("largest of class " + job.lineup, k -> new ArrayList<>())
+                        .add(job);
+                Instant by = job.submitted.plus(LARGE_BEGIN_WITHIN);
+                if (job.awaits.isEmpty() && by.isBefore(world.now) && (job.begun == null || job.begun.isAfter(by))) {
+                    broken("unserved", job.id + ", of the largest of its class, has not begun in time");
                 }
             }
         }
         groups.forEach((group, jobs) -> {
-            long served = jobs.stream().filter(j -> j.doneTold != null).count();
+            long served = jobs.stream().filter(job -> job.doneTold != null).count();
             if (served * 2 < jobs.size()) {
                 broken("unserved", group + ": " + served + " of " + jobs.size());
             }
--- a/src/test/java/org/havenford/world/Store.java
+++ b/src/test/java/org/havenford/world/Store.java
@@ -259,11 +259,11 @@
                     items.add(item(e.getKey(), e.getValue()));
                 }
             }
-            JsonObject o = new JsonObject();
-            o.add("items", items);
-            o.addProperty("truncated", more);
-            o.addProperty("edition", edition);
-            answer.accept(new Reply(200, o.toString()));
+            JsonObject json = new JsonObject();
+            json.add("items", items);
+            json.addProperty("truncated", more);
+            json.addProperty("edition", edition);
+            answer.accept(new Reply(200, json.toString()));
         }
     }
 
@@ -273,11 +273,11 @@
     }
 
     private static JsonObject item(String key, Value v) {
-        JsonObject o = new JsonObject();
-        o.addProperty("k", key);
-        o.add("v", v.v);
-        o.addProperty("stamp", v.stamp);
-        return o;
+        JsonObject json = new JsonObject();
+        json.addProperty("k", key);
+        json.add("v", v.v);
+        json.addProperty("stamp", v.stamp);
+        return json;
     }
 
     private static Map<String, String> query(String path) {
@@ -290,13 +290,13 @@
     }
 
     private Reply txn(String body) {
-        JsonObject o = JsonParser.parseString(body).getAsJsonObject();
-        JsonArray writes = o.getAsJsonArray("writes");
-        if (writes.size() > txnOps || o.getAsJsonArray("guards").size() > 4 * txnOps || body.length() > 65536) {
+        JsonObject json = JsonParser.parseString(body).getAsJsonObject();
+        JsonArray writes = json.getAsJsonArray("writes");
+        if (writes.size() > txnOps || json.getAsJsonArray("guards").size() > 4 * txnOps || body.length() > 65536) {
             throw new AssertionError("a transaction beyond the limits: " + body);
         }
         Set<String> failed = new HashSet<>();
-        for (JsonElement e : o.getAsJsonArray("guards")) {
+        for (JsonElement e : json.getAsJsonArray("guards")) {
             String k = e.getAsJsonObject().get("k").getAsString();
             Value v = values.get(k);
             if ((v == null ? 0 : v.stamp) != e.getAsJsonObject().get("stamp").getAsLong()) {
@@ -388,22 +388,22 @@
         }
         for (Change c : changes.subList(from, changes.size())) {
             if (c.key.startsWith(w.prefix)) {
-                JsonObject o = new JsonObject();
-                o.addProperty(c.v == null ? "delete" : "set", c.key);
+                JsonObject json = new JsonObject();
+                json.addProperty(c.v == null ? "delete" : "set", c.key);
                 if (c.v != null) {
-                    o.add("v", c.v);
+                    json.add("v", c.v);
                 }
-                o.addProperty("stamp", c.stamp);
-                log.add(o);
+                json.addProperty("stamp", c.stamp);
+                log.add(json);
             }
         }
         if (log.isEmpty() && !even) {
             return false;
         }
-        JsonObject o = new JsonObject();
-        o.addProperty("edition", edition);
-        o.add("log", log);
-        w.answer.accept(new Reply(200, o.toString()));
+        JsonObject json = new JsonObject();
+        json.addProperty("edition", edition);
+        json.add("log", log);
+        w.answer.accept(new Reply(200, json.toString()));
         return true;
     }
 }
--- a/src/test/java/org/havenford/world/Users.java
+++ b/src/test/java/org/havenford/world/Users.java
@@ -74,86 +74,86 @@
         this.world = world;
     }
 
-    private void look(Job j) {
+    private void look(Job job) {
         if (!closeLooks) {
             return;
         }
         for (World.Node node : world.nodes.values()) {
             for (int millis : new int[] {0, 3, 12, 40}) {
                 world.after(Duration.ofMillis(millis), () -> {
-                    ask(j.id, node.settings.bind());
-                    repeat(j.id, node.settings.bind());
+                    ask(job.id, node.settings.bind());
+                    repeat(job.id, node.settings.bind());
                 });
             }
         }
     }
 
     Job submit(String id, String team, int tasks, double cpus, double runS, List<String> options) {
-        Job j = new Job();
-        j.id = id;
-        j.team = team;
-        j.tasks = tasks;
-        j.cpus = cpus;
-        j.runS = runS;
-        j.image = "img-" + (Integer.parseInt(id.substring(2)) % 3);
-        j.spot = true;
+        Job job = new Job();
+        job.id = id;
+        job.team = team;
+        job.tasks = tasks;
+        job.cpus = cpus;
+        job.runS = runS;
+        job.image = "img-" + (Integer.parseInt(id.substring(2)) % 3);
+        job.spot = true;
         for (String o : options) {
-            j.broken |= o.equals("broken");
-            j.apart |= o.equals("apart");
-            j.together |= o.equals("together");
-            j.spot &= !o.equals("ordinary");
-            j.lineup = o.startsWith("class=") ? o.substring(6) : j.lineup;
-            j.zone = o.startsWith("zone=") ? o.substring(5) : j.zone;
-            j.types = o.startsWith("types=") ? Set.of(o.substring(6).split(",")) : j.types;
-            j.imageGb = o.startsWith("image-gb=") ? Double.parseDouble(o.substring(9)) : j.imageGb;
-            j.urgency = o.equals("urgent") || o.equals("low") ? o : j.urgency;
+            job.broken |= o.equals("broken");
+            job.apart |= o.equals("apart");
+            job.together |= o.equals("together");
+            job.spot &= !o.equals("ordinary");
+            job.lineup = o.startsWith("class=") ? o.substring(6) : job.lineup;
+            job.zone = o.startsWith("zone=") ? o.substring(5) : job.zone;
+            job.types = o.startsWith("types=") ? Set.of(o.substring(6).split(",")) : job.types;
+            job.imageGb = o.startsWith("image-gb=") ? Double.parseDouble(o.substring(9)) : job.imageGb;
+            job.urgency = o.equals("urgent") || o.equals("low") ? o : job.urgency;
             if (o.startsWith("awaits=")) {
-                j.awaits.addAll(List.of(o.substring(7).split(",")));
+                job.awaits.addAll(List.of(o.substring(7).split(",")));
             }
-            j.due = o.startsWith("due=") ? Double.parseDouble(o.substring(4)) : j.due;
+            job.due = o.startsWith("due=") ? Double.parseDouble(o.substring(4)) : job.due;
         }
-        j.submitted = world.now;
-        jobs.put(id, j);
-        send(j);
-        return j;
+        job.submitted = world.now;
+        jobs.put(id, job);
+        send(job);
+        return job;
     }
 
-    static JsonObject body(Job j) {
-        JsonObject o = new JsonObject();
-        o.addProperty("nameId", j.id);
-        o.addProperty("lineup", j.lineup);
-        o.addProperty("crew", j.team);
-        o.addProperty("shape", "batch");
-        o.addProperty("urgency", j.urgency);
-        if (j.due > 0) {
-            o.addProperty("airtimeS", j.due);
+    static JsonObject body(Job job) {
+        JsonObject json = new JsonObject();
+        json.addProperty("nameId", job.id);
+        json.addProperty("lineup", job.lineup);
+        json.addProperty("crew", job.team);
+        json.addProperty("shape", "batch");
+        json.addProperty("urgency", job.urgency);
+        if (job.due > 0) {
+            json.addProperty("airtimeS", job.due);
         }
-        o.addProperty("shots", j.tasks);
-        o.addProperty("vcpus", j.cpus);
-        o.addProperty("cards", 0.0);
-        o.addProperty("memGb", 1.0);
-        o.addProperty("reel", j.image);
-        o.addProperty("imageGb", j.imageGb);
-        o.addProperty("together", j.together);
-        o.addProperty("apart", j.apart);
-        o.addProperty("borrowed", j.spot);
-        if (j.zone != null) {
-            o.addProperty("hall", j.zone);
+        json.addProperty("shots", job.tasks);
+        json.addProperty("vcpus", job.cpus);
+        json.addProperty("cards", 0.0);
+        json.addProperty("memGb", 1.0);
+        json.addProperty("reel", job.image);
+        json.addProperty("imageGb", job.imageGb);
+        json.addProperty("together", job.together);
+        json.addProperty("apart", job.apart);
+        json.addProperty("borrowed", job.spot);
+        if (job.zone != null) {
+            json.addProperty("hall", job.zone);
         }
-        if (!j.types.isEmpty()) {
+        if (!job.types.isEmpty()) {
             JsonArray rigs = new JsonArray();
-            j.types.stream().sorted().forEach(rigs::add);
-            o.add("rigs", rigs);
+            job.types.stream().sorted().forEach(rigs::add);
+            json.add("rigs", rigs);
         }
-        o.addProperty("guessS", j.runS);
-        o.addProperty("keyframeS", 0.0);
-        o.addProperty("flushS", 0.0);
-        if (!j.awaits.isEmpty()) {
+        json.addProperty("guessS", job.runS);
+        json.addProperty("keyframeS", 0.0);
+        json.addProperty("flushS", 0.0);
+        if (!job.awaits.isEmpty()) {
             JsonArray a = new JsonArray();
-            j.awaits.forEach(a::add);
-            o.add("awaits", a);
+            job.awaits.forEach(a::add);
+            json.add("awaits", a);
         }
-        return o;
+        return json;
     }
 
     private String someNode() {
@@ -161,103 +161,103 @@
         return all.get(world.random.nextInt(all.size())).settings.bind();
     }
 
-    private void send(Job j) {
-        boolean known = j.awaits.stream().allMatch(a -> jobs.get(a).accepted);
-        world.call("users", someNode(), "POST", "/submissions", body(j).toString(), Duration.ofSeconds(5), r -> {
+    private void send(Job job) {
+        boolean known = job.awaits.stream().allMatch(a -> jobs.get(a).accepted);
+        world.call("users", someNode(), "POST", "/submissions", body(job).toString(), Duration.ofSeconds(5), r -> {
             if (r.status() == 201 || r.status() == 200) {
-                if (!j.accepted) {
-                    world.note(j.id + " accepted");
+                if (!job.accepted) {
+                    world.note(job.id + " accepted");
                 }
-                boolean first = !j.accepted;
-                j.accepted = true;
-                j.answered = world.now;
-                poll(j);
+                boolean first = !job.accepted;
+                job.accepted = true;
+                job.answered = world.now;
+                poll(job);
                 if (first) {
-                    look(j);
+                    look(job);
                 }
             } else if (r.status() == 422 && !known) {
-                world.after(Duration.ofSeconds(1), () -> send(j));
+                world.after(Duration.ofSeconds(1), () -> send(job));
             } else if (r.status() == 400 || r.status() == 422) {
-                world.rules.broken("forgotten", j.id + " refused with " + r.status());
+                world.rules.broken("forgotten", job.id + " refused with " + r.status());
             } else {
-                world.after(Duration.ofSeconds(1), () -> send(j));
+                world.after(Duration.ofSeconds(1), () -> send(job));
             }
         });
     }
 
-    private void poll(Job j) {
+    private void poll(Job job) {
         int often = Math.max(1, pollsAsOften);
         world.after(Duration.ofMillis((4000 + world.random.nextInt(2000)) / often), () -> {
-            String knew = j.last;
+            String knew = job.last;
             Instant asked = world.now;
-            world.call("users", someNode(), "GET", "/submissions/" + j.id, null, Duration.ofSeconds(2), r -> {
-                told(j, knew, asked, r);
-                if ((j.doneTold == null && j.cancelTold == null && j.takenAlong == null)
+            world.call("users", someNode(), "GET", "/submissions/" + job.id, null, Duration.ofSeconds(2), r -> {
+                told(job, knew, asked, r);
+                if ((job.doneTold == null && job.cancelTold == null && job.takenAlong == null)
                         || world.random.nextInt(3) > 0) {
-                    poll(j);
+                    poll(job);
                 }
             });
         });
     }
 
     /** Whether the job, or one that it needs, was asked to be cancelled. */
-    boolean mayBeWithdrawn(Job j) {
-        return cancelAsked.contains(j.id) || j.awaits.stream().anyMatch(a -> mayBeWithdrawn(jobs.get(a)));
+    boolean mayBeWithdrawn(Job job) {
+        return cancelAsked.contains(job.id) || job.awaits.stream().anyMatch(a -> mayBeWithdrawn(jobs.get(a)));
     }
 
     /** When a user was first told that a job which this one needs is cancelled. */
-    private Instant cancelledBefore(Job j) {
+    private Instant cancelledBefore(Job job) {
         Instant first = null;
-        for (String a : j.awaits) {
+        for (String a : job.awaits) {
             Job b = jobs.get(a);
             Instant at = b.cancelTold != null ? b.cancelTold : cancelledBefore(b);
             first = first == null || (at != null && at.isBefore(first)) ? at : first;
         }
-        return first == null || j.submitted.isBefore(first) ? first : j.submitted;
+        return first == null || job.submitted.isBefore(first) ? first : job.submitted;
     }
 
     /** {@code knew} is what the user had been told when asking: an answer may be overtaken on its way, but not be older. */
-    private void told(Job j, String knew, Instant asked, Reply r) {
+    private void told(Job job, String knew, Instant asked, Reply r) {
         if (r.status() == 404) {
-            world.rules.broken("forgotten", j.id + " is answered 404");
+            world.rules.broken("forgotten", job.id + " is answered 404");
         }
         if (r.status() != 200) {
-            world.rules.unanswered(j);
+            world.rules.unanswered(job);
             return;
         }
-        j.answered = world.now;
+        job.answered = world.now;
         String status =
                 JsonParser.parseString(r.body()).getAsJsonObject().get("status").getAsString();
         boolean was = knew.equals("done") || knew.equals("withdrawn");
         if (was && !status.equals(knew)) {
-            world.rules.broken("went_back", j.id + " was " + knew + " and is " + status);
+            world.rules.broken("went_back", job.id + " was " + knew + " and is " + status);
         }
-        if (status.equals("withdrawn") && j.cancelTold == null && !mayBeWithdrawn(j)) {
-            world.rules.broken("went_back", j.id + " is cancelled by nobody");
-        } else if (status.equals("withdrawn") && j.takenAlong == null) {
-            j.takenAlong = world.now;
+        if (status.equals("withdrawn") && job.cancelTold == null && !mayBeWithdrawn(job)) {
+            world.rules.broken("went_back", job.id + " is cancelled by nobody");
+        } else if (status.equals("withdrawn") && job.takenAlong == null) {
+            job.takenAlong = world.now;
         }
-        Instant before = cancelledBefore(j);
+        Instant before = cancelledBefore(job);
         if (before != null
                 && !status.equals("withdrawn")
-                && Duration.between(before, asked).compareTo(world.template.cancel()) > 0) {
+                && Duration.between(before, asked).compareTo(world.template.cancellationLimit()) > 0) {
             world.rules.broken(
                     "orphaned",
-                    j.id + " is " + status + ", though a job before it was cancelled at "
+                    job.id + " is " + status + ", though a job before it was cancelled at "
                             + Duration.between(Instant.EPOCH, before).toMillis() / 1e3);
         }
-        if (status.equals("done") && j.doneTold == null) {
-            j.doneTold = world.now;
-            for (int i = 0; i < j.tasks; i++) {
-                if (!finished.contains(j.id + "/" + i)) {
-                    world.rules.broken("not_done", j.id + "/" + i + " is not done");
+        if (status.equals("done") && job.doneTold == null) {
+            job.doneTold = world.now;
+            for (int i = 0; i < job.tasks; i++) {
+                if (!finished.contains(job.id + "/" + i)) {
+                    world.rules.broken("not_done", job.id + "/" + i + " is not done");
                 }
             }
-            world.note(j.id + " done");
-            look(j);
+            world.note(job.id + " done");
+            look(job);
         }
-        if (!j.last.equals("withdrawn") && !j.last.equals("done")) {
-            j.last = status;
+        if (!job.last.equals("withdrawn") && !job.last.equals("done")) {
+            job.last = status;
         }
     }
 
@@ -267,13 +267,14 @@
     }
 
     private void ask(String id, String at) {
-        Job j = jobs.get(id);
-        if (j == null || !j.accepted) {
+        Job job = jobs.get(id);
+        if (job == null || !job.accepted) {
             return;
         }
-        String knew = j.last;
+        String knew = job.last;
         Instant asked = world.now;
-        world.call("users", at, "GET", "/submissions/" + id, null, Duration.ofSeconds(2), r -> told(j, knew, asked, r));
+        world.call(
+                "users", at, "GET", "/submissions/" + id, null, Duration.ofSeconds(2), r -> told(job, knew, asked, r));
     }
 
     /** The submission once more, whatever has become of the job: an accepted one is known for good. */
@@ -282,25 +283,25 @@
     }
 
     private void repeat(String id, String at) {
-        Job j = jobs.get(id);
-        if (j == null) {
+        Job job = jobs.get(id);
+        if (job == null) {
             return;
         }
-        String knew = j.last;
-        boolean was = j.accepted;
+        String knew = job.last;
+        boolean was = job.accepted;
         Instant asked = world.now;
-        world.call("users", at, "POST", "/submissions", body(j).toString(), Duration.ofSeconds(5), r -> {
+        world.call("users", at, "POST", "/submissions", body(job).toString(), Duration.ofSeconds(5), r -> {
             if (was && r.status() >= 201 && r.status() < 500 && r.status() != 429) {
                 world.rules.broken("forgotten", id + " sent again is answered " + r.status());
             } else if (was && r.status() == 200) {
-                told(j, knew, asked, r);
+                told(job, knew, asked, r);
             }
         });
     }
 
     void cancel(String id, String node) {
-        Job j = jobs.get(id);
-        if (j == null) {
+        Job job = jobs.get(id);
+        if (job == null) {
             return;
         }
         cancelAsked.add(id);
@@ -313,10 +314,10 @@
                         .getAsString();
                 world.note(id + " cancel answered " + status);
                 if (status.equals("withdrawn")) {
-                    j.cancelTold = world.now;
+                    job.cancelTold = world.now;
                     world.rules.touched();
-                    j.last = "withdrawn";
-                    look(j);
+                    job.last = "withdrawn";
+                    look(job);
                 }
             } else {
                 world.after(Duration.ofSeconds(1), () -> cancel(id, null));
--- a/src/test/java/org/havenford/world/Worker.java
+++ b/src/test/java/org/havenford/world/Worker.java
@@ -165,7 +165,7 @@
         }
         world.after(Duration.ofMillis(500), this::tick);
         Duration since = Duration.between(lastReport, world.now);
-        if (!hung && !inFlight && (changed || since.compareTo(world.template.report()) >= 0)) {
+        if (!hung && !inFlight && (changed || since.compareTo(world.template.heartbeatInterval()) >= 0)) {
             report();
         }
     }
@@ -190,21 +190,21 @@
     private void answered(Reply r, Instant sent, long sentSession) {
         inFlight = false;
         if (r.status() == 200) {
-            JsonObject o = JsonParser.parseString(r.body()).getAsJsonObject();
+            JsonObject json = JsonParser.parseString(r.body()).getAsJsonObject();
             if (sentSession != session
-                    || o.get("baton").getAsLong() < token
+                    || json.get("baton").getAsLong() < token
                     || Duration.between(sent, world.now).compareTo(Duration.ofSeconds(4)) > 0) {
                 return;
             }
             lease = sent;
-            obey(o);
+            obey(json);
             return;
         }
         if (r.status() == 421) {
-            JsonObject o = JsonParser.parseString(r.body()).getAsJsonObject();
-            int next = o.has("director")
+            JsonObject json = JsonParser.parseString(r.body()).getAsJsonObject();
+            int next = json.has("director")
                     ? List.copyOf(world.nodes.keySet())
-                            .indexOf(o.get("director").getAsString())
+                            .indexOf(json.get("director").getAsString())
                     : -1;
             if (next >= 0 && next != target) {
                 target = next;
@@ -212,22 +212,22 @@
                 return;
             }
         }
-        lastReport = world.now.minus(world.template.report()).plusSeconds(1);
+        lastReport = world.now.minus(world.template.heartbeatInterval()).plusSeconds(1);
         target = (target + 1) % world.nodes.size();
     }
 
     private String reportBody() {
-        JsonObject o = new JsonObject();
-        o.addProperty("box", name);
-        o.addProperty("endpoint", address());
-        o.addProperty("rig", type);
-        o.addProperty("hall", zone);
-        o.addProperty("borrowed", spot);
-        o.addProperty("shift", session);
-        o.addProperty("tally", ++seq);
-        o.addProperty("baton", token);
+        JsonObject json = new JsonObject();
+        json.addProperty("box", name);
+        json.addProperty("endpoint", address());
+        json.addProperty("rig", type);
+        json.addProperty("hall", zone);
+        json.addProperty("borrowed", spot);
+        json.addProperty("shift", session);
+        json.addProperty("tally", ++seq);
+        json.addProperty("baton", token);
         if (notice != null) {
-            o.addProperty("warningS", notice);
+            json.addProperty("warningS", notice);
         }
         JsonArray a = new JsonArray();
         for (Task t : tasks.values()) {
@@ -240,32 +240,32 @@
             }
             a.add(e);
         }
-        o.add("shots", a);
-        return o.toString();
+        json.add("shots", a);
+        return json.toString();
     }
 
     @Override
     public void request(String method, String path, String body, Consumer<Reply> answer) {
         act(() -> {
             if (path.equals("/do")) {
-                JsonObject o = JsonParser.parseString(body).getAsJsonObject();
-                if (o.get("baton").getAsLong() < token || o.get("shift").getAsLong() != session) {
+                JsonObject json = JsonParser.parseString(body).getAsJsonObject();
+                if (json.get("baton").getAsLong() < token || json.get("shift").getAsLong() != session) {
                     answer.accept(new Reply(409, reportBody()));
                     return;
                 }
-                obey(o);
+                obey(json);
             }
             answer.accept(new Reply(200, reportBody()));
         });
     }
 
-    private void obey(JsonObject o) {
-        if (o.get("baton").getAsLong() > token) {
+    private void obey(JsonObject json) {
+        if (json.get("baton").getAsLong() > token) {
             tokenRaisedAt.add(world.now);
-            token = o.get("baton").getAsLong();
+            token = json.get("baton").getAsLong();
             changed = true;
         }
-        for (JsonElement e : o.getAsJsonArray("cues")) {
+        for (JsonElement e : json.getAsJsonArray("cues")) {
             JsonObject c = e.getAsJsonObject();
             String shot = c.get("shot").getAsString();
             long take = c.get("take").getAsLong();
