--- a/src/main/java/org/havenford/coordination/failover/StandbyHost.java
+++ b/src/main/java/org/havenford/coordination/failover/StandbyHost.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import org.havenford.coordination.agents.AgentContact;
-import org.havenford.coordination.membership.ClusterView;
 import org.havenford.storage.StoreClient;
+import org.havenford.storage.records.ClusterView;
 import org.havenford.transport.EventLoop;
 
 /** What a standby sees of the controller that it runs in, and may ask of it. All of it on the event loop. */
--- a/src/main/java/org/havenford/coordination/membership/Membership.java
+++ b/src/main/java/org/havenford/coordination/membership/Membership.java
@@ -17,6 +17,7 @@
 import org.havenford.protocol.Json;
 import org.havenford.storage.StoreClient;
 import org.havenford.storage.StoreReplica;
+import org.havenford.storage.records.ClusterView;
 import org.havenford.storage.records.Keys;
 import org.havenford.transport.EventLoop;
 import org.slf4j.Logger;
--- a/src/main/java/org/havenford/standby/FailoverCoordinator.java
+++ b/src/main/java/org/havenford/standby/FailoverCoordinator.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import java.util.function.UnaryOperator;
 import org.havenford.coordination.failover.StandbyHost;
-import org.havenford.coordination.membership.ClusterView;
 import org.havenford.standby.PeerMessage.ReachAnswer;
 import org.havenford.standby.PeerMessage.ReachQuestion;
+import org.havenford.storage.records.ClusterView;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/org/havenford/standby/Succession.java
+++ b/src/main/java/org/havenford/standby/Succession.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.UnaryOperator;
-import org.havenford.coordination.membership.ClusterView;
+import org.havenford.storage.records.ClusterView;
 
 /**
  * Who stands by for whom. The standby of a machine is its second in rendezvous order, which owns it as soon as the owner has
--- a/src/main/java/org/havenford/coordination/membership/ClusterView.java
+++ b/src/main/java/org/havenford/storage/records/ClusterView.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination.membership;
+package org.havenford.storage.records;
 
 import com.google.common.hash.HashFunction;
 import com.google.common.hash.Hashing;
--- a/src/test/java/org/havenford/coordination/DecisionsTest.java
+++ b/src/test/java/org/havenford/coordination/DecisionsTest.java
@@ -11,8 +11,8 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import org.havenford.coordination.agents.StragglerDetector;
-import org.havenford.coordination.membership.ClusterView;
 import org.havenford.settings.OperatorSettings;
+import org.havenford.storage.records.ClusterView;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/src/test/java/org/havenford/standby/FailoverCoordinatorTest.java
+++ b/src/test/java/org/havenford/standby/FailoverCoordinatorTest.java
@@ -10,10 +10,10 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import org.havenford.coordination.membership.ClusterView;
 import org.havenford.settings.PlatformSettings;
 import org.havenford.settings.StandbySettings;
 import org.havenford.standby.PeerMessage.ReachAnswer;
+import org.havenford.storage.records.ClusterView;
 import org.junit.jupiter.api.Test;
 
 /** From a suspicion to a verdict: whom it takes, and what happens when the view changes on the way. */
--- a/src/test/java/org/havenford/standby/FakeHost.java
+++ b/src/test/java/org/havenford/standby/FakeHost.java
@@ -7,7 +7,7 @@
 import java.util.function.LongConsumer;
 import org.havenford.coordination.agents.AgentContact;
 import org.havenford.coordination.failover.StandbyHost;
-import org.havenford.coordination.membership.ClusterView;
+import org.havenford.storage.records.ClusterView;
 import org.havenford.transport.EventLoop;
 
 /** A controller that stands still in time until told otherwise, and forgets timers. */
--- a/src/test/java/org/havenford/storage/records/StoredValuesTest.java
+++ b/src/test/java/org/havenford/storage/records/StoredValuesTest.java
@@ -19,7 +19,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import org.havenford.coordination.membership.ClusterView;
 import org.havenford.protocol.MachineType;
 import org.havenford.storage.ClusterState;
 import org.junit.jupiter.api.Test;
