--- a/src/test/java/org/havenford/world/BehaviourDigest.java
+++ b/src/test/java/org/havenford/simulator/BehaviourDigest.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -17,7 +17,7 @@
 import java.util.TreeMap;
 
 /**
- * A digest over everything that the controllers of one {@link World} send, in order and with the simulated time: requests,
+ * A digest over everything that the controllers of one {@link ClusterSimulator} send, in order and with the simulated time: requests,
  * answers to requests, and what goes over peer connections. Two versions of the controllers with the same digest behave
  * alike in that run. The expected digests are kept in src/test/resources/digests; see the README.md there.
  */
--- a/src/test/java/org/havenford/world/World.java
+++ b/src/test/java/org/havenford/simulator/ClusterSimulator.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -29,7 +29,7 @@
  * A deterministic world in one thread: clock, network, state service, cloud, workers and users, written from the
  * published protocol, around the real controllers. The same seed gives the same run.
  */
-public final class World {
+public final class ClusterSimulator {
     /** A way that messages between two ends are disturbed. */
     enum Cut {
         /** Messages vanish. */
@@ -83,13 +83,13 @@
     private final Map<String, String> zoneOf = new HashMap<>();
     final Map<String, Node> nodes = new LinkedHashMap<>();
     private final Map<String, Node> nodeAt = new HashMap<>();
-    final Store store;
-    final Cloud cloud = new Cloud(this);
-    final Rules rules = new Rules(this);
-    final Users users = new Users(this);
-    final Map<String, Worker> workers = new LinkedHashMap<>();
+    final SimulatedStore store;
+    final SimulatedCloud cloud = new SimulatedCloud(this);
+    final InvariantChecker rules = new InvariantChecker(this);
+    final SimulatedUsers users = new SimulatedUsers(this);
+    final Map<String, SimulatedAgent> workers = new LinkedHashMap<>();
     final PlatformSettings template;
-    final PeerWires wires = new PeerWires(this);
+    final SimulatedPeerNetwork wires = new SimulatedPeerNetwork(this);
     /** Whether controllers have a standby, and which of them have none all the same. */
     boolean withStandby;
 
@@ -100,10 +100,10 @@
     /** Where the worker of a machine is reached. */
     UnaryOperator<String> endpoints = machine -> machine + ":9000";
 
-    World(long seed, PlatformSettings template) {
+    ClusterSimulator(long seed, PlatformSettings template) {
         this.random = new SplittableRandom(seed);
         this.template = template;
-        this.store = new Store(this);
+        this.store = new SimulatedStore(this);
         servers.put(template.stateAddress(), store);
         servers.put(template.cloudAddress(), cloud);
     }
@@ -359,7 +359,7 @@
         /** For a moment before it stands still what it sends is only queued, as when it stops in the middle of a round. */
         void freeze() {
             mute = true;
-            World.this.after(Duration.ofMillis(300), () -> still = mute);
+            ClusterSimulator.this.after(Duration.ofMillis(300), () -> still = mute);
         }
 
         /** Its clocks have run on; all that it had queued, that is due and that came meanwhile happens now. */
@@ -405,7 +405,7 @@
         private final class Life implements EventLoop, HttpCalls {
             private boolean dead;
             private final double drift = 1 + (random.nextDouble() - 0.5) * 0.001;
-            private final Instant started = World.this.now;
+            private final Instant started = ClusterSimulator.this.now;
             private final boolean isOld = old;
             private final Controller controller =
                     new Controller(this, this, isOld ? oldSettings : settings, OperatorSettings.DEFAULTS);
@@ -419,29 +419,29 @@
 
             @Override
             public Instant now() {
-                return Instant.EPOCH.plusNanos(
-                        (long) (Duration.between(started, World.this.now).toNanos() * drift));
+                return Instant.EPOCH.plusNanos((long)
+                        (Duration.between(started, ClusterSimulator.this.now).toNanos() * drift));
             }
 
             @Override
             public Instant timeOfDay() {
-                return World.this.now.plusSeconds(1_700_000_000L);
+                return ClusterSimulator.this.now.plusSeconds(1_700_000_000L);
             }
 
             @Override
             public void after(Duration delay, Runnable task) {
-                World.this.after(delay, () -> act(this, task));
+                ClusterSimulator.this.after(delay, () -> act(this, task));
             }
 
             @Override
             public void call(
                     String address, String method, String path, String body, Duration timeout, Consumer<Reply> done) {
-                behaviour.request(World.this.now, settings.node(), address, method, path, body);
+                behaviour.request(ClusterSimulator.this.now, settings.node(), address, method, path, body);
                 boolean translated = isOld && address.equals(template.stateAddress());
-                String sent = translated && path.equals("/multi") ? FormatOne.written(body) : body;
-                Consumer<Reply> heard =
-                        r -> done.accept(translated ? FormatOne.read(World.this, settings.node(), r) : r);
-                World.this.call(
+                String sent = translated && path.equals("/multi") ? FormatOneStandIn.written(body) : body;
+                Consumer<Reply> heard = r ->
+                        done.accept(translated ? FormatOneStandIn.read(ClusterSimulator.this, settings.node(), r) : r);
+                ClusterSimulator.this.call(
                         settings.bind(), address, method, path, sent, timeout, r -> act(this, () -> heard.accept(r)));
             }
         }
--- a/src/test/java/org/havenford/world/ControllerProcess.java
+++ b/src/test/java/org/havenford/simulator/ControllerProcess.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/test/java/org/havenford/world/TakeoverMeasurement.java
+++ b/src/test/java/org/havenford/simulator/FailoverMeasurement.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Not part of the build, since times depend on the machine: {@code mvn test -Dtest=TakeoverMeasurement}. */
-class TakeoverMeasurement {
+class FailoverMeasurement {
     private static final int KILLS_OF_A_WORLD = 3;
 
     @TempDir
@@ -38,14 +38,14 @@
         for (int kill = 0; kill < kills; kill += KILLS_OF_A_WORLD) {
             // Evictions of the same node are spaced, so each controller of a world is killed once.
             Path logs = Files.createDirectory(directory.resolve("world-" + kill));
-            try (LoopbackWorld loopback =
-                    RenderBurst.start(logs, on ? RenderBurst.STANDBY_ON : RenderBurst.STANDBY_OFF, machines)) {
+            try (LoopbackCluster loopback = SubmissionBurst.start(
+                    logs, on ? SubmissionBurst.STANDBY_ON : SubmissionBurst.STANDBY_OFF, machines)) {
                 for (int node = 0; node < KILLS_OF_A_WORLD; node++) {
-                    RenderBurst.submit(loopback, 100 + node * RenderBurst.RENDERS, 2);
+                    SubmissionBurst.submit(loopback, 100 + node * SubmissionBurst.RENDERS, 2);
                     loopback.runUntil(() -> false, 2);
                     measure(loopback, "node-" + node, stop, first, last);
-                    assertTrue(
-                            loopback.runUntil(() -> RenderBurst.allDone(loopback), 3 * RenderBurst.PATIENCE_SECONDS));
+                    assertTrue(loopback.runUntil(
+                            () -> SubmissionBurst.allDone(loopback), 3 * SubmissionBurst.PATIENCE_SECONDS));
                     loopback.runUntil(() -> false, 5);
                 }
                 assertEquals(List.of(), loopback.world.rules.broken);
@@ -72,9 +72,9 @@
                 evictions);
     }
 
-    private static void measure(LoopbackWorld loopback, String node, boolean stop, Histogram first, Histogram last)
+    private static void measure(LoopbackCluster loopback, String node, boolean stop, Histogram first, Histogram last)
             throws IOException, InterruptedException {
-        Set<Worker> workers = loopback.world.workers.values().stream()
+        Set<SimulatedAgent> workers = loopback.world.workers.values().stream()
                 .filter(w -> w.up() && w.reportsTo(node))
                 .collect(Collectors.toSet());
         long epoch = loopback.world
@@ -90,10 +90,12 @@
         } else {
             controller.kill();
         }
-        loopback.runUntil(() -> workers.stream().anyMatch(w -> w.token >> 32 > epoch), RenderBurst.PATIENCE_SECONDS);
+        loopback.runUntil(
+                () -> workers.stream().anyMatch(w -> w.token >> 32 > epoch), SubmissionBurst.PATIENCE_SECONDS);
         first.recordValue((long) ((loopback.seconds() - from) * 1000));
         boolean all = loopback.runUntil(
-                () -> workers.stream().noneMatch(w -> w.up() && w.token >> 32 <= epoch), RenderBurst.PATIENCE_SECONDS);
+                () -> workers.stream().noneMatch(w -> w.up() && w.token >> 32 <= epoch),
+                SubmissionBurst.PATIENCE_SECONDS);
         assertTrue(all, "some machines of " + node + " were not taken over");
         last.recordValue((long) ((loopback.seconds() - from) * 1000));
         if (stop) {
--- a/src/test/java/org/havenford/world/FormatOne.java
+++ b/src/test/java/org/havenford/simulator/FormatOneStandIn.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -11,12 +11,12 @@
  * What of this program's stored values the version before format 2 knows: all else is lost when it writes, and unseen when
  * it reads. A controller behind it stands for one of that version.
  */
-final class FormatOne {
+final class FormatOneStandIn {
     private static final Set<String> SINCE_FORMAT_2 = Set.of("format", "awaits", "_ready");
     private static final String TASKS = "live/tasks/";
     private static final String SHORT_FORM = "s";
 
-    private FormatOne() {}
+    private FormatOneStandIn() {}
 
     /** A transaction as that version would have written it. */
     static String written(String body) {
@@ -38,7 +38,7 @@
     }
 
     /** An answer of the state service as that version understands it; what it can't read breaks the trace. */
-    static Reply read(World world, String node, Reply reply) {
+    static Reply read(ClusterSimulator world, String node, Reply reply) {
         if (reply.status() != 200 || !reply.body().startsWith("{")) {
             return reply;
         }
@@ -55,7 +55,7 @@
         return new Reply(200, body.toString());
     }
 
-    private static void readEntry(World world, String node, JsonObject entry) {
+    private static void readEntry(ClusterSimulator world, String node, JsonObject entry) {
         if (!entry.has("v")) {
             return;
         }
--- a/src/test/java/org/havenford/world/GuestWorkTest.java
+++ b/src/test/java/org/havenford/simulator/GuestWorkTest.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,7 +20,7 @@
             "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0},{\"name\":\"guest\",\"cpus\":0,\"cpus_max\":0}";
 
     private static PlatformSettings settings(int node) {
-        return Trace.settings(
+        return TracePlayer.settings(
                 node,
                 NODES,
                 TEAMS,
@@ -28,8 +28,8 @@
                 "{\"rps\":250,\"write_rps\":60,\"value_kb\":8,\"txn_ops\":12}");
     }
 
-    private static World world() {
-        World world = new World(21, settings(0));
+    private static ClusterSimulator world() {
+        ClusterSimulator world = new ClusterSimulator(21, settings(0));
         for (int i = 0; i < NODES; i++) {
             world.addNode(settings(i));
         }
@@ -40,14 +40,14 @@
         return world;
     }
 
-    private static double waited(Users.Job job) {
+    private static double waited(SimulatedUsers.Job job) {
         return Duration.between(job.submitted, job.begun).toMillis() / 1e3;
     }
 
     /** Urgent work begins as it would alone, and all that the guest sends is accepted and done. */
     @Test
     void urgentWorkDoesNotWaitForGuests() {
-        World world = world();
+        ClusterSimulator world = world();
         List<String> urgent = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             String id = "j-" + (100 + i);
--- a/src/test/java/org/havenford/world/InterfaceTest.java
+++ b/src/test/java/org/havenford/simulator/InterfaceTest.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,7 +16,8 @@
 
 /** What users are answered, over the real routes of a controller. */
 class InterfaceTest {
-    private final World world = new World(7, Trace.settings(0, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":8}"));
+    private final ClusterSimulator world =
+            new ClusterSimulator(7, TracePlayer.settings(0, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":8}"));
 
     private Reply ask(String method, String path, String body) {
         Reply[] out = new Reply[1];
@@ -26,12 +27,12 @@
     }
 
     private void start() {
-        world.addNode(Trace.settings(0, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":8}"));
+        world.addNode(TracePlayer.settings(0, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":8}"));
         world.runUntil(3);
     }
 
     private static String job(String id, String team, int tasks, double cpus) {
-        Users.Job job = new Users.Job();
+        SimulatedUsers.Job job = new SimulatedUsers.Job();
         job.id = id;
         job.team = team;
         job.tasks = tasks;
@@ -39,7 +40,7 @@
         job.runS = 5;
         job.image = "img-1";
         job.spot = true;
-        return Users.body(job).toString();
+        return SimulatedUsers.body(job).toString();
     }
 
     @Test
@@ -210,7 +211,7 @@
     void aRepeatIsAnsweredWithTheStateAlsoWhenTheJobIsOver() {
         start();
         world.cloud.boot("small", "a", false, Duration.ofMillis(10));
-        Trace.event(world, new String[] {"at", "3", "submit", "j-5", "red", "2", "1", "5"});
+        TracePlayer.event(world, new String[] {"at", "3", "submit", "j-5", "red", "2", "1", "5"});
         world.runUntil(world.seconds() + 60);
         assertEquals(List.of(), world.rules.broken);
         Reply again = ask("POST", "/submissions", job("j-5", "red", 2, 1));
--- a/src/test/java/org/havenford/world/Rules.java
+++ b/src/test/java/org/havenford/simulator/InvariantChecker.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import com.google.gson.JsonElement;
 import java.time.Duration;
@@ -11,14 +11,14 @@
 import org.havenford.settings.PlatformSettings;
 
 /** The rules of the protocol, checked after every event against what is really on the machines. */
-final class Rules {
+final class InvariantChecker {
     private static final Duration WAITS_AT_MOST = Duration.ofSeconds(90);
     private static final Duration KNOWN_WITHIN = Duration.ofSeconds(75);
     private static final Duration LARGE_BEGIN_WITHIN = Duration.ofMinutes(4);
     /** Jobs of at least this part of the largest's tasks count as the largest. */
     private static final double LARGE = 0.8;
 
-    private final World world;
+    private final ClusterSimulator world;
     final List<String> broken = new ArrayList<>();
     int starts;
     /** Starts after their job's cancellation was confirmed: counted by users, broken only after the time allowed. */
@@ -27,7 +27,7 @@
     private final Map<String, Integer> startsOf = new HashMap<>();
     private final Map<String, Instant> lastStartOf = new HashMap<>();
     private final Map<String, Instant> waiting = new HashMap<>();
-    private final List<Worker> reportedToCrashed = new ArrayList<>();
+    private final List<SimulatedAgent> reportedToCrashed = new ArrayList<>();
     private boolean touched = true;
     private Instant waitsChecked = Instant.MIN;
     private Instant checked = Instant.MIN;
@@ -36,7 +36,7 @@
     /** Days played from a trace know when their troubles are over. */
     boolean checkWaits;
 
-    Rules(World world) {
+    InvariantChecker(ClusterSimulator world) {
         this.world = world;
     }
 
@@ -48,7 +48,7 @@
         world.note("BROKEN " + rule + " " + what);
     }
 
-    private static boolean on(Worker w, Worker.Task t) {
+    private static boolean on(SimulatedAgent w, SimulatedAgent.Task t) {
         return t.on() && !(w.hung && w.leaseOver());
     }
 
@@ -74,7 +74,7 @@
         if (reportedToCrashed.isEmpty()) {
             broken("not taken over", "no worker reported to the controller that ended");
         }
-        for (Worker w : reportedToCrashed) {
+        for (SimulatedAgent w : reportedToCrashed) {
             if (w.up() && !w.hung && w.token >> 32 < epoch) {
                 broken("not taken over", w.name + " has seen no token of epoch " + epoch);
             }
@@ -85,13 +85,13 @@
         touched = true;
     }
 
-    void started(Worker on, Worker.Task t) {
+    void started(SimulatedAgent on, SimulatedAgent.Task t) {
         starts++;
         startsOf.merge(jobOf(t.shot), 1, Integer::sum);
         lastStartOf.put(jobOf(t.shot), world.now);
         touched = true;
         world.note(t.shot + " take " + t.take + " starts on " + on.name);
-        Users.Job job = world.users.jobs.get(jobOf(t.shot));
+        SimulatedUsers.Job job = world.users.jobs.get(jobOf(t.shot));
         if (job.begun == null) {
             job.begun = world.now;
         }
@@ -114,9 +114,9 @@
         }
     }
 
-    private void checkOnce(Worker on, Worker.Task t) {
-        for (Worker w : world.workers.values()) {
-            for (Worker.Task o : w.tasks.values()) {
+    private void checkOnce(SimulatedAgent on, SimulatedAgent.Task t) {
+        for (SimulatedAgent w : world.workers.values()) {
+            for (SimulatedAgent.Task o : w.tasks.values()) {
                 if (o != t && on(w, o) && o.shot.equals(t.shot)) {
                     broken("ran_twice", t.shot + " on " + w.name + " and " + on.name);
                 }
@@ -125,7 +125,7 @@
     }
 
     /** All five constraints of a job, given its other tasks that are on machines at this moment. */
-    private void checkPlace(Worker on, Worker.Task t, Users.Job job) {
+    private void checkPlace(SimulatedAgent on, SimulatedAgent.Task t, SimulatedUsers.Job job) {
         if (!job.types.isEmpty() && !job.types.contains(on.type)) {
             wrongPlace("type", t.shot + " on " + on.name + ", which is " + on.type + ", not of " + job.types);
         }
@@ -148,15 +148,15 @@
         broken("wrong_place", constraint + ": " + what);
     }
 
-    private static int mostInOneZone(Users.Job job) {
+    private static int mostInOneZone(SimulatedUsers.Job job) {
         return (job.tasks + 1) / 2;
     }
 
     /** How many tasks of a job are on machines of each zone. */
-    private Map<String, Integer> tasksByZone(Users.Job job) {
+    private Map<String, Integer> tasksByZone(SimulatedUsers.Job job) {
         Map<String, Integer> byZone = new TreeMap<>();
-        for (Worker w : world.workers.values()) {
-            for (Worker.Task o : w.tasks.values()) {
+        for (SimulatedAgent w : world.workers.values()) {
+            for (SimulatedAgent.Task o : w.tasks.values()) {
                 if (on(w, o) && jobOf(o.shot).equals(job.id)) {
                     byZone.merge(w.zone, 1, Integer::sum);
                 }
@@ -171,7 +171,7 @@
             waiting.clear();
             return;
         }
-        for (Users.Job job : world.users.jobs.values()) {
+        for (SimulatedUsers.Job job : world.users.jobs.values()) {
             boolean open = job.accepted
                     && job.doneTold == null
                     && !world.users.mayBeWithdrawn(job)
@@ -197,7 +197,7 @@
         }
     }
 
-    private boolean unstarted(Users.Job job) {
+    private boolean unstarted(SimulatedUsers.Job job) {
         for (int i = 0; i < job.tasks; i++) {
             String shot = job.id + "/" + i;
             if (!world.users.finished.contains(shot)
@@ -210,12 +210,12 @@
     }
 
     /** Whether one more task may start in the machine's zone beside those that are on machines now. */
-    private static boolean mayJoin(Worker w, Users.Job job, Map<String, Integer> byZone) {
+    private static boolean mayJoin(SimulatedAgent w, SimulatedUsers.Job job, Map<String, Integer> byZone) {
         return (!job.together || byZone.isEmpty() || byZone.containsKey(w.zone))
                 && (!job.apart || byZone.getOrDefault(w.zone, 0) < mostInOneZone(job));
     }
 
-    private boolean hasRoom(Worker w, Users.Job job) {
+    private boolean hasRoom(SimulatedAgent w, SimulatedUsers.Job job) {
         double taken = w.tasks.values().stream()
                 .filter(t -> !t.status.equals("exited"))
                 .mapToDouble(t -> world.users.jobs.get(jobOf(t.shot)).cpus)
@@ -227,7 +227,7 @@
                 && (job.spot || !w.spot)
                 && (job.types.isEmpty() || job.types.contains(w.type))
                 && (job.zone == null || job.zone.equals(w.zone))
-                && taken + job.cpus <= Cloud.TYPES.get(w.type)[0] + 1e-6;
+                && taken + job.cpus <= SimulatedCloud.TYPES.get(w.type)[0] + 1e-6;
     }
 
     void check() {
@@ -237,12 +237,12 @@
         touched = false;
         checked = world.now;
         Map<String, Double> used = new HashMap<>();
-        for (Worker w : world.workers.values()) {
-            for (Worker.Task t : w.tasks.values()) {
+        for (SimulatedAgent w : world.workers.values()) {
+            for (SimulatedAgent.Task t : w.tasks.values()) {
                 if (!on(w, t)) {
                     continue;
                 }
-                Users.Job job = world.users.jobs.get(jobOf(t.shot));
+                SimulatedUsers.Job job = world.users.jobs.get(jobOf(t.shot));
                 used.merge(job.team, job.cpus, Double::sum);
                 if (job.cancelTold != null
                         && Duration.between(job.cancelTold, world.now).compareTo(world.template.cancellationLimit())
@@ -264,7 +264,7 @@
     }
 
     /** A question about a job had no answer: after the troubles none may stay without one for longer than this. */
-    void unanswered(Users.Job job) {
+    void unanswered(SimulatedUsers.Job job) {
         Instant since = job.answered.isAfter(troublesOver) ? job.answered : troublesOver;
         if (Duration.between(since, world.now).compareTo(KNOWN_WITHIN) > 0) {
             broken(
@@ -276,12 +276,12 @@
 
     /** What users look at when the day is over: no class, no team and no class's largest jobs may starve. */
     void endOfDay() {
-        Map<String, List<Users.Job>> groups = new TreeMap<>();
+        Map<String, List<SimulatedUsers.Job>> groups = new TreeMap<>();
         Map<String, Integer> largest = new HashMap<>();
-        for (Users.Job job : world.users.jobs.values()) {
+        for (SimulatedUsers.Job job : world.users.jobs.values()) {
             largest.merge(job.lineup, job.tasks, Math::max);
         }
-        for (Users.Job job : world.users.jobs.values()) {
+        for (SimulatedUsers.Job job : world.users.jobs.values()) {
             if (!job.accepted || job.broken || job.cancelTold != null || job.takenAlong != null) {
                 continue;
             }
--- a/src/test/java/org/havenford/world/GrownTakeoverTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetFailoverTest.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A controller that owns a third of four thousand machines ends: its workers are told in rounds, urgent work first. */
-class GrownTakeoverTest {
+class LargeFleetFailoverTest {
     private static final String TEAM = "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}";
     private static final String WORKERS = "{\"report_s\":4,\"lease_s\":26,\"cancel_s\":46}";
     private static final String STATE = "{\"rps\":500,\"write_rps\":250,\"value_kb\":8,\"txn_ops\":12}";
@@ -20,11 +20,11 @@
 
     @Test
     void fourThousandMachinesAreTakenOverInRoundsUrgentWorkFirst() {
-        World world = new World(18, Trace.settings(0, 3, TEAM, WORKERS, STATE));
+        ClusterSimulator world = new ClusterSimulator(18, TracePlayer.settings(0, 3, TEAM, WORKERS, STATE));
         world.withStandby = true;
         world.store.pageSize = 500;
         for (int i = 0; i < 3; i++) {
-            world.addNode(Trace.settings(i, 3, TEAM, WORKERS, STATE));
+            world.addNode(TracePlayer.settings(i, 3, TEAM, WORKERS, STATE));
         }
         for (int i = 0; i < MACHINES; i++) {
             String zone = List.of("a", "b", "c").get(i % 3);
@@ -33,10 +33,11 @@
         world.at(40, () -> world.users.submit("j-1", "red", URGENT_TASKS, 4, 60, List.of("urgent")));
         world.runUntil(CRASH_AT);
         world.rules.crashed("node-0");
-        List<Worker> orphaned = world.workers.values().stream()
+        List<SimulatedAgent> orphaned = world.workers.values().stream()
                 .filter(w -> w.reportsTo("node-0"))
                 .toList();
-        List<Worker> urgent = orphaned.stream().filter(w -> !w.tasks.isEmpty()).toList();
+        List<SimulatedAgent> urgent =
+                orphaned.stream().filter(w -> !w.tasks.isEmpty()).toList();
         assertTrue(orphaned.size() > MACHINES / 5, orphaned.size() + " machines");
         assertTrue(urgent.size() > 10, urgent.size() + " machines with urgent work");
         world.nodes.get("node-0").crash();
--- a/src/test/java/org/havenford/world/GrownTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetTest.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 
 /** What only shows at size: counts of what the state service is asked for, and that no kind of work starves. */
-class GrownTest {
+class LargeFleetTest {
     private static final int NODES = 7;
     private static final String TEAMS =
             "{\"name\":\"red\",\"cpus\":1000,\"cpus_max\":4000}," + "{\"name\":\"blue\",\"cpus\":400,\"cpus_max\":900}";
 
     private static PlatformSettings settings(int node) {
-        return Trace.settings(
+        return TracePlayer.settings(
                 node,
                 NODES,
                 TEAMS,
@@ -28,7 +28,7 @@
     /** Seven controllers and a thousand machines within a service of 150 requests and 50 changes a second. */
     @Test
     void aThousandMachinesWithinTheLimitsOfTheService() {
-        World world = new World(11, settings(0));
+        ClusterSimulator world = new ClusterSimulator(11, settings(0));
         for (int i = 0; i < NODES; i++) {
             world.addNode(settings(i));
         }
@@ -40,7 +40,7 @@
     /** Half as many machines again as the largest deployment, in four zones: what a task costs stays what it was. */
     @Test
     void eighteenHundredMachinesOnSeven() {
-        World world = new World(14, settings(0));
+        ClusterSimulator world = new ClusterSimulator(14, settings(0));
         world.cloud.zones = List.of("a", "b", "c", "d");
         for (int i = 0; i < NODES; i++) {
             world.addNode(settings(i));
@@ -56,10 +56,10 @@
         String team = "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}";
         String workers = "{\"report_s\":4,\"lease_s\":26,\"cancel_s\":46}";
         String state = "{\"rps\":300,\"write_rps\":120,\"value_kb\":8,\"txn_ops\":12}";
-        World world = new World(15, Trace.settings(0, 3, team, workers, state));
+        ClusterSimulator world = new ClusterSimulator(15, TracePlayer.settings(0, 3, team, workers, state));
         world.cloud.zones = List.of("a", "b", "c", "d");
         for (int i = 0; i < 3; i++) {
-            world.addNode(Trace.settings(i, 3, team, workers, state));
+            world.addNode(TracePlayer.settings(i, 3, team, workers, state));
         }
         Counts counts = day(world, 1600, 90, 20, 60, List.of("red"));
         assertTrue(counts.waited < 10, counts::toString);
@@ -75,8 +75,8 @@
         String team = "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}";
         String workers = "{\"report_s\":4,\"lease_s\":60,\"cancel_s\":90}";
         String state = "{\"rps\":500,\"write_rps\":250,\"value_kb\":8,\"txn_ops\":12}";
-        World world = new World(17, Trace.settings(0, 1, team, workers, state));
-        world.addNode(Trace.settings(0, 1, team, workers, state));
+        ClusterSimulator world = new ClusterSimulator(17, TracePlayer.settings(0, 1, team, workers, state));
+        world.addNode(TracePlayer.settings(0, 1, team, workers, state));
         for (int i = 0; i < 4000; i++) {
             world.cloud.boot("small", List.of("a", "b", "c").get(i % 3), false, Duration.ofMillis(100 + i));
         }
@@ -93,9 +93,9 @@
         String team = "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}";
         String workers = "{\"report_s\":4,\"lease_s\":26,\"cancel_s\":46}";
         String state = "{\"rps\":500,\"write_rps\":250,\"value_kb\":8,\"txn_ops\":12}";
-        World world = new World(16, Trace.settings(0, 3, team, workers, state));
+        ClusterSimulator world = new ClusterSimulator(16, TracePlayer.settings(0, 3, team, workers, state));
         for (int i = 0; i < 3; i++) {
-            world.addNode(Trace.settings(i, 3, team, workers, state));
+            world.addNode(TracePlayer.settings(i, 3, team, workers, state));
         }
         Counts counts = day(world, 4000, 60, 40, 120, List.of("red"));
         assertTrue(counts.waited < 10, counts::toString);
@@ -106,7 +106,7 @@
     private record Counts(int tasks, int requests, int changes, int conflicts, int refused, double waited) {}
 
     /** A day with so many machines from the start, and a job a second of {@code least} tasks and up to {@code more} more. */
-    private static Counts day(World world, int machines, int jobs, int least, int more, List<String> teams) {
+    private static Counts day(ClusterSimulator world, int machines, int jobs, int least, int more, List<String> teams) {
         world.store.pageSize = 500;
         List<String> zones = world.cloud.zones;
         for (int i = 0; i < machines; i++) {
@@ -165,7 +165,7 @@
     }
 
     /** Renting and returning go their own way; what counts here is what a task costs. */
-    private static int taskChanges(World world) {
+    private static int taskChanges(ClusterSimulator world) {
         return world.store.changesOf.entrySet().stream()
                 .filter(e -> !e.getKey().contains("live/machine"))
                 .mapToInt(Map.Entry::getValue)
@@ -178,9 +178,9 @@
         String team = "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":24}";
         String workers = "{\"report_s\":5,\"lease_s\":30,\"cancel_s\":60}";
         String state = "{\"rps\":25,\"write_rps\":10,\"value_kb\":8,\"txn_ops\":12}";
-        World world = new World(13, Trace.settings(0, NODES, team, workers, state));
+        ClusterSimulator world = new ClusterSimulator(13, TracePlayer.settings(0, NODES, team, workers, state));
         for (int i = 0; i < NODES; i++) {
-            world.addNode(Trace.settings(i, NODES, team, workers, state));
+            world.addNode(TracePlayer.settings(i, NODES, team, workers, state));
         }
         for (String zone : List.of("a", "b", "c")) {
             world.cloud.boot("large", zone, false, Duration.ofMillis(100));
@@ -204,9 +204,10 @@
     /** While urgent work asks for more than there is, the rest still gets its turn, the largest jobs within four minutes. */
     @Test
     void noKindOfWorkStarvesInABurst() {
-        World world = new World(12, Trace.settings(0, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}"));
+        ClusterSimulator world =
+                new ClusterSimulator(12, TracePlayer.settings(0, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}"));
         for (int i = 0; i < 3; i++) {
-            world.addNode(Trace.settings(i, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}"));
+            world.addNode(TracePlayer.settings(i, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}"));
         }
         for (String zone : List.of("a", "b", "c")) {
             world.cloud.boot("large", zone, false, Duration.ofMillis(100));
--- a/src/test/java/org/havenford/world/LoopbackWorld.java
+++ b/src/test/java/org/havenford/simulator/LoopbackCluster.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
@@ -31,10 +31,10 @@
 import org.havenford.transport.HttpCalls.Reply;
 
 /**
- * The stand-ins of a {@link World} in real time and over HTTP on loopback, around controllers that are real processes. All
+ * The stand-ins of a {@link ClusterSimulator} in real time and over HTTP on loopback, around controllers that are real processes. All
  * stand-ins run on the thread that drives this world; requests that come in wait in a queue for it.
  */
-final class LoopbackWorld implements AutoCloseable {
+final class LoopbackCluster implements AutoCloseable {
     private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(70);
     private static final String HOST = "127.0.0.1";
     private static final int FIRST_PORT = 20_000;
@@ -42,7 +42,7 @@
     /** Worlds of other processes begin elsewhere. */
     private static int nextPort = (int) (ProcessHandle.current().pid() * 397 % PORTS);
 
-    final World world;
+    final ClusterSimulator world;
     final Map<String, ControllerProcess> controllers = new LinkedHashMap<>();
     private final Map<String, HttpServer> servers = new HashMap<>();
     private final Map<String, String> endpoints = new HashMap<>();
@@ -60,7 +60,7 @@
     private final long startNanos = System.nanoTime();
 
     /** Starts that many controllers, all with the same operators' settings, in zones a, b and c. */
-    LoopbackWorld(Path directory, int nodes, String teams, String operatorXml) throws IOException, Json.BadMessage {
+    LoopbackCluster(Path directory, int nodes, String teams, String operatorXml) throws IOException, Json.BadMessage {
         List<String> binds = freeAddresses(nodes);
         List<String> peers = freeAddresses(nodes);
         String cloud = freeAddresses(1).get(0);
@@ -69,7 +69,7 @@
         for (int i = 0; i < nodes; i++) {
             settings.add(settings(i, binds, peers, teams, cloud, state));
         }
-        world = new World(1, PlatformSettings.parse(settings.get(0)));
+        world = new ClusterSimulator(1, PlatformSettings.parse(settings.get(0)));
         world.endpoints = this::endpoint;
         serve(state);
         serve(cloud);
@@ -144,7 +144,7 @@
         String body = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
         CompletableFuture<Reply> reply = new CompletableFuture<>();
         inbox.add(() -> {
-            World.Server server = world.servers.get(address);
+            ClusterSimulator.Server server = world.servers.get(address);
             if (server != null) {
                 server.request(
                         exchange.getRequestMethod(), exchange.getRequestURI().toString(), body, reply::complete);
--- a/src/test/java/org/havenford/world/LoopbackTakeoverTest.java
+++ b/src/test/java/org/havenford/simulator/LoopbackFailoverTest.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,58 +14,58 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Controllers as real processes on loopback are killed and stopped amid a burst; rules and counts are asserted, not times. */
-class LoopbackTakeoverTest {
+class LoopbackFailoverTest {
     @TempDir
     Path directory;
 
     @Test
     @Timeout(240)
     void aBurstOfRendersSurvivesKilledAndStoppedControllers() throws Exception {
-        try (LoopbackWorld loopback = RenderBurst.start(directory, RenderBurst.STANDBY_ON, 18)) {
+        try (LoopbackCluster loopback = SubmissionBurst.start(directory, SubmissionBurst.STANDBY_ON, 18)) {
             sendGarbage(loopback);
-            RenderBurst.submit(loopback, 100, 3);
-            awaitStarts(loopback, RenderBurst.RENDERS / 8);
+            SubmissionBurst.submit(loopback, 100, 3);
+            awaitStarts(loopback, SubmissionBurst.RENDERS / 8);
 
             loopback.controllers.get("node-0").kill();
             awaitEvictions(loopback, 1);
             loopback.controllers.get("node-0").start();
 
-            awaitStarts(loopback, RenderBurst.RENDERS / 2);
+            awaitStarts(loopback, SubmissionBurst.RENDERS / 2);
             loopback.controllers.get("node-1").stop();
             awaitEvictions(loopback, 2);
             loopback.controllers.get("node-1").resume();
 
             assertTrue(
-                    loopback.runUntil(() -> RenderBurst.allDone(loopback), 3 * RenderBurst.PATIENCE_SECONDS),
+                    loopback.runUntil(() -> SubmissionBurst.allDone(loopback), 3 * SubmissionBurst.PATIENCE_SECONDS),
                     () -> loopback.world.users.finished.size() + " done\n" + String.join("\n", loopback.world.log));
             loopback.runUntil(() -> false, 2);
             assertEquals(List.of(), loopback.world.rules.broken);
-            assertEquals(RenderBurst.RENDERS, loopback.world.users.finished.size());
-            assertEquals(RenderBurst.RENDERS, loopback.world.rules.starts, "a task was started more than once");
+            assertEquals(SubmissionBurst.RENDERS, loopback.world.users.finished.size());
+            assertEquals(SubmissionBurst.RENDERS, loopback.world.rules.starts, "a task was started more than once");
         }
     }
 
-    private static void awaitStarts(LoopbackWorld loopback, int count) throws InterruptedException {
+    private static void awaitStarts(LoopbackCluster loopback, int count) throws InterruptedException {
         assertTrue(
-                loopback.runUntil(() -> loopback.world.rules.starts >= count, RenderBurst.PATIENCE_SECONDS),
+                loopback.runUntil(() -> loopback.world.rules.starts >= count, SubmissionBurst.PATIENCE_SECONDS),
                 "start " + count + " did not come");
     }
 
-    private static void awaitEvictions(LoopbackWorld loopback, int count) throws InterruptedException {
+    private static void awaitEvictions(LoopbackCluster loopback, int count) throws InterruptedException {
         assertTrue(
-                loopback.runUntil(() -> loopback.world.store.evictions >= count, RenderBurst.PATIENCE_SECONDS),
+                loopback.runUntil(() -> loopback.world.store.evictions >= count, SubmissionBurst.PATIENCE_SECONDS),
                 "eviction " + count + " did not come");
     }
 
     /** What is no frame, or one of another version or length, ends its connection and nothing else. */
-    private static void sendGarbage(LoopbackWorld loopback) throws IOException {
+    private static void sendGarbage(LoopbackCluster loopback) throws IOException {
         byte[][] garbage = {
             "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII),
             {0x48, 0x46, 9, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0},
             {0x48, 0x46, 1, 3, 127, -1, -1, -1, 0, 0, 0, 0, 0, 0, 0, 0},
             {0x48, 0x46, 1, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 5}
         };
-        for (World.Node node : loopback.world.nodes.values()) {
+        for (ClusterSimulator.Node node : loopback.world.nodes.values()) {
             String address = node.settings.peerListen();
             int port = Integer.parseInt(address.substring(address.indexOf(':') + 1));
             for (byte[] bytes : garbage) {
--- a/src/test/java/org/havenford/world/PlacementTest.java
+++ b/src/test/java/org/havenford/simulator/PlacementTest.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -26,8 +26,8 @@
             lines.add("at 3 forge-start " + machines[i] + " j-1/" + i);
         }
         lines.add("until 3.1");
-        World[] world = new World[1];
-        return Trace.play(lines, world).stream()
+        ClusterSimulator[] world = new ClusterSimulator[1];
+        return TracePlayer.play(lines, world).stream()
                 .filter(w -> w.contains("wrong_place"))
                 .toList();
     }
@@ -69,11 +69,11 @@
 
     @TestFactory
     Stream<DynamicTest> constrainedJobsAmidTroubles() {
-        return DrawnDays.play("placements", 12, DrawnDays::placements);
+        return RandomizedScenarios.play("placements", 12, RandomizedScenarios::placements);
     }
 
     @TestFactory
     Stream<DynamicTest> constrainedJobsAmidAnUpgrade() {
-        return DrawnDays.play("placements-amid-an-upgrade", 6, DrawnDays::placementsAmidAnUpgrade);
+        return RandomizedScenarios.play("placements-amid-an-upgrade", 6, RandomizedScenarios::placementsAmidAnUpgrade);
     }
 }
--- a/src/test/java/org/havenford/world/DrawnDays.java
+++ b/src/test/java/org/havenford/simulator/RandomizedScenarios.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -15,10 +15,10 @@
 import org.junit.jupiter.api.DynamicTest;
 
 /** Days with random work and random troubles, drawn from a seed and written as traces; the same seed gives the same day. */
-final class DrawnDays {
+final class RandomizedScenarios {
     private static final List<String> ZONES = List.of("a", "b", "c");
 
-    private DrawnDays() {}
+    private RandomizedScenarios() {}
 
     /**
      * Plays days of consecutive seeds. The system property {@code havenford.seeds} scales how many of each kind are played
@@ -32,8 +32,8 @@
                 .limit(seeds)
                 .map(seed -> DynamicTest.dynamicTest("seed " + seed, () -> {
                     List<String> lines = day.apply(seed);
-                    World[] world = new World[1];
-                    List<String> wrong = Trace.play(lines, world);
+                    ClusterSimulator[] world = new ClusterSimulator[1];
+                    List<String> wrong = TracePlayer.play(lines, world);
                     assertEquals(
                             List.of(),
                             wrong,
--- a/src/test/java/org/havenford/world/Worker.java
+++ b/src/test/java/org/havenford/simulator/SimulatedAgent.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -16,7 +16,7 @@
 import org.havenford.transport.HttpCalls.Reply;
 
 /** A stand-in for a worker: reports, obeys commands, keeps its lease, as the protocol says. */
-final class Worker implements World.Server {
+final class SimulatedAgent implements ClusterSimulator.Server {
     static final class Task {
         String shot;
         long take;
@@ -30,7 +30,7 @@
         }
     }
 
-    final World world;
+    final ClusterSimulator world;
     final String name;
     final String type;
     final String zone;
@@ -57,7 +57,7 @@
     private Instant lastReport = Instant.EPOCH;
     private long generation;
 
-    Worker(World world, String name, String type, String zone, boolean spot) {
+    SimulatedAgent(ClusterSimulator world, String name, String type, String zone, boolean spot) {
         this.world = world;
         this.name = name;
         this.type = type;
@@ -297,7 +297,7 @@
         t.generation = ++generation;
         boolean busy = tasks.values().stream().anyMatch(x -> x.shot.equals(shot) && !x.status.equals("exited"));
         tasks.put(shot + "#" + take, t);
-        Users.Job job = world.users.jobs.get(shot.substring(0, shot.indexOf('/')));
+        SimulatedUsers.Job job = world.users.jobs.get(shot.substring(0, shot.indexOf('/')));
         if (busy || job == null) {
             t.status = "exited";
             t.cause = busy ? "busy" : "unknown";
@@ -308,7 +308,7 @@
                         .filter(x -> x != t && !"exited".equals(x.status))
                         .mapToDouble(x -> world.users.jobs.get(x.shot.substring(0, x.shot.indexOf('/'))).cpus)
                         .sum();
-        if (cpus > Cloud.TYPES.get(type)[0] + 1e-6) {
+        if (cpus > SimulatedCloud.TYPES.get(type)[0] + 1e-6) {
             t.status = "exited";
             t.cause = "no_room";
             return;
@@ -316,7 +316,7 @@
         t.status = "pulling";
         Duration fetch = images.contains(job.image)
                 ? Duration.ofMillis(1)
-                : Duration.ofMillis((long) (1000 / Cloud.FETCH_GB_PER_S * job.imageGb * slowFetch));
+                : Duration.ofMillis((long) (1000 / SimulatedCloud.FETCH_GB_PER_S * job.imageGb * slowFetch));
         world.after(
                 fetch,
                 () -> act(() -> {
--- a/src/test/java/org/havenford/world/Cloud.java
+++ b/src/test/java/org/havenford/simulator/SimulatedCloud.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -18,7 +18,7 @@
 import org.havenford.transport.HttpCalls.Reply;
 
 /** A stand-in for the cloud: one small and one large type in each of three zones. */
-final class Cloud implements World.Server {
+final class SimulatedCloud implements ClusterSimulator.Server {
     static final Map<String, double[]> TYPES = types();
     static final double FETCH_GB_PER_S = 0.5;
     private static final int PER_OFFER = 3;
@@ -31,7 +31,7 @@
         return types;
     }
 
-    private final World world;
+    private final ClusterSimulator world;
     private final Map<String, List<String>> bookings = new HashMap<>();
     private final TreeMap<String, JsonObject> listed = new TreeMap<>();
     final Set<String> gone = new HashSet<>();
@@ -54,11 +54,11 @@
     /** Machines that the cloud has of each type, zone and kind. */
     int perOffer = PER_OFFER;
 
-    Cloud(World world) {
+    SimulatedCloud(ClusterSimulator world) {
         this.world = world;
     }
 
-    Worker boot(String type, String zone, boolean spot, Duration in) {
+    SimulatedAgent boot(String type, String zone, boolean spot, Duration in) {
         String name = String.format("host-%06d", created++);
         JsonObject json = new JsonObject();
         json.addProperty("nameId", name);
@@ -73,7 +73,7 @@
                 listed.put(name, json);
             }
         });
-        Worker w = new Worker(world, name, type, zone, spot);
+        SimulatedAgent w = new SimulatedAgent(world, name, type, zone, spot);
         world.workers.put(name, w);
         world.lies(world.endpoints.apply(name), zone);
         if (!darkZones.contains(zone)) {
--- a/src/test/java/org/havenford/world/PeerWires.java
+++ b/src/test/java/org/havenford/simulator/SimulatedPeerNetwork.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import java.nio.ByteBuffer;
 import java.time.Duration;
@@ -14,8 +14,8 @@
 import org.havenford.transport.PeerNetwork;
 
 /** Byte streams between controllers: in order, late by a few milliseconds, and silent for good once a part was lost. */
-final class PeerWires {
-    private final World world;
+final class SimulatedPeerNetwork {
+    private final ClusterSimulator world;
     private final Map<String, Port> listening = new HashMap<>();
     private final List<Wire> wires = new ArrayList<>();
     /** Directions, as "from>to", in which nothing arrives. */
@@ -25,7 +25,7 @@
     record Port(
             String node, BooleanSupplier alive, Consumer<Runnable> act, Consumer<PeerNetwork.Connection> accepted) {}
 
-    PeerWires(World world) {
+    SimulatedPeerNetwork(ClusterSimulator world) {
         this.world = world;
     }
 
@@ -44,8 +44,9 @@
                 Port self = new Port(node, alive, act, null);
                 Port other = listening.get(address);
                 String target = address.substring(0, address.indexOf(':'));
-                World.Cut cut = world.cutBetweenNodes(node, target);
-                if (cut == World.Cut.RESET || (cut == null && (other == null || !other.alive.getAsBoolean()))) {
+                ClusterSimulator.Cut cut = world.cutBetweenNodes(node, target);
+                if (cut == ClusterSimulator.Cut.RESET
+                        || (cut == null && (other == null || !other.alive.getAsBoolean()))) {
                     world.after(Duration.ofMillis(1), () -> act.accept(() -> failed.accept("refused")));
                 } else if (cut != null || isLost(node, target)) {
                     world.after(timeout, () -> act.accept(() -> failed.accept("no answer in time")));
@@ -112,7 +113,7 @@
 
         /** Delivers in order; what a cut swallows is lost with all that follows on this connection. */
         private void toPeer(Runnable delivery) {
-            World.Cut cut = world.cutBetweenNodes(port.node, peer.port.node);
+            ClusterSimulator.Cut cut = world.cutBetweenNodes(port.node, peer.port.node);
             broken |= cut != null || oneWayCuts.contains(port.node + ">" + peer.port.node);
             if (broken) {
                 return;
--- a/src/test/java/org/havenford/world/Store.java
+++ b/src/test/java/org/havenford/simulator/SimulatedStore.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -17,7 +17,7 @@
 import org.havenford.transport.HttpCalls.Reply;
 
 /** A stand-in for the state service. */
-final class Store implements World.Server {
+final class SimulatedStore implements ClusterSimulator.Server {
     private record Value(JsonElement v, long stamp, long permit) {}
 
     private record Change(long stamp, String key, JsonElement v) {}
@@ -29,7 +29,7 @@
         Instant until;
     }
 
-    private final World world;
+    private final ClusterSimulator world;
     final TreeMap<String, Value> values = new TreeMap<>();
     private final List<Change> changes = new ArrayList<>();
     /** How many changes the service keeps: a watch that begins before them is answered 410. */
@@ -84,7 +84,7 @@
         writeRps = world.template.nextWriteRps();
     }
 
-    Store(World world) {
+    SimulatedStore(ClusterSimulator world) {
         this.world = world;
         this.valueBytes = world.template.presentValueBytes();
         this.writeRps = world.template.stateWriteRps();
--- a/src/test/java/org/havenford/world/Users.java
+++ b/src/test/java/org/havenford/simulator/SimulatedUsers.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -15,7 +15,7 @@
 import org.havenford.transport.HttpCalls.Reply;
 
 /** Users behind a load balancer that tries the nodes at random. */
-final class Users {
+final class SimulatedUsers {
     static final class Job {
         String id;
         String team;
@@ -56,7 +56,7 @@
         }
     }
 
-    private final World world;
+    private final ClusterSimulator world;
     /** Jobs that were asked to be cancelled, whatever the answer. */
     final Set<String> cancelAsked = new HashSet<>();
 
@@ -70,7 +70,7 @@
     /** Whether users ask and repeat at all controllers within milliseconds of an acceptance, an end or a cancellation. */
     boolean closeLooks;
 
-    Users(World world) {
+    SimulatedUsers(ClusterSimulator world) {
         this.world = world;
     }
 
@@ -78,7 +78,7 @@
         if (!closeLooks) {
             return;
         }
-        for (World.Node node : world.nodes.values()) {
+        for (ClusterSimulator.Node node : world.nodes.values()) {
             for (int millis : new int[] {0, 3, 12, 40}) {
                 world.after(Duration.ofMillis(millis), () -> {
                     ask(job.id, node.settings.bind());
@@ -157,7 +157,7 @@
     }
 
     private String someNode() {
-        List<World.Node> all = List.copyOf(world.nodes.values());
+        List<ClusterSimulator.Node> all = List.copyOf(world.nodes.values());
         return all.get(world.random.nextInt(all.size())).settings.bind();
     }
 
--- a/src/test/java/org/havenford/world/RenderBurst.java
+++ b/src/test/java/org/havenford/simulator/SubmissionBurst.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,7 +9,7 @@
 import org.havenford.protocol.Json;
 
 /** Two hundred queued renders on three controllers in real time: what tests and measurements of take-overs share. */
-final class RenderBurst {
+final class SubmissionBurst {
     static final String STANDBY_ON = "<havenford><standby>on</standby></havenford>";
     static final String STANDBY_OFF = "<havenford><standby>off</standby></havenford>";
     /** Longer than any take-over takes: an assertion that waits fails only when nothing happens at all. */
@@ -20,12 +20,12 @@
     private static final String TEAM = "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}";
     private static final List<String> ZONES = List.of("a", "b", "c");
 
-    private RenderBurst() {}
+    private SubmissionBurst() {}
 
     /** Three controllers and so many machines whose workers have all been answered. */
-    static LoopbackWorld start(Path directory, String operatorXml, int machines)
+    static LoopbackCluster start(Path directory, String operatorXml, int machines)
             throws IOException, Json.BadMessage, InterruptedException {
-        LoopbackWorld loopback = new LoopbackWorld(directory, 3, TEAM, operatorXml);
+        LoopbackCluster loopback = new LoopbackCluster(directory, 3, TEAM, operatorXml);
         loopback.world.cloud.perOffer = machines / ZONES.size();
         for (int i = 0; i < machines; i++) {
             loopback.world.cloud.boot("large", ZONES.get(i % ZONES.size()), false, Duration.ofMillis(500));
@@ -45,14 +45,14 @@
     }
 
     /** Two hundred tasks of four CPUs each. */
-    static void submit(LoopbackWorld loopback, int firstJob, double runSeconds) {
+    static void submit(LoopbackCluster loopback, int firstJob, double runSeconds) {
         for (int i = 0; i < RENDERS / RENDERS_PER_JOB; i++) {
             loopback.world.users.submit(
                     "j-" + (firstJob + i), "red", RENDERS_PER_JOB, 4, runSeconds, List.of("image-gb=0.2"));
         }
     }
 
-    static boolean allDone(LoopbackWorld loopback) {
+    static boolean allDone(LoopbackCluster loopback) {
         return loopback.world.users.jobs.values().stream().allMatch(job -> job.doneTold != null);
     }
 }
--- a/src/test/java/org/havenford/world/Trace.java
+++ b/src/test/java/org/havenford/simulator/TracePlayer.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -9,13 +9,13 @@
 import org.havenford.protocol.Json;
 import org.havenford.settings.PlatformSettings;
 
-/** A kept trace: one line an event, played in a {@link World}. See src/test/resources/traces/README.md. */
-final class Trace {
+/** A kept trace: one line an event, played in a {@link ClusterSimulator}. See src/test/resources/traces/README.md. */
+final class TracePlayer {
     private static final String ZONES = "abc";
     private static final String WORKERS = "{\"report_s\":3,\"lease_s\":20,\"cancel_s\":44}";
     private static final String STATE = "{\"rps\":300,\"write_rps\":150,\"value_kb\":8,\"txn_ops\":12}";
 
-    private Trace() {}
+    private TracePlayer() {}
 
     static PlatformSettings settings(int node, String teams) {
         return settings(node, 3, teams, WORKERS, STATE);
@@ -52,7 +52,7 @@
     }
 
     /** Plays the trace and returns what it found wrong. */
-    static List<String> play(List<String> lines, World[] out) {
+    static List<String> play(List<String> lines, ClusterSimulator[] out) {
         long seed = 1;
         List<String> teams = new ArrayList<>();
         List<String[]> events = new ArrayList<>();
@@ -92,7 +92,7 @@
             }
         }
         String teamText = String.join(",", teams);
-        World world = new World(seed, settings(0, nodes, teamText, WORKERS, state));
+        ClusterSimulator world = new ClusterSimulator(seed, settings(0, nodes, teamText, WORKERS, state));
         out[0] = world;
         world.store.keptChanges = keptChanges;
         world.withStandby = standby;
@@ -184,7 +184,7 @@
         return wrong;
     }
 
-    private static String counted(World world, String[] expectation) {
+    private static String counted(ClusterSimulator world, String[] expectation) {
         return switch (expectation[1]) {
             case "rented-at-most" -> ", rented " + world.cloud.rented;
             case "evictions", "evictions-at-least" -> ", evictions " + world.store.evictions;
@@ -194,14 +194,14 @@
         };
     }
 
-    private static String end(World w, String name) {
+    private static String end(ClusterSimulator w, String name) {
         if (w.nodes.containsKey(name)) {
             return w.nodes.get(name).settings.bind();
         }
         return name.startsWith("host-") ? name + ":9000" : name.equals("users") ? name : name + ":1";
     }
 
-    static void event(World w, String[] e) {
+    static void event(ClusterSimulator w, String[] e) {
         String a = e.length > 3 ? e[3] : "";
         if (!e[2].equals("submit")) {
             w.note(String.join(" ", List.of(e).subList(2, e.length)));
@@ -227,7 +227,8 @@
             case "cut-peer" -> w.wires.oneWayCuts.add(a + ">" + e[4]);
             case "heal-peer" -> w.wires.oneWayCuts.remove(a + ">" + e[4]);
             case "tokens-renewed" -> w.rules.tokensRenewed();
-            case "cut" -> w.cut(end(w, a), end(w, e[4]), World.Cut.valueOf(e[5].toUpperCase(java.util.Locale.ROOT)));
+            case "cut" ->
+                w.cut(end(w, a), end(w, e[4]), ClusterSimulator.Cut.valueOf(e[5].toUpperCase(java.util.Locale.ROOT)));
             case "heal" -> w.heal(end(w, a), end(w, e[4]));
             case "outage" -> {
                 if (a.equals("on")) {
@@ -244,7 +245,7 @@
             case "cloud-outage" -> w.cloud.outage = a.equals("on");
             case "freeze" -> w.nodes.get(a).freeze();
             case "thaw" -> w.nodes.get(a).thaw();
-            case "cut-zone" -> w.cutZone(a, World.Cut.valueOf(e[4].toUpperCase(java.util.Locale.ROOT)));
+            case "cut-zone" -> w.cutZone(a, ClusterSimulator.Cut.valueOf(e[4].toUpperCase(java.util.Locale.ROOT)));
             case "heal-zone" -> w.healZone(a);
             case "repeats" -> w.repeats.put(end(w, a), Duration.ofMillis((long) (Double.parseDouble(e[4]) * 1000)));
             case "no-repeats" -> w.repeats.remove(end(w, a));
@@ -266,8 +267,10 @@
             case "hears" -> w.deaf.remove(end(w, a));
             case "copies" -> w.copies.put(end(w, a), Duration.ofMillis((long) (Double.parseDouble(e[4]) * 1000)));
             case "no-copies" -> w.copies.remove(end(w, a));
-            case "unreach" -> w.workers.values().forEach(m -> w.cut(end(w, a), end(w, m.name), World.Cut.DROP));
-            case "reset-workers" -> w.workers.values().forEach(m -> w.cut(end(w, a), end(w, m.name), World.Cut.RESET));
+            case "unreach" ->
+                w.workers.values().forEach(m -> w.cut(end(w, a), end(w, m.name), ClusterSimulator.Cut.DROP));
+            case "reset-workers" ->
+                w.workers.values().forEach(m -> w.cut(end(w, a), end(w, m.name), ClusterSimulator.Cut.RESET));
             case "reach" -> w.workers.values().forEach(m -> w.heal(end(w, a), end(w, m.name)));
             case "reboot" -> w.workers.get(a).reboot();
             case "hang" -> w.workers.get(a).hang(true);
@@ -293,7 +296,7 @@
             }
             case "forge-start" -> {
                 // Not a trouble but a broken controller: shows that the checker sees what it should.
-                Worker.Task t = new Worker.Task();
+                SimulatedAgent.Task t = new SimulatedAgent.Task();
                 t.shot = e[4];
                 t.take = 99;
                 t.status = "running";
--- a/src/test/java/org/havenford/world/TraceTest.java
+++ b/src/test/java/org/havenford/simulator/TraceTest.java
@@ -1,4 +1,4 @@
-package org.havenford.world;
+package org.havenford.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -28,8 +28,8 @@
         assertFalse(files.isEmpty());
         return files.stream()
                 .map(f -> DynamicTest.dynamicTest(f.getFileName().toString(), () -> {
-                    World[] world = new World[1];
-                    List<String> wrong = Trace.play(Files.readAllLines(f), world);
+                    ClusterSimulator[] world = new ClusterSimulator[1];
+                    List<String> wrong = TracePlayer.play(Files.readAllLines(f), world);
                     assertEquals(List.of(), wrong, () -> String.join("\n", world[0].log));
                     world[0].behaviour.assertKept(
                             "trace/" + f.getFileName().toString().replace(".trace", ""));
@@ -39,8 +39,8 @@
     /** The checker would be worth nothing if it could not fail. */
     @Test
     void theCheckerSeesBrokenRules() {
-        World[] world = new World[1];
-        List<String> wrong = Trace.play(
+        ClusterSimulator[] world = new ClusterSimulator[1];
+        List<String> wrong = TracePlayer.play(
                 List.of(
                         "team red 0 8",
                         "machine large a ordinary",
@@ -57,8 +57,8 @@
     /** A start before the needed job is over, by a controller that is broken. */
     @Test
     void theCheckerSeesAStartThatIsTooEarly() {
-        World[] world = new World[1];
-        List<String> wrong = Trace.play(
+        ClusterSimulator[] world = new ClusterSimulator[1];
+        List<String> wrong = TracePlayer.play(
                 List.of(
                         "team red 0 0",
                         "machine large a ordinary",
@@ -73,8 +73,8 @@
     /** A user is told of a cancellation that nobody has stored: what needs the job stays pending for too long. */
     @Test
     void theCheckerSeesAnOrphanedJob() {
-        World[] world = new World[1];
-        List<String> wrong = Trace.play(
+        ClusterSimulator[] world = new ClusterSimulator[1];
+        List<String> wrong = TracePlayer.play(
                 List.of(
                         "team red 0 0",
                         "machine small a ordinary",
@@ -113,29 +113,29 @@
                 lines.add("expect done " + id);
             }
         }
-        World[] world = new World[1];
-        assertEquals(List.of(), Trace.play(lines, world), () -> String.join("\n", world[0].log));
+        ClusterSimulator[] world = new ClusterSimulator[1];
+        assertEquals(List.of(), TracePlayer.play(lines, world), () -> String.join("\n", world[0].log));
         world[0].behaviour.assertKept("one-task-jobs");
     }
 
     @TestFactory
     Stream<DynamicTest> randomTroubles() {
-        return DrawnDays.play("troubles", 12, DrawnDays::troubles);
+        return RandomizedScenarios.play("troubles", 12, RandomizedScenarios::troubles);
     }
 
     @TestFactory
     Stream<DynamicTest> randomTroublesWithStandby() {
-        return DrawnDays.play("troubles-with-standby", 12, DrawnDays::troublesWithStandby);
+        return RandomizedScenarios.play("troubles-with-standby", 12, RandomizedScenarios::troublesWithStandby);
     }
 
     @TestFactory
     Stream<DynamicTest> randomTroublesOfOperations() {
-        return DrawnDays.play("operations", 12, DrawnDays::operations);
+        return RandomizedScenarios.play("operations", 12, RandomizedScenarios::operations);
     }
 
     /** The same while the controllers come back one by one with this version, whereupon the store's limits fall. */
     @TestFactory
     Stream<DynamicTest> randomTroublesAmidAnUpgrade() {
-        return DrawnDays.play("upgrade", 6, DrawnDays::upgrade);
+        return RandomizedScenarios.play("upgrade", 6, RandomizedScenarios::upgrade);
     }
 }
