--- a/src/main/java/org/havenford/protocol/CloudMessages.java
+++ b/src/main/java/org/havenford/protocol/CloudMessages.java
@@ -15,7 +15,7 @@
         FAILED
     }
 
-    /** One machine of the cloud's list. */
+    /** One machine of the cloud's list; {@code age} is the time since it was rented. */
     public record ListedMachine(
             String machine, String endpoint, String type, String zone, boolean spot, Status status, Duration age) {}
 
@@ -42,34 +42,41 @@
 
     /** Body of a request to return machines. */
     public static String giveBack(List<String> machines) {
-        JsonArray a = new JsonArray();
-        machines.forEach(a::add);
+        JsonArray names = new JsonArray();
+        machines.forEach(names::add);
         JsonObject json = new JsonObject();
-        json.add("boxes", a);
+        json.add("boxes", names);
         return json.toString();
     }
 
     /** Reads a page of the machine list. */
     public static Page page(String body) throws Json.BadMessage {
         JsonObject json = Json.object(body);
-        List<ListedMachine> out = new ArrayList<>();
-        for (JsonObject m : Json.objects(json, "boxes")) {
-            Status status =
-                    switch (Json.text(m, "status")) {
-                        case "starting" -> Status.STARTING;
-                        case "running" -> Status.RUNNING;
-                        case "failed" -> Status.FAILED;
-                        default -> throw new Json.BadMessage("status of a machine is unknown");
-                    };
-            out.add(new ListedMachine(
-                    Json.text(m, "nameId"),
-                    Json.textOr(m, "endpoint", ""),
-                    Json.text(m, "rig"),
-                    Json.text(m, "hall"),
-                    Json.flagOr(m, "borrowed", false),
-                    status,
-                    Json.seconds(m, "heldS")));
+        List<ListedMachine> machines = new ArrayList<>();
+        for (JsonObject machine : Json.objects(json, "boxes")) {
+            machines.add(machine(machine));
         }
-        return new Page(out, Json.flagOr(json, "truncated", false));
+        return new Page(machines, Json.flagOr(json, "truncated", false));
+    }
+
+    private static ListedMachine machine(JsonObject json) throws Json.BadMessage {
+        Status status = status(Json.text(json, "status"));
+        return new ListedMachine(
+                Json.text(json, "nameId"),
+                Json.textOr(json, "endpoint", ""),
+                Json.text(json, "rig"),
+                Json.text(json, "hall"),
+                Json.flagOr(json, "borrowed", false),
+                status,
+                Json.seconds(json, "heldS"));
+    }
+
+    private static Status status(String text) throws Json.BadMessage {
+        return switch (text) {
+            case "starting" -> Status.STARTING;
+            case "running" -> Status.RUNNING;
+            case "failed" -> Status.FAILED;
+            default -> throw new Json.BadMessage("status of a machine is unknown");
+        };
     }
 }
--- a/src/main/java/org/havenford/protocol/Command.java
+++ b/src/main/java/org/havenford/protocol/Command.java
@@ -5,9 +5,9 @@
 import java.time.Duration;
 import java.util.List;
 
-/** A command to a worker about one attempt of a task. */
+/** A command to an agent about one attempt of a task; {@code grace} is null except for {@link Op#STOP}. */
 public record Command(Op op, TaskId task, long attempt, Duration grace) {
-    /** What a worker is asked to do with one attempt of a task. */
+    /** What an agent is asked to do with one attempt of a task. */
     public enum Op {
         RUN("run"),
         STOP("stop"),
@@ -20,35 +20,35 @@
         }
     }
 
-    /** Body of an answer to a report. */
-    public static String reply(long token, List<Command> commands) {
+    /** Body of an answer to a heartbeat. */
+    public static String reply(long fencingToken, List<Command> commands) {
         JsonObject json = new JsonObject();
-        json.addProperty("baton", token);
+        json.addProperty("baton", fencingToken);
         json.add("cues", array(commands));
         return json.toString();
     }
 
-    /** Body of direct commands. */
-    public static String direct(long token, long session, List<Command> commands) {
+    /** Body of a direct request with commands, obeyed by one incarnation of an agent alone. */
+    public static String direct(long fencingToken, long incarnation, List<Command> commands) {
         JsonObject json = new JsonObject();
-        json.addProperty("baton", token);
-        json.addProperty("shift", session);
+        json.addProperty("baton", fencingToken);
+        json.addProperty("shift", incarnation);
         json.add("cues", array(commands));
         return json.toString();
     }
 
     private static JsonArray array(List<Command> commands) {
-        JsonArray a = new JsonArray();
-        for (Command c : commands) {
+        JsonArray cues = new JsonArray();
+        for (Command command : commands) {
             JsonObject json = new JsonObject();
-            json.addProperty("cue", c.op.wire);
-            json.addProperty("shot", c.task.toString());
-            json.addProperty("take", c.attempt);
-            if (c.op == Op.STOP) {
-                json.addProperty("fadeS", c.grace.toMillis() / 1e3);
+            json.addProperty("cue", command.op.wire);
+            json.addProperty("shot", command.task.toString());
+            json.addProperty("take", command.attempt);
+            if (command.op == Op.STOP) {
+                json.addProperty("fadeS", command.grace.toMillis() / 1e3);
             }
-            a.add(json);
+            cues.add(json);
         }
-        return a;
+        return cues;
     }
 }
--- /dev/null
+++ b/src/main/java/org/havenford/protocol/HeartbeatCodec.java
@@ -0,0 +1,58 @@
+package org.havenford.protocol;
+
+import com.google.gson.JsonObject;
+import java.util.ArrayList;
+import java.util.List;
+import org.havenford.protocol.Heartbeat.AttemptStatus;
+import org.havenford.protocol.Heartbeat.State;
+
+/** The form of a heartbeat on the wire. */
+final class HeartbeatCodec {
+    private static final int MAX_MACHINE_NAME = 100;
+
+    private HeartbeatCodec() {}
+
+    static Heartbeat read(JsonObject json) throws Json.BadMessage {
+        List<AttemptStatus> attempts = new ArrayList<>();
+        for (JsonObject attempt : Json.objects(json, "shots")) {
+            attempts.add(attempt(attempt));
+        }
+        return new Heartbeat(
+                machine(json),
+                Json.text(json, "endpoint"),
+                Json.text(json, "rig"),
+                Json.text(json, "hall"),
+                Json.flagOr(json, "borrowed", false),
+                Json.count(json, "shift"),
+                Json.count(json, "tally"),
+                Json.count(json, "baton"),
+                Json.has(json, "warningS") ? Json.amount(json, "warningS") : null,
+                attempts);
+    }
+
+    private static AttemptStatus attempt(JsonObject json) throws Json.BadMessage {
+        State state = state(Json.text(json, "status"));
+        TaskId task = TaskId.parse(Json.text(json, "shot"));
+        return new AttemptStatus(task, Json.count(json, "take"), state, Json.textOr(json, "cause", ""));
+    }
+
+    private static State state(String text) throws Json.BadMessage {
+        return switch (text) {
+            case "pulling" -> State.FETCHING;
+            case "running" -> State.RUNNING;
+            case "flushing" -> State.SAVING;
+            case "exited" -> State.EXITED;
+            default -> throw new Json.BadMessage("status of a task is unknown");
+        };
+    }
+
+    /** Machine names become parts of keys, hence printable ASCII without a slash. */
+    private static String machine(JsonObject json) throws Json.BadMessage {
+        String machine = Json.text(json, "box");
+        boolean isPrintable = machine.chars().allMatch(c -> c > ' ' && c <= '~' && c != '/');
+        if (machine.isEmpty() || machine.length() > MAX_MACHINE_NAME || !isPrintable) {
+            throw new Json.BadMessage("box is not a name");
+        }
+        return machine;
+    }
+}
--- a/src/main/java/org/havenford/protocol/Json.java
+++ b/src/main/java/org/havenford/protocol/Json.java
@@ -28,6 +28,15 @@
         }
     }
 
+    /** Larger than any number in a valid message. */
+    private static final double MAX_AMOUNT = 1e9;
+    /** Digits that certainly fit a long. */
+    private static final int MAX_PLAIN_DIGITS = 18;
+
+    private static final int MAX_DIGITS = 19;
+    /** A number with a larger exponent would be expanded to that many digits before it is refused. */
+    private static final int MIN_SCALE = -20;
+
     private Json() {}
 
     /** Parses a text that must be one JSON object. */
@@ -53,8 +62,8 @@
     }
 
     private static JsonElement present(JsonObject json, String field) {
-        JsonElement e = json.get(field);
-        return e == null || e.isJsonNull() ? null : e;
+        JsonElement element = json.get(field);
+        return element == null || element.isJsonNull() ? null : element;
     }
 
     /** Whether a field is present and not null. */
@@ -63,23 +72,23 @@
     }
 
     private static JsonPrimitive primitive(JsonObject json, String field) throws BadMessage {
-        JsonElement e = present(json, field);
-        if (e == null) {
+        JsonElement element = present(json, field);
+        if (element == null) {
             throw new BadMessage(field + " is missing");
         }
-        if (!e.isJsonPrimitive()) {
+        if (!element.isJsonPrimitive()) {
             throw new BadMessage(field + " is not a plain value");
         }
-        return e.getAsJsonPrimitive();
+        return element.getAsJsonPrimitive();
     }
 
     /** A text that must be present. */
     public static String text(JsonObject json, String field) throws BadMessage {
-        JsonPrimitive p = primitive(json, field);
-        if (!p.isString()) {
+        JsonPrimitive value = primitive(json, field);
+        if (!value.isString()) {
             throw new BadMessage(field + " is not text");
         }
-        return p.getAsString();
+        return value.getAsString();
     }
 
     /** A text, or {@code otherwise} where it is absent. */
@@ -92,24 +101,24 @@
         if (!has(json, field)) {
             return otherwise;
         }
-        JsonPrimitive p = primitive(json, field);
-        if (!p.isBoolean()) {
+        JsonPrimitive value = primitive(json, field);
+        if (!value.isBoolean()) {
             throw new BadMessage(field + " is not true or false");
         }
-        return p.getAsBoolean();
+        return value.getAsBoolean();
     }
 
     /** A number from 0 on that must be present. */
     public static double amount(JsonObject json, String field) throws BadMessage {
-        JsonPrimitive p = primitive(json, field);
-        if (!p.isNumber()) {
+        JsonPrimitive value = primitive(json, field);
+        if (!value.isNumber()) {
             throw new BadMessage(field + " is not a number");
         }
-        double d = p.getAsDouble();
-        if (!Double.isFinite(d) || d < 0 || d > 1e9) {
+        double number = value.getAsDouble();
+        if (!Double.isFinite(number) || number < 0 || number > MAX_AMOUNT) {
             throw new BadMessage(field + " is out of range");
         }
-        return d;
+        return number;
     }
 
     /** A number from 0 on, or {@code otherwise} where it is absent. */
@@ -117,6 +126,15 @@
         return has(json, field) ? amount(json, field) : otherwise;
     }
 
+    /** A number above 0 that must be present. */
+    public static double positive(JsonObject json, String field) throws BadMessage {
+        double value = amount(json, field);
+        if (value <= 0) {
+            throw new BadMessage(field + " must be more than 0");
+        }
+        return value;
+    }
+
     /** A duration in seconds that must be present. */
     public static Duration seconds(JsonObject json, String field) throws BadMessage {
         return Duration.ofNanos((long) (amount(json, field) * 1e9));
@@ -124,33 +142,33 @@
 
     /** A whole number from 0 on that must be present. */
     public static long count(JsonObject json, String field) throws BadMessage {
-        JsonPrimitive p = primitive(json, field);
-        if (!p.isNumber()) {
+        JsonPrimitive value = primitive(json, field);
+        if (!value.isNumber()) {
             throw new BadMessage(field + " is not a number");
         }
-        String digits = p.getAsString();
-        if (plain(digits)) {
+        String digits = value.getAsString();
+        if (isPlain(digits)) {
             return Long.parseLong(digits);
         }
         try {
-            BigDecimal d = new BigDecimal(digits);
-            if (d.scale() < -20 || d.signum() < 0 || d.precision() - d.scale() > 19) {
+            BigDecimal number = new BigDecimal(digits);
+            if (number.scale() < MIN_SCALE || number.signum() < 0 || number.precision() - number.scale() > MAX_DIGITS) {
                 throw new BadMessage(field + " is out of range");
             }
-            return d.longValueExact();
+            return number.longValueExact();
         } catch (NumberFormatException | ArithmeticException e) {
             throw new BadMessage(field + " is not a whole number");
         }
     }
 
     /** Nearly every count is written in a few plain digits, and there are thousands a second. */
-    private static boolean plain(String s) {
-        for (int i = 0; i < s.length(); i++) {
-            if (s.charAt(i) < '0' || s.charAt(i) > '9') {
+    private static boolean isPlain(String digits) {
+        for (int i = 0; i < digits.length(); i++) {
+            if (digits.charAt(i) < '0' || digits.charAt(i) > '9') {
                 return false;
             }
         }
-        return !s.isEmpty() && s.length() <= 18;
+        return !digits.isEmpty() && digits.length() <= MAX_PLAIN_DIGITS;
     }
 
     /** A whole number from 0 on, or {@code otherwise} where it is absent. */
@@ -160,23 +178,23 @@
 
     /** An object that must be present. */
     public static JsonObject child(JsonObject json, String field) throws BadMessage {
-        JsonElement e = present(json, field);
-        if (e == null || !e.isJsonObject()) {
+        JsonElement element = present(json, field);
+        if (element == null || !element.isJsonObject()) {
             throw new BadMessage(field + " is not an object");
         }
-        return e.getAsJsonObject();
+        return element.getAsJsonObject();
     }
 
     /** An array; an empty one where it is absent. */
     public static JsonArray array(JsonObject json, String field) throws BadMessage {
-        JsonElement e = present(json, field);
-        if (e == null) {
+        JsonElement element = present(json, field);
+        if (element == null) {
             return new JsonArray();
         }
-        if (!e.isJsonArray()) {
+        if (!element.isJsonArray()) {
             throw new BadMessage(field + " is not an array");
         }
-        return e.getAsJsonArray();
+        return element.getAsJsonArray();
     }
 
     /** An array of objects; an empty one where it is absent. */
--- a/src/main/java/org/havenford/protocol/MachineType.java
+++ b/src/main/java/org/havenford/protocol/MachineType.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A type of machine that the cloud rents out. */
+/** A type of machine that the cloud offers; prices are for an hour. */
 public record MachineType(
         String name,
         double cpus,
@@ -19,47 +19,60 @@
         Duration bootTime,
         List<String> zones) {
 
+    /** A rate to reckon with where the cloud gives none. */
+    private static final double DEFAULT_PULL_GB_PER_SECOND = 0.1;
+
+    private static final Duration DEFAULT_BOOT_TIME = Duration.ofSeconds(60);
+
     /** Reads the cloud's answer, or its stored copy. */
     public static List<MachineType> parseAll(JsonObject json) throws Json.BadMessage {
-        List<MachineType> out = new ArrayList<>();
-        for (JsonObject t : Json.objects(json, "rigs")) {
-            out.add(new MachineType(
-                    Json.text(t, "name"),
-                    Json.amount(t, "vcpus"),
-                    Json.amountOr(t, "cards", 0),
-                    Json.amount(t, "memGb"),
-                    Json.amountOr(t, "localGb", 0),
-                    Json.amountOr(t, "fetchGbPerS", 0.1),
-                    Json.amountOr(t, "hourly", 0),
-                    Json.amountOr(t, "spotPrice", 0),
-                    Json.has(t, "bootS") ? Json.seconds(t, "bootS") : Duration.ofSeconds(60),
-                    List.copyOf(Json.texts(t, "halls"))));
+        List<MachineType> types = new ArrayList<>();
+        for (JsonObject type : Json.objects(json, "rigs")) {
+            types.add(parse(type));
         }
-        return out;
+        return types;
+    }
+
+    private static MachineType parse(JsonObject json) throws Json.BadMessage {
+        return new MachineType(
+                Json.text(json, "name"),
+                Json.amount(json, "vcpus"),
+                Json.amountOr(json, "cards", 0),
+                Json.amount(json, "memGb"),
+                Json.amountOr(json, "localGb", 0),
+                Json.amountOr(json, "fetchGbPerS", DEFAULT_PULL_GB_PER_SECOND),
+                Json.amountOr(json, "hourly", 0),
+                Json.amountOr(json, "spotPrice", 0),
+                Json.has(json, "bootS") ? Json.seconds(json, "bootS") : DEFAULT_BOOT_TIME,
+                List.copyOf(Json.texts(json, "halls")));
     }
 
     /** The stored value, in the cloud's own form. */
     public static JsonObject toJson(Iterable<MachineType> types) {
-        JsonArray rigs = new JsonArray();
+        JsonArray all = new JsonArray();
         for (MachineType type : types) {
-            JsonObject json = new JsonObject();
-            json.addProperty("name", type.name);
-            json.addProperty("vcpus", type.cpus);
-            json.addProperty("cards", type.gpus);
-            json.addProperty("memGb", type.memGb);
-            json.addProperty("localGb", type.cacheGb);
-            json.addProperty("fetchGbPerS", type.imagePullGbPerSecond);
-            json.addProperty("hourly", type.price);
-            json.addProperty("spotPrice", type.spotPrice);
-            json.addProperty("bootS", type.bootTime.toMillis() / 1e3);
-            JsonArray halls = new JsonArray();
-            type.zones.forEach(halls::add);
-            json.add("halls", halls);
-            rigs.add(json);
+            all.add(type.toJson());
         }
-        JsonObject out = new JsonObject();
-        out.add("rigs", rigs);
-        return out;
+        JsonObject json = new JsonObject();
+        json.add("rigs", all);
+        return json;
+    }
+
+    private JsonObject toJson() {
+        JsonObject json = new JsonObject();
+        json.addProperty("name", name);
+        json.addProperty("vcpus", cpus);
+        json.addProperty("cards", gpus);
+        json.addProperty("memGb", memGb);
+        json.addProperty("localGb", cacheGb);
+        json.addProperty("fetchGbPerS", imagePullGbPerSecond);
+        json.addProperty("hourly", price);
+        json.addProperty("spotPrice", spotPrice);
+        json.addProperty("bootS", bootTime.toMillis() / 1e3);
+        JsonArray zoneNames = new JsonArray();
+        zones.forEach(zoneNames::add);
+        json.add("halls", zoneNames);
+        return json;
     }
 
     /** Price of an hour. */
--- a/src/main/java/org/havenford/settings/PlatformSettings.java
+++ b/src/main/java/org/havenford/settings/PlatformSettings.java
@@ -1,12 +1,9 @@
 package org.havenford.settings;
 
-import com.google.gson.JsonObject;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.havenford.protocol.Json;
@@ -67,84 +64,6 @@
 
     /** Reads and checks settings. */
     public static PlatformSettings parse(String text) throws Json.BadMessage {
-        JsonObject json = Json.object(text);
-        JsonObject endpoints = Json.child(json, "endpoints");
-        JsonObject deployment = Json.child(json, "deployment");
-        JsonObject workers = Json.child(deployment, "workers");
-        JsonObject state = Json.child(deployment, "state");
-        JsonObject next = Json.has(state, "next") ? Json.child(state, "next") : state;
-        JsonObject cloud = Json.child(deployment, "cloud");
-        JsonObject resources =
-                Json.has(deployment, "resources") ? Json.child(deployment, "resources") : new JsonObject();
-        List<Peer> peers = new ArrayList<>();
-        for (JsonObject p : Json.objects(json, "others")) {
-            peers.add(new Peer(Json.text(p, "node_name"), Json.textOr(p, "location", ""), Json.text(p, "peer_addr")));
-        }
-        Map<String, Team> teams = new LinkedHashMap<>();
-        for (JsonObject t : Json.objects(deployment, "teams")) {
-            Team team = new Team(
-                    Json.text(t, "name"),
-                    Json.amountOr(t, "cpus", 0),
-                    Json.amountOr(t, "cpus_max", 0),
-                    Json.amountOr(t, "gpus", 0),
-                    Json.amountOr(t, "gpus_max", 0));
-            teams.put(team.name(), team);
-        }
-        List<ServiceObjective> objectives = new ArrayList<>();
-        for (JsonObject a : Json.objects(deployment, "objectives")) {
-            objectives.add(new ServiceObjective(
-                    Json.textOr(a, "kind", ""),
-                    Json.textOr(a, "class", ""),
-                    Json.has(a, "within_s") ? Json.seconds(a, "within_s") : null));
-        }
-        return new PlatformSettings(
-                Json.text(json, "node_name"),
-                Json.text(json, "location"),
-                address(json, "bind"),
-                address(json, "cluster_listen"),
-                List.copyOf(peers),
-                address(endpoints, "cloud"),
-                address(endpoints, "state"),
-                teams,
-                Json.seconds(workers, "report_s"),
-                Json.seconds(workers, "lease_s"),
-                Json.seconds(workers, "cancel_s"),
-                positive(state, "rps"),
-                positive(state, "write_rps"),
-                smaller(state, next, "write_rps"),
-                (int) (smaller(state, next, "value_kb") * 1024),
-                (int) (positive(state, "value_kb") * 1024),
-                (int) Math.max(4, smaller(state, next, "txn_ops")),
-                positive(cloud, "rps"),
-                Json.seconds(cloud, "list_lag_s"),
-                (int) Json.amountOr(resources, "max_connections", 1000),
-                List.copyOf(objectives));
-    }
-
-    private static double positive(JsonObject json, String field) throws Json.BadMessage {
-        double d = Json.amount(json, field);
-        if (d <= 0) {
-            throw new Json.BadMessage(field + " must be more than 0");
-        }
-        return d;
-    }
-
-    private static double smaller(JsonObject now, JsonObject next, String field) throws Json.BadMessage {
-        double present = positive(now, field);
-        return Json.has(next, field) ? Math.min(present, positive(next, field)) : present;
-    }
-
-    private static String address(JsonObject json, String field) throws Json.BadMessage {
-        String a = Json.text(json, field);
-        int colon = a.lastIndexOf(':');
-        try {
-            int port = Integer.parseInt(a.substring(colon + 1));
-            if (colon < 1 || port < 1 || port > 65535) {
-                throw new Json.BadMessage(field + " is not host:port");
-            }
-        } catch (NumberFormatException e) {
-            throw new Json.BadMessage(field + " is not host:port");
-        }
-        return a;
+        return new PlatformSettingsReader(Json.object(text)).read();
     }
 }
