--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -32,8 +32,11 @@
 import org.havenford.storage.ConditionalWriter;
 import org.havenford.storage.StoreClient;
 import org.havenford.storage.StoreReplica;
+import org.havenford.storage.records.ClusterView;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.LivenessProbe;
+import org.havenford.storage.records.MemberRegistration;
 import org.havenford.transport.EventLoop;
 import org.havenford.transport.HttpCalls;
 import org.havenford.transport.HttpServer;
@@ -134,18 +137,18 @@
                 loop, pauseDetector::eventStarted, store, replica, clusterState, membership, evictions, agentManager);
         clusterState.setObserver(new ClusterState.Observer() {
             @Override
-            public void viewChanged(JsonObject view, long stamp) {
-                membership.viewChanged(view, stamp);
+            public void viewChanged(ClusterView view, long modRevision) {
+                membership.viewChanged(view, modRevision);
             }
 
             @Override
-            public void memberChanged(String node, JsonObject member, long stamp) {
-                membership.memberChanged(node, member, stamp);
+            public void memberChanged(String node, MemberRegistration registration, long modRevision) {
+                membership.memberChanged(node, registration, modRevision);
             }
 
             @Override
-            public void livenessProbeChanged(String node, JsonObject challenge, long stamp) {
-                evictions.livenessProbeChanged(node, challenge, stamp);
+            public void livenessProbeChanged(String node, LivenessProbe probe, long modRevision) {
+                evictions.livenessProbeChanged(node, probe, modRevision);
             }
 
             @Override
--- a/src/main/java/org/havenford/coordination/membership/MemberEvictions.java
+++ b/src/main/java/org/havenford/coordination/membership/MemberEvictions.java
@@ -1,16 +1,15 @@
 package org.havenford.coordination.membership;
 
-import com.google.gson.JsonObject;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import org.havenford.protocol.Json;
 import org.havenford.storage.StoreClient;
 import org.havenford.storage.StoreReplica;
 import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.LivenessProbe;
 import org.havenford.transport.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -89,13 +88,10 @@
             return;
         }
         String key = Keys.livenessProbe(name);
-        JsonObject value = new JsonObject();
-        value.addProperty("by", node);
-        value.addProperty("incarnation", incarnation);
         StoreClient.Transaction transaction = new StoreClient.Transaction()
                 .requireRevision(Keys.VIEW, membership.viewRevision())
                 .requireRevision(key, replica.modRevision(key))
-                .put(key, value);
+                .put(key, new LivenessProbe(node, incarnation).toJson());
         store.commit(transaction, StoreClient.CallPriority.LEASE, result -> {
             if (result.ok()) {
                 replica.applyCommitted(transaction, result.revision());
@@ -121,19 +117,17 @@
     }
 
     /** A question was asked: if it is for this node, removing it is the answer, also for a former life of the node. */
-    public void livenessProbeChanged(String name, JsonObject challenge, long stamp) {
-        if (challenge == null) {
+    public void livenessProbeChanged(String name, LivenessProbe probe, long stamp) {
+        if (probe == null) {
             unansweredProbes.remove(name);
         } else {
             unansweredProbes.put(name, loop.now());
         }
-        if (challenge != null && name.equals(node)) {
-            String by = "?";
-            try {
-                by = Json.textOr(challenge, "by", by);
-            } catch (Json.BadMessage e) {
-                LOG.warn("the question to {} can't be read: {}", name, e.getMessage());
+        if (probe != null && name.equals(node)) {
+            if (probe.readError() != null) {
+                LOG.warn("the question to {} can't be read: {}", name, probe.readError());
             }
+            String by = probe.requester() == null ? "?" : probe.requester();
             LOG.info("{} suspects this node: it answers that it is alive", by);
             remove(Keys.livenessProbe(name), stamp);
         }
--- a/src/main/java/org/havenford/coordination/membership/Membership.java
+++ b/src/main/java/org/havenford/coordination/membership/Membership.java
@@ -1,6 +1,5 @@
 package org.havenford.coordination.membership;
 
-import com.google.gson.JsonObject;
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import java.time.Duration;
 import java.time.Instant;
@@ -19,6 +18,7 @@
 import org.havenford.storage.StoreReplica;
 import org.havenford.storage.records.ClusterView;
 import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.MemberRegistration;
 import org.havenford.transport.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -306,10 +306,8 @@
             // A repeat that was due after the lease had ended: a registration without a lease would stay for ever.
             return;
         }
-        JsonObject value = new JsonObject();
-        value.addProperty("incarnation", mine);
-        value.addProperty("format", FORMAT);
-        StoreClient.Transaction transaction = new StoreClient.Transaction().put(Keys.member(node), value, mine);
+        StoreClient.Transaction transaction = new StoreClient.Transaction()
+                .put(Keys.member(node), new MemberRegistration(mine, FORMAT).toJson(), mine);
         store.commit(transaction, StoreClient.CallPriority.LEASE, result -> {
             if (mine != leaseId) {
                 return;
@@ -327,26 +325,21 @@
     }
 
     /** A registration has changed; null if it is gone. */
-    public void memberChanged(String name, JsonObject value, long stamp) {
-        try {
-            if (value == null) {
-                members.remove(name);
-            } else {
-                long format = Json.countOr(value, "format", 1);
-                members.put(name, new Member(Json.count(value, "incarnation"), stamp, format));
-                if (format >= FORMAT_OF_PIPELINES) {
-                    renewed.add(name);
-                }
+    public void memberChanged(String name, MemberRegistration registration, long stamp) {
+        if (registration == null) {
+            members.remove(name);
+        } else {
+            members.put(name, new Member(registration.incarnation(), stamp, registration.format()));
+            if (registration.format() >= FORMAT_OF_PIPELINES) {
+                renewed.add(name);
             }
-        } catch (Json.BadMessage e) {
-            LOG.error("the member {} can't be read: {}", name, e.getMessage());
         }
     }
 
-    /** The stored view has changed. */
-    public void viewChanged(JsonObject value, long stamp) {
+    /** The stored view has changed; null if it is gone. */
+    public void viewChanged(ClusterView stored, long stamp) {
         try {
-            ClusterView next = value == null ? ClusterView.empty() : ClusterView.parse(value);
+            ClusterView next = stored == null ? ClusterView.empty() : stored;
             if (next.epoch() < view.epoch()) {
                 LOG.error("the view went back from epoch {} to {}", view.epoch(), next.epoch());
                 return;
@@ -356,7 +349,7 @@
             misdirected.clear();
             viewSince = loop.now();
             uncordonRequested &= view.cordoned().contains(node);
-            viewRevision = value == null ? 0 : stamp;
+            viewRevision = stored == null ? 0 : stamp;
             comparisons.clear();
             verifiedAt = Instant.MIN;
             LOG.info(
@@ -377,8 +370,8 @@
                 leaveAfterEviction();
             }
             changed.run();
-        } catch (Json.BadMessage | RuntimeException e) {
-            LOG.error("the view can't be read", e);
+        } catch (RuntimeException e) {
+            LOG.error("the view can't be applied", e);
         }
     }
 
--- a/src/main/java/org/havenford/storage/ClusterState.java
+++ b/src/main/java/org/havenford/storage/ClusterState.java
@@ -18,12 +18,15 @@
 import org.havenford.protocol.MachineType;
 import org.havenford.protocol.TaskId;
 import org.havenford.storage.records.Claim;
+import org.havenford.storage.records.ClusterView;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.LivenessProbe;
 import org.havenford.storage.records.MachineBatch;
 import org.havenford.storage.records.MachineRecord;
 import org.havenford.storage.records.MachineRecord.Condition;
 import org.havenford.storage.records.MachineStatuses;
+import org.havenford.storage.records.MemberRegistration;
 import org.havenford.storage.records.TaskRange;
 import org.havenford.storage.records.TeamQuota;
 import org.havenford.storage.records.TeamQuota.Resources;
@@ -63,14 +66,14 @@
 
     /** Hears of keys that concern membership, and of every end of a batch of changes. */
     public interface Observer {
-        /** The stored view has changed. */
-        void viewChanged(JsonObject view, long stamp);
+        /** The stored view has changed; {@code view} is null when it is gone. */
+        void viewChanged(ClusterView view, long modRevision);
 
-        /** A member has registered; {@code member} is null when its registration is gone. */
-        void memberChanged(String node, JsonObject member, long stamp);
+        /** A member has registered; {@code registration} is null when it is gone. */
+        void memberChanged(String node, MemberRegistration registration, long modRevision);
 
-        /** A member is asked whether it is alive; {@code challenge} is null when the question is gone. */
-        void livenessProbeChanged(String node, JsonObject challenge, long stamp);
+        /** A member is asked whether it is alive; {@code probe} is null when the question is gone. */
+        void livenessProbeChanged(String node, LivenessProbe probe, long modRevision);
 
         /** The claims on a machine, or its record, have changed, or what is wanted of them. */
         void machineChanged(String machine);
@@ -258,11 +261,13 @@
                 quotas.put(key, TeamQuota.parse(value));
             }
         } else if (key.startsWith(Keys.MEMBERS)) {
-            setObserver.memberChanged(key.substring(Keys.MEMBERS.length()), value, stamp);
+            String node = key.substring(Keys.MEMBERS.length());
+            setObserver.memberChanged(node, value == null ? null : MemberRegistration.parse(value), stamp);
         } else if (key.startsWith(Keys.LIVENESS_PROBES)) {
-            setObserver.livenessProbeChanged(key.substring(Keys.LIVENESS_PROBES.length()), value, stamp);
+            String node = key.substring(Keys.LIVENESS_PROBES.length());
+            setObserver.livenessProbeChanged(node, value == null ? null : LivenessProbe.parse(value), stamp);
         } else if (key.equals(Keys.VIEW)) {
-            setObserver.viewChanged(value, stamp);
+            setObserver.viewChanged(value == null ? null : ClusterView.parse(value), stamp);
         } else if (key.equals(Keys.TYPES) && value != null) {
             types.clear();
             for (MachineType type : MachineType.parseAll(value)) {
--- a/src/main/java/org/havenford/storage/records/ClusterView.java
+++ b/src/main/java/org/havenford/storage/records/ClusterView.java
@@ -3,6 +3,7 @@
 import com.google.common.hash.HashFunction;
 import com.google.common.hash.Hashing;
 import com.google.gson.JsonArray;
+import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import it.unimi.dsi.fastutil.HashCommon;
 import java.nio.charset.StandardCharsets;
@@ -10,6 +11,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import java.util.function.Function;
 import org.havenford.protocol.Json;
 
 /**
@@ -38,23 +40,27 @@
 
     /** Reads the stored view. */
     public static ClusterView parse(JsonObject json) throws Json.BadMessage {
-        TreeMap<String, String> moved = new TreeMap<>();
-        for (Map.Entry<String, com.google.gson.JsonElement> e :
-                Json.child(json, "moved").entrySet()) {
-            moved.put(e.getKey(), e.getValue().getAsString());
-        }
+        TreeMap<String, String> moved = entries(json, "moved", JsonElement::getAsString);
         TreeMap<String, Long> evicted = Json.has(json, "evicted") ? incarnations(json, "evicted") : new TreeMap<>();
         TreeSet<String> resting = new TreeSet<>(Json.texts(json, "resting"));
         return new ClusterView(Json.count(json, "epoch"), incarnations(json, "members"), moved, resting, evicted);
     }
 
     private static TreeMap<String, Long> incarnations(JsonObject json, String field) throws Json.BadMessage {
-        TreeMap<String, Long> incarnations = new TreeMap<>();
-        for (Map.Entry<String, com.google.gson.JsonElement> e :
-                Json.child(json, field).entrySet()) {
-            incarnations.put(e.getKey(), e.getValue().getAsLong());
+        return entries(json, field, JsonElement::getAsLong);
+    }
+
+    private static <T> TreeMap<String, T> entries(JsonObject json, String field, Function<JsonElement, T> value)
+            throws Json.BadMessage {
+        TreeMap<String, T> entries = new TreeMap<>();
+        for (Map.Entry<String, JsonElement> entry : Json.child(json, field).entrySet()) {
+            try {
+                entries.put(entry.getKey(), value.apply(entry.getValue()));
+            } catch (IllegalStateException | NumberFormatException | UnsupportedOperationException e) {
+                throw new Json.BadMessage(field + " of " + entry.getKey() + " is of the wrong form");
+            }
         }
-        return incarnations;
+        return entries;
     }
 
     /** The stored value. */
--- a/src/test/java/org/havenford/coordination/GoldenCalls.java
+++ b/src/test/java/org/havenford/coordination/GoldenCalls.java
@@ -13,12 +13,15 @@
 import java.util.function.Consumer;
 import org.havenford.coordination.membership.MemberEvictions;
 import org.havenford.coordination.membership.Membership;
+import org.havenford.protocol.Json;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.StoreClient;
 import org.havenford.storage.StoreClient.CallPriority;
 import org.havenford.storage.StoreReplica;
 import org.havenford.storage.records.ClusterView;
 import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.LivenessProbe;
+import org.havenford.storage.records.MemberRegistration;
 import org.havenford.testing.ManualLoop;
 import org.havenford.testing.QuietObservertype;
 import org.havenford.transport.HttpCalls;
@@ -44,14 +47,13 @@
     }
 
     /** Whether a member that is registered so reads pipelines, and evictions. */
-    public static String understoodBy(JsonElement registration) {
-        JsonObject member = registration.getAsJsonObject();
+    public static String understoodBy(JsonElement stored) throws Json.BadMessage {
+        MemberRegistration registration = MemberRegistration.parse(stored.getAsJsonObject());
         GoldenCalls calls = new GoldenCalls();
         Membership membership = calls.membership(Set.of("node-0"));
-        TreeMap<String, Long> members =
-                new TreeMap<>(Map.of("node-0", member.get("incarnation").getAsLong()));
-        membership.viewChanged(new ClusterView(4, members, new TreeMap<>(), new TreeSet<>()).toJson(), 12);
-        membership.memberChanged("node-0", member, 13);
+        TreeMap<String, Long> members = new TreeMap<>(Map.of("node-0", registration.incarnation()));
+        membership.viewChanged(new ClusterView(4, members, new TreeMap<>(), new TreeSet<>()), 12);
+        membership.memberChanged("node-0", registration, 13);
         return membership.allReadShortForm() + " " + membership.allSupportEvictions();
     }
 
@@ -94,16 +96,13 @@
         Membership membership = membership(Set.of("node-0", "node-1"));
         TreeMap<String, Long> members = new TreeMap<>(Map.of("node-0", 7L, "node-1", 5L));
         TreeMap<String, String> moved = new TreeMap<>(Map.of("host-000001", "node-1"));
-        membership.viewChanged(new ClusterView(4, members, moved, new TreeSet<>(Set.of("node-1"))).toJson(), 12);
+        membership.viewChanged(new ClusterView(4, members, moved, new TreeSet<>(Set.of("node-1"))), 12);
         members.forEach((node, incarnation) -> {
-            JsonObject member = new JsonObject();
-            member.addProperty("incarnation", incarnation);
-            member.addProperty("format", 3);
-            membership.memberChanged(node, member, 10 + incarnation);
+            membership.memberChanged(node, new MemberRegistration(incarnation, 3), 10 + incarnation);
         });
         MemberEvictions evictions = new MemberEvictions(loop, store, replica, membership, "node-0");
         make("challenge", () -> evictions.probe("node-1", 5, stamp -> {}));
-        JsonObject challenge = written("challenge", Keys.livenessProbe("node-1"));
+        LivenessProbe challenge = LivenessProbe.parse(written("challenge", Keys.livenessProbe("node-1")));
         make("challenge-answer", () -> evictions.livenessProbeChanged("node-0", challenge, 30));
         make("challenge-withdrawal", () -> evictions.withdrawProbe("node-1", 31));
         make("eviction", () -> evictions.evict("node-1", 5, 32, evicted -> {}));
--- a/src/test/java/org/havenford/storage/records/StoredValuesTest.java
+++ b/src/test/java/org/havenford/storage/records/StoredValuesTest.java
@@ -106,7 +106,7 @@
     void theReplicaReadsEveryKey() throws Exception {
         for (String file : List.of("format-1.txt", "format-2.txt")) {
             List<String> members = new ArrayList<>();
-            List<JsonObject> views = new ArrayList<>();
+            List<ClusterView> views = new ArrayList<>();
             ClusterState clusterState = new ClusterState();
             clusterState.setObserver(observer(members, views));
             long stamp = 0;
@@ -123,20 +123,20 @@
         }
     }
 
-    private static ClusterState.Observer observer(List<String> members, List<JsonObject> views) {
+    private static ClusterState.Observer observer(List<String> members, List<ClusterView> views) {
         return new ClusterState.Observer() {
             @Override
-            public void viewChanged(JsonObject view, long stamp) {
+            public void viewChanged(ClusterView view, long modRevision) {
                 views.add(view);
             }
 
             @Override
-            public void memberChanged(String node, JsonObject member, long stamp) {
+            public void memberChanged(String node, MemberRegistration registration, long modRevision) {
                 members.add(node);
             }
 
             @Override
-            public void livenessProbeChanged(String node, JsonObject challenge, long stamp) {}
+            public void livenessProbeChanged(String node, LivenessProbe probe, long modRevision) {}
 
             @Override
             public void machineChanged(String machine) {}
--- a/src/test/java/org/havenford/testing/QuietObservertype.java
+++ b/src/test/java/org/havenford/testing/QuietObservertype.java
@@ -1,19 +1,21 @@
 package org.havenford.testing;
 
-import com.google.gson.JsonObject;
 import org.havenford.storage.ClusterState;
+import org.havenford.storage.records.ClusterView;
 import org.havenford.storage.records.Job;
+import org.havenford.storage.records.LivenessProbe;
+import org.havenford.storage.records.MemberRegistration;
 
 /** For tests that read the ledger and need not be told of its changes. */
 public final class QuietObservertype implements ClusterState.Observer {
     @Override
-    public void viewChanged(JsonObject view, long stamp) {}
+    public void viewChanged(ClusterView view, long modRevision) {}
 
     @Override
-    public void memberChanged(String node, JsonObject member, long stamp) {}
+    public void memberChanged(String node, MemberRegistration registration, long modRevision) {}
 
     @Override
-    public void livenessProbeChanged(String node, JsonObject challenge, long stamp) {}
+    public void livenessProbeChanged(String node, LivenessProbe probe, long modRevision) {}
 
     @Override
     public void machineChanged(String machine) {}
