--- a/src/main/java/org/havenford/coordination/quota/package-info.java
+++ b/src/main/java/org/havenford/coordination/quota/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Team limits, divided among the controllers.
+ * Team quotas, divided into shares among the controllers.
  *
- * <p>It owns which claims of this controller are charged to its shares but not yet seen in the replica. Called by scheduling.
+ * <p>It owns the charges of this controller's claims that the replica does not show yet. Called by scheduling.
  */
 package org.havenford.coordination.quota;
--- a/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
@@ -39,7 +39,8 @@
         this.dependencies = dependencies;
         planner =
                 new Planner(context.clusterState(), context.settings(), operatorSettings, context.membership()::owner);
-        quotaAllocator = new QuotaAllocator(context);
+        quotaAllocator = new QuotaAllocator(
+                context.settings(), context.clusterState(), context.replica(), context.membership(), context.writer());
         taskClaimer = new TaskClaimer(context, agentManager, planner, operatorSettings.roundBudget(), quotaAllocator);
         jobCompletion = new JobCompletion(context);
         taskReleaser = new TaskReleaser(context, agentManager, jobCompletion);
@@ -60,7 +61,7 @@
         if (context.writer().isLocked(Keys.VIEW)) {
             return;
         }
-        quotaAllocator.settle();
+        quotaAllocator.removeResolvedCharges();
         taskClaimer.step(start);
         taskReleaser.step();
         jobCompletion.step();
--- a/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
@@ -287,7 +287,7 @@
     }
 
     private int takeShare(Draft draft, PlatformSettings.Team team, int wanted) {
-        int allowed = quotaAllocator.take(team, draft.perTask(), wanted, draft.transaction);
+        int allowed = quotaAllocator.allocate(team, draft.perTask(), wanted, draft.transaction);
         if (draft.transaction.operationCount() > 0) {
             draft.locks.add(Keys.team(team.name()));
         }
