--- a/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
@@ -10,9 +10,11 @@
 import java.util.TreeMap;
 import org.havenford.coordination.membership.Membership;
 import org.havenford.protocol.Heartbeat;
+import org.havenford.storage.CallPriority;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.StoreClient;
 import org.havenford.storage.StoreReplica;
+import org.havenford.storage.Transaction;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
 import org.havenford.transport.EventLoop;
@@ -99,11 +101,11 @@
         List<String> machines = reports.stream().map(Heartbeat::machine).toList();
         MachineBatch batch =
                 MachineBatch.of(name, first.type(), first.zone(), first.spot(), loop.timeOfDay(), machines);
-        StoreClient.Transaction transaction = new StoreClient.Transaction()
+        Transaction transaction = new Transaction()
                 .requireRevision(Keys.VIEW, membership.viewRevision())
                 .requireRevision(Keys.batch(name), 0)
                 .put(Keys.batch(name), batch.toJson());
-        store.commit(transaction, StoreClient.CallPriority.WORK, result -> {
+        store.commit(transaction, CallPriority.WORK, result -> {
             if (result.ok()) {
                 replica.applyCommitted(transaction, result.revision());
             }
--- a/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
@@ -8,9 +8,11 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.CallPriority;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.StoreClient;
 import org.havenford.storage.StoreReplica;
+import org.havenford.storage.Transaction;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineRecord.Condition;
 import org.havenford.storage.records.MachineStatuses;
@@ -101,12 +103,11 @@
             return;
         }
         MachineStatuses value = new MachineStatuses(loop.timeOfDay(), statuses);
-        StoreClient.Transaction transaction = new StoreClient.Transaction()
+        Transaction transaction = new Transaction()
                 .put(Keys.machineStatuses(settings.node(), index), value.toJson(settings.valueBytes()));
         part.inFlight = true;
         part.at = now;
-        StoreClient.CallPriority urgency =
-                conditionsChanged ? StoreClient.CallPriority.WORK : StoreClient.CallPriority.SPARE;
+        CallPriority urgency = conditionsChanged ? CallPriority.WORK : CallPriority.SPARE;
         store.commit(transaction, urgency, result -> {
             part.inFlight = false;
             if (result.ok()) {
--- a/src/main/java/org/havenford/coordination/failover/StandbyHost.java
+++ b/src/main/java/org/havenford/coordination/failover/StandbyHost.java
@@ -4,14 +4,14 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import org.havenford.coordination.agents.AgentContact;
-import org.havenford.storage.StoreClient;
+import org.havenford.storage.CommitObserver;
 import org.havenford.storage.records.ClusterView;
 import org.havenford.transport.EventLoop;
 
 /** What a standby sees of the controller that it runs in, and may ask of it. All of it on the event loop. */
 public interface StandbyHost {
     /** Told of what a standby acts on. */
-    interface Observer extends StoreClient.CommitObserver {
+    interface Observer extends CommitObserver {
         /** The view in force has changed. */
         void viewChanged();
 
--- a/src/main/java/org/havenford/coordination/jobs/FinalStateCache.java
+++ b/src/main/java/org/havenford/coordination/jobs/FinalStateCache.java
@@ -9,7 +9,9 @@
 import java.util.Map;
 import java.util.Set;
 import org.havenford.protocol.Json;
+import org.havenford.storage.CallPriority;
 import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreResult;
 import org.havenford.storage.records.FinalState;
 import org.havenford.storage.records.Keys;
 import org.havenford.transport.EventLoop;
@@ -54,7 +56,7 @@
     }
 
     /** Parses and caches the body of a read; null if it can't be understood. */
-    FinalState parsed(String id, StoreClient.Result result) {
+    FinalState parsed(String id, StoreResult result) {
         try {
             FinalState state = FinalState.parse(Json.child(result.body(), "v"));
             cache.put(id, state);
@@ -71,7 +73,7 @@
         if (reading.size() >= MAX_READS || now.isBefore(retryAt.getOrDefault(id, Instant.MIN)) || !reading.add(id)) {
             return;
         }
-        store.get(Keys.finalState(id), StoreClient.CallPriority.CLAIM, result -> {
+        store.get(Keys.finalState(id), CallPriority.CLAIM, result -> {
             reading.remove(id);
             retryAt.remove(id);
             if (result.ok() && parsed(id, result) != null) {
--- a/src/main/java/org/havenford/coordination/jobs/JobApi.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobApi.java
@@ -4,8 +4,9 @@
 import java.util.function.Consumer;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.Json;
-import org.havenford.storage.StoreClient;
-import org.havenford.storage.StoreClient.Outcome;
+import org.havenford.storage.CallPriority;
+import org.havenford.storage.StoreOutcome;
+import org.havenford.storage.Transaction;
 import org.havenford.storage.records.FinalState;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
@@ -33,7 +34,7 @@
 
     /** Refused at once: the state service is not to be reached, or more is waiting than can be done in time. */
     private boolean overloaded() {
-        return !context.replica().loaded() || context.store().queued(StoreClient.CallPriority.USER) > MAX_QUEUED;
+        return !context.replica().loaded() || context.store().queued(CallPriority.USER) > MAX_QUEUED;
     }
 
     /** POST /submissions; {@code body} is null when it was too large or incomplete. */
@@ -82,8 +83,8 @@
     }
 
     private void cancel(String id, int attempts, Consumer<Response> answer) {
-        context.store().get(Keys.job(id), StoreClient.CallPriority.USER, result -> {
-            if (result.outcome() == Outcome.ABSENT) {
+        context.store().get(Keys.job(id), CallPriority.USER, result -> {
+            if (result.outcome() == StoreOutcome.ABSENT) {
                 queries.readFinalState(id, answer);
                 return;
             }
@@ -107,14 +108,13 @@
     /** The stamp of the header decides between the cancellation and the end of the job's last task. */
     private void cancel(Job job, long stamp, int attempts, Consumer<Response> answer) {
         String key = Keys.job(job.id());
-        StoreClient.Transaction transaction =
-                new StoreClient.Transaction().requireRevision(key, stamp).put(key, job.header(true));
-        context.store().commit(transaction, StoreClient.CallPriority.USER, result -> {
+        Transaction transaction = new Transaction().requireRevision(key, stamp).put(key, job.header(true));
+        context.store().commit(transaction, CallPriority.USER, result -> {
             if (result.ok()) {
                 context.replica().applyCommitted(transaction, result.revision());
                 answer.accept(JobApiResponses.cancelled(job.id()));
                 wake.run();
-            } else if (result.outcome() == Outcome.CONFLICT && attempts > 1) {
+            } else if (result.outcome() == StoreOutcome.CONFLICT && attempts > 1) {
                 cancel(job.id(), attempts - 1, answer);
             } else {
                 answer.accept(JobApiResponses.retryLater());
--- a/src/main/java/org/havenford/coordination/jobs/JobCompletion.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobCompletion.java
@@ -5,7 +5,8 @@
 import java.util.List;
 import java.util.Set;
 import org.havenford.protocol.JobSpec;
-import org.havenford.storage.StoreClient;
+import org.havenford.storage.CallPriority;
+import org.havenford.storage.Transaction;
 import org.havenford.storage.records.FinalState;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
@@ -57,8 +58,7 @@
         int room = context.settings().txnOps() - CHANGES_OF_END;
         boolean last = stored.size() <= Math.min(MAX_FINAL_CHUNKS, room);
         String header = Keys.job(job.id());
-        StoreClient.Transaction transaction =
-                new StoreClient.Transaction().requireRevision(header, context.modRevision(header));
+        Transaction transaction = new Transaction().requireRevision(header, context.modRevision(header));
         if (last || !done) {
             stored.subList(0, Math.min(stored.size(), room)).forEach(index -> deleteChunk(job, index, transaction));
         }
@@ -69,14 +69,14 @@
             FinalState.Status status = done ? FinalState.Status.DONE : FinalState.Status.CANCELLED;
             onSuccess = addCompletion(job, status, transaction, locks);
         }
-        StoreClient.CallPriority urgency = ends ? urgency(job) : StoreClient.CallPriority.WORK;
+        CallPriority urgency = ends ? urgency(job) : CallPriority.WORK;
         context.writer().commit(transaction, urgency, locks, onSuccess);
     }
 
     /** Users and pipelines wait for the end of a job; only that of low work stands behind the claims of other work. */
-    public static StoreClient.CallPriority urgency(Job job) {
+    public static CallPriority urgency(Job job) {
         boolean low = job.spec().priority() == JobSpec.Priority.LOW;
-        return low ? StoreClient.CallPriority.WORK : StoreClient.CallPriority.CLAIM;
+        return low ? CallPriority.WORK : CallPriority.CLAIM;
     }
 
     /**
@@ -84,8 +84,7 @@
      * committed. Jobs that wait for nothing else are released by the same transaction, as far as its limit allows: they then
      * need not wait until the member that looks after them has read the final state.
      */
-    public Runnable addCompletion(
-            Job job, FinalState.Status status, StoreClient.Transaction transaction, List<String> locks) {
+    public Runnable addCompletion(Job job, FinalState.Status status, Transaction transaction, List<String> locks) {
         Instant now = context.loop().timeOfDay();
         Set<String> dependents = context.clusterState().dependents(job.id());
         boolean done = status == FinalState.Status.DONE;
@@ -134,7 +133,7 @@
         return stored;
     }
 
-    private void deleteChunk(Job job, int index, StoreClient.Transaction transaction) {
+    private void deleteChunk(Job job, int index, Transaction transaction) {
         String key = Keys.tasks(job.id(), index);
         transaction.requireRevision(key, context.modRevision(key)).delete(key);
     }
@@ -147,13 +146,13 @@
                 || context.writer().isLocked(SWEEP)) {
             return;
         }
-        StoreClient.Transaction transaction = new StoreClient.Transaction();
+        Transaction transaction = new Transaction();
         for (String path : context.clusterState().taskRangesWithoutJob()) {
             if (transaction.operationCount() < context.settings().txnOps() - CHANGES_OF_END) {
                 String header = Keys.job(path.substring(0, path.indexOf('/')));
                 transaction.requireRevision(header, 0).delete(Keys.TASKS + path);
             }
         }
-        context.writer().commit(transaction, StoreClient.CallPriority.WORK, List.of(SWEEP), () -> {});
+        context.writer().commit(transaction, CallPriority.WORK, List.of(SWEEP), () -> {});
     }
 }
--- a/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
@@ -8,7 +8,8 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.havenford.storage.StoreClient;
+import org.havenford.storage.CallPriority;
+import org.havenford.storage.Transaction;
 import org.havenford.storage.records.FinalState;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
@@ -143,17 +144,15 @@
         String key = Keys.job(job.id());
         LOG.debug("{} has all that it awaits", job.id());
         Instant at = releaseTime(job.spec().dependencies(), job.submittedAt());
-        StoreClient.Transaction transaction = new StoreClient.Transaction()
-                .requireRevision(key, context.modRevision(key))
-                .put(key, job.readyHeader(at));
-        context.writer()
-                .commit(transaction, StoreClient.CallPriority.CLAIM, List.of(key), () -> context.pipelineMetrics()
-                        .released(at, context.loop().timeOfDay()));
+        Transaction transaction =
+                new Transaction().requireRevision(key, context.modRevision(key)).put(key, job.readyHeader(at));
+        context.writer().commit(transaction, CallPriority.CLAIM, List.of(key), () -> context.pipelineMetrics()
+                .released(at, context.loop().timeOfDay()));
     }
 
     /** They were never released, so they hold no task, and with the guards on their headers none can be claimed any more. */
     private void cancelDependents(List<Job> jobs) {
-        StoreClient.Transaction transaction = new StoreClient.Transaction();
+        Transaction transaction = new Transaction();
         List<String> keys = new ArrayList<>();
         for (Job job : jobs) {
             String key = Keys.job(job.id());
@@ -167,7 +166,6 @@
         }
         LOG.info("withdrawn with a job that they need: {}", keys);
         withdrawalsUnderWay++;
-        context.writer()
-                .commit(transaction, StoreClient.CallPriority.CLAIM, keys, () -> {}, result -> withdrawalsUnderWay--);
+        context.writer().commit(transaction, CallPriority.CLAIM, keys, () -> {}, result -> withdrawalsUnderWay--);
     }
 }
--- a/src/main/java/org/havenford/coordination/jobs/JobQueries.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobQueries.java
@@ -10,8 +10,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.havenford.protocol.Json;
-import org.havenford.storage.StoreClient;
-import org.havenford.storage.StoreClient.Outcome;
+import org.havenford.storage.CallPriority;
+import org.havenford.storage.StoreOutcome;
+import org.havenford.storage.StoreResult;
+import org.havenford.storage.Transaction;
 import org.havenford.storage.records.FinalState;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
@@ -59,16 +61,16 @@
         if (batch.isEmpty()) {
             return;
         }
-        StoreClient.Transaction transaction = new StoreClient.Transaction();
+        Transaction transaction = new Transaction();
         Map<String, Job> compared = new HashMap<>();
         for (String id : batch.keySet()) {
             transaction.requireRevision(Keys.job(id), context.modRevision(Keys.job(id)));
             compared.put(id, context.clusterState().job(id));
         }
         comparing = true;
-        context.store().commit(transaction, StoreClient.CallPriority.USER, result -> {
+        context.store().commit(transaction, CallPriority.USER, result -> {
             comparing = false;
-            boolean answered = result.ok() || result.outcome() == Outcome.CONFLICT;
+            boolean answered = result.ok() || result.outcome() == StoreOutcome.CONFLICT;
             Set<String> stale = answered ? stale(result, batch.keySet()) : Set.of();
             batch.forEach((id, answers) -> {
                 if (!answered) {
@@ -102,7 +104,7 @@
     }
 
     /** Headers that have changed since our replica's; all of them, if the service does not say. */
-    private static Set<String> stale(StoreClient.Result result, Set<String> asked) {
+    private static Set<String> stale(StoreResult result, Set<String> asked) {
         Set<String> stale = new HashSet<>();
         if (result.ok()) {
             return stale;
@@ -120,10 +122,10 @@
 
     /** The header first, the final state second: a job that ends in between is found by the second call. */
     void readFromStore(String id, Consumer<Response> answer) {
-        context.store().get(Keys.job(id), StoreClient.CallPriority.USER, result -> {
+        context.store().get(Keys.job(id), CallPriority.USER, result -> {
             if (result.ok()) {
                 answer.accept(unfinished(result));
-            } else if (result.outcome() == Outcome.ABSENT) {
+            } else if (result.outcome() == StoreOutcome.ABSENT) {
                 readFinalState(id, answer);
             } else {
                 answer.accept(JobApiResponses.retryLater());
@@ -133,11 +135,11 @@
 
     /** Answers with how a job ended; 404 if there is no final state. */
     void readFinalState(String id, Consumer<Response> answer) {
-        context.store().get(Keys.finalState(id), StoreClient.CallPriority.USER, result -> {
+        context.store().get(Keys.finalState(id), CallPriority.USER, result -> {
             if (result.ok()) {
                 FinalState state = context.finalStates().parsed(id, result);
                 answer.accept(state == null ? JobApiResponses.retryLater() : JobApiResponses.ended(id, state));
-            } else if (result.outcome() == Outcome.ABSENT) {
+            } else if (result.outcome() == StoreOutcome.ABSENT) {
                 answer.accept(JobApiResponses.unknownJob());
             } else {
                 answer.accept(JobApiResponses.retryLater());
@@ -145,7 +147,7 @@
         });
     }
 
-    private Response unfinished(StoreClient.Result header) {
+    private Response unfinished(StoreResult header) {
         try {
             return unfinished(Job.parse(Json.child(header.body(), "v")));
         } catch (Json.BadMessage e) {
--- a/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
@@ -14,8 +14,10 @@
 import org.havenford.protocol.Json;
 import org.havenford.protocol.MachineType;
 import org.havenford.settings.PlatformSettings;
-import org.havenford.storage.StoreClient;
-import org.havenford.storage.StoreClient.Outcome;
+import org.havenford.storage.CallPriority;
+import org.havenford.storage.StoreOutcome;
+import org.havenford.storage.StoreResult;
+import org.havenford.storage.Transaction;
 import org.havenford.storage.records.FinalState;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
@@ -104,7 +106,7 @@
             learnEnds(spec, answer);
             return;
         }
-        StoreClient.Transaction transaction = new StoreClient.Transaction();
+        Transaction transaction = new Transaction();
         int most = context.settings().txnOps() * CONDITIONS_PER_CHANGE / CONDITIONS_PER_JOB;
         List<String> asked = new ArrayList<>();
         for (String id : unknown) {
@@ -113,7 +115,7 @@
                 transaction.requireRevision(Keys.job(id), 0).requireRevision(Keys.finalState(id), 0);
             }
         }
-        context.store().commit(transaction, StoreClient.CallPriority.USER, result -> {
+        context.store().commit(transaction, CallPriority.USER, result -> {
             if (result.ok()) {
                 refuse(spec, 422, "awaits a job that was never accepted: " + asked.get(0), answer);
                 return;
@@ -128,9 +130,9 @@
         });
     }
 
-    private static Set<String> existing(StoreClient.Result result, List<String> asked) {
+    private static Set<String> existing(StoreResult result, List<String> asked) {
         Set<String> existing = new HashSet<>();
-        if (result.outcome() != Outcome.CONFLICT) {
+        if (result.outcome() != StoreOutcome.CONFLICT) {
             return existing;
         }
         try {
@@ -155,7 +157,7 @@
         }
         int[] left = {over.size()};
         for (String id : over) {
-            context.store().get(Keys.finalState(id), StoreClient.CallPriority.USER, result -> {
+            context.store().get(Keys.finalState(id), CallPriority.USER, result -> {
                 if (result.ok()) {
                     context.finalStates().parsed(id, result);
                 }
@@ -182,8 +184,8 @@
                     answer);
             return;
         }
-        StoreClient.Transaction transaction =
-                new StoreClient.Transaction().requireRevision(Keys.job(id), 0).requireRevision(Keys.finalState(id), 0);
+        Transaction transaction =
+                new Transaction().requireRevision(Keys.job(id), 0).requireRevision(Keys.finalState(id), 0);
         JobDependencies.DependencyStatus outlook = dependencies.statusOf(spec.dependencies());
         FinalState withdrawn = outlook == JobDependencies.DependencyStatus.CANCELLED
                 ? FinalState.of(FinalState.Status.CANCELLED, spec.taskCount())
@@ -197,7 +199,7 @@
         } else {
             transaction.put(Keys.job(id), job.header(false));
         }
-        context.store().commit(transaction, StoreClient.CallPriority.USER, result -> {
+        context.store().commit(transaction, CallPriority.USER, result -> {
             if (result.ok()) {
                 if (withdrawn != null) {
                     context.finalStates().put(id, withdrawn);
@@ -205,7 +207,7 @@
                 context.replica().applyCommitted(transaction, result.revision());
                 answer.accept(JobApiResponses.accepted(id));
                 wake.run();
-            } else if (result.outcome() == Outcome.CONFLICT) {
+            } else if (result.outcome() == StoreOutcome.CONFLICT) {
                 queries.query(id, answer);
             } else {
                 answer.accept(JobApiResponses.retryLater());
--- a/src/main/java/org/havenford/coordination/membership/MemberEvictions.java
+++ b/src/main/java/org/havenford/coordination/membership/MemberEvictions.java
@@ -6,8 +6,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
+import org.havenford.storage.CallPriority;
 import org.havenford.storage.StoreClient;
 import org.havenford.storage.StoreReplica;
+import org.havenford.storage.Transaction;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.LivenessProbe;
 import org.havenford.transport.EventLoop;
@@ -88,11 +90,11 @@
             return;
         }
         String key = Keys.livenessProbe(name);
-        StoreClient.Transaction transaction = new StoreClient.Transaction()
+        Transaction transaction = new Transaction()
                 .requireRevision(Keys.VIEW, membership.viewRevision())
                 .requireRevision(key, replica.modRevision(key))
                 .put(key, new LivenessProbe(node, incarnation).toJson());
-        store.commit(transaction, StoreClient.CallPriority.LEASE, result -> {
+        store.commit(transaction, CallPriority.LEASE, result -> {
             if (result.ok()) {
                 replica.applyCommitted(transaction, result.revision());
             }
@@ -134,9 +136,8 @@
     }
 
     private void remove(String key, long stamp) {
-        StoreClient.Transaction transaction =
-                new StoreClient.Transaction().requireRevision(key, stamp).delete(key);
-        store.commit(transaction, StoreClient.CallPriority.LEASE, result -> {
+        Transaction transaction = new Transaction().requireRevision(key, stamp).delete(key);
+        store.commit(transaction, CallPriority.LEASE, result -> {
             if (result.ok()) {
                 replica.applyCommitted(transaction, result.revision());
             }
--- a/src/main/java/org/havenford/coordination/membership/Membership.java
+++ b/src/main/java/org/havenford/coordination/membership/Membership.java
@@ -14,8 +14,11 @@
 import java.util.function.Consumer;
 import java.util.function.ToIntFunction;
 import org.havenford.protocol.Json;
+import org.havenford.storage.CallPriority;
 import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreOutcome;
 import org.havenford.storage.StoreReplica;
+import org.havenford.storage.Transaction;
 import org.havenford.storage.records.ClusterView;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MemberRegistration;
@@ -264,7 +267,7 @@
             if (renewed != leaseId) {
                 return;
             }
-            if (result.outcome() == StoreClient.Outcome.ABSENT) {
+            if (result.outcome() == StoreOutcome.ABSENT) {
                 LOG.info("the membership lease has ended");
                 leaseUntil = Instant.MIN;
                 leaseId = 0;
@@ -284,20 +287,16 @@
     private void compare() {
         Instant sent = loop.now();
         long stamp = viewRevision;
-        store.commit(
-                new StoreClient.Transaction().requireRevision(Keys.VIEW, stamp),
-                StoreClient.CallPriority.LEASE,
-                result -> {
-                    // Answers may overtake each other; of an older comparison nothing is learnt then.
-                    if (result.ok()
-                            && stamp == viewRevision
-                            && !sent.isBefore(lastPauseEnd)
-                            && (comparisons.isEmpty()
-                                    || comparisons.peekLast().sentAt().isBefore(sent))
-                            && verifiedAt.isBefore(sent)) {
-                        comparisons.add(new Comparison(sent, result.revision()));
-                    }
-                });
+        store.commit(new Transaction().requireRevision(Keys.VIEW, stamp), CallPriority.LEASE, result -> {
+            // Answers may overtake each other; of an older comparison nothing is learnt then.
+            if (result.ok()
+                    && stamp == viewRevision
+                    && !sent.isBefore(lastPauseEnd)
+                    && (comparisons.isEmpty() || comparisons.peekLast().sentAt().isBefore(sent))
+                    && verifiedAt.isBefore(sent)) {
+                comparisons.add(new Comparison(sent, result.revision()));
+            }
+        });
     }
 
     private void register() {
@@ -306,13 +305,13 @@
             // A repeat that was due after the lease had ended: a registration without a lease would stay for ever.
             return;
         }
-        StoreClient.Transaction transaction = new StoreClient.Transaction()
-                .put(Keys.member(node), new MemberRegistration(mine, FORMAT).toJson(), mine);
-        store.commit(transaction, StoreClient.CallPriority.LEASE, result -> {
+        Transaction transaction =
+                new Transaction().put(Keys.member(node), new MemberRegistration(mine, FORMAT).toJson(), mine);
+        store.commit(transaction, CallPriority.LEASE, result -> {
             if (mine != leaseId) {
                 return;
             }
-            if (result.outcome() == StoreClient.Outcome.REJECTED) {
+            if (result.outcome() == StoreOutcome.REJECTED) {
                 leaseId = 0;
                 loop.after(Duration.ofMillis(300), this::acquire);
             } else if (result.ok()) {
@@ -423,7 +422,7 @@
         TreeMap<String, Long> evicted = new TreeMap<>(view.evicted());
         evicted.put(name, incarnation);
         ClusterView next = new ClusterView(view.epoch() + 1, remaining, new TreeMap<>(), resting, evicted);
-        StoreClient.Transaction transaction = new StoreClient.Transaction().requireRevision(Keys.VIEW, viewRevision);
+        Transaction transaction = new Transaction().requireRevision(Keys.VIEW, viewRevision);
         view.members().keySet().forEach(member -> guardRegistration(transaction, member));
         String challenge = Keys.livenessProbe(name);
         transaction
@@ -434,15 +433,15 @@
         propose(transaction, done);
     }
 
-    private void guardRegistration(StoreClient.Transaction transaction, String name) {
+    private void guardRegistration(Transaction transaction, String name) {
         Member member = members.get(name);
         transaction.requireRevision(Keys.member(name), member == null ? 0 : member.modRevision());
     }
 
-    private void propose(StoreClient.Transaction transaction, Consumer<Boolean> done) {
+    private void propose(Transaction transaction, Consumer<Boolean> done) {
         proposing = true;
         lastProposal = loop.now();
-        store.commit(transaction, StoreClient.CallPriority.LEASE, result -> {
+        store.commit(transaction, CallPriority.LEASE, result -> {
             proposing = false;
             if (result.ok()) {
                 replica.applyCommitted(transaction, result.revision());
@@ -546,7 +545,7 @@
         TreeMap<String, Long> evicted = new TreeMap<>(view.evicted());
         evicted.keySet().removeAll(wanted.keySet());
         ClusterView next = new ClusterView(view.epoch() + 1, wanted, moved, resting, evicted);
-        StoreClient.Transaction transaction = new StoreClient.Transaction().requireRevision(Keys.VIEW, viewRevision);
+        Transaction transaction = new Transaction().requireRevision(Keys.VIEW, viewRevision);
         // A member leaves only while its leased key is certainly gone (or a later life of the node has replaced it),
         // so it can no longer hold itself entitled.
         TreeMap<String, Long> all = new TreeMap<>(wanted);
--- a/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
@@ -16,7 +16,7 @@
 import org.havenford.protocol.CloudMessages.ListedMachine;
 import org.havenford.protocol.Json;
 import org.havenford.protocol.MachineType;
-import org.havenford.storage.StoreClient;
+import org.havenford.storage.Transaction;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
 import org.havenford.transport.HttpCalls;
@@ -107,7 +107,7 @@
             JsonObject value = MachineType.toJson(MachineType.parseAll(Json.object(reply.body())));
             String text = value.toString();
             if (!text.equals(storedTypes)) {
-                context.write(new StoreClient.Transaction().put(Keys.TYPES, value), ok -> {
+                context.write(new Transaction().put(Keys.TYPES, value), ok -> {
                     // Written under a view that has just changed, they are not there: then they come again.
                     storedTypes = ok ? text : storedTypes;
                     nextTypes = ok ? nextTypes : Instant.MIN;
@@ -191,7 +191,7 @@
                 unknown.computeIfAbsent(offer, k -> new ArrayList<>()).add(machine);
             }
         }
-        StoreClient.Transaction transaction = new StoreClient.Transaction();
+        Transaction transaction = new Transaction();
         unknown.forEach((offer, machines) -> {
             if (transaction.operationCount() < context.settings().txnOps()) {
                 adopt(offer, machines, transaction);
@@ -202,7 +202,7 @@
         }
     }
 
-    private void adopt(InstanceOffer offer, List<ListedMachine> machines, StoreClient.Transaction transaction) {
+    private void adopt(InstanceOffer offer, List<ListedMachine> machines, Transaction transaction) {
         String name = context.uniqueName("l");
         Instant since = context.loop().timeOfDay().minus(machines.get(0).age());
         List<String> names = machines.stream()
--- a/src/main/java/org/havenford/coordination/provisioning/MachineBatchChange.java
+++ b/src/main/java/org/havenford/coordination/provisioning/MachineBatchChange.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 import org.havenford.storage.ClusterState;
-import org.havenford.storage.StoreClient;
 import org.havenford.storage.StoreReplica;
+import org.havenford.storage.Transaction;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
 
@@ -69,8 +69,8 @@
     }
 
     /** The transaction, guarded by the stamps of the batches that were changed. */
-    StoreClient.Transaction transaction(StoreReplica replica) {
-        StoreClient.Transaction transaction = new StoreClient.Transaction();
+    Transaction transaction(StoreReplica replica) {
+        Transaction transaction = new Transaction();
         next.forEach((name, batch) -> {
             String key = Keys.batch(name);
             transaction.requireRevision(key, replica.modRevision(key));
--- a/src/main/java/org/havenford/coordination/provisioning/ProvisioningContext.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ProvisioningContext.java
@@ -5,9 +5,11 @@
 import org.havenford.coordination.membership.Membership;
 import org.havenford.settings.OperatorSettings;
 import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.CallPriority;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.StoreClient;
 import org.havenford.storage.StoreReplica;
+import org.havenford.storage.Transaction;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineRecord;
 import org.havenford.transport.EventLoop;
@@ -88,9 +90,9 @@
     }
 
     /** Commits a transaction under the present view; {@code after} is told whether it was written. */
-    void write(StoreClient.Transaction transaction, Consumer<Boolean> after) {
+    void write(Transaction transaction, Consumer<Boolean> after) {
         transaction.requireRevision(Keys.VIEW, membership.viewRevision());
-        store.commit(transaction, StoreClient.CallPriority.WORK, result -> {
+        store.commit(transaction, CallPriority.WORK, result -> {
             if (result.ok()) {
                 replica.applyCommitted(transaction, result.revision());
             }
--- a/src/main/java/org/havenford/coordination/provisioning/ScaleOut.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ScaleOut.java
@@ -15,7 +15,7 @@
 import org.havenford.protocol.CloudMessages;
 import org.havenford.protocol.Json;
 import org.havenford.storage.ClusterState.InstanceRequest;
-import org.havenford.storage.StoreClient;
+import org.havenford.storage.Transaction;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
 import org.havenford.storage.records.MachineRecord;
@@ -66,7 +66,7 @@
             Map<InstanceKind, Integer> wanted,
             Map<InstanceKind, Integer> have,
             Object2DoubleOpenHashMap<InstanceOffer> bound) {
-        StoreClient.Transaction transaction = new StoreClient.Transaction();
+        Transaction transaction = new Transaction();
         Map<InstanceKind, Integer> missing = new HashMap<>();
         wanted.forEach((kind, number) -> missing.put(kind, number - have.getOrDefault(kind, 0)));
         requestForZones(bound, missing, transaction);
@@ -85,7 +85,7 @@
     private void requestForZones(
             Object2DoubleOpenHashMap<InstanceOffer> bound,
             Map<InstanceKind, Integer> missing,
-            StoreClient.Transaction transaction) {
+            Transaction transaction) {
         if (bound.isEmpty()) {
             return;
         }
@@ -128,7 +128,7 @@
     }
 
     /** In the zones that have the fewest machines; a need that is large is spread over the zones. */
-    private void requestAnywhere(InstanceKind kind, int number, Instant now, StoreClient.Transaction transaction) {
+    private void requestAnywhere(InstanceKind kind, int number, Instant now, Transaction transaction) {
         int missing = number;
         if (missing <= 0) {
             return;
@@ -172,11 +172,11 @@
         return !isBooked && bootTimeEstimator.mayBeTried(offer) ? TRIED_WITH : 0;
     }
 
-    private boolean mayBook(StoreClient.Transaction transaction) {
+    private boolean mayBook(Transaction transaction) {
         return context.clusterState().instanceRequests().size() + transaction.operationCount() < MOST_BOOKINGS;
     }
 
-    private void requestInstances(InstanceOffer offer, int count, StoreClient.Transaction transaction) {
+    private void requestInstances(InstanceOffer offer, int count, Transaction transaction) {
         String name = context.uniqueName("r");
         InstanceRequest booking = new InstanceRequest(
                 name,
@@ -236,7 +236,7 @@
 
     /** The batch takes the booking's place in one transaction. */
     private void record(InstanceRequest booking, List<String> names) {
-        StoreClient.Transaction transaction = withoutBooking(booking);
+        Transaction transaction = withoutBooking(booking);
         List<String> fresh = names.stream()
                 .filter(name -> context.clusterState().machine(name) == null)
                 .toList();
@@ -249,14 +249,14 @@
         settle(booking, transaction);
     }
 
-    private StoreClient.Transaction withoutBooking(InstanceRequest booking) {
+    private Transaction withoutBooking(InstanceRequest booking) {
         String key = Keys.instanceRequest(booking.name());
-        return new StoreClient.Transaction()
+        return new Transaction()
                 .requireRevision(key, context.replica().modRevision(key))
                 .delete(key);
     }
 
-    private void settle(InstanceRequest booking, StoreClient.Transaction transaction) {
+    private void settle(InstanceRequest booking, Transaction transaction) {
         context.write(transaction, ok -> inFlight.remove(booking.name()));
     }
 }
--- a/src/main/java/org/havenford/coordination/quota/QuotaAllocator.java
+++ b/src/main/java/org/havenford/coordination/quota/QuotaAllocator.java
@@ -8,10 +8,11 @@
 import java.util.Set;
 import org.havenford.coordination.membership.Membership;
 import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.CallPriority;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.ConditionalWriter;
-import org.havenford.storage.StoreClient;
 import org.havenford.storage.StoreReplica;
+import org.havenford.storage.Transaction;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.TeamQuota;
 import org.havenford.storage.records.TeamQuota.Resources;
@@ -116,8 +117,7 @@
      * @param wanted number of tasks to claim
      * @return how many of the wanted tasks this controller's share allows
      */
-    public int allocate(
-            PlatformSettings.Team team, Resources perTask, int wanted, StoreClient.Transaction transaction) {
+    public int allocate(PlatformSettings.Team team, Resources perTask, int wanted, Transaction transaction) {
         String key = Keys.team(team.name());
         if (writer.isLocked(key) || !membership.replicaCoversView()) {
             // A former incarnation of this controller may have made claims that our replica does not show yet.
@@ -196,11 +196,11 @@
             changed = withoutFormerMembers(team, quota, changed);
         }
         if (changed != quota) {
-            StoreClient.Transaction transaction = new StoreClient.Transaction()
+            Transaction transaction = new Transaction()
                     .requireRevision(Keys.VIEW, membership.viewRevision())
                     .requireRevision(key, replica.modRevision(key))
                     .put(key, changed.toJson());
-            writer.commit(transaction, StoreClient.CallPriority.WORK, List.of(key), () -> {});
+            writer.commit(transaction, CallPriority.WORK, List.of(key), () -> {});
         }
     }
 
--- a/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
@@ -18,7 +18,9 @@
 import org.havenford.coordination.quota.QuotaAllocator;
 import org.havenford.protocol.JobSpec;
 import org.havenford.settings.PlatformSettings;
-import org.havenford.storage.StoreClient;
+import org.havenford.storage.CallPriority;
+import org.havenford.storage.StoreOutcome;
+import org.havenford.storage.Transaction;
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
@@ -116,7 +118,7 @@
             if (pressed && isGathered(ofOneRecord, start)) {
                 continue;
             }
-            if (context.store().queued(StoreClient.CallPriority.CLAIM) >= MAX_WAITING_CLAIMS) {
+            if (context.store().queued(CallPriority.CLAIM) >= MAX_WAITING_CLAIMS) {
                 // The queue keeps its order; the next round decides anew who is first.
                 break;
             }
@@ -210,7 +212,7 @@
         private final Job job;
         private final int index;
         private final String key;
-        private final StoreClient.Transaction transaction = new StoreClient.Transaction();
+        private final Transaction transaction = new Transaction();
         private final List<String> locks = new ArrayList<>();
         private final Map<Claim, AttemptOutcome> ended = new HashMap<>();
         private final Set<String> machines = new HashSet<>();
@@ -344,12 +346,12 @@
                         .firstClaim(draft.job.releasedAt(), context.loop().timeOfDay());
             }
         };
-        context.writer().commit(draft.transaction, StoreClient.CallPriority.CLAIM, draft.locks, onSuccess, result -> {
+        context.writer().commit(draft.transaction, CallPriority.CLAIM, draft.locks, onSuccess, result -> {
             claimedMachines.forEach(name -> noLongerUnderWay(name, spec));
-            if (draft.charge != null && result.outcome() != StoreClient.Outcome.UNKNOWN) {
+            if (draft.charge != null && result.outcome() != StoreOutcome.UNKNOWN) {
                 quotaAllocator.remove(draft.charge);
             }
-            if (result.outcome() == StoreClient.Outcome.CONFLICT) {
+            if (result.outcome() == StoreOutcome.CONFLICT) {
                 crowdedUntil = context.loop().now().plus(CROWDED);
             }
         });
--- a/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
@@ -13,7 +13,8 @@
 import org.havenford.coordination.jobs.CoordinationContext;
 import org.havenford.coordination.jobs.JobCompletion;
 import org.havenford.protocol.JobSpec;
-import org.havenford.storage.StoreClient;
+import org.havenford.storage.CallPriority;
+import org.havenford.storage.Transaction;
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.FinalState;
 import org.havenford.storage.records.Job;
@@ -119,7 +120,7 @@
         int index = job.taskRangeIndex(ended.keySet().iterator().next().task().index());
         TaskRange next = job.storedTaskRange(index).copy();
         apply(ended, next);
-        StoreClient.Transaction transaction = new StoreClient.Transaction()
+        Transaction transaction = new Transaction()
                 .requireRevision(Keys.VIEW, context.membership().viewRevision())
                 .requireRevision(key, context.modRevision(key));
         boolean ends = job.taskRangeCount() == 1 && next.complete() && !job.cancelled();
@@ -140,7 +141,7 @@
         }
         // Users and pipelines wait for the end of a job; it must not stand behind all claims.
         boolean last = job.pendingCount() == 0 && job.claimCount() == ended.size();
-        StoreClient.CallPriority urgency = last ? JobCompletion.urgency(job) : StoreClient.CallPriority.WORK;
+        CallPriority urgency = last ? JobCompletion.urgency(job) : CallPriority.WORK;
         Runnable afterEnd = onEnd;
         context.writer().commit(transaction, urgency, locks, () -> {
             agentManager.outcomes().remove(ended.keySet());
--- a/src/main/java/org/havenford/standby/WarmStandby.java
+++ b/src/main/java/org/havenford/standby/WarmStandby.java
@@ -19,7 +19,7 @@
 import org.havenford.standby.PeerMessage.Outcome;
 import org.havenford.standby.PeerMessage.ReachAnswer;
 import org.havenford.standby.PeerMessage.ReachQuestion;
-import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreOutcome;
 import org.havenford.storage.records.ClusterView;
 import org.havenford.transport.PeerNetwork;
 import org.havenford.transport.PeerNetwork.Connection;
@@ -255,9 +255,9 @@
     }
 
     @Override
-    public void finished(long number, StoreClient.Outcome outcome, long edition) {
+    public void finished(long number, StoreOutcome outcome, long edition) {
         decisions.end(number);
-        boolean known = outcome != StoreClient.Outcome.UNKNOWN;
+        boolean known = outcome != StoreOutcome.UNKNOWN;
         links.values().forEach(link -> link.send(new Outcome(number, known, edition)));
     }
 
--- a/src/main/java/org/havenford/storage/ConditionalWriter.java
+++ b/src/main/java/org/havenford/storage/ConditionalWriter.java
@@ -77,11 +77,7 @@
     }
 
     /** Commits a transaction and keeps its keys locked until the replica has caught up with the outcome. */
-    public void commit(
-            StoreClient.Transaction transaction,
-            StoreClient.CallPriority urgency,
-            Collection<String> locks,
-            Runnable onSuccess) {
+    public void commit(Transaction transaction, CallPriority urgency, Collection<String> locks, Runnable onSuccess) {
         commit(transaction, urgency, locks, onSuccess, result -> {});
     }
 
@@ -90,11 +86,11 @@
      * when our replica shows it.
      */
     public void commit(
-            StoreClient.Transaction transaction,
-            StoreClient.CallPriority urgency,
+            Transaction transaction,
+            CallPriority urgency,
             Collection<String> locks,
             Runnable onSuccess,
-            Consumer<StoreClient.Result> after) {
+            Consumer<StoreResult> after) {
         locked.addAll(locks);
         store.commit(transaction, urgency, () -> isCurrent(transaction), result -> {
             if (result.ok()) {
@@ -119,7 +115,7 @@
     }
 
     /** Whether our replica still holds what the transaction was decided on; what others have changed would fail it. */
-    private boolean isCurrent(StoreClient.Transaction transaction) {
+    private boolean isCurrent(Transaction transaction) {
         for (Map.Entry<String, Long> guard : transaction.requiredRevisions().entrySet()) {
             String key = guard.getKey();
             if (key.startsWith(Keys.REPLICATED) && replica.modRevision(key) != guard.getValue()) {
@@ -134,7 +130,7 @@
         wake.run();
     }
 
-    private static int largestValue(StoreClient.Transaction transaction) {
+    private static int largestValue(Transaction transaction) {
         int largest = 0;
         for (JsonElement value : transaction.values()) {
             if (value != null) {
@@ -145,7 +141,7 @@
     }
 
     /** Our replica lacks what made the conflict. Until the watch has brought it, a new decision would only fail again. */
-    private void lockUntilCaughtUp(StoreClient.Result result, Collection<String> locks) {
+    private void lockUntilCaughtUp(StoreResult result, Collection<String> locks) {
         Set<String> keys = new HashSet<>(locks);
         try {
             keys.addAll(Json.texts(result.body(), "failed"));
--- a/src/main/java/org/havenford/storage/StoreClient.java
+++ b/src/main/java/org/havenford/storage/StoreClient.java
@@ -1,15 +1,11 @@
 package org.havenford.storage;
 
-import com.google.gson.JsonArray;
-import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
@@ -45,139 +41,6 @@
 
     private static final Duration QUIET = Duration.ofSeconds(2);
 
-    /** Classes of calls, the one that is sent first at the front. */
-    public enum CallPriority {
-        /** Leases, and the view that depends on them. */
-        LEASE,
-        /** The watch, whose rate its owner limits. */
-        WATCH,
-        /** What somebody waits for. */
-        USER,
-        /** Claims: work that waits for its start. */
-        CLAIM,
-        /** Releases, records and the like. */
-        WORK,
-        /** Hints that nothing depends on. */
-        SPARE
-    }
-
-    /** NOT_EXECUTED and STALE can't happen any more, STALE was not even sent; UNKNOWN may have happened or may yet. */
-    public enum Outcome {
-        OK,
-        CONFLICT,
-        ABSENT,
-        STALE,
-        NOT_EXECUTED,
-        UNKNOWN,
-        REJECTED
-    }
-
-    /** Outcome of a call, and the body of the response where there is one. */
-    public record Result(Outcome outcome, JsonObject body) {
-        /** Whether the call was carried out. */
-        public boolean ok() {
-            return outcome == Outcome.OK;
-        }
-
-        /** The store's edition that the response names, or 0. */
-        public long revision() {
-            try {
-                return body == null ? 0 : Json.countOr(body, "edition", 0);
-            } catch (Json.BadMessage e) {
-                return 0;
-            }
-        }
-    }
-
-    /** A guarded transaction. */
-    public static final class Transaction {
-        private final JsonArray conditionCount = new JsonArray();
-        private final JsonArray operationCount = new JsonArray();
-        private final Map<String, Long> requiredRevisions = new LinkedHashMap<>();
-        private final List<String> keys = new ArrayList<>();
-        private final List<JsonElement> values = new ArrayList<>();
-
-        /** Adds a condition: the key has this stamp; 0 means that it does not exist. */
-        public Transaction requireRevision(String key, long stamp) {
-            JsonObject g = new JsonObject();
-            g.addProperty("k", key);
-            g.addProperty("stamp", stamp);
-            conditionCount.add(g);
-            requiredRevisions.put(key, stamp);
-            return this;
-        }
-
-        /** Adds a change that sets a key. */
-        public Transaction put(String key, JsonElement value) {
-            return put(key, value, 0);
-        }
-
-        /** Adds a change that sets a key and attaches it to a lease. */
-        public Transaction put(String key, JsonElement value, long permit) {
-            JsonObject w = new JsonObject();
-            w.addProperty("set", key);
-            w.add("v", value);
-            if (permit != 0) {
-                w.addProperty("permit", permit);
-            }
-            operationCount.add(w);
-            keys.add(key);
-            values.add(value);
-            return this;
-        }
-
-        /** Adds a change that deletes a key. */
-        public Transaction delete(String key) {
-            JsonObject w = new JsonObject();
-            w.addProperty("delete", key);
-            operationCount.add(w);
-            keys.add(key);
-            values.add(null);
-            return this;
-        }
-
-        /** Number of changes. */
-        public int operationCount() {
-            return operationCount.size();
-        }
-
-        /** Guarded keys, and the stamps that they must have. */
-        public Map<String, Long> requiredRevisions() {
-            return requiredRevisions;
-        }
-
-        /** Number of conditions. */
-        public int conditionCount() {
-            return conditionCount.size();
-        }
-
-        /** Keys that are changed, in order. */
-        public List<String> keys() {
-            return keys;
-        }
-
-        /** Values that are set, in the order of the keys; null for a deletion. */
-        public List<JsonElement> values() {
-            return values;
-        }
-
-        String text() {
-            JsonObject json = new JsonObject();
-            json.add("guards", conditionCount);
-            json.add("writes", operationCount);
-            return json.toString();
-        }
-    }
-
-    /** Told of every transaction that changes something, before it is sent and when its outcome is known. */
-    public interface CommitObserver {
-        /** A transaction is about to be sent; returns the number under which its outcome will be told. */
-        long committing(List<String> keys);
-
-        /** The outcome of a transaction; the edition is 0 unless it was committed. */
-        void finished(long number, Outcome outcome, long edition);
-    }
-
     private record PendingCall(
             CallPriority urgency,
             Instant until,
@@ -187,7 +50,7 @@
             int writes,
             Duration timeout,
             BooleanSupplier current,
-            Consumer<Result> done) {}
+            Consumer<StoreResult> done) {}
 
     private final EventLoop loop;
     private final HttpCalls calls;
@@ -344,12 +207,12 @@
     }
 
     /** Reads a key. */
-    public void get(String key, CallPriority urgency, Consumer<Result> done) {
+    public void get(String key, CallPriority urgency, Consumer<StoreResult> done) {
         submit(urgency, "GET", "/store/" + key, null, 0, TIMEOUT, done);
     }
 
     /** Reads a page of keys with a prefix, beginning after the given key, or at the first if null. */
-    public void list(String prefix, String after, Consumer<Result> done) {
+    public void list(String prefix, String after, Consumer<StoreResult> done) {
         submit(
                 CallPriority.WATCH,
                 "GET",
@@ -361,7 +224,7 @@
     }
 
     /** Commits a transaction. */
-    public void commit(Transaction transaction, CallPriority urgency, Consumer<Result> done) {
+    public void commit(Transaction transaction, CallPriority urgency, Consumer<StoreResult> done) {
         commit(transaction, urgency, StoreClient::alwaysCurrent, done);
     }
 
@@ -369,9 +232,10 @@
      * Commits a transaction that may have to wait for its turn. If {@code current} then says that its guards are known to
      * fail, it is not sent and its outcome is {@code STALE}: a conflict would cost as many changes as a success.
      */
-    public void commit(Transaction transaction, CallPriority urgency, BooleanSupplier current, Consumer<Result> done) {
+    public void commit(
+            Transaction transaction, CallPriority urgency, BooleanSupplier current, Consumer<StoreResult> done) {
         Instant until = loop.now().plus(patience(urgency));
-        Consumer<Result> told =
+        Consumer<StoreResult> told =
                 commitObserver == null || transaction.operationCount() == 0 ? done : observed(transaction, done);
         submit(new PendingCall(
                 urgency,
@@ -385,7 +249,7 @@
                 told));
     }
 
-    private Consumer<Result> observed(Transaction transaction, Consumer<Result> done) {
+    private Consumer<StoreResult> observed(Transaction transaction, Consumer<StoreResult> done) {
         CommitObserver observer = commitObserver;
         long number = observer.committing(transaction.keys());
         return result -> {
@@ -395,7 +259,7 @@
     }
 
     /** Waits for changes of keys with a prefix after an edition. */
-    public void watch(String prefix, long since, Duration block, Consumer<Result> done) {
+    public void watch(String prefix, long since, Duration block, Consumer<StoreResult> done) {
         submit(
                 CallPriority.WATCH,
                 "GET",
@@ -407,17 +271,17 @@
     }
 
     /** Creates a lease. */
-    public void createLease(Duration life, Consumer<Result> done) {
+    public void createLease(Duration life, Consumer<StoreResult> done) {
         submit(CallPriority.LEASE, "POST", "/holds", "{\"lifeMs\":" + life.toMillis() + "}", 0, TIMEOUT, done);
     }
 
     /** Renews a lease. */
-    public void renewLease(long permit, Consumer<Result> done) {
+    public void renewLease(long permit, Consumer<StoreResult> done) {
         submit(CallPriority.LEASE, "POST", "/holds/" + permit + "/touch", null, 0, TIMEOUT, done);
     }
 
     /** Ends a lease at once. */
-    public void endLease(long permit, Consumer<Result> done) {
+    public void endLease(long permit, Consumer<StoreResult> done) {
         submit(CallPriority.LEASE, "DELETE", "/holds/" + permit, null, 0, TIMEOUT, done);
     }
 
@@ -428,7 +292,7 @@
             String body,
             int writes,
             Duration timeout,
-            Consumer<Result> done) {
+            Consumer<StoreResult> done) {
         Instant until = loop.now().plus(patience(urgency));
         submit(new PendingCall(urgency, until, method, path, body, writes, timeout, StoreClient::alwaysCurrent, done));
     }
@@ -440,7 +304,7 @@
     private void submit(PendingCall call) {
         ArrayDeque<PendingCall> queue = queues.get(call.urgency.ordinal());
         if (queue.size() >= MAX_QUEUED) {
-            loop.after(Duration.ZERO, () -> call.done.accept(new Result(Outcome.NOT_EXECUTED, null)));
+            loop.after(Duration.ZERO, () -> call.done.accept(new StoreResult(StoreOutcome.NOT_EXECUTED, null)));
             return;
         }
         queue.add(call);
@@ -462,7 +326,7 @@
                 if (now.isAfter(p.until)) {
                     queue.poll();
                     givenUp++;
-                    p.done.accept(new Result(Outcome.NOT_EXECUTED, null));
+                    p.done.accept(new StoreResult(StoreOutcome.NOT_EXECUTED, null));
                     continue;
                 }
                 if (!may(p, now, waits)) {
@@ -474,7 +338,7 @@
                 queue.poll();
                 if (!p.current.getAsBoolean()) {
                     stale++;
-                    p.done.accept(new Result(Outcome.STALE, null));
+                    p.done.accept(new StoreResult(StoreOutcome.STALE, null));
                     continue;
                 }
                 requests.take(1);
@@ -518,7 +382,7 @@
         sent[p.urgency.ordinal()]++;
         changed += p.writes;
         calls.call(address, p.method, p.path, p.body, p.timeout, reply -> {
-            Result result = interpret(reply, p);
+            StoreResult result = interpret(reply, p);
             if (reply.status() == 429) {
                 // Not executed: it goes again while its time lasts, before anything that came after it.
                 wasRefused();
@@ -532,7 +396,7 @@
                 }
             }
             refusedInARow = 0;
-            if (result.outcome == Outcome.CONFLICT) {
+            if (result.outcome() == StoreOutcome.CONFLICT) {
                 countConflict(result);
             }
             p.done.accept(result);
@@ -540,10 +404,10 @@
     }
 
     /** By the kind of the keys that had changed, which is what a remedy starts from. */
-    private void countConflict(Result result) {
+    private void countConflict(StoreResult result) {
         conflicts++;
         try {
-            for (String key : Json.texts(result.body, "failed")) {
+            for (String key : Json.texts(result.body(), "failed")) {
                 int first = key.indexOf('/');
                 int second = key.indexOf('/', first + 1);
                 conflictsOf.merge(
@@ -554,7 +418,7 @@
         }
     }
 
-    private Result interpret(HttpCalls.Reply reply, PendingCall p) {
+    private StoreResult interpret(HttpCalls.Reply reply, PendingCall p) {
         JsonObject body = null;
         if (!reply.body().isEmpty()) {
             try {
@@ -566,15 +430,15 @@
                         p.path,
                         reply.status(),
                         e.getMessage());
-                return new Result(Outcome.UNKNOWN, null);
+                return new StoreResult(StoreOutcome.UNKNOWN, null);
             }
         }
         return switch (reply.status()) {
-            case 200 -> new Result(Outcome.OK, body);
-            case 404 -> new Result(Outcome.ABSENT, body);
-            case 409 -> new Result(Outcome.CONFLICT, body);
-            case 429 -> new Result(Outcome.NOT_EXECUTED, body);
-            case 503, HttpCalls.NOT_SENT -> new Result(Outcome.NOT_EXECUTED, body);
+            case 200 -> new StoreResult(StoreOutcome.OK, body);
+            case 404 -> new StoreResult(StoreOutcome.ABSENT, body);
+            case 409 -> new StoreResult(StoreOutcome.CONFLICT, body);
+            case 429 -> new StoreResult(StoreOutcome.NOT_EXECUTED, body);
+            case 503, HttpCalls.NOT_SENT -> new StoreResult(StoreOutcome.NOT_EXECUTED, body);
             case 400 -> {
                 LOG.error(
                         "state service: {} {} of {} bytes, {} changes, answered {}",
@@ -583,13 +447,13 @@
                         p.body == null ? 0 : p.body.length(),
                         p.writes,
                         reply.body());
-                yield new Result(Outcome.REJECTED, body);
+                yield new StoreResult(StoreOutcome.REJECTED, body);
             }
             case 410 -> {
                 LOG.warn("state service: {} {} answered {} {}", p.method, p.path, reply.status(), reply.body());
-                yield new Result(Outcome.REJECTED, body);
+                yield new StoreResult(StoreOutcome.REJECTED, body);
             }
-            default -> new Result(Outcome.UNKNOWN, body);
+            default -> new StoreResult(StoreOutcome.UNKNOWN, body);
         };
     }
 
--- a/src/main/java/org/havenford/storage/StoreReplica.java
+++ b/src/main/java/org/havenford/storage/StoreReplica.java
@@ -117,7 +117,7 @@
         // Pages are read one after the other, so what they show together may never have been: only after the first
         // watch has told what changed meanwhile is the copy one that once was true.
         store.watch(prefix, revision, loaded ? WATCH_TIMEOUT : Duration.ZERO, result -> {
-            if (result.outcome() == StoreClient.Outcome.REJECTED) {
+            if (result.outcome() == StoreOutcome.REJECTED) {
                 loaded = false;
                 start();
                 return;
@@ -181,7 +181,7 @@
     }
 
     /** Applies what one of our own transactions has changed, without waiting for the watch. */
-    public void applyCommitted(StoreClient.Transaction transaction, long stamp) {
+    public void applyCommitted(Transaction transaction, long stamp) {
         for (int i = 0; i < transaction.keys().size(); i++) {
             if (transaction.keys().get(i).startsWith(prefix)) {
                 apply(transaction.keys().get(i), transaction.values().get(i), stamp);
--- a/src/test/java/org/havenford/coordination/GoldenCalls.java
+++ b/src/test/java/org/havenford/coordination/GoldenCalls.java
@@ -14,10 +14,11 @@
 import org.havenford.coordination.membership.MemberEvictions;
 import org.havenford.coordination.membership.Membership;
 import org.havenford.protocol.Json;
+import org.havenford.storage.CallPriority;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.StoreClient;
-import org.havenford.storage.StoreClient.CallPriority;
 import org.havenford.storage.StoreReplica;
+import org.havenford.storage.Transaction;
 import org.havenford.storage.records.ClusterView;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.LivenessProbe;
@@ -77,13 +78,13 @@
         make(
                 "comparison",
                 () -> store.commit(
-                        new StoreClient.Transaction().requireRevision("a", 0).requireRevision("b", 7),
+                        new Transaction().requireRevision("a", 0).requireRevision("b", 7),
                         CallPriority.USER,
                         result -> {}));
         make(
                 "transaction",
                 () -> store.commit(
-                        new StoreClient.Transaction()
+                        new Transaction()
                                 .requireRevision("a", 3)
                                 .put("a", value)
                                 .put("b", value, 7)
--- a/src/test/java/org/havenford/storage/StoreClientTest.java
+++ b/src/test/java/org/havenford/storage/StoreClientTest.java
@@ -10,8 +10,6 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
-import org.havenford.storage.StoreClient.CallPriority;
-import org.havenford.storage.StoreClient.Outcome;
 import org.havenford.transport.EventLoop;
 import org.havenford.transport.HttpCalls;
 import org.junit.jupiter.api.Test;
@@ -65,8 +63,8 @@
     /** Five changes a second for this controller alone. */
     private final StoreClient store = new StoreClient(loop, calls, "state:1", 100, 5, 5, 1);
 
-    private static StoreClient.Transaction changes(int n) {
-        StoreClient.Transaction transaction = new StoreClient.Transaction();
+    private static Transaction changes(int n) {
+        Transaction transaction = new Transaction();
         for (int i = 0; i < n; i++) {
             transaction.put("live/x/" + i, new JsonObject());
         }
@@ -76,15 +74,15 @@
     /** What would only fail is not sent when its turn comes; what is behind it goes in its place. */
     @Test
     void aTransactionThatHasBecomeStaleIsNotSent() {
-        List<Outcome> outcomes = new ArrayList<>();
+        List<StoreOutcome> outcomes = new ArrayList<>();
         boolean[] current = {true};
         store.commit(changes(4), CallPriority.CLAIM, result -> outcomes.add(result.outcome()));
         store.commit(changes(2), CallPriority.CLAIM, () -> current[0], result -> outcomes.add(result.outcome()));
         store.commit(changes(1), CallPriority.CLAIM, result -> outcomes.add(result.outcome()));
-        assertEquals(List.of(Outcome.OK), outcomes, "the others wait for the limit");
+        assertEquals(List.of(StoreOutcome.OK), outcomes, "the others wait for the limit");
         current[0] = false;
         loop.run(Duration.ofSeconds(3));
-        assertEquals(List.of(Outcome.OK, Outcome.STALE, Outcome.OK), outcomes);
+        assertEquals(List.of(StoreOutcome.OK, StoreOutcome.STALE, StoreOutcome.OK), outcomes);
         assertEquals(2, sent.size());
     }
 }
