--- a/src/main/java/org/havenford/settings/OperatorSettings.java
+++ b/src/main/java/org/havenford/settings/OperatorSettings.java
@@ -108,7 +108,7 @@
                 case "standby" -> standby = standby.enabled(onOrOff(name, text));
                 case "standby-heartbeat-ms" -> standby = standby.withHeartbeat(millis(name, text, 50, 2000));
                 case "standby-suspect-ms" -> standby = standby.withSuspectAfter(millis(name, text, 200, 10_000));
-                case "standby-challenge-ms" -> standby = standby.withChallenge(millis(name, text, 100, 5000));
+                case "standby-challenge-ms" -> standby = standby.withProbeWindow(millis(name, text, 100, 5000));
                 case "standby-buffer-kb" ->
                     standby = standby.withBufferBytes(((int) number(name, text, 64, 16_384)) * 1024);
                 default -> {
--- a/src/main/java/org/havenford/standby/DecisionLog.java
+++ b/src/main/java/org/havenford/standby/DecisionLog.java
@@ -8,7 +8,7 @@
 final class DecisionLog {
     private final TreeMap<Long, List<String>> open = new TreeMap<>();
     private long last;
-    private long told;
+    private long countedBefore;
 
     /** A transaction on these keys is about to be sent; returns its number. */
     long begin(List<String> keys) {
@@ -28,8 +28,8 @@
 
     /** Decisions since the last call. */
     long takeCount() {
-        long count = last - told;
-        told = last;
+        long count = last - countedBefore;
+        countedBefore = last;
         return count;
     }
 }
--- a/src/main/java/org/havenford/standby/Follower.java
+++ b/src/main/java/org/havenford/standby/Follower.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import org.havenford.coordination.agents.AgentContact;
 import org.havenford.standby.FrameCodec.Frame;
+import org.havenford.standby.PeerMessage.AgentContacts;
 import org.havenford.standby.PeerMessage.Hello;
 import org.havenford.standby.PeerMessage.Intent;
-import org.havenford.standby.PeerMessage.Machines;
 import org.havenford.standby.PeerMessage.MachinesGone;
 import org.havenford.standby.PeerMessage.Outcome;
 import org.havenford.standby.PeerMessage.SnapshotBegin;
@@ -32,25 +32,25 @@
 
     private String node;
     private long incarnation;
-    private long expected;
-    private long highestEdition;
+    private long expectedSequence;
+    private long highestRevision;
 
     /** Takes the next frame of the connection. */
     void apply(Frame frame) throws MalformedFrameException {
-        if (frame.sequence() != expected) {
-            throw new MalformedFrameException("frame " + frame.sequence() + " in place of " + expected);
+        if (frame.sequence() != expectedSequence) {
+            throw new MalformedFrameException("frame " + frame.sequence() + " in place of " + expectedSequence);
         }
-        expected++;
+        expectedSequence++;
         PeerMessage message = frame.message();
         if (node == null && !(message instanceof Hello)) {
             throw new MalformedFrameException("the first message is no hello");
         }
         if (message instanceof Hello hello) {
-            hello(hello);
+            handleHello(hello);
         } else if (message instanceof SnapshotBegin) {
             clear();
-        } else if (message instanceof Machines told) {
-            told.notes().forEach(contact -> machines.put(contact.machine(), contact));
+        } else if (message instanceof AgentContacts told) {
+            told.contacts().forEach(contact -> machines.put(contact.machine(), contact));
         } else if (message instanceof MachinesGone gone) {
             gone.machines().forEach(machines::remove);
         } else if (message instanceof Intent intent) {
@@ -63,7 +63,7 @@
         }
     }
 
-    private void hello(Hello hello) throws MalformedFrameException {
+    private void handleHello(Hello hello) throws MalformedFrameException {
         if (node != null && !node.equals(hello.node())) {
             throw new MalformedFrameException(node + " now calls itself " + hello.node());
         }
@@ -72,7 +72,7 @@
         }
         if (hello.incarnation() != incarnation) {
             clear();
-            highestEdition = 0;
+            highestRevision = 0;
         }
         node = hello.node();
         incarnation = hello.incarnation();
@@ -93,7 +93,7 @@
                 unknown.remove(unknown.iterator().next());
             }
         }
-        highestEdition = Math.max(highestEdition, outcome.edition());
+        highestRevision = Math.max(highestRevision, outcome.revision());
     }
 
     /** Name of the peer, or null before its hello. */
@@ -117,8 +117,8 @@
     }
 
     /** Newest edition at which the peer has committed something, as far as it has told. */
-    long highestEdition() {
-        return highestEdition;
+    long highestRevision() {
+        return highestRevision;
     }
 
     /**
@@ -126,6 +126,6 @@
      * lies before the stamp of the next one, also where the stream was cut before it told of it.
      */
     boolean hasSeenAll(long replicaEdition, long nextViewStamp) {
-        return replicaEdition >= Math.max(nextViewStamp, highestEdition);
+        return replicaEdition >= Math.max(nextViewStamp, highestRevision);
     }
 }
--- a/src/main/java/org/havenford/standby/FrameCodec.java
+++ b/src/main/java/org/havenford/standby/FrameCodec.java
@@ -6,14 +6,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.havenford.coordination.agents.AgentContact;
+import org.havenford.standby.PeerMessage.AgentContacts;
 import org.havenford.standby.PeerMessage.Heartbeat;
 import org.havenford.standby.PeerMessage.Hello;
 import org.havenford.standby.PeerMessage.Intent;
-import org.havenford.standby.PeerMessage.Machines;
 import org.havenford.standby.PeerMessage.MachinesGone;
 import org.havenford.standby.PeerMessage.Outcome;
-import org.havenford.standby.PeerMessage.ReachAnswer;
-import org.havenford.standby.PeerMessage.ReachQuestion;
+import org.havenford.standby.PeerMessage.ReachabilityAnswer;
+import org.havenford.standby.PeerMessage.ReachabilityQuestion;
 import org.havenford.standby.PeerMessage.SnapshotBegin;
 
 /**
@@ -32,8 +32,8 @@
     static final int MAX_TEXT_BYTES = 200;
 
     private static final int MAX_BYTES_OF_CHAR = 3;
-    private static final int TEXTS_OF_NOTE = 2;
-    private static final int NUMBERS_OF_NOTE_BYTES = 24;
+    private static final int TEXTS_OF_CONTACT = 2;
+    private static final int NUMBERS_OF_CONTACT_BYTES = 24;
     /** Numbers and flags of any message besides its texts. */
     private static final int NUMBERS_BYTES = 64;
 
@@ -79,14 +79,14 @@
     /** No payload of the message is longer. */
     private static int payloadBound(PeerMessage message) {
         int texts = 1;
-        if (message instanceof Machines machines) {
-            texts = machines.notes().size() * TEXTS_OF_NOTE;
+        if (message instanceof AgentContacts machines) {
+            texts = machines.contacts().size() * TEXTS_OF_CONTACT;
         } else if (message instanceof MachinesGone gone) {
             texts = gone.machines().size();
         } else if (message instanceof Intent intent) {
             texts = intent.keys().size();
         }
-        return NUMBERS_BYTES + texts * (2 + MAX_TEXT_BYTES + NUMBERS_OF_NOTE_BYTES);
+        return NUMBERS_BYTES + texts * (2 + MAX_TEXT_BYTES + NUMBERS_OF_CONTACT_BYTES);
     }
 
     private static Type putPayload(PeerMessage message, ByteBuffer out) {
@@ -95,9 +95,9 @@
             out.putLong(hello.incarnation());
             return Type.HELLO;
         }
-        if (message instanceof Machines machines) {
-            out.putShort((short) machines.notes().size());
-            machines.notes().forEach(contact -> putNote(out, contact));
+        if (message instanceof AgentContacts machines) {
+            out.putShort((short) machines.contacts().size());
+            machines.contacts().forEach(contact -> putContact(out, contact));
             return Type.MACHINES;
         }
         if (message instanceof MachinesGone gone) {
@@ -112,15 +112,15 @@
         if (message instanceof Outcome outcome) {
             out.putLong(outcome.number());
             putFlag(out, outcome.known());
-            out.putLong(outcome.edition());
+            out.putLong(outcome.revision());
             return Type.OUTCOME;
         }
-        if (message instanceof ReachQuestion question) {
+        if (message instanceof ReachabilityQuestion question) {
             putText(out, question.node());
             out.putLong(question.incarnation());
             return Type.REACH_QUESTION;
         }
-        if (message instanceof ReachAnswer answer) {
+        if (message instanceof ReachabilityAnswer answer) {
             putText(out, answer.node());
             out.putLong(answer.incarnation());
             putFlag(out, answer.reachable());
@@ -133,7 +133,7 @@
         out.put((byte) (flag ? 1 : 0));
     }
 
-    private static void putNote(ByteBuffer out, AgentContact contact) {
+    private static void putContact(ByteBuffer out, AgentContact contact) {
         putText(out, contact.machine());
         putText(out, contact.endpoint());
         out.putLong(contact.incarnation());
@@ -198,16 +198,16 @@
             case HELLO -> new Hello(text(in), in.getLong());
             case HEARTBEAT -> new Heartbeat();
             case SNAPSHOT_BEGIN -> new SnapshotBegin();
-            case MACHINES -> new Machines(notes(in));
+            case MACHINES -> new AgentContacts(contacts(in));
             case MACHINES_GONE -> new MachinesGone(texts(in));
             case INTENT -> new Intent(in.getLong(), texts(in));
             case OUTCOME -> new Outcome(in.getLong(), flag(in), in.getLong());
-            case REACH_QUESTION -> new ReachQuestion(text(in), in.getLong());
-            case REACH_ANSWER -> new ReachAnswer(text(in), in.getLong(), flag(in));
+            case REACH_QUESTION -> new ReachabilityQuestion(text(in), in.getLong());
+            case REACH_ANSWER -> new ReachabilityAnswer(text(in), in.getLong(), flag(in));
         };
     }
 
-    private static List<AgentContact> notes(ByteBuffer in) throws MalformedFrameException {
+    private static List<AgentContact> contacts(ByteBuffer in) throws MalformedFrameException {
         int count = count(in);
         List<AgentContact> notes = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
--- a/src/main/java/org/havenford/standby/PeerLink.java
+++ b/src/main/java/org/havenford/standby/PeerLink.java
@@ -15,10 +15,10 @@
 import org.havenford.settings.PlatformSettings;
 import org.havenford.settings.StandbySettings;
 import org.havenford.standby.FrameCodec.Frame;
+import org.havenford.standby.PeerMessage.AgentContacts;
 import org.havenford.standby.PeerMessage.Heartbeat;
 import org.havenford.standby.PeerMessage.Hello;
 import org.havenford.standby.PeerMessage.Intent;
-import org.havenford.standby.PeerMessage.Machines;
 import org.havenford.standby.PeerMessage.MachinesGone;
 import org.havenford.standby.PeerMessage.SnapshotBegin;
 import org.havenford.transport.PeerNetwork;
@@ -49,18 +49,18 @@
     private Connection connection;
     private Follower follower = new Follower();
     /** What was known when the last connection ended: it is what there is to go by when the peer has died. */
-    private Follower last = new Follower();
+    private Follower previousFollower = new Follower();
 
     private FrameDecoder decoder;
     private long nextSequence;
     private long helloIncarnation;
     private boolean dialing;
-    private Duration redial = FIRST_REDIAL;
+    private Duration redialDelay = FIRST_REDIAL;
     private Instant lastSent = Instant.MIN;
     private Instant lastHeard = Instant.MIN;
     private Instant disconnectedAt = Instant.MIN;
     private boolean refused;
-    private final Map<String, AgentContact> sentNotes = new HashMap<>();
+    private final Map<String, AgentContact> sentContacts = new HashMap<>();
     private long bytesSent;
 
     /** {@code received} is told messages of interest to others; {@code changed} that the peer may have become unreachable. */
@@ -122,9 +122,9 @@
             opened.close();
             return;
         }
-        redial = FIRST_REDIAL;
+        redialDelay = FIRST_REDIAL;
         use(opened, new FrameDecoder());
-        sayHello();
+        sendHello();
     }
 
     private void dialFailed(String reason) {
@@ -134,8 +134,9 @@
             changed.run();
         }
         if (dials()) {
-            host.loop().after(redial, this::dial);
-            redial = LAST_REDIAL.compareTo(redial.multipliedBy(2)) < 0 ? LAST_REDIAL : redial.multipliedBy(2);
+            host.loop().after(redialDelay, this::dial);
+            redialDelay =
+                    LAST_REDIAL.compareTo(redialDelay.multipliedBy(2)) < 0 ? LAST_REDIAL : redialDelay.multipliedBy(2);
         }
     }
 
@@ -146,7 +147,7 @@
             disconnected("the peer has opened another connection");
         }
         use(opened, decoderOfHello);
-        sayHello();
+        sendHello();
         apply(frames);
     }
 
@@ -157,7 +158,7 @@
         nextSequence = 0;
         refused = false;
         lastHeard = host.loop().now();
-        sentNotes.clear();
+        sentContacts.clear();
         opened.receiver(new PeerNetwork.Receiver() {
             @Override
             public void received(ByteBuffer bytes) {
@@ -212,7 +213,7 @@
     private void disconnected(String reason) {
         LOG.debug("no connection to {} any more: {}", peer.node(), reason);
         connection = null;
-        last = follower;
+        previousFollower = follower;
         disconnectedAt = host.loop().now();
         changed.run();
         // Also where the peer dials: refusal is the quickest sign that it has ended.
@@ -221,7 +222,7 @@
 
     // ---- sending
 
-    private void sayHello() {
+    private void sendHello() {
         helloIncarnation = host.incarnation();
         send(new Hello(self, helloIncarnation));
         send(new SnapshotBegin());
@@ -255,8 +256,8 @@
             return;
         }
         if (helloIncarnation != host.incarnation()) {
-            sentNotes.clear();
-            sayHello();
+            sentContacts.clear();
+            sendHello();
         } else if (!host.loop()
                 .now()
                 .isBefore(lastSent.plus(settings.heartbeat().dividedBy(2)))) {
@@ -265,7 +266,7 @@
     }
 
     /** Sends what has changed of the machines for which the peer stands by. */
-    void sendNotes(List<AgentContact> notes) {
+    void sendContacts(List<AgentContact> notes) {
         if (connection == null) {
             return;
         }
@@ -273,15 +274,15 @@
         Set<String> named = new HashSet<>();
         for (AgentContact contact : notes) {
             named.add(contact.machine());
-            if (!contact.equals(sentNotes.put(contact.machine(), contact))) {
+            if (!contact.equals(sentContacts.put(contact.machine(), contact))) {
                 news.add(contact);
             }
         }
-        List<String> gone = new ArrayList<>(sentNotes.keySet());
+        List<String> gone = new ArrayList<>(sentContacts.keySet());
         gone.removeAll(named);
-        sentNotes.keySet().removeAll(gone);
+        sentContacts.keySet().removeAll(gone);
         for (int from = 0; from < news.size(); from += FrameCodec.MAX_ITEMS) {
-            send(new Machines(news.subList(from, Math.min(news.size(), from + FrameCodec.MAX_ITEMS))));
+            send(new AgentContacts(news.subList(from, Math.min(news.size(), from + FrameCodec.MAX_ITEMS))));
         }
         for (int from = 0; from < gone.size(); from += FrameCodec.MAX_ITEMS) {
             send(new MachinesGone(gone.subList(from, Math.min(gone.size(), from + FrameCodec.MAX_ITEMS))));
@@ -303,7 +304,7 @@
 
     /** What the peer has told, also over a connection that has ended. */
     Follower follower() {
-        return connection != null && follower.node() != null ? follower : last;
+        return connection != null && follower.node() != null ? follower : previousFollower;
     }
 
     /** Time since something was heard of the peer. */
--- a/src/main/java/org/havenford/standby/PeerMessage.java
+++ b/src/main/java/org/havenford/standby/PeerMessage.java
@@ -15,7 +15,7 @@
     record SnapshotBegin() implements PeerMessage {}
 
     /** What the sender knows of machines for which the receiver stands by. */
-    record Machines(List<AgentContact> notes) implements PeerMessage {}
+    record AgentContacts(List<AgentContact> contacts) implements PeerMessage {}
 
     /** Machines for which the receiver stands by no longer. */
     record MachinesGone(List<String> machines) implements PeerMessage {}
@@ -24,11 +24,11 @@
     record Intent(long number, List<String> keys) implements PeerMessage {}
 
     /** How a transaction ended; the edition is 0 unless it was committed. */
-    record Outcome(long number, boolean known, long edition) implements PeerMessage {}
+    record Outcome(long number, boolean known, long revision) implements PeerMessage {}
 
     /** Can the receiver reach this incarnation of a node? */
-    record ReachQuestion(String node, long incarnation) implements PeerMessage {}
+    record ReachabilityQuestion(String node, long incarnation) implements PeerMessage {}
 
     /** Whether the sender can reach it. */
-    record ReachAnswer(String node, long incarnation, boolean reachable) implements PeerMessage {}
+    record ReachabilityAnswer(String node, long incarnation, boolean reachable) implements PeerMessage {}
 }
--- a/src/main/java/org/havenford/standby/Succession.java
+++ b/src/main/java/org/havenford/standby/Succession.java
@@ -34,7 +34,7 @@
      * Members that may take a suspect out of the view, in the order in which they should try: those in other zones first,
      * which the loss of the suspect's zone does not take with it.
      */
-    static List<String> conductors(ClusterView view, String suspect, UnaryOperator<String> zoneOf) {
+    static List<String> evictionOrder(ClusterView view, String suspect, UnaryOperator<String> zoneOf) {
         List<String> others = new ArrayList<>(view.members().keySet());
         others.remove(suspect);
         String zone = zoneOf.apply(suspect);
--- a/src/test/java/org/havenford/standby/FailoverCoordinatorTest.java
+++ b/src/test/java/org/havenford/standby/FailoverCoordinatorTest.java
@@ -12,7 +12,7 @@
 import java.util.function.LongConsumer;
 import org.havenford.settings.PlatformSettings;
 import org.havenford.settings.StandbySettings;
-import org.havenford.standby.PeerMessage.ReachAnswer;
+import org.havenford.standby.PeerMessage.ReachabilityAnswer;
 import org.havenford.storage.records.ClusterView;
 import org.junit.jupiter.api.Test;
 
@@ -82,7 +82,7 @@
 
     private void majorityAgrees() {
         failoverCoordinator.step();
-        failoverCoordinator.answer(links.get("node-1"), new ReachAnswer("node-2", INCARNATION, false));
+        failoverCoordinator.handleAnswer(links.get("node-1"), new ReachabilityAnswer("node-2", INCARNATION, false));
     }
 
     private void windowPasses() {
--- a/src/test/java/org/havenford/standby/FrameCodecProperties.java
+++ b/src/test/java/org/havenford/standby/FrameCodecProperties.java
@@ -16,14 +16,14 @@
 import net.jqwik.api.Provide;
 import org.havenford.coordination.agents.AgentContact;
 import org.havenford.standby.FrameCodec.Frame;
+import org.havenford.standby.PeerMessage.AgentContacts;
 import org.havenford.standby.PeerMessage.Heartbeat;
 import org.havenford.standby.PeerMessage.Hello;
 import org.havenford.standby.PeerMessage.Intent;
-import org.havenford.standby.PeerMessage.Machines;
 import org.havenford.standby.PeerMessage.MachinesGone;
 import org.havenford.standby.PeerMessage.Outcome;
-import org.havenford.standby.PeerMessage.ReachAnswer;
-import org.havenford.standby.PeerMessage.ReachQuestion;
+import org.havenford.standby.PeerMessage.ReachabilityAnswer;
+import org.havenford.standby.PeerMessage.ReachabilityQuestion;
 import org.havenford.standby.PeerMessage.SnapshotBegin;
 
 /** Every message survives the wire, however its bytes are cut; nonsense ends in a typed error and holds no memory. */
@@ -114,11 +114,11 @@
         return Arbitraries.oneOf(
                 Combinators.combine(text, number).as(Hello::new),
                 Arbitraries.of(new Heartbeat(), new SnapshotBegin()),
-                note.list().ofMaxSize(FrameCodec.MAX_ITEMS).map(Machines::new),
+                note.list().ofMaxSize(FrameCodec.MAX_ITEMS).map(AgentContacts::new),
                 texts.map(MachinesGone::new),
                 Combinators.combine(number, texts).as(Intent::new),
                 Combinators.combine(number, flag, number).as(Outcome::new),
-                Combinators.combine(text, number).as(ReachQuestion::new),
-                Combinators.combine(text, number, flag).as(ReachAnswer::new));
+                Combinators.combine(text, number).as(ReachabilityQuestion::new),
+                Combinators.combine(text, number, flag).as(ReachabilityAnswer::new));
     }
 }
--- a/src/test/java/org/havenford/standby/GoldenFramesTest.java
+++ b/src/test/java/org/havenford/standby/GoldenFramesTest.java
@@ -24,16 +24,16 @@
                 new PeerMessage.Hello("node-0", 7),
                 new PeerMessage.Heartbeat(),
                 new PeerMessage.SnapshotBegin(),
-                new PeerMessage.Machines(List.of(
+                new PeerMessage.AgentContacts(List.of(
                         new AgentContact("host-000001", "10.1.0.1:9000", 1, 88, 17_179_869_184L),
                         new AgentContact("host-000002", "10.1.0.2:9000", 2, 0, 0))),
                 new PeerMessage.MachinesGone(List.of("host-000001", "host-000002")),
                 new PeerMessage.Intent(5, List.of("live/job/j-1", "live/tasks/j-1/0")),
                 new PeerMessage.Outcome(5, true, 432),
                 new PeerMessage.Outcome(6, false, 0),
-                new PeerMessage.ReachQuestion("node-1", 5),
-                new PeerMessage.ReachAnswer("node-1", 5, true),
-                new PeerMessage.ReachAnswer("node-1", 5, false));
+                new PeerMessage.ReachabilityQuestion("node-1", 5),
+                new PeerMessage.ReachabilityAnswer("node-1", 5, true),
+                new PeerMessage.ReachabilityAnswer("node-1", 5, false));
     }
 
     private static String line(PeerMessage message, long sequence) {
--- a/src/test/java/org/havenford/standby/PeerLinkTest.java
+++ b/src/test/java/org/havenford/standby/PeerLinkTest.java
@@ -13,8 +13,8 @@
 import org.havenford.settings.PlatformSettings;
 import org.havenford.settings.StandbySettings;
 import org.havenford.standby.FrameCodec.Frame;
+import org.havenford.standby.PeerMessage.AgentContacts;
 import org.havenford.standby.PeerMessage.Hello;
-import org.havenford.standby.PeerMessage.Machines;
 import org.havenford.standby.PeerMessage.SnapshotBegin;
 import org.havenford.transport.PeerNetwork;
 import org.junit.jupiter.api.Test;
@@ -109,7 +109,7 @@
     @Test
     void whatThePeerTellsIsKeptAlsoWhenItHasEnded() {
         FakeConnection connection = connected();
-        connection.says(new Machines(List.of(NOTE)));
+        connection.says(new AgentContacts(List.of(NOTE)));
         network.refuses = true;
         connection.receiver.closed("closed by the other end");
         assertEquals(List.of(NOTE), link.follower().machines());
@@ -130,7 +130,7 @@
     @Test
     void framesOutOfSequenceEndTheConnection() {
         FakeConnection connection = connected();
-        connection.receiver.received(FrameCodec.encode(new Machines(List.of(NOTE)), 9));
+        connection.receiver.received(FrameCodec.encode(new AgentContacts(List.of(NOTE)), 9));
         assertTrue(connection.closed);
         assertEquals(2, network.opened.size(), "another one is dialed");
     }
@@ -157,19 +157,20 @@
     @Test
     void aNewConnectionBeginsWithAllThatIsOpen() {
         FakeConnection first = connected();
-        link.sendNotes(List.of(NOTE));
-        link.sendNotes(List.of(NOTE));
-        assertEquals(1, first.sent.stream().filter(m -> m instanceof Machines).count(), "no news is not sent");
+        link.sendContacts(List.of(NOTE));
+        link.sendContacts(List.of(NOTE));
+        assertEquals(
+                1, first.sent.stream().filter(m -> m instanceof AgentContacts).count(), "no news is not sent");
         long number = decisions.begin(List.of("live/job/j-1"));
         first.receiver.closed("closed by the other end");
         FakeConnection second = network.last();
-        link.sendNotes(List.of(NOTE));
+        link.sendContacts(List.of(NOTE));
         assertEquals(
                 List.of(
                         new Hello("node-0", host.incarnation()),
                         new SnapshotBegin(),
                         new PeerMessage.Intent(number, List.of("live/job/j-1")),
-                        new Machines(List.of(NOTE))),
+                        new AgentContacts(List.of(NOTE))),
                 second.sent);
     }
 }
