--- a/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
+++ b/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
@@ -11,7 +11,7 @@
 import org.havenford.coordination.provisioning.CapacityDemand.InstanceOffer;
 import org.havenford.coordination.provisioning.CapacityDemand.TaskDemand;
 import org.havenford.storage.ClusterState;
-import org.havenford.storage.ClusterState.InstanceRequest;
+import org.havenford.storage.records.InstanceRequest;
 import org.havenford.storage.records.MachineRecord;
 import org.havenford.storage.records.MachineRecord.Condition;
 import org.slf4j.Logger;
--- a/src/main/java/org/havenford/storage/ClusterState.java
+++ b/src/main/java/org/havenford/storage/ClusterState.java
@@ -19,6 +19,7 @@
 import org.havenford.protocol.TaskId;
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.ClusterView;
+import org.havenford.storage.records.InstanceRequest;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.LivenessProbe;
@@ -40,30 +41,6 @@
     /** What an owner last said of a machine, and since when it has been in that condition. */
     private record ReportedStatus(MachineStatuses.Status status, Instant at, Instant since) {}
 
-    /** An intent to rent, stored before the cloud is asked. */
-    public record InstanceRequest(String name, String type, String zone, boolean spot, int count, Instant at) {
-        /** The stored value. */
-        public JsonObject toJson() {
-            JsonObject json = new JsonObject();
-            json.addProperty("t", type);
-            json.addProperty("z", zone);
-            json.addProperty("b", spot);
-            json.addProperty("n", count);
-            json.addProperty("at", at.toEpochMilli());
-            return json;
-        }
-
-        static InstanceRequest parse(String name, JsonObject json) throws Json.BadMessage {
-            return new InstanceRequest(
-                    name,
-                    Json.text(json, "t"),
-                    Json.text(json, "z"),
-                    Json.flagOr(json, "b", false),
-                    (int) Json.count(json, "n"),
-                    Instant.ofEpochMilli(Json.count(json, "at")));
-        }
-    }
-
     /** Hears of keys that concern membership, and of every end of a batch of changes. */
     public interface Observer {
         /** The stored view has changed; {@code view} is null when it is gone. */
--- /dev/null
+++ b/src/main/java/org/havenford/storage/records/InstanceRequest.java
@@ -0,0 +1,44 @@
+package org.havenford.storage.records;
+
+import com.google.gson.JsonObject;
+import java.time.Instant;
+import org.havenford.protocol.Json;
+
+/**
+ * An intent to rent instances, stored under {@link Keys#instanceRequest} before the cloud is asked.
+ *
+ * @param name the name of the request, which the cloud is given as well
+ * @param type the machine type
+ * @param count number of instances
+ * @param at when the request was made, by the clock of the controller that made it
+ */
+public record InstanceRequest(String name, String type, String zone, boolean spot, int count, Instant at) {
+    // Stored field names; versions in production read and write them, so they must not change.
+    private static final String TYPE = "t";
+    private static final String ZONE = "z";
+    private static final String SPOT = "b";
+    private static final String COUNT = "n";
+    private static final String AT = "at";
+
+    /** The value to store. */
+    public JsonObject toJson() {
+        JsonObject value = new JsonObject();
+        value.addProperty(TYPE, type);
+        value.addProperty(ZONE, zone);
+        value.addProperty(SPOT, spot);
+        value.addProperty(COUNT, count);
+        value.addProperty(AT, at.toEpochMilli());
+        return value;
+    }
+
+    /** Reads the stored value of the request with the given name. */
+    public static InstanceRequest parse(String name, JsonObject value) throws Json.BadMessage {
+        return new InstanceRequest(
+                name,
+                Json.text(value, TYPE),
+                Json.text(value, ZONE),
+                Json.flagOr(value, SPOT, false),
+                (int) Json.count(value, COUNT),
+                Instant.ofEpochMilli(Json.count(value, AT)));
+    }
+}
--- a/src/test/java/org/havenford/golden/GoldenStoredValues.java
+++ b/src/test/java/org/havenford/golden/GoldenStoredValues.java
@@ -21,6 +21,7 @@
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.ClusterView;
 import org.havenford.storage.records.FinalState;
+import org.havenford.storage.records.InstanceRequest;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
@@ -168,9 +169,7 @@
         }
         values.put("live/heard/node-0/0#all-conditions", statuses.toJson(LARGE));
         values.put("live/heard/node-0/0#fewer-images", statuses.toJson(SCARCE_LIMIT));
-        values.put(
-                "live/booking/r-2-4-1#plain",
-                new ClusterState.InstanceRequest("r-2-4-1", "large", "b", true, 12, AT).toJson());
+        values.put("live/booking/r-2-4-1#plain", new InstanceRequest("r-2-4-1", "large", "b", true, 12, AT).toJson());
         values.put("live/types#plain", MachineType.toJson(types()));
     }
 
@@ -231,7 +230,7 @@
         clusterState.setObserver(new QuietObservertype());
         clusterState.changed(key, value, 1);
         JsonArray all = new JsonArray();
-        List<ClusterState.InstanceRequest> bookings = new ArrayList<>(clusterState.instanceRequests());
+        List<InstanceRequest> bookings = new ArrayList<>(clusterState.instanceRequests());
         bookings.forEach(booking -> all.add(booking.toJson()));
         return all.size() == 1 ? all.get(0) : all;
     }
