--- a/src/main/java/org/havenford/coordination/provisioning/BootMonitor.java
+++ b/src/main/java/org/havenford/coordination/provisioning/BootMonitor.java
@@ -6,7 +6,6 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import org.havenford.coordination.provisioning.CapacityDemand.InstanceOffer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/org/havenford/coordination/provisioning/BootTimeEstimator.java
+++ b/src/main/java/org/havenford/coordination/provisioning/BootTimeEstimator.java
@@ -7,8 +7,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.havenford.coordination.provisioning.CapacityDemand.InstanceKind;
-import org.havenford.coordination.provisioning.CapacityDemand.InstanceOffer;
 import org.havenford.protocol.MachineType;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.MachineRecord;
@@ -73,7 +71,7 @@
         learn();
         Map<InstanceOffer, Booting> next = new HashMap<>();
         for (MachineRecord machine : clusterState.machines()) {
-            Booting of = next.computeIfAbsent(offerOf(machine), k -> new Booting());
+            Booting of = next.computeIfAbsent(InstanceOffer.of(machine), k -> new Booting());
             Instant rented = clusterState.rentedAt(machine.name());
             of.lastRented = later(of.lastRented, rented);
             if (machine.condition() == Condition.BOOTING) {
@@ -95,7 +93,7 @@
             if (machine.condition() == Condition.BOOTING) {
                 rentedAt.putIfAbsent(machine.name(), clusterState.rentedAt(machine.name()));
             } else if (machine.condition() == Condition.UP && rentedAt.containsKey(machine.name())) {
-                ArrayDeque<Duration> boots = seen.computeIfAbsent(offerOf(machine), k -> new ArrayDeque<>());
+                ArrayDeque<Duration> boots = seen.computeIfAbsent(InstanceOffer.of(machine), k -> new ArrayDeque<>());
                 boots.addLast(Duration.between(rentedAt.remove(machine.name()), now));
                 if (boots.size() > REMEMBERED_BOOTS) {
                     boots.removeFirst();
@@ -109,10 +107,6 @@
         return a.isAfter(b) ? a : b;
     }
 
-    private static InstanceOffer offerOf(MachineRecord machine) {
-        return new InstanceOffer(new InstanceKind(machine.type(), machine.spot()), machine.zone());
-    }
-
     private Duration nominal(String type) {
         MachineType known = clusterState.types().get(type);
         return known == null ? UNKNOWN_TYPE : known.bootTime();
@@ -143,7 +137,8 @@
 
     /** Whether a machine that boots should have been up by now: then it counts no longer as on its way. */
     boolean isOverdue(MachineRecord machine) {
-        return machine.condition() == Condition.BOOTING && age(machine).compareTo(expected(offerOf(machine))) > 0;
+        return machine.condition() == Condition.BOOTING
+                && age(machine).compareTo(expected(InstanceOffer.of(machine))) > 0;
     }
 
     /** Whether a machine that boots is not waited for any longer. */
--- a/src/main/java/org/havenford/coordination/provisioning/CapacityRefusals.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CapacityRefusals.java
@@ -4,8 +4,6 @@
 import java.time.Instant;
 import java.util.HashMap;
 import java.util.Map;
-import org.havenford.coordination.provisioning.CapacityDemand.InstanceKind;
-import org.havenford.coordination.provisioning.CapacityDemand.InstanceOffer;
 import org.havenford.protocol.MachineType;
 
 /** Offers that the cloud had no capacity for lately; they are not asked for again for a while. */
--- a/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
@@ -10,8 +10,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.havenford.coordination.provisioning.CapacityDemand.InstanceKind;
-import org.havenford.coordination.provisioning.CapacityDemand.InstanceOffer;
 import org.havenford.protocol.CloudMessages;
 import org.havenford.protocol.CloudMessages.ListedMachine;
 import org.havenford.protocol.Json;
--- a/src/main/java/org/havenford/coordination/provisioning/FleetSizeTarget.java
+++ b/src/main/java/org/havenford/coordination/provisioning/FleetSizeTarget.java
@@ -3,10 +3,7 @@
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import java.time.Duration;
 import java.time.Instant;
-import java.util.HashMap;
-import java.util.Map;
 import java.util.function.Predicate;
-import org.havenford.coordination.provisioning.CapacityDemand.InstanceKind;
 import org.havenford.protocol.MachineType;
 
 /**
@@ -46,17 +43,17 @@
      * room; {@code least} is the need of the moment with patience, so that a burst does not fill the fleet with machines that
      * come up too late for it.
      */
-    Map<InstanceKind, Integer> desired(
+    InstanceCounts desired(
             Instant now,
             Iterable<MachineType> types,
             Object2DoubleOpenHashMap<InstanceKind> full,
             Object2DoubleOpenHashMap<InstanceKind> least,
             Predicate<InstanceKind> exhausted,
-            Map<InstanceKind, Integer> have) {
+            InstanceCounts have) {
         double weight = averagedAt == null ? 1 : part(now, AVERAGE_OVER);
         double slow = averagedAt == null ? 0 : part(now, SUSTAINED_OVER);
         averagedAt = now;
-        Map<InstanceKind, Integer> wanted = new HashMap<>();
+        InstanceCounts wanted = new InstanceCounts();
         for (MachineType type : types) {
             for (boolean spot : new boolean[] {true, false}) {
                 InstanceKind kind = new InstanceKind(type.name(), spot);
@@ -64,7 +61,7 @@
                 average.addTo(kind, (full.getDouble(kind) - average.getDouble(kind)) * weight);
                 if (exhausted.test(kind)) {
                     // A wish that can't be met must not hold on to machines of another kind in its place.
-                    average.put(kind, Math.min(average.getDouble(kind), have.getOrDefault(kind, 0)));
+                    average.put(kind, Math.min(average.getDouble(kind), have.get(kind)));
                 }
                 sustained.addTo(kind, (need - sustained.getDouble(kind)) * slow);
                 // Spot machines are kept for work that has not come yet. Ordinary ones cost three times as much: they
@@ -72,7 +69,7 @@
                 double number = speedFirst || spot
                         ? Math.max(need, average.getDouble(kind) * (1 + spareShare))
                         : sustained.getDouble(kind);
-                wanted.put(kind, wholeMachines(number));
+                wanted.add(kind, wholeMachines(number));
             }
         }
         return wanted;
--- a/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
+++ b/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
@@ -3,13 +3,9 @@
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import java.time.Duration;
 import java.time.Instant;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import org.havenford.coordination.membership.Membership;
-import org.havenford.coordination.provisioning.CapacityDemand.InstanceKind;
-import org.havenford.coordination.provisioning.CapacityDemand.InstanceOffer;
-import org.havenford.coordination.provisioning.CapacityDemand.TaskDemand;
+import org.havenford.coordination.provisioning.TaskDemandEstimator.Pace;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.InstanceRequest;
 import org.havenford.storage.records.MachineRecord;
@@ -96,13 +92,13 @@
 
     private void adjustFleetSize(Instant now) {
         ClusterState clusterState = context.clusterState();
-        Map<InstanceKind, Integer> have = machineCounts();
+        InstanceCounts have = machineCounts();
         Instant timeOfDay = context.loop().timeOfDay();
-        List<TaskDemand> allDemands = CapacityDemand.taskDemands(clusterState, context.settings(), timeOfDay, false);
-        List<TaskDemand> leastDemands = CapacityDemand.taskDemands(clusterState, context.settings(), timeOfDay, true);
+        List<TaskDemand> allDemands = taskDemands(timeOfDay, Pace.ALL_AT_ONCE);
+        List<TaskDemand> leastDemands = taskDemands(timeOfDay, Pace.AS_NEEDED);
         Object2DoubleOpenHashMap<InstanceKind> full = machines(allDemands, now, have);
         Object2DoubleOpenHashMap<InstanceKind> least = machines(leastDemands, now, have);
-        Map<InstanceKind, Integer> wanted =
+        InstanceCounts wanted =
                 target.desired(now, clusterState.types().values(), full, least, kind -> exhausted(kind, now), have);
         if (LOG.isDebugEnabled()) {
             LOG.debug("fleet: have {}, idle {}, wanted {}, needed {}, could use {}", have, idle(), wanted, least, full);
@@ -111,16 +107,20 @@
         scaleIn.retireSurplus(now, wanted, have);
     }
 
+    private List<TaskDemand> taskDemands(Instant timeOfDay, Pace pace) {
+        return TaskDemandEstimator.estimate(context.clusterState(), context.settings(), timeOfDay, pace);
+    }
+
     /** Machines that there are, or that are on their way. */
-    private Map<InstanceKind, Integer> machineCounts() {
-        Map<InstanceKind, Integer> have = new HashMap<>();
+    private InstanceCounts machineCounts() {
+        InstanceCounts have = new InstanceCounts();
         for (MachineRecord machine : context.clusterState().machines()) {
             if (counts(machine)) {
-                have.merge(new InstanceKind(machine.type(), machine.spot()), 1, Integer::sum);
+                have.add(InstanceKind.of(machine), 1);
             }
         }
         for (InstanceRequest booking : context.clusterState().instanceRequests()) {
-            have.merge(new InstanceKind(booking.type(), booking.spot()), booking.count(), Integer::sum);
+            have.add(InstanceKind.of(booking), booking.count());
         }
         return have;
     }
@@ -133,13 +133,13 @@
         };
     }
 
-    private Map<InstanceKind, Integer> idle() {
-        Map<InstanceKind, Integer> idle = new HashMap<>();
+    private InstanceCounts idle() {
+        InstanceCounts idle = new InstanceCounts();
         for (MachineRecord machine : context.clusterState().machines()) {
             boolean isIdle = machine.condition() == Condition.UP
                     && context.clusterState().claimsOn(machine.name()).isEmpty();
             if (isIdle) {
-                idle.merge(new InstanceKind(machine.type(), machine.spot()), 1, Integer::sum);
+                idle.add(InstanceKind.of(machine), 1);
             }
         }
         return idle;
@@ -151,12 +151,12 @@
     }
 
     private Object2DoubleOpenHashMap<InstanceKind> machines(
-            List<TaskDemand> demands, Instant now, Map<InstanceKind, Integer> have) {
+            List<TaskDemand> demands, Instant now, InstanceCounts have) {
         return CapacityDemand.machines(demands, context.clusterState().types(), kind -> exhausted(kind, now), have);
     }
 
     private Object2DoubleOpenHashMap<InstanceOffer> boundToZones(List<TaskDemand> demands, Instant now) {
-        return CapacityDemand.boundToZones(
+        return ZoneDemand.machines(
                 demands, context.clusterState().types(), offer -> capacityRefusals.wasRefusedLately(offer, now));
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/ScaleIn.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ScaleIn.java
@@ -10,8 +10,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.havenford.coordination.provisioning.CapacityDemand.InstanceKind;
-import org.havenford.coordination.provisioning.CapacityDemand.InstanceOffer;
 import org.havenford.protocol.CloudMessages;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
@@ -185,7 +183,7 @@
     // ---- idle machines
 
     /** Marks idle machines beyond the wanted number to be returned, once they have been idle for long enough. */
-    void retireSurplus(Instant now, Map<InstanceKind, Integer> wanted, Map<InstanceKind, Integer> have) {
+    void retireSurplus(Instant now, InstanceCounts wanted, InstanceCounts have) {
         List<MachineRecord> idle = idleForLong(now);
         if (now.isBefore(nextTrim)) {
             return;
@@ -195,13 +193,8 @@
         Map<String, Integer> going = new HashMap<>();
         for (MachineRecord machine : idle) {
             // Judged by type: what spot machines can't give just now is not to be returned because they might.
-            InstanceKind spot = new InstanceKind(machine.type(), true);
-            InstanceKind ordinary = new InstanceKind(machine.type(), false);
-            int surplus = have.getOrDefault(spot, 0)
-                    + have.getOrDefault(ordinary, 0)
-                    - wanted.getOrDefault(spot, 0)
-                    - wanted.getOrDefault(ordinary, 0)
-                    - going.getOrDefault(machine.type(), 0);
+            int surplus =
+                    have.ofType(machine.type()) - wanted.ofType(machine.type()) - going.getOrDefault(machine.type(), 0);
             if (surplus > 0
                     && !inFlight.contains(machine.name())
                     && change.mark(machine.name(), MachineBatch.ServiceState.RETIRING)) {
@@ -278,8 +271,7 @@
         }
         inFlight.removeAll(names);
         inventory.returned(names);
-        going.forEach(machine -> capacityRefusals.available(
-                new InstanceOffer(new InstanceKind(machine.type(), machine.spot()), machine.zone())));
+        going.forEach(machine -> capacityRefusals.available(InstanceOffer.of(machine)));
         // By now the machines and all on them are gone. The records' absence tells the owners so.
         goneNow.addAll(names);
     }
--- a/src/main/java/org/havenford/coordination/provisioning/ScaleOut.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ScaleOut.java
@@ -10,8 +10,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.havenford.coordination.provisioning.CapacityDemand.InstanceKind;
-import org.havenford.coordination.provisioning.CapacityDemand.InstanceOffer;
 import org.havenford.protocol.CloudMessages;
 import org.havenford.protocol.Json;
 import org.havenford.storage.Transaction;
@@ -62,15 +60,12 @@
 
     /** Stores intents for what is missing. {@code bound} is what must be in a certain zone. */
     void requestInstances(
-            Instant now,
-            Map<InstanceKind, Integer> wanted,
-            Map<InstanceKind, Integer> have,
-            Object2DoubleOpenHashMap<InstanceOffer> bound) {
+            Instant now, InstanceCounts wanted, InstanceCounts have, Object2DoubleOpenHashMap<InstanceOffer> bound) {
         Transaction transaction = new Transaction();
-        Map<InstanceKind, Integer> missing = new HashMap<>();
-        wanted.forEach((kind, number) -> missing.put(kind, number - have.getOrDefault(kind, 0)));
+        InstanceCounts missing = new InstanceCounts();
+        wanted.kinds().forEach(kind -> missing.add(kind, wanted.get(kind) - have.get(kind)));
         requestForZones(bound, missing, transaction);
-        List<InstanceKind> kinds = new ArrayList<>(wanted.keySet());
+        List<InstanceKind> kinds = new ArrayList<>(wanted.kinds());
         kinds.sort(Comparator.comparing(InstanceKind::spot).reversed().thenComparing(InstanceKind::type));
         for (InstanceKind kind : kinds) {
             requestAnywhere(kind, missing.get(kind), now, transaction);
@@ -83,9 +78,7 @@
 
     /** First what can't be met elsewhere. */
     private void requestForZones(
-            Object2DoubleOpenHashMap<InstanceOffer> bound,
-            Map<InstanceKind, Integer> missing,
-            Transaction transaction) {
+            Object2DoubleOpenHashMap<InstanceOffer> bound, InstanceCounts missing, Transaction transaction) {
         if (bound.isEmpty()) {
             return;
         }
@@ -99,7 +92,7 @@
             int count = Math.min(lacking, mostOf(offer));
             if (count > 0 && mayBook(transaction)) {
                 requestInstances(offer, count, transaction);
-                missing.merge(offer.kind(), -count, Integer::sum);
+                missing.add(offer.kind(), -count);
             }
         }
     }
@@ -110,23 +103,15 @@
         for (MachineRecord machine : context.clusterState().machines()) {
             boolean stays = machine.condition() == Condition.UP || machine.condition() == Condition.BOOTING;
             if (stays) {
-                there.merge(offerOf(machine), 1, Integer::sum);
+                there.merge(InstanceOffer.of(machine), 1, Integer::sum);
             }
         }
         for (InstanceRequest booking : context.clusterState().instanceRequests()) {
-            there.merge(offerOf(booking), booking.count(), Integer::sum);
+            there.merge(InstanceOffer.of(booking), booking.count(), Integer::sum);
         }
         return there;
     }
 
-    private static InstanceOffer offerOf(MachineRecord machine) {
-        return new InstanceOffer(new InstanceKind(machine.type(), machine.spot()), machine.zone());
-    }
-
-    private static InstanceOffer offerOf(InstanceRequest booking) {
-        return new InstanceOffer(new InstanceKind(booking.type(), booking.spot()), booking.zone());
-    }
-
     /** In the zones that have the fewest machines; a need that is large is spread over the zones. */
     private void requestAnywhere(InstanceKind kind, int number, Instant now, Transaction transaction) {
         int missing = number;
@@ -168,7 +153,7 @@
             return MOST_RENTED;
         }
         boolean isBooked = context.clusterState().instanceRequests().stream()
-                .anyMatch(booking -> offerOf(booking).equals(offer));
+                .anyMatch(booking -> InstanceOffer.of(booking).equals(offer));
         return !isBooked && bootTimeEstimator.mayBeTried(offer) ? TRIED_WITH : 0;
     }
 
@@ -213,7 +198,7 @@
                 LOG.warn("cloud: the answer to a rental can't be read: {}", e.getMessage());
             }
         } else if (reply.status() == 503 || reply.status() == 400) {
-            capacityRefusals.refused(offerOf(booking), context.loop().now());
+            capacityRefusals.refused(InstanceOffer.of(booking), context.loop().now());
             settle(booking, withoutBooking(booking));
             return;
         }
@@ -229,7 +214,7 @@
                 booking.zone(),
                 booking.spot() ? ", spot" : "");
         if (names.size() < booking.count()) {
-            capacityRefusals.refused(offerOf(booking), context.loop().now());
+            capacityRefusals.refused(InstanceOffer.of(booking), context.loop().now());
         }
         record(booking, names);
     }
--- /dev/null
+++ b/src/main/java/org/havenford/coordination/provisioning/TaskDemandEstimator.java
@@ -0,0 +1,174 @@
+package org.havenford.coordination.provisioning;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.havenford.coordination.placement.ImagePullTime;
+import org.havenford.coordination.provisioning.TaskDemand.Startability;
+import org.havenford.coordination.scheduling.FailingJobBackoff;
+import org.havenford.protocol.JobSpec;
+import org.havenford.protocol.MachineType;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.ClusterState;
+import org.havenford.storage.records.Job;
+
+/** Estimates how many tasks of each unfinished job should be able to run at the same time. */
+public final class TaskDemandEstimator {
+    /** How much of a job's work counts. */
+    public enum Pace {
+        /** All tasks that are left, at once. */
+        ALL_AT_ONCE,
+        /**
+         * No more than the job needs: one with a deadline can run its tasks one after the other while there is time, and one
+         * without need not have a machine boot for a task that an earlier one will have made room for by then.
+         */
+        AS_NEEDED
+    }
+
+    /** A job without a running task for this long after its release is stuck: the present fleet does not take it. */
+    private static final Duration STUCK_AFTER = Duration.ofSeconds(30);
+    /** Jobs that seem to fail everywhere, of those that fit the same types, that machines are requested for. */
+    private static final int MAX_SUSPECT_JOBS = 2;
+    /** Part of the wait that a class allows that is used to run its tasks one after the other. */
+    private static final double WAIT_USED = 0.5;
+    /** Part of the time to a deadline that tasks are planned to run in. */
+    private static final double DEADLINE_USED = 0.8;
+    /** Boot time in seconds that is assumed of a job that fits no known machine type. */
+    private static final double DEFAULT_BOOT_SECONDS = 60;
+
+    private static final double MIN_RUN_SECONDS = 1;
+
+    private final ClusterState clusterState;
+    private final PlatformSettings settings;
+    private final Instant timeOfDay;
+    private final Pace pace;
+    private final Map<String, Double> cpusByTeam = new HashMap<>();
+    private final Map<String, Integer> suspectsByTypes = new HashMap<>();
+
+    private TaskDemandEstimator(ClusterState clusterState, PlatformSettings settings, Instant timeOfDay, Pace pace) {
+        this.clusterState = clusterState;
+        this.settings = settings;
+        this.timeOfDay = timeOfDay;
+        this.pace = pace;
+    }
+
+    /** The demand of each job that may run now, in the order of the jobs. */
+    public static List<TaskDemand> estimate(
+            ClusterState clusterState, PlatformSettings settings, Instant timeOfDay, Pace pace) {
+        TaskDemandEstimator estimator = new TaskDemandEstimator(clusterState, settings, timeOfDay, pace);
+        List<TaskDemand> demands = new ArrayList<>();
+        for (Job job : clusterState.jobs()) {
+            if (!job.cancelled() && !job.awaitsDependencies()) {
+                demands.add(estimator.demandOf(job));
+            }
+        }
+        return demands;
+    }
+
+    private TaskDemand demandOf(Job job) {
+        JobSpec spec = job.spec();
+        double tasksLeft = spec.taskCount() - job.doneCount();
+        double tasks = pace == Pace.AS_NEEDED ? Math.max(neededTasks(job, tasksLeft), job.claimCount()) : tasksLeft;
+        if (FailingJobBackoff.isSuspect(job)) {
+            tasks = limitSuspect(spec, tasks);
+        }
+        tasks = limitToQuota(spec, tasks);
+        return new TaskDemand(spec, tasks, startability(job, tasks));
+    }
+
+    /** Tasks that must run side by side for the job to be in time. */
+    private double neededTasks(Job job, double tasksLeft) {
+        JobSpec spec = job.spec();
+        double runSeconds = runSeconds(job);
+        double secondsLeft = secondsToDeadline(job);
+        if (secondsLeft >= runSeconds) {
+            return tasksLeft / Math.max(1, Math.floor(secondsLeft * DEADLINE_USED / runSeconds));
+        }
+        // Where starts may wait, tasks can follow each other on fewer machines.
+        double waitSeconds = allowedWaitSeconds(spec);
+        return tasksLeft
+                * runSeconds
+                / (runSeconds + shortestBootSeconds(spec))
+                / (1 + WAIT_USED * Math.min(1, waitSeconds / runSeconds));
+    }
+
+    private static double runSeconds(Job job) {
+        Duration median = job.medianRun();
+        Duration expected = median == null ? job.spec().estimatedDuration() : median;
+        return Math.max(MIN_RUN_SECONDS, seconds(expected));
+    }
+
+    /** Seconds to the job's deadline once a machine has its image; 0 without a deadline. */
+    private double secondsToDeadline(Job job) {
+        if (job.deadline() == null) {
+            return 0;
+        }
+        return seconds(Duration.between(timeOfDay, job.deadline()))
+                - ImagePullTime.fastestSeconds(job.spec(), clusterState.types().values());
+    }
+
+    /** Seconds within which the class's tasks should start; 0 where no objective says so. */
+    private double allowedWaitSeconds(JobSpec spec) {
+        return settings.objectives().stream()
+                .filter(objective -> objective.kind().equals("wait")
+                        && objective.jobClass().equals(spec.jobClass())
+                        && objective.within() != null)
+                .mapToDouble(objective -> seconds(objective.within()))
+                .min()
+                .orElse(0);
+    }
+
+    private double shortestBootSeconds(JobSpec spec) {
+        return clusterState.types().values().stream()
+                .filter(spec::fits)
+                .mapToDouble(type -> seconds(type.bootTime()))
+                .min()
+                .orElse(DEFAULT_BOOT_SECONDS);
+    }
+
+    /** A job that seems to fail everywhere counts with one task, and only the first few of those of the same types do. */
+    private double limitSuspect(JobSpec spec, double tasks) {
+        int suspects = suspectsByTypes.merge(fittingTypes(spec), 1, Integer::sum);
+        return suspects <= MAX_SUSPECT_JOBS ? Math.min(tasks, 1) : 0;
+    }
+
+    private String fittingTypes(JobSpec spec) {
+        List<String> types = new ArrayList<>();
+        for (MachineType type : clusterState.types().values()) {
+            if (spec.fits(type) && (spec.types() == null || spec.types().contains(type.name()))) {
+                types.add(type.name());
+            }
+        }
+        return String.join(",", types);
+    }
+
+    /** No more tasks than the team's limit leaves beside those of its earlier jobs. */
+    private double limitToQuota(JobSpec spec, double tasks) {
+        PlatformSettings.Team team = settings.teams().get(spec.team());
+        if (team == null || team.cpusMax() <= 0) {
+            return tasks;
+        }
+        double usedCpus = cpusByTeam.getOrDefault(spec.team(), 0.0);
+        double limited = Math.min(tasks, Math.max(0, (team.cpusMax() - usedCpus) / spec.cpus()));
+        cpusByTeam.put(spec.team(), usedCpus + limited * spec.cpus());
+        return limited;
+    }
+
+    private Startability startability(Job job, double tasks) {
+        boolean stuck = job.pendingCount() > 0
+                && job.claimCount() == 0
+                && tasks > 0
+                && timeOfDay.isAfter(job.releasedAt().plus(STUCK_AFTER));
+        if (!stuck) {
+            return Startability.STARTABLE;
+        }
+        return job.errors() > 0 ? Startability.UNPLACEABLE_AFTER_FAILURES : Startability.UNPLACEABLE;
+    }
+
+    private static double seconds(Duration duration) {
+        return duration.toMillis() / 1e3;
+    }
+}
--- a/src/test/java/org/havenford/coordination/provisioning/BootTimeEstimatorTest.java
+++ b/src/test/java/org/havenford/coordination/provisioning/BootTimeEstimatorTest.java
@@ -10,8 +10,6 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
-import org.havenford.coordination.provisioning.CapacityDemand.InstanceKind;
-import org.havenford.coordination.provisioning.CapacityDemand.InstanceOffer;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
--- a/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
@@ -10,6 +10,9 @@
 import java.util.List;
 import org.havenford.coordination.agents.MachineFaultDetector;
 import org.havenford.coordination.provisioning.CapacityDemand;
+import org.havenford.coordination.provisioning.InstanceCounts;
+import org.havenford.coordination.provisioning.TaskDemand;
+import org.havenford.coordination.provisioning.TaskDemandEstimator;
 import org.havenford.settings.PlatformSettings;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Job;
@@ -123,12 +126,10 @@
             submit("j-" + i, "urgent", 300);
             fail("j-" + i, 8);
         }
-        List<CapacityDemand.TaskDemand> demands =
-                CapacityDemand.taskDemands(clusterState, PlatformSettings.parse(SETTINGS), NOW, false);
-        assertEquals(
-                2,
-                demands.stream().mapToDouble(CapacityDemand.TaskDemand::tasks).sum());
-        double machines = CapacityDemand.machines(demands, clusterState.types(), kind -> false, java.util.Map.of())
+        List<TaskDemand> demands = TaskDemandEstimator.estimate(
+                clusterState, PlatformSettings.parse(SETTINGS), NOW, TaskDemandEstimator.Pace.ALL_AT_ONCE);
+        assertEquals(2, demands.stream().mapToDouble(TaskDemand::tasks).sum());
+        double machines = CapacityDemand.machines(demands, clusterState.types(), kind -> false, new InstanceCounts())
                 .values()
                 .doubleStream()
                 .sum();
--- a/src/test/java/org/havenford/coordination/scheduling/PipelineDecisionsTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/PipelineDecisionsTest.java
@@ -8,7 +8,8 @@
 import com.google.gson.JsonObject;
 import java.time.Instant;
 import java.util.List;
-import org.havenford.coordination.provisioning.CapacityDemand;
+import org.havenford.coordination.provisioning.TaskDemand;
+import org.havenford.coordination.provisioning.TaskDemandEstimator;
 import org.havenford.protocol.JobSpec.Priority;
 import org.havenford.settings.PlatformSettings;
 import org.havenford.storage.ClusterState;
@@ -84,7 +85,8 @@
         put(header("j-1", "red", "normal", 60, List.of("j-9"), -1));
         put(header("j-2", "red", "normal", 50, List.of(), -1));
         put(header("j-3", "red", "normal", 40, List.of(), -1));
-        List<CapacityDemand.TaskDemand> demands = CapacityDemand.taskDemands(clusterState, settings, NOW, false);
+        List<TaskDemand> demands =
+                TaskDemandEstimator.estimate(clusterState, settings, NOW, TaskDemandEstimator.Pace.ALL_AT_ONCE);
         assertEquals(
                 List.of("j-2", "j-3"), demands.stream().map(d -> d.spec().id()).toList());
         assertTrue(demands.stream().allMatch(d -> d.tasks() == 1), demands::toString);
