--- /dev/null
+++ b/src/main/java/org/havenford/coordination/scheduling/CapacityIndex.java
@@ -0,0 +1,104 @@
+package org.havenford.coordination.scheduling;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.function.UnaryOperator;
+import org.havenford.protocol.MachineType;
+import org.havenford.storage.ClusterState;
+import org.havenford.storage.records.Claim;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.MachineRecord;
+
+/**
+ * Free capacity of the machines that take tasks, kept from round to round. Only entries of machines that were invalidated
+ * since are computed again.
+ */
+final class CapacityIndex {
+    private final ClusterState clusterState;
+    private final UnaryOperator<String> ownerOf;
+    private final TreeMap<String, FreeCapacity> byMachine = new TreeMap<>();
+    private final Collection<FreeCapacity> all = Collections.unmodifiableCollection(byMachine.values());
+    /** Names of machines whose entry has to be computed again. */
+    private final Set<String> stale = new HashSet<>();
+
+    private boolean allStale = true;
+
+    /** An index over a replica; {@code ownerOf} names the controller that owns a machine. */
+    CapacityIndex(ClusterState clusterState, UnaryOperator<String> ownerOf) {
+        this.clusterState = clusterState;
+        this.ownerOf = ownerOf;
+    }
+
+    /** The machine, its claims or what is known of their outcomes have changed. */
+    void invalidate(String machine) {
+        stale.add(machine);
+    }
+
+    /** All machines have to be looked at again. */
+    void invalidateAll() {
+        allStale = true;
+    }
+
+    /** Computes what was invalidated. */
+    void refresh(MachineAvailability availability) {
+        if (allStale) {
+            allStale = false;
+            byMachine.clear();
+            for (MachineRecord machine : clusterState.machines()) {
+                stale.add(machine.name());
+            }
+        }
+        for (String name : stale) {
+            FreeCapacity capacity = compute(name, availability);
+            if (capacity == null) {
+                byMachine.remove(name);
+            } else {
+                byMachine.put(name, capacity);
+            }
+        }
+        stale.clear();
+    }
+
+    /** All machines that are up, by name. */
+    Collection<FreeCapacity> all() {
+        return all;
+    }
+
+    /** Machines with free capacity that take new tasks, by name; none is reserved. */
+    List<FreeCapacity> open(PlanningSnapshot snapshot) {
+        List<FreeCapacity> open = new ArrayList<>();
+        for (FreeCapacity capacity : byMachine.values()) {
+            if (capacity.cpus > FreeCapacity.EPSILON && capacity.takesTasks(snapshot.steadyNow())) {
+                capacity.reservedFor = null;
+                open.add(capacity);
+            }
+        }
+        return open;
+    }
+
+    private FreeCapacity compute(String name, MachineAvailability availability) {
+        MachineRecord machine = clusterState.machine(name);
+        MachineType type = machine == null ? null : clusterState.types().get(machine.type());
+        if (type == null || availability.condition(machine) != MachineRecord.Condition.UP) {
+            return null;
+        }
+        FreeCapacity capacity = new FreeCapacity(
+                machine, type, ownerOf.apply(name), availability.images(machine), availability.takesTasksAt(machine));
+        for (Claim claim : clusterState.claimsOn(name).values()) {
+            Job job = clusterState.job(claim.task().job());
+            // A task known to have ended leaves its capacity at once; its release is written with others, a moment
+            // later.
+            if (job != null && !availability.hasEnded(claim)) {
+                capacity.allocate(job.spec());
+                capacity.claims.add(claim);
+            }
+        }
+        availability.claimsInFlight(name).forEach(capacity::allocate);
+        return capacity;
+    }
+}
--- a/src/main/java/org/havenford/coordination/scheduling/FreeCapacity.java
+++ b/src/main/java/org/havenford/coordination/scheduling/FreeCapacity.java
@@ -62,6 +62,11 @@
         return spec.cpus() <= cpus + EPSILON && spec.gpus() <= gpus + EPSILON && spec.memGb() <= mem + EPSILON;
     }
 
+    /** Whether the machine is reserved for work that is more urgent than this priority. */
+    boolean isReservedAbove(JobSpec.Priority priority) {
+        return reservedFor != null && reservedFor.compareTo(priority) < 0;
+    }
+
     /** Whether an image is on the machine or on its way there. */
     boolean hasOrPulls(String image) {
         return images.contains(image) || pulling.contains(image);
--- /dev/null
+++ b/src/main/java/org/havenford/coordination/scheduling/OwnerChooser.java
@@ -0,0 +1,65 @@
+package org.havenford.coordination.scheduling;
+
+import java.util.List;
+import java.util.Map;
+import org.havenford.protocol.JobSpec;
+
+/**
+ * Chooses the owner whose machines take the tasks of a task range. Each task range has one to begin with, found by its place
+ * in the job; another is chosen only when its candidates are clearly better, so that controllers whose copies of the store
+ * differ by a moment still agree.
+ */
+final class OwnerChooser {
+    /** Penalty, in seconds of pulling for each task, of an owner other than the first. */
+    private static final double CHANGE_OF_OWNER_SECONDS = 0.8;
+    /** Penalty, in seconds of pulling, of a task for which an owner has no capacity. */
+    private static final double NO_CAPACITY_SECONDS = 30;
+    /** Keeps the part of a job's hash that is a non-negative index. */
+    private static final int HASH_MASK = 0xffff;
+
+    private OwnerChooser() {}
+
+    /** The owner that takes up to {@code tasks} tasks of a job's task range; null if none should now. */
+    static String choose(
+            String taskRangeKey,
+            int taskRangeIndex,
+            JobSpec spec,
+            Map<String, List<PlacementCandidate>> candidatesByOwner,
+            int tasks,
+            PlanningSnapshot snapshot) {
+        List<String> owners = snapshot.owners();
+        String best = null;
+        double leastCost = Double.MAX_VALUE;
+        int first = (spec.id().hashCode() & HASH_MASK) + taskRangeIndex;
+        for (int i = 0; i < owners.size(); i++) {
+            String owner = owners.get((first + i) % owners.size());
+            List<PlacementCandidate> candidates = candidatesByOwner.getOrDefault(owner, List.of());
+            if (candidates.isEmpty() || snapshot.isPassedOver(taskRangeKey, owner)) {
+                continue;
+            }
+            if (snapshot.isContended()) {
+                return i == 0 || snapshot.mayBeClaimedByOthers(taskRangeKey) ? owner : null;
+            }
+            double cost = cost(spec, candidates, tasks) + (i == 0 ? 0 : CHANGE_OF_OWNER_SECONDS * tasks);
+            if (cost < leastCost) {
+                leastCost = cost;
+                best = owner;
+            }
+        }
+        return best;
+    }
+
+    private static double cost(JobSpec spec, List<PlacementCandidate> candidates, int tasks) {
+        double cost = 0;
+        int left = tasks;
+        for (PlacementCandidate candidate : candidates) {
+            if (left <= 0) {
+                break;
+            }
+            int placed = Math.min(left, candidate.capacity().slots(spec));
+            cost += placed * candidate.score();
+            left -= placed;
+        }
+        return cost + left * NO_CAPACITY_SECONDS;
+    }
+}
--- a/src/main/java/org/havenford/coordination/scheduling/PlacementGuard.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PlacementGuard.java
@@ -21,11 +21,11 @@
     private PlacementGuard() {}
 
     /** Those of the placements of one job that keep to its constraints, beside all its claims and each other. */
-    static List<Planner.Placement> permitted(Job job, List<Planner.Placement> planned, ClusterState clusterState) {
+    static List<Placement> permitted(Job job, List<Placement> planned, ClusterState clusterState) {
         TaskZones zones =
                 PlacementRules.dependOnOthers(job.spec()) ? TaskZones.ofClaims(job, clusterState) : new TaskZones();
-        List<Planner.Placement> permitted = new ArrayList<>(planned.size());
-        for (Planner.Placement placement : planned) {
+        List<Placement> permitted = new ArrayList<>(planned.size());
+        for (Placement placement : planned) {
             MachineRecord machine = clusterState.machine(placement.machine());
             MachineType type = machine == null ? null : clusterState.types().get(machine.type());
             if (type == null) {
--- a/src/main/java/org/havenford/coordination/scheduling/PlanningRound.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PlanningRound.java
@@ -24,31 +24,49 @@
     private static final TaskZones ANYWHERE = new TaskZones();
 
     final Instant now;
-    final Planner.Limits limits;
+    final PlanningSnapshot snapshot;
+    /** Machines with free capacity that take new tasks. */
     final List<FreeCapacity> open;
-    final Planner.Plan out;
-    final Map<String, Resources> used = new HashMap<>();
+    /** Names of machine types that waiting tasks can't do without. */
+    final Set<String> contendedTypes;
+
+    final Plan plan = Plan.empty();
+    /** What teams use, with what this round has placed for them. */
+    final Map<String, Resources> usedByTeam = new HashMap<>();
+    /** The owner that takes a task range, by the key of the range. */
     final Map<String, String> ownerOf = new HashMap<>();
+    /** Tasks placed in this round, by job. */
     final Map<String, Set<TaskId>> taken = new HashMap<>();
     /** Of jobs that stay together or apart: their claims, and what any pass of this round has placed. */
     final Map<String, TaskZones> zones = new HashMap<>();
 
-    /** Records of tasks of which some were placed on machines of this controller. */
+    /** Task range records of which some tasks were placed on machines of this controller. */
     int ownRecords;
 
     /** Whether paced jobs have been given the machines that have their images. */
-    boolean imagesKept;
+    boolean cachedImagesPlaced;
 
-    /** Amounts that no machine had room for: what is as large finds none either, since room only shrinks. */
+    /** Jobs whose tasks fit no machine: what is as large fits none either, since free capacity only shrinks. */
     private final List<JobSpec> fitNowhere = new ArrayList<>();
 
-    final Map<JobSpec.Priority, List<Preemption.PreemptibleMachine>> stoppable = new EnumMap<>(JobSpec.Priority.class);
+    /** Machines with claims that work of a priority may preempt, found once a round. */
+    final Map<JobSpec.Priority, List<PreemptibleMachine>> preemptible = new EnumMap<>(JobSpec.Priority.class);
 
-    PlanningRound(Instant now, Planner.Limits limits, List<FreeCapacity> open, Planner.Plan out) {
+    PlanningRound(Instant now, PlanningSnapshot snapshot, List<FreeCapacity> open, Set<String> contendedTypes) {
         this.now = now;
-        this.limits = limits;
+        this.snapshot = snapshot;
         this.open = open;
-        this.out = out;
+        this.contendedTypes = contendedTypes;
+    }
+
+    /** Whether the round's time is used up. */
+    boolean outOfTime() {
+        return snapshot.outOfTime();
+    }
+
+    /** Whether the round's time is used up, or as much is planned as this controller can claim. */
+    boolean outOfTimeOrQuota() {
+        return snapshot.outOfTime() || ownRecords >= snapshot.claimQuota().maxTaskRanges();
     }
 
     /**
@@ -61,12 +79,12 @@
                 : ANYWHERE;
     }
 
-    /** No machine has room for a task of this size. */
+    /** Notes that a task of this size fits no machine. */
     void noteFitsNowhere(JobSpec spec) {
         fitNowhere.add(spec);
     }
 
-    /** Whether a task that is no larger has found no room in this round. */
+    /** Whether a task that is no larger was found to fit no machine in this round. */
     boolean fitsNowhere(JobSpec spec) {
         for (JobSpec other : fitNowhere) {
             if (spec.cpus() >= other.cpus() && spec.gpus() >= other.gpus() && spec.memGb() >= other.memGb()) {
@@ -76,6 +94,7 @@
         return false;
     }
 
+    /** How many tasks of a job this round has placed. */
     int placed(Job job) {
         return taken.getOrDefault(job.id(), Set.of()).size();
     }
--- /dev/null
+++ b/src/main/java/org/havenford/coordination/scheduling/PreemptibleMachine.java
@@ -0,0 +1,7 @@
+package org.havenford.coordination.scheduling;
+
+import java.util.List;
+import org.havenford.storage.records.Claim;
+
+/** A machine and the claims on it that work of some priority may preempt, the youngest first. */
+record PreemptibleMachine(FreeCapacity capacity, List<Claim> claims) {}
--- a/src/main/java/org/havenford/coordination/scheduling/Preemption.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Preemption.java
@@ -3,10 +3,8 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.Comparator;
 import java.util.List;
-import java.util.function.Consumer;
 import org.havenford.coordination.placement.PlacementRules;
 import org.havenford.coordination.placement.TaskZones;
 import org.havenford.protocol.JobSpec;
@@ -15,29 +13,30 @@
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.MachineRecord;
 
-/** Chooses claims to give up so that more urgent work can start. */
+/** Chooses claims to preempt so that more urgent work can start. */
 final class Preemption {
-    /** A job presses from so long before its latest start. */
+    /** A job is pressing from so long before its latest start. */
     static final Duration PRESSING_BEFORE = Duration.ofSeconds(7);
-    /** After so long it is too late to stop others for it. */
+    /** So long after its latest start it is too late to preempt others for it. */
     private static final Duration PRESSING_AFTER = Duration.ofSeconds(20);
-    /** Work of more than this is not stopped for other work. */
-    private static final Duration MOST_LOST = Duration.ofSeconds(20);
-    /** Time that a stopped task is taken to need until it starts again. */
-    private static final Duration AGAIN = Duration.ofSeconds(25);
+    /** A claim that is older than this is not preempted, unless it is checkpointed. */
+    private static final Duration MAX_LOST_RUN = Duration.ofSeconds(20);
+    /** Time that a preempted task is taken to need until it starts again. */
+    private static final Duration RESTART_DELAY = Duration.ofSeconds(25);
+
+    private static final int MILLIS_PER_SECOND = 1000;
+
+    private static final Comparator<Claim> YOUNGEST_FIRST =
+            Comparator.comparing(Claim::claimedAt).reversed().thenComparing(Claim::task);
 
     private final ClusterState clusterState;
     private final JobOrder order;
-    private final Collection<FreeCapacity> capacities;
-    private final Consumer<String> changed;
+    private final CapacityIndex capacityIndex;
 
-    /** {@code changed} is told of machines whose capacity has to be worked out anew. */
-    Preemption(
-            ClusterState clusterState, JobOrder order, Collection<FreeCapacity> capacities, Consumer<String> changed) {
+    Preemption(ClusterState clusterState, JobOrder order, CapacityIndex capacityIndex) {
         this.clusterState = clusterState;
         this.order = order;
-        this.capacities = capacities;
-        this.changed = changed;
+        this.capacityIndex = capacityIndex;
     }
 
     /** Whether a job of high priority is about to miss the start that its class aims at. */
@@ -49,123 +48,153 @@
         return now.isAfter(latest.minus(PRESSING_BEFORE)) && now.isBefore(latest.plus(PRESSING_AFTER));
     }
 
-    /** Claims on one machine that make capacity for a task, and what is lost with them. */
+    /**
+     * Claims on one machine that make capacity for a task.
+     *
+     * @param loss CPU-milliseconds of work that are lost with them
+     */
     private record Victims(FreeCapacity capacity, List<Claim> claims, long loss) {}
 
+    private static final Comparator<Victims> LEAST_LOSS_FIRST = Comparator.comparingLong(Victims::loss)
+            .thenComparing(victims -> victims.capacity().machine.name());
+
     /**
-     * Finds work of lower priority to stop: as little as possible of what has been done is lost, and only what can still
-     * be in time afterwards is taken. The order does not depend on who looks, and until the stop is confirmed the same
-     * claims are found again; so controllers and rounds do not stop more and more for the same need.
+     * Finds work of lower priority to preempt, so that {@code tasks} more tasks of a pass can start: as little as possible of
+     * what has been done is lost, and only what can still be in time afterwards is taken. The order does not depend on who
+     * looks, and until the preemption is confirmed the same claims are found again; so controllers and rounds do not preempt
+     * more and more for the same need.
      */
-    void preempt(
-            JobSpec spec, JobSpec.Priority priority, int tasks, TaskZones zones, String onlyZone, PlanningRound round) {
-        List<Victims> found = new ArrayList<>();
-        for (PreemptibleMachine r : round.stoppable.computeIfAbsent(priority, p -> stoppable(p, round))) {
-            MachineRecord machine = r.capacity.machine;
-            boolean allowed = PlacementRules.task(spec, r.capacity.type, machine.zone(), machine.spot(), zones)
-                    .allowed();
-            if (allowed && (onlyZone == null || onlyZone.equals(machine.zone()))) {
-                Victims v = victims(r, spec, round.now);
-                if (v != null) {
-                    found.add(v);
-                }
-            }
-        }
-        found.sort(Comparator.comparingLong(Victims::loss)
-                .thenComparing(v -> v.capacity().machine.name()));
+    void preempt(JobPass pass, int tasks) {
+        List<Victims> found = findVictims(pass);
         int made = 0;
-        TaskZones withMade = zones.copy();
-        for (Victims v : found) {
+        TaskZones zonesWithMade = pass.zones().copy();
+        for (Victims victims : found) {
             if (made >= tasks) {
                 return;
             }
-            String zone = v.capacity().machine.zone();
-            if (!PlacementRules.zone(spec, zone, withMade).allowed()) {
+            String zone = victims.capacity().machine.zone();
+            if (!PlacementRules.zone(pass.spec(), zone, zonesWithMade).allowed()) {
                 continue;
             }
-            for (Claim claim : v.claims()) {
-                v.capacity().release(clusterState.job(claim.task().job()).spec());
-                v.capacity().claims.remove(claim);
-                round.out.preempted().add(claim);
-            }
-            changed.accept(v.capacity().machine.name());
-            while (made < tasks
-                    && v.capacity().fits(spec)
-                    && PlacementRules.zone(spec, zone, withMade).allowed()) {
-                v.capacity().allocate(spec);
-                withMade.add(zone);
-                made++;
+            release(victims, pass.round());
+            made += allocate(victims.capacity(), pass.spec(), tasks - made, zonesWithMade);
+        }
+    }
+
+    private List<Victims> findVictims(JobPass pass) {
+        JobSpec spec = pass.spec();
+        PlanningRound round = pass.round();
+        List<Victims> found = new ArrayList<>();
+        for (PreemptibleMachine preemptible :
+                round.preemptible.computeIfAbsent(pass.priority(), priority -> preemptible(priority, round))) {
+            FreeCapacity capacity = preemptible.capacity();
+            MachineRecord machine = capacity.machine;
+            boolean allowed = PlacementRules.task(spec, capacity.type, machine.zone(), machine.spot(), pass.zones())
+                    .allowed();
+            Victims victims = allowed && pass.mayUseZone(machine.zone()) ? victims(preemptible, spec, round.now) : null;
+            if (victims != null) {
+                found.add(victims);
             }
         }
+        found.sort(LEAST_LOSS_FIRST);
+        return found;
+    }
+
+    private void release(Victims victims, PlanningRound round) {
+        FreeCapacity capacity = victims.capacity();
+        for (Claim claim : victims.claims()) {
+            capacity.release(clusterState.job(claim.task().job()).spec());
+            capacity.claims.remove(claim);
+            round.plan.preempted().add(claim);
+        }
+        capacityIndex.invalidate(capacity.machine.name());
     }
 
-    /** A machine and the claims on it that work of some priority may stop, the youngest first. */
-    record PreemptibleMachine(FreeCapacity capacity, List<Claim> claims) {}
+    /** Keeps capacity on a machine for up to {@code most} tasks; for how many. */
+    private static int allocate(FreeCapacity capacity, JobSpec spec, int most, TaskZones zones) {
+        String zone = capacity.machine.zone();
+        int allocated = 0;
+        while (allocated < most
+                && capacity.fits(spec)
+                && PlacementRules.zone(spec, zone, zones).allowed()) {
+            capacity.allocate(spec);
+            zones.add(zone);
+            allocated++;
+        }
+        return allocated;
+    }
 
-    /** Looked for once a round: there may be dozens of jobs that press, and thousands of claims. */
-    private List<PreemptibleMachine> stoppable(JobSpec.Priority than, PlanningRound round) {
-        List<PreemptibleMachine> out = new ArrayList<>();
-        for (FreeCapacity capacity : capacities) {
-            List<Claim> young = null;
+    /** Searched once a round: there may be dozens of jobs that press, and thousands of claims. */
+    private List<PreemptibleMachine> preemptible(JobSpec.Priority byPriority, PlanningRound round) {
+        List<PreemptibleMachine> machines = new ArrayList<>();
+        for (FreeCapacity capacity : capacityIndex.all()) {
+            List<Claim> claims = null;
             for (Claim claim : capacity.claims) {
-                if (spare(claim, than, round.now)) {
-                    young = young == null ? new ArrayList<>(4) : young;
-                    young.add(claim);
+                if (isPreemptible(claim, byPriority, round.now)) {
+                    claims = claims == null ? new ArrayList<>(4) : claims;
+                    claims.add(claim);
                 }
             }
-            if (young != null && capacity.takesTasks(round.limits.steadyNow())) {
-                young.sort(Comparator.comparing(Claim::claimedAt).reversed().thenComparing(Claim::task));
-                out.add(new PreemptibleMachine(capacity, young));
+            if (claims != null && capacity.takesTasks(round.snapshot.steadyNow())) {
+                claims.sort(YOUNGEST_FIRST);
+                machines.add(new PreemptibleMachine(capacity, claims));
             }
         }
-        return out;
+        return machines;
     }
 
-    private Victims victims(PreemptibleMachine in, JobSpec spec, Instant now) {
+    private Victims victims(PreemptibleMachine machine, JobSpec spec, Instant now) {
         List<Claim> victims = new ArrayList<>(4);
-        FreeCapacity capacity = in.capacity();
+        FreeCapacity capacity = machine.capacity();
         double cpus = capacity.cpus;
-        double cards = capacity.gpus;
-        double mem = capacity.mem;
+        double gpus = capacity.gpus;
+        double memGb = capacity.mem;
         long loss = 0;
-        for (Claim claim : in.claims()) {
-            if (spec.cpus() <= cpus + 1e-6 && spec.gpus() <= cards + 1e-6 && spec.memGb() <= mem + 1e-6) {
+        for (Claim claim : machine.claims()) {
+            if (fits(spec, cpus, gpus, memGb)) {
                 break;
             }
             if (!capacity.claims.contains(claim)) {
-                // Stopped already for a job before this one.
+                // Preempted already for a job before this one.
                 continue;
             }
-            JobSpec v = clusterState.job(claim.task().job()).spec();
-            cpus += v.cpus();
-            cards += v.gpus();
-            mem += v.memGb();
-            loss += (long) (v.cpus() * Duration.between(claim.claimedAt(), now).toMillis());
+            JobSpec victim = clusterState.job(claim.task().job()).spec();
+            cpus += victim.cpus();
+            gpus += victim.gpus();
+            memGb += victim.memGb();
+            loss += (long)
+                    (victim.cpus() * Duration.between(claim.claimedAt(), now).toMillis());
             victims.add(claim);
         }
-        boolean enough = spec.cpus() <= cpus + 1e-6 && spec.gpus() <= cards + 1e-6 && spec.memGb() <= mem + 1e-6;
-        return enough && !victims.isEmpty() ? new Victims(capacity, victims, loss) : null;
+        return fits(spec, cpus, gpus, memGb) && !victims.isEmpty() ? new Victims(capacity, victims, loss) : null;
     }
 
-    /** Low work that saves its progress when it is stopped loses little, however long it has run. */
-    private boolean savesLowWork(Job job) {
+    private static boolean fits(JobSpec spec, double cpus, double gpus, double memGb) {
+        return spec.cpus() <= cpus + FreeCapacity.EPSILON
+                && spec.gpus() <= gpus + FreeCapacity.EPSILON
+                && spec.memGb() <= memGb + FreeCapacity.EPSILON;
+    }
+
+    /** Work of low priority that writes a checkpoint when it is preempted loses little, however long it has run. */
+    private boolean isCheckpointedLowPriority(Job job) {
         return order.priority(job) == JobSpec.Priority.LOW
                 && !job.spec().checkpointInterval().isZero();
     }
 
-    private boolean spare(Claim claim, JobSpec.Priority than, Instant now) {
+    private boolean isPreemptible(Claim claim, JobSpec.Priority byPriority, Instant now) {
         Job job = clusterState.job(claim.task().job());
-        if (job == null || job.cancelled() || order.priority(job).compareTo(than) <= 0) {
+        if (job == null || job.cancelled() || order.priority(job).compareTo(byPriority) <= 0) {
             return false;
         }
-        boolean losesMuch = claim.claimedAt().plus(MOST_LOST).isBefore(now);
-        if (losesMuch && !savesLowWork(job)) {
+        boolean losesMuch = claim.claimedAt().plus(MAX_LOST_RUN).isBefore(now);
+        if (losesMuch && !isCheckpointedLowPriority(job)) {
             return false;
         }
-        Instant due = order.deadline(job);
-        return due == null
-                || now.plus(AGAIN)
-                        .plusMillis((long) (JobOrder.runSeconds(job) * 1000))
-                        .isBefore(due);
+        Instant deadline = order.deadline(job);
+        if (deadline == null) {
+            return true;
+        }
+        long runMillis = (long) (JobOrder.runSeconds(job) * MILLIS_PER_SECOND);
+        return now.plus(RESTART_DELAY).plusMillis(runMillis).isBefore(deadline);
     }
 }
--- /dev/null
+++ b/src/main/java/org/havenford/coordination/scheduling/ResumePoint.java
@@ -0,0 +1,25 @@
+package org.havenford.coordination.scheduling;
+
+import java.util.List;
+import org.havenford.storage.records.Job;
+
+/** The job at which the last round ran out of time; the first job if it did not, or that job is over. */
+final class ResumePoint {
+    private String jobId;
+
+    void set(Job job) {
+        jobId = job.id();
+    }
+
+    /** Index of the job to begin with. Resets the resume point. */
+    int indexIn(List<Job> jobs) {
+        int from = 0;
+        for (int i = 0; jobId != null && i < jobs.size(); i++) {
+            if (jobs.get(i).id().equals(jobId)) {
+                from = i;
+            }
+        }
+        jobId = null;
+        return from;
+    }
+}
--- a/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
@@ -85,7 +85,7 @@
 
     /** The machine, its claims or the ends on it have changed. */
     public void machineChanged(String machine) {
-        planner.changed(machine);
+        planner.machineChanged(machine);
     }
 
     /** The view or the machine types have changed. */
--- a/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
@@ -1,7 +1,6 @@
 package org.havenford.coordination.scheduling;
 
 import com.google.gson.JsonObject;
-import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -17,6 +16,7 @@
 import org.havenford.coordination.jobs.CoordinationContext;
 import org.havenford.coordination.quota.QuotaAllocator;
 import org.havenford.protocol.JobSpec;
+import org.havenford.protocol.TaskId;
 import org.havenford.settings.PlatformSettings;
 import org.havenford.storage.CallPriority;
 import org.havenford.storage.StoreOutcome;
@@ -29,21 +29,15 @@
 
 /** Turns the planner's placements on this controller's machines into claims, one transaction a record of tasks. */
 final class TaskClaimer {
-    /** How long another owner may leave a planned task lying before its machines are left out of the plan. */
-    private static final Duration FOREIGN_PATIENCE = Duration.ofMillis(1500);
-    /** How many times that long a record that is no longer planned for others is remembered. */
-    private static final int REMEMBERED = 4;
     /** Claims that may wait for the store's limits: beyond, urgent work would stand in line behind what is not. */
     private static final int MAX_WAITING_CLAIMS = 3;
     /** After a claim has failed because of another's, each record is left to its first owner for a while. */
-    private static final Duration CROWDED = Duration.ofSeconds(5);
-    /** How long a record's first owner may have no room before another takes some of it. */
-    private static final Duration HELP_AFTER = Duration.ofMillis(1500);
+    private static final Duration CONTENDED = Duration.ofSeconds(5);
     /** Under pressure room is gathered, so that one claim takes several tasks of a record. */
     private static final Duration PLAN_EVERY_UNDER_PRESSURE = Duration.ofMillis(500);
 
     /** Records that are planned for this controller under pressure: more than can be claimed until the next plan. */
-    private static final int MOST_RECORDS_UNDER_PRESSURE = 16;
+    private static final int MAX_TASK_RANGES_UNDER_PRESSURE = 16;
 
     /** Tasks of a large job of low priority that one claim takes under pressure, or else after a while. */
     private static final int LEAST_GATHERED = 12;
@@ -55,40 +49,20 @@
     /** Conditions on the view, the job, its record and the team's shares, and some to spare. */
     private static final int OTHER_CONDITIONS = 6;
 
-    /** First and last time that a record's first owner was seen without room, in a row. */
-    private record WithoutRoom(Instant first, Instant last) {}
-
-    /** A record whose tasks are planned for machines of another owner. */
-    private static final class Wait {
-        private final Set<String> passedOver = new HashSet<>();
-        private String owner;
-        private Instant since;
-
-        void waitFor(String other, Instant now) {
-            if (!other.equals(owner)) {
-                owner = other;
-                since = now;
-            } else if (now.isAfter(since.plus(FOREIGN_PATIENCE))) {
-                passedOver.add(owner);
-            }
-        }
-    }
-
     private final CoordinationContext context;
     private final AgentManager agentManager;
     private final Planner planner;
     private final Duration planningBudget;
     private final QuotaAllocator quotaAllocator;
-    private final Object2ObjectOpenHashMap<String, Wait> waits = new Object2ObjectOpenHashMap<>();
-    /** Claims under way, by machine: their room is taken already. */
-    private final Map<String, List<JobSpec>> underWay = new HashMap<>();
-
-    private final Map<String, WithoutRoom> withoutRoom = new HashMap<>();
+    private final ForeignOwnerPatience foreignOwnerPatience = new ForeignOwnerPatience();
+    private final FirstOwnerShortages firstOwnerShortages = new FirstOwnerShortages();
+    private final ClaimsInFlight claimsInFlight = new ClaimsInFlight();
+    private final MachineAvailability machineAvailability;
     private final FailingJobBackoff failingJobBackoff = new FailingJobBackoff();
     /** Large jobs of low priority whose room is being gathered, and since when. */
     private final Map<String, Instant> gatheringSince = new HashMap<>();
 
-    private Instant crowdedUntil = Instant.MIN;
+    private Instant contendedUntil = Instant.MIN;
     private Instant nextPlan = Instant.MIN;
 
     TaskClaimer(
@@ -102,6 +76,7 @@
         this.planner = planner;
         this.planningBudget = planningBudget;
         this.quotaAllocator = quotaAllocator;
+        this.machineAvailability = new ControllerMachineAvailability(agentManager, claimsInFlight);
     }
 
     /** Plans, claims what is planned for this controller's machines, and stops what makes room for more urgent work. */
@@ -110,11 +85,11 @@
             return;
         }
         nextPlan = context.store().underPressure() ? start.plus(PLAN_EVERY_UNDER_PRESSURE) : start;
-        Planner.Plan plan = planner.plan(context.loop().timeOfDay(), limits(start));
-        Map<String, List<Planner.Placement>> own = ownPlacements(plan, start);
-        withoutRoom.values().removeIf(w -> w.last().isBefore(start.minus(HELP_AFTER)));
+        Plan plan = planner.plan(context.loop().timeOfDay(), new Snapshot(start), machineAvailability);
+        Map<String, List<Placement>> own = ownPlacements(plan, start);
+        firstOwnerShortages.forgetEnded(start);
         boolean pressed = context.store().underPressure();
-        for (List<Planner.Placement> ofOneRecord : own.values()) {
+        for (List<Placement> ofOneRecord : own.values()) {
             if (pressed && isGathered(ofOneRecord, start)) {
                 continue;
             }
@@ -135,37 +110,79 @@
 
     /** This process has stood still: how long others have left records lying meanwhile is not known. */
     void processPaused() {
-        waits.clear();
-        withoutRoom.clear();
+        foreignOwnerPatience.clear();
+        firstOwnerShortages.clear();
     }
 
-    private Planner.Limits limits(Instant start) {
-        Instant deadline = start.plus(planningBudget);
-        return new Planner.Limits(
-                start,
-                agentManager::availability,
-                agentManager::images,
-                agentManager::condition,
-                job -> failingJobBackoff.isBackingOff(job, start),
-                p -> agentManager.avoided(p.task(), p.machine()),
-                agentManager.outcomes()::contains,
-                m -> underWay.getOrDefault(m, List.of()),
-                List.copyOf(context.membership().view().activeMembers()),
-                (key, owner) ->
-                        waits.containsKey(key) && waits.get(key).passedOver.contains(owner),
-                key -> helped(key, start),
-                start.isBefore(crowdedUntil),
-                new Planner.ClaimQuota(
-                        context.node(),
-                        context.store().underPressure() ? MOST_RECORDS_UNDER_PRESSURE : Integer.MAX_VALUE),
-                () -> context.loop().now().isAfter(deadline));
+    /** What the planner is told in one round. Constant but for the clock and the shortages that it asks about. */
+    private final class Snapshot implements PlanningSnapshot {
+        private final Instant start;
+        private final Instant deadline;
+        private final List<String> owners;
+        private final boolean contended;
+        private final ClaimQuota claimQuota;
+
+        Snapshot(Instant start) {
+            this.start = start;
+            deadline = start.plus(planningBudget);
+            owners = List.copyOf(context.membership().view().activeMembers());
+            contended = start.isBefore(contendedUntil);
+            claimQuota = new ClaimQuota(
+                    context.node(),
+                    context.store().underPressure() ? MAX_TASK_RANGES_UNDER_PRESSURE : Integer.MAX_VALUE);
+        }
+
+        @Override
+        public Instant steadyNow() {
+            return start;
+        }
+
+        @Override
+        public boolean outOfTime() {
+            return context.loop().now().isAfter(deadline);
+        }
+
+        @Override
+        public List<String> owners() {
+            return owners;
+        }
+
+        @Override
+        public ClaimQuota claimQuota() {
+            return claimQuota;
+        }
+
+        @Override
+        public boolean isContended() {
+            return contended;
+        }
+
+        @Override
+        public boolean isBackingOff(Job job) {
+            return failingJobBackoff.isBackingOff(job, start);
+        }
+
+        @Override
+        public boolean isAvoided(TaskId task, String machine) {
+            return agentManager.avoided(task, machine);
+        }
+
+        @Override
+        public boolean isPassedOver(String taskRangeKey, String owner) {
+            return foreignOwnerPatience.isPassedOver(taskRangeKey, owner);
+        }
+
+        @Override
+        public boolean mayBeClaimedByOthers(String taskRangeKey) {
+            return firstOwnerShortages.mayBeClaimedByOthers(taskRangeKey, start);
+        }
     }
 
     /**
      * Whether low work of a large job waits a moment, so that one claim takes more of a record: room comes back task by task,
      * and a change for each would keep the service from more urgent work.
      */
-    private boolean isGathered(List<Planner.Placement> ofOneRecord, Instant now) {
+    private boolean isGathered(List<Placement> ofOneRecord, Instant now) {
         Job job = context.clusterState().job(ofOneRecord.get(0).task().job());
         if (job.spec().priority() != JobSpec.Priority.LOW || job.spec().taskCount() <= LEAST_GATHERED) {
             return false;
@@ -179,34 +196,23 @@
     }
 
     /** Placements on our machines by record; what is planned for other owners is waited for. */
-    private Map<String, List<Planner.Placement>> ownPlacements(Planner.Plan plan, Instant start) {
-        Map<String, List<Planner.Placement>> own = new LinkedHashMap<>();
+    private Map<String, List<Placement>> ownPlacements(Plan plan, Instant start) {
+        Map<String, List<Placement>> own = new LinkedHashMap<>();
         Set<String> foreign = new HashSet<>();
-        for (Planner.Placement p : plan.placements()) {
+        for (Placement p : plan.placements()) {
             Job job = context.clusterState().job(p.task().job());
             String key = Keys.tasks(job.id(), job.taskRangeIndex(p.task().index()));
             String owner = context.membership().owner(p.machine());
             if (context.node().equals(owner)) {
                 own.computeIfAbsent(key, k -> new ArrayList<>()).add(p);
             } else if (foreign.add(key) && !context.store().underPressure()) {
-                waits.computeIfAbsent(key, k -> new Wait()).waitFor(owner, start);
+                foreignOwnerPatience.waitFor(key, owner, start);
             }
         }
-        Duration remembered = FOREIGN_PATIENCE.multipliedBy(REMEMBERED);
-        waits.entrySet()
-                .removeIf(w -> !foreign.contains(w.getKey())
-                        && start.isAfter(w.getValue().since.plus(remembered)));
+        foreignOwnerPatience.forgetAllBut(foreign, start);
         return own;
     }
 
-    /** Whether a record's first owner has had no room for so long that another may take some of it. */
-    private boolean helped(String key, Instant now) {
-        WithoutRoom before = withoutRoom.get(key);
-        Instant first = before == null ? now : before.first();
-        withoutRoom.put(key, new WithoutRoom(first, now));
-        return now.isAfter(first.plus(HELP_AFTER));
-    }
-
     /** A claim while it is put together. */
     private static final class Draft {
         private final Job job;
@@ -246,7 +252,7 @@
         }
     }
 
-    private void claim(List<Planner.Placement> planned) {
+    private void claim(List<Placement> planned) {
         Job job = context.clusterState().job(planned.get(0).task().job());
         if (job.awaitsDependencies()) {
             // The plan leaves it out. That no task starts before its job is released rests on this and on the guard of
@@ -297,7 +303,7 @@
     }
 
     /** Adds the claims, and the ends that are known of the same record, to the draft. */
-    private void fill(Draft draft, List<Planner.Placement> placements, boolean limited) {
+    private void fill(Draft draft, List<Placement> placements, boolean limited) {
         int index = draft.index;
         draft.taskRange = draft.job.taskRange(index).copy();
         for (Claim claim : draft.job.taskRange(index).claims()) {
@@ -309,7 +315,7 @@
         TaskReleaser.apply(draft.ended, draft.taskRange);
         Set<String> batches = new HashSet<>();
         int maxBatches = context.settings().txnOps() * CONDITIONS_PER_CHANGE - OTHER_CONDITIONS;
-        for (Planner.Placement p : placements) {
+        for (Placement p : placements) {
             AgentState state = agentManager.agent(p.machine());
             Set<String> batchesOf = context.clusterState().batchesOf(p.machine());
             if (state == null
@@ -336,8 +342,7 @@
     private void commit(Draft draft) {
         JobSpec spec = draft.job.spec();
         List<String> claimedMachines = draft.claimedMachines();
-        claimedMachines.forEach(
-                name -> underWay.computeIfAbsent(name, n -> new ArrayList<>()).add(spec));
+        claimedMachines.forEach(name -> claimsInFlight.add(name, spec));
         Runnable onSuccess = () -> {
             agentManager.outcomes().remove(draft.ended.keySet());
             context.loop().after(Duration.ZERO, () -> draft.machines.forEach(agentManager::sendCommands));
@@ -347,22 +352,18 @@
             }
         };
         context.writer().commit(draft.transaction, CallPriority.CLAIM, draft.locks, onSuccess, result -> {
-            claimedMachines.forEach(name -> noLongerUnderWay(name, spec));
+            claimedMachines.forEach(name -> noLongerInFlight(name, spec));
             if (draft.charge != null && result.outcome() != StoreOutcome.UNKNOWN) {
                 quotaAllocator.remove(draft.charge);
             }
             if (result.outcome() == StoreOutcome.CONFLICT) {
-                crowdedUntil = context.loop().now().plus(CROWDED);
+                contendedUntil = context.loop().now().plus(CONTENDED);
             }
         });
     }
 
-    private void noLongerUnderWay(String machine, JobSpec spec) {
-        List<JobSpec> on = underWay.get(machine);
-        on.remove(spec);
-        if (on.isEmpty()) {
-            underWay.remove(machine);
-        }
-        planner.changed(machine);
+    private void noLongerInFlight(String machine, JobSpec spec) {
+        claimsInFlight.remove(machine, spec);
+        planner.machineChanged(machine);
     }
 }
--- /dev/null
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskRangePlacer.java
@@ -0,0 +1,123 @@
+package org.havenford.coordination.scheduling;
+
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.havenford.coordination.placement.PlacementRules;
+import org.havenford.protocol.JobSpec;
+import org.havenford.protocol.TaskId;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.TaskRange;
+
+/** Places the pending tasks of a job, one task range after the other, each on the machines of one owner. */
+final class TaskRangePlacer {
+    private final CapacityIndex capacityIndex;
+
+    TaskRangePlacer(CapacityIndex capacityIndex) {
+        this.capacityIndex = capacityIndex;
+    }
+
+    /**
+     * Places {@code quota} tasks at most.
+     *
+     * @return tasks within the quota that found no machine
+     */
+    int place(JobPass pass, Map<String, List<PlacementCandidate>> candidatesByOwner, int quota) {
+        if (candidatesByOwner.isEmpty()) {
+            return quota;
+        }
+        Job job = pass.job();
+        Set<TaskId> taken = pass.round().taken.get(job.id());
+        int left = quota;
+        int unplaced = 0;
+        for (int i = 0; i < job.taskRangeCount() && left > 0; i++) {
+            TaskRange taskRange = job.taskRange(i);
+            if (taskRange.pendingCount() == 0) {
+                continue;
+            }
+            List<TaskId> pending = taskRange.pending();
+            pending.removeAll(taken);
+            if (pending.isEmpty()) {
+                continue;
+            }
+            int placed = placeTaskRange(pass, i, taskRange, pending, left, candidatesByOwner);
+            left -= placed;
+            unplaced += Math.min(left, pending.size() - placed);
+        }
+        return unplaced;
+    }
+
+    /** Places up to {@code most} pending tasks of a task range on machines of the owner that takes it; how many. */
+    private int placeTaskRange(
+            JobPass pass,
+            int index,
+            TaskRange taskRange,
+            List<TaskId> pending,
+            int most,
+            Map<String, List<PlacementCandidate>> candidatesByOwner) {
+        PlanningRound round = pass.round();
+        String key = Keys.tasks(pass.job().id(), index);
+        String owner = round.ownerOf.get(key);
+        if (owner == null) {
+            int tasks = Math.min(most, pending.size());
+            owner = OwnerChooser.choose(key, index, pass.spec(), candidatesByOwner, tasks, round.snapshot);
+        }
+        List<PlacementCandidate> candidates = owner == null ? null : candidatesByOwner.get(owner);
+        if (candidates == null) {
+            return 0;
+        }
+        round.ownerOf.put(key, owner);
+        int placed = fill(pass, taskRange, pending, most, candidates);
+        if (placed > 0 && owner.equals(round.snapshot.claimQuota().controller())) {
+            round.ownRecords++;
+        }
+        return placed;
+    }
+
+    /** Places up to {@code most} tasks on candidates of one owner and removes those that are full; how many it placed. */
+    private int fill(
+            JobPass pass, TaskRange taskRange, List<TaskId> pending, int most, List<PlacementCandidate> candidates) {
+        int placed = 0;
+        for (TaskId task : pending) {
+            if (placed >= most) {
+                break;
+            }
+            for (PlacementCandidate candidate : candidates) {
+                FreeCapacity capacity = candidate.capacity();
+                if (accepts(capacity, task, taskRange, pass)) {
+                    place(task, capacity, pass);
+                    placed++;
+                    break;
+                }
+            }
+            candidates.removeIf(candidate -> !candidate.capacity().fits(pass.spec()));
+            if (candidates.isEmpty()) {
+                break;
+            }
+        }
+        return placed;
+    }
+
+    private static boolean accepts(FreeCapacity capacity, TaskId task, TaskRange taskRange, JobPass pass) {
+        String machine = capacity.machine.name();
+        return capacity.fits(pass.spec())
+                && PlacementRules.zone(pass.spec(), capacity.machine.zone(), pass.zones())
+                        .allowed()
+                && !machine.equals(taskRange.lateOn(task.index()))
+                && !pass.round().snapshot.isAvoided(task, machine);
+    }
+
+    private void place(TaskId task, FreeCapacity capacity, JobPass pass) {
+        JobSpec spec = pass.spec();
+        PlanningRound round = pass.round();
+        String machine = capacity.machine.name();
+        capacity.allocate(spec);
+        capacityIndex.invalidate(machine);
+        if (PlacementRules.dependOnOthers(spec)) {
+            pass.zones().add(capacity.machine.zone());
+        }
+        round.plan.placements().add(new Placement(task, machine));
+        round.taken.get(spec.id()).add(task);
+    }
+}
--- a/src/test/java/org/havenford/coordination/scheduling/PlannerPlacementTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/PlannerPlacementTest.java
@@ -15,6 +15,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import java.util.function.Predicate;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.TaskId;
 import org.havenford.settings.OperatorSettings;
@@ -90,26 +91,86 @@
         clusterState.changed(Keys.tasks(id, index), taskRange.toJson(), ++stamp);
     }
 
-    private Planner.Plan plan() throws Exception {
+    private Plan plan() throws Exception {
         Planner planner =
                 new Planner(clusterState, PlatformSettings.parse(SETTINGS), OperatorSettings.DEFAULTS, this::owner);
-        return planner.plan(
-                NOW,
-                new Planner.Limits(
-                        NOW,
-                        machine -> now -> true,
-                        machine -> images.get(machine.name()),
-                        machine -> MachineRecord.Condition.UP,
-                        job -> false,
-                        p -> false,
-                        claim -> false,
-                        m -> List.of(),
-                        owners,
-                        (key, owner) -> false,
-                        key -> true,
-                        false,
-                        new Planner.ClaimQuota("n", Integer.MAX_VALUE),
-                        () -> false));
+        return planner.plan(NOW, new UnconstrainedSnapshot(), new AllUp());
+    }
+
+    /** All owners claim at once, and nothing holds a job back. */
+    private final class UnconstrainedSnapshot implements PlanningSnapshot {
+        @Override
+        public Instant steadyNow() {
+            return NOW;
+        }
+
+        @Override
+        public boolean outOfTime() {
+            return false;
+        }
+
+        @Override
+        public List<String> owners() {
+            return owners;
+        }
+
+        @Override
+        public ClaimQuota claimQuota() {
+            return new ClaimQuota("n", Integer.MAX_VALUE);
+        }
+
+        @Override
+        public boolean isContended() {
+            return false;
+        }
+
+        @Override
+        public boolean isBackingOff(Job job) {
+            return false;
+        }
+
+        @Override
+        public boolean isAvoided(TaskId task, String machine) {
+            return false;
+        }
+
+        @Override
+        public boolean isPassedOver(String taskRangeKey, String owner) {
+            return false;
+        }
+
+        @Override
+        public boolean mayBeClaimedByOthers(String taskRangeKey) {
+            return true;
+        }
+    }
+
+    /** All machines are up and take tasks; no claim has ended or is in flight. */
+    private final class AllUp implements MachineAvailability {
+        @Override
+        public MachineRecord.Condition condition(MachineRecord machine) {
+            return MachineRecord.Condition.UP;
+        }
+
+        @Override
+        public List<String> images(MachineRecord machine) {
+            return images.get(machine.name());
+        }
+
+        @Override
+        public Predicate<Instant> takesTasksAt(MachineRecord machine) {
+            return now -> true;
+        }
+
+        @Override
+        public boolean hasEnded(Claim claim) {
+            return false;
+        }
+
+        @Override
+        public List<JobSpec> claimsInFlight(String machine) {
+            return List.of();
+        }
     }
 
     private String owner(String machine) {
@@ -117,13 +178,13 @@
     }
 
     /** Tasks of a job by zone, claimed or placed. */
-    private Map<String, Integer> byZone(String id, Planner.Plan plan) {
+    private Map<String, Integer> byZone(String id, Plan plan) {
         Map<String, Integer> zones = new TreeMap<>();
         for (Claim claim : clusterState.job(id).claims()) {
             MachineRecord machine = clusterState.machine(claim.machine());
             zones.merge(machine == null ? "gone" : machine.zone(), 1, Integer::sum);
         }
-        for (Planner.Placement p : plan.placements()) {
+        for (Placement p : plan.placements()) {
             if (p.task().job().equals(id)) {
                 zones.merge(clusterState.machine(p.machine()).zone(), 1, Integer::sum);
             }
@@ -204,9 +265,9 @@
 
     /** Task 1 is planned for the first machine, task 2 for the second and so on; the tasks that may be claimed. */
     private List<Integer> permitted(String id, String... planned) {
-        List<Planner.Placement> placements = new ArrayList<>();
+        List<Placement> placements = new ArrayList<>();
         for (int i = 0; i < planned.length; i++) {
-            placements.add(new Planner.Placement(new TaskId(id, i + 1), planned[i]));
+            placements.add(new Placement(new TaskId(id, i + 1), planned[i]));
         }
         return PlacementGuard.permitted(clusterState.job(id), placements, clusterState).stream()
                 .map(p -> p.task().index())
@@ -288,8 +349,8 @@
         }
     }
 
-    private void assertAllInPlace(String seed, Planner.Plan plan) {
-        for (Planner.Placement p : plan.placements()) {
+    private void assertAllInPlace(String seed, Plan plan) {
+        for (Placement p : plan.placements()) {
             MachineRecord machine = clusterState.machine(p.machine());
             JobSpec spec = clusterState.job(p.task().job()).spec();
             assertTrue(allows(spec, machine), () -> seed + ": " + p.task() + " on " + machine);
