--- /dev/null
+++ b/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
@@ -0,0 +1,131 @@
+package org.havenford.coordination.scheduling;
+
+import com.google.gson.JsonObject;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import org.havenford.coordination.agents.AgentManager;
+import org.havenford.coordination.agents.AgentState;
+import org.havenford.coordination.jobs.CoordinationContext;
+import org.havenford.coordination.placement.PlacementRules;
+import org.havenford.coordination.quota.QuotaAllocator;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.records.Job;
+import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.TeamQuota.Resources;
+
+/** Puts together the transaction that claims planned tasks of one task range. */
+final class ClaimBuilder {
+    /** A transaction allows this many conditions for each operation. */
+    private static final int CONDITIONS_PER_OPERATION = 4;
+    /** Conditions on the view, the job, its task range and the team's quota, and some to spare. */
+    private static final int OTHER_CONDITIONS = 6;
+
+    private final CoordinationContext context;
+    private final AgentManager agentManager;
+    private final QuotaAllocator quotaAllocator;
+
+    ClaimBuilder(CoordinationContext context, AgentManager agentManager, QuotaAllocator quotaAllocator) {
+        this.context = context;
+        this.agentManager = agentManager;
+        this.quotaAllocator = quotaAllocator;
+    }
+
+    /** The claim of planned tasks of one task range; empty if none of them can be claimed now. */
+    Optional<ClaimDraft> build(List<Placement> planned) {
+        Job job = context.clusterState().job(planned.get(0).task().job());
+        if (job.awaitsDependencies()) {
+            // The plan leaves it out. That no task starts before its job is released rests on this and on the guard of
+            // the header.
+            return Optional.empty();
+        }
+        ClaimDraft draft =
+                new ClaimDraft(job, job.taskRangeIndex(planned.get(0).task().index()));
+        requireRevision(Keys.VIEW, context.membership().viewRevision(), draft);
+        requireRevision(Keys.job(job.id()), draft);
+        requireRevision(draft.key, draft);
+        PlatformSettings.Team team = context.settings().teams().get(job.spec().team());
+        boolean limited = team != null && team.limited();
+        int allowed = limited ? takeQuota(draft, team, planned.size()) : planned.size();
+        if (PlacementRules.dependOnOthers(job.spec())) {
+            writeHeader(draft);
+        }
+        if (draft.locks.stream().anyMatch(context.writer()::isLocked)) {
+            return Optional.empty();
+        }
+        List<Placement> permitted = PlacementGuard.permitted(job, planned.subList(0, allowed), context.clusterState());
+        draft.releaseEnded(agentManager.outcomes());
+        addClaims(draft, permitted, limited ? context.node() : "");
+        JsonObject taskRange = draft.claimedTasks() == 0 ? null : context.toJson(draft.taskRange());
+        if (taskRange == null) {
+            return Optional.empty();
+        }
+        draft.transaction.put(draft.key, taskRange);
+        if (limited) {
+            charge(draft, team);
+        }
+        return Optional.of(draft);
+    }
+
+    private void requireRevision(String key, ClaimDraft draft) {
+        requireRevision(key, context.modRevision(key), draft);
+    }
+
+    private static void requireRevision(String key, long revision, ClaimDraft draft) {
+        draft.transaction.requireRevision(key, revision);
+    }
+
+    /** Where tasks must stay together or apart, each claim of the job writes its header: so it is seen by the next. */
+    private static void writeHeader(ClaimDraft draft) {
+        String header = Keys.job(draft.job.id());
+        draft.locks.add(header);
+        draft.transaction.put(header, draft.job.header(false));
+    }
+
+    /** Takes from the team's quota; for how many of the {@code wanted} tasks. */
+    private int takeQuota(ClaimDraft draft, PlatformSettings.Team team, int wanted) {
+        int allowed = quotaAllocator.allocate(team, draft.perTask(), wanted, draft.transaction);
+        if (draft.transaction.operationCount() > 0) {
+            draft.locks.add(Keys.team(team.name()));
+        }
+        return allowed;
+    }
+
+    private void charge(ClaimDraft draft, PlatformSettings.Team team) {
+        Resources taken = draft.perTask().times(draft.claimedTasks());
+        long viewRevision = context.membership().viewRevision();
+        draft.charge = new QuotaAllocator.Charge(
+                team.name(), taken, draft.job.id(), draft.key, context.modRevision(draft.key), viewRevision);
+        quotaAllocator.add(draft.charge);
+    }
+
+    private void addClaims(ClaimDraft draft, List<Placement> placements, String account) {
+        Set<String> batches = new HashSet<>();
+        int maxBatches = context.settings().txnOps() * CONDITIONS_PER_OPERATION - OTHER_CONDITIONS;
+        for (Placement placement : placements) {
+            String machine = placement.machine();
+            AgentState agent = agentManager.agent(machine);
+            Set<String> batchesOfMachine = context.clusterState().batchesOf(machine);
+            if (agent == null
+                    || agent.heartbeat == null
+                    || context.clusterState().machine(machine) == null) {
+                continue;
+            }
+            if (batches.size() + batchesOfMachine.size() > maxBatches || isAnyLocked(batchesOfMachine)) {
+                continue;
+            }
+            // A machine that is to be returned changes its batch.
+            for (String batch : batchesOfMachine) {
+                if (batches.add(batch)) {
+                    requireRevision(Keys.batch(batch), draft);
+                }
+            }
+            draft.claim(placement, agent.heartbeat.incarnation(), context.loop().timeOfDay(), account);
+        }
+    }
+
+    private boolean isAnyLocked(Set<String> batches) {
+        return batches.stream().anyMatch(batch -> context.writer().isLocked(Keys.batch(batch)));
+    }
+}
--- a/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
@@ -1,53 +1,30 @@
 package org.havenford.coordination.scheduling;
 
-import com.google.gson.JsonObject;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
-import java.util.HashMap;
+import java.util.Collection;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import org.havenford.coordination.agents.AgentManager;
-import org.havenford.coordination.agents.AgentState;
-import org.havenford.coordination.agents.AttemptOutcome;
 import org.havenford.coordination.jobs.CoordinationContext;
 import org.havenford.coordination.quota.QuotaAllocator;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.TaskId;
-import org.havenford.settings.PlatformSettings;
 import org.havenford.storage.CallPriority;
 import org.havenford.storage.StoreOutcome;
-import org.havenford.storage.Transaction;
-import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
-import org.havenford.storage.records.TaskRange;
-import org.havenford.storage.records.TeamQuota.Resources;
 
-/** Turns the planner's placements on this controller's machines into claims, one transaction a record of tasks. */
+/** Turns the planner's placements on this controller's machines into claims, one transaction for each task range. */
 final class TaskClaimer {
-    /** Claims that may wait for the store's limits: beyond, urgent work would stand in line behind what is not. */
-    private static final int MAX_WAITING_CLAIMS = 3;
-    /** After a claim has failed because of another's, each record is left to its first owner for a while. */
-    private static final Duration CONTENDED = Duration.ofSeconds(5);
-    /** Under pressure room is gathered, so that one claim takes several tasks of a record. */
-    private static final Duration PLAN_EVERY_UNDER_PRESSURE = Duration.ofMillis(500);
-
-    /** Records that are planned for this controller under pressure: more than can be claimed until the next plan. */
-    private static final int MAX_TASK_RANGES_UNDER_PRESSURE = 16;
-
-    /** Tasks of a large job of low priority that one claim takes under pressure, or else after a while. */
-    private static final int LEAST_GATHERED = 12;
-
-    private static final Duration GATHER_LOW = Duration.ofSeconds(3);
-
-    /** A transaction allows this many conditions a change. */
-    private static final int CONDITIONS_PER_CHANGE = 4;
-    /** Conditions on the view, the job, its record and the team's shares, and some to spare. */
-    private static final int OTHER_CONDITIONS = 6;
+    /** Claims that may be queued for the store's rate limits: beyond, urgent work would stand behind what is not. */
+    private static final int MAX_QUEUED_CLAIMS = 3;
+    /** So long after a claim that conflicted with another's, each task range is left to its first owner. */
+    private static final Duration CONTENTION_PERIOD = Duration.ofSeconds(5);
 
     private final CoordinationContext context;
     private final AgentManager agentManager;
@@ -59,11 +36,13 @@
     private final ClaimsInFlight claimsInFlight = new ClaimsInFlight();
     private final MachineAvailability machineAvailability;
     private final FailingJobBackoff failingJobBackoff = new FailingJobBackoff();
-    /** Large jobs of low priority whose room is being gathered, and since when. */
-    private final Map<String, Instant> gatheringSince = new HashMap<>();
+    private final ClaimBatching claimBatching = new ClaimBatching();
+    private final ClaimBuilder claimBuilder;
 
-    private Instant contendedUntil = Instant.MIN;
-    private Instant nextPlan = Instant.MIN;
+    /** Until when each task range is left to its first owner; null before the first conflict. */
+    private Instant contendedUntil;
+    /** When the next plan may be made; null before the first. */
+    private Instant nextPlan;
 
     TaskClaimer(
             CoordinationContext context,
@@ -76,39 +55,47 @@
         this.planner = planner;
         this.planningBudget = planningBudget;
         this.quotaAllocator = quotaAllocator;
-        this.machineAvailability = new ControllerMachineAvailability(agentManager, claimsInFlight);
+        claimBuilder = new ClaimBuilder(context, agentManager, quotaAllocator);
+        machineAvailability = new ControllerMachineAvailability(agentManager, claimsInFlight);
     }
 
-    /** Plans, claims what is planned for this controller's machines, and stops what makes room for more urgent work. */
+    /** Plans, claims what is planned for this controller's machines, and preempts what makes room for more urgent work. */
     void step(Instant start) {
-        if (start.isBefore(nextPlan)) {
+        if (nextPlan != null && start.isBefore(nextPlan)) {
             return;
         }
-        nextPlan = context.store().underPressure() ? start.plus(PLAN_EVERY_UNDER_PRESSURE) : start;
+        nextPlan = ClaimBatching.nextPlan(start, context.store().underPressure());
         Plan plan = planner.plan(context.loop().timeOfDay(), new Snapshot(start), machineAvailability);
         Map<String, List<Placement>> own = ownPlacements(plan, start);
         firstOwnerShortages.forgetEnded(start);
-        boolean pressed = context.store().underPressure();
-        for (List<Placement> ofOneRecord : own.values()) {
-            if (pressed && isGathered(ofOneRecord, start)) {
-                continue;
+        claimInOrder(own.values(), start);
+        plan.preempted().forEach(agentManager::preempt);
+    }
+
+    private void claimInOrder(Collection<List<Placement>> placementsByTaskRange, Instant start) {
+        boolean underPressure = context.store().underPressure();
+        for (List<Placement> placements : placementsByTaskRange) {
+            if (underPressure) {
+                Job job = context.clusterState().job(placements.get(0).task().job());
+                if (claimBatching.isDelayed(job, placements.size(), start)) {
+                    continue;
+                }
             }
-            if (context.store().queued(CallPriority.CLAIM) >= MAX_WAITING_CLAIMS) {
+            if (context.store().queued(CallPriority.CLAIM) >= MAX_QUEUED_CLAIMS) {
                 // The queue keeps its order; the next round decides anew who is first.
                 break;
             }
-            claim(ofOneRecord);
+            claimBuilder.build(placements).ifPresent(this::commit);
         }
-        plan.preempted().forEach(agentManager::preempt);
     }
 
     /** A job is over. */
     void jobEnded(Job last) {
         failingJobBackoff.jobEnded(last);
-        gatheringSince.remove(last.id());
+        claimBatching.jobEnded(last);
     }
 
-    /** This process has stood still: how long others have left records lying meanwhile is not known. */
+    /** This process was paused: how long others have left task ranges unclaimed meanwhile is not known. */
     void processPaused() {
         foreignOwnerPatience.clear();
         firstOwnerShortages.clear();
@@ -126,10 +113,9 @@
             this.start = start;
             deadline = start.plus(planningBudget);
             owners = List.copyOf(context.membership().view().activeMembers());
-            contended = start.isBefore(contendedUntil);
-            claimQuota = new ClaimQuota(
-                    context.node(),
-                    context.store().underPressure() ? MAX_TASK_RANGES_UNDER_PRESSURE : Integer.MAX_VALUE);
+            contended = contendedUntil != null && start.isBefore(contendedUntil);
+            int maxTaskRanges = ClaimBatching.maxTaskRanges(context.store().underPressure());
+            claimQuota = new ClaimQuota(context.node(), maxTaskRanges);
         }
 
         @Override
@@ -178,33 +164,17 @@
         }
     }
 
-    /**
-     * Whether low work of a large job waits a moment, so that one claim takes more of a record: room comes back task by task,
-     * and a change for each would keep the service from more urgent work.
-     */
-    private boolean isGathered(List<Placement> ofOneRecord, Instant now) {
-        Job job = context.clusterState().job(ofOneRecord.get(0).task().job());
-        if (job.spec().priority() != JobSpec.Priority.LOW || job.spec().taskCount() <= LEAST_GATHERED) {
-            return false;
-        }
-        Instant since = gatheringSince.computeIfAbsent(job.id(), id -> now);
-        boolean waits = ofOneRecord.size() < LEAST_GATHERED && now.isBefore(since.plus(GATHER_LOW));
-        if (!waits) {
-            gatheringSince.remove(job.id());
-        }
-        return waits;
-    }
-
-    /** Placements on our machines by record; what is planned for other owners is waited for. */
+    /** Placements on this controller's machines by task range key; what is planned for other owners is waited for. */
     private Map<String, List<Placement>> ownPlacements(Plan plan, Instant start) {
         Map<String, List<Placement>> own = new LinkedHashMap<>();
         Set<String> foreign = new HashSet<>();
-        for (Placement p : plan.placements()) {
-            Job job = context.clusterState().job(p.task().job());
-            String key = Keys.tasks(job.id(), job.taskRangeIndex(p.task().index()));
-            String owner = context.membership().owner(p.machine());
+        for (Placement placement : plan.placements()) {
+            Job job = context.clusterState().job(placement.task().job());
+            String key =
+                    Keys.tasks(job.id(), job.taskRangeIndex(placement.task().index()));
+            String owner = context.membership().owner(placement.machine());
             if (context.node().equals(owner)) {
-                own.computeIfAbsent(key, k -> new ArrayList<>()).add(p);
+                own.computeIfAbsent(key, k -> new ArrayList<>()).add(placement);
             } else if (foreign.add(key) && !context.store().underPressure()) {
                 foreignOwnerPatience.waitFor(key, owner, start);
             }
@@ -213,155 +183,38 @@
         return own;
     }
 
-    /** A claim while it is put together. */
-    private static final class Draft {
-        private final Job job;
-        private final int index;
-        private final String key;
-        private final Transaction transaction = new Transaction();
-        private final List<String> locks = new ArrayList<>();
-        private final Map<Claim, AttemptOutcome> ended = new HashMap<>();
-        private final Set<String> machines = new HashSet<>();
-        private final boolean firstAfterRelease;
-        private TaskRange taskRange;
-        private int claimed;
-        private QuotaAllocator.Charge charge;
-
-        Draft(Job job, int index) {
-            this.job = job;
-            this.index = index;
-            this.key = Keys.tasks(job.id(), index);
-            locks.add(key);
-            firstAfterRelease = !job.spec().dependencies().isEmpty() && job.claimCount() == 0 && job.doneCount() == 0;
-        }
-
-        Resources perTask() {
-            return new Resources(job.spec().cpus(), job.spec().gpus());
-        }
-
-        /** Machines of the new claims, one for each; a claim that was kept is the same object as before. */
-        @SuppressWarnings("ReferenceEquality")
-        List<String> claimedMachines() {
-            List<String> each = new ArrayList<>();
-            for (Claim claim : taskRange.claims()) {
-                if (job.claim(claim.task().index()) != claim) {
-                    each.add(claim.machine());
-                }
-            }
-            return each;
-        }
-    }
-
-    private void claim(List<Placement> planned) {
-        Job job = context.clusterState().job(planned.get(0).task().job());
-        if (job.awaitsDependencies()) {
-            // The plan leaves it out. That no task starts before its job is released rests on this and on the guard of
-            // the header.
-            return;
-        }
-        Draft draft = new Draft(job, job.taskRangeIndex(planned.get(0).task().index()));
-        String key = draft.key;
-        String header = Keys.job(job.id());
-        draft.transaction
-                .requireRevision(Keys.VIEW, context.membership().viewRevision())
-                .requireRevision(header, context.modRevision(header))
-                .requireRevision(key, context.modRevision(key));
-        PlatformSettings.Team team = context.settings().teams().get(job.spec().team());
-        boolean limited = team != null && team.limited();
-        int allowed = limited ? takeShare(draft, team, planned.size()) : planned.size();
-        if (job.spec().together() || job.spec().apart()) {
-            // Where tasks must stay together or apart, each claim of the job writes its header: so it is seen by the
-            // next.
-            draft.locks.add(header);
-            draft.transaction.put(header, job.header(false));
-        }
-        if (draft.locks.stream().anyMatch(context.writer()::isLocked)) {
-            return;
-        }
-        fill(draft, PlacementGuard.permitted(job, planned.subList(0, allowed), context.clusterState()), limited);
-        JsonObject value = draft.claimed == 0 ? null : context.toJson(draft.taskRange);
-        if (value == null) {
-            return;
-        }
-        draft.transaction.put(key, value);
-        if (limited) {
-            Resources taken = draft.perTask().times(draft.claimed);
-            long viewStamp = context.membership().viewRevision();
-            draft.charge =
-                    new QuotaAllocator.Charge(team.name(), taken, job.id(), key, context.modRevision(key), viewStamp);
-            quotaAllocator.add(draft.charge);
-        }
-        commit(draft);
+    private void commit(ClaimDraft draft) {
+        JobSpec spec = draft.job.spec();
+        List<String> claimedMachines = draft.claimedMachines();
+        claimedMachines.forEach(name -> claimsInFlight.add(name, spec));
+        context.writer()
+                .commit(
+                        draft.transaction,
+                        CallPriority.CLAIM,
+                        draft.locks,
+                        () -> claimed(draft),
+                        result -> answered(draft, claimedMachines, result.outcome()));
     }
 
-    private int takeShare(Draft draft, PlatformSettings.Team team, int wanted) {
-        int allowed = quotaAllocator.allocate(team, draft.perTask(), wanted, draft.transaction);
-        if (draft.transaction.operationCount() > 0) {
-            draft.locks.add(Keys.team(team.name()));
+    private void claimed(ClaimDraft draft) {
+        agentManager.outcomes().remove(draft.outcomes.keySet());
+        context.loop().after(Duration.ZERO, () -> draft.machines.forEach(agentManager::sendCommands));
+        if (draft.firstAfterRelease) {
+            context.pipelineMetrics()
+                    .firstClaim(draft.job.releasedAt(), context.loop().timeOfDay());
         }
-        return allowed;
     }
 
-    /** Adds the claims, and the ends that are known of the same record, to the draft. */
-    private void fill(Draft draft, List<Placement> placements, boolean limited) {
-        int index = draft.index;
-        draft.taskRange = draft.job.taskRange(index).copy();
-        for (Claim claim : draft.job.taskRange(index).claims()) {
-            AttemptOutcome outcome = agentManager.outcomes().of(claim);
-            if (outcome != null) {
-                draft.ended.put(claim, outcome);
-            }
+    private void answered(ClaimDraft draft, List<String> claimedMachines, StoreOutcome outcome) {
+        claimedMachines.forEach(machine -> noLongerInFlight(machine, draft.job.spec()));
+        if (draft.charge != null && outcome != StoreOutcome.UNKNOWN) {
+            quotaAllocator.remove(draft.charge);
         }
-        TaskReleaser.apply(draft.ended, draft.taskRange);
-        Set<String> batches = new HashSet<>();
-        int maxBatches = context.settings().txnOps() * CONDITIONS_PER_CHANGE - OTHER_CONDITIONS;
-        for (Placement p : placements) {
-            AgentState state = agentManager.agent(p.machine());
-            Set<String> batchesOf = context.clusterState().batchesOf(p.machine());
-            if (state == null
-                    || state.heartbeat == null
-                    || context.clusterState().machine(p.machine()) == null
-                    || batches.size() + batchesOf.size() > maxBatches
-                    || batchesOf.stream().anyMatch(b -> context.writer().isLocked(Keys.batch(b)))) {
-                continue;
-            }
-            // A machine that is to go changes its batch.
-            for (String batch : batchesOf) {
-                if (batches.add(batch)) {
-                    draft.transaction.requireRevision(Keys.batch(batch), context.modRevision(Keys.batch(batch)));
-                }
-            }
-            draft.machines.add(p.machine());
-            String account = limited ? context.node() : "";
-            Instant now = context.loop().timeOfDay();
-            draft.taskRange.claim(p.task().index(), p.machine(), state.heartbeat.incarnation(), now, account);
-            draft.claimed++;
+        if (outcome == StoreOutcome.CONFLICT) {
+            contendedUntil = context.loop().now().plus(CONTENTION_PERIOD);
         }
     }
 
-    private void commit(Draft draft) {
-        JobSpec spec = draft.job.spec();
-        List<String> claimedMachines = draft.claimedMachines();
-        claimedMachines.forEach(name -> claimsInFlight.add(name, spec));
-        Runnable onSuccess = () -> {
-            agentManager.outcomes().remove(draft.ended.keySet());
-            context.loop().after(Duration.ZERO, () -> draft.machines.forEach(agentManager::sendCommands));
-            if (draft.firstAfterRelease) {
-                context.pipelineMetrics()
-                        .firstClaim(draft.job.releasedAt(), context.loop().timeOfDay());
-            }
-        };
-        context.writer().commit(draft.transaction, CallPriority.CLAIM, draft.locks, onSuccess, result -> {
-            claimedMachines.forEach(name -> noLongerInFlight(name, spec));
-            if (draft.charge != null && result.outcome() != StoreOutcome.UNKNOWN) {
-                quotaAllocator.remove(draft.charge);
-            }
-            if (result.outcome() == StoreOutcome.CONFLICT) {
-                contendedUntil = context.loop().now().plus(CONTENDED);
-            }
-        });
-    }
-
     private void noLongerInFlight(String machine, JobSpec spec) {
         claimsInFlight.remove(machine, spec);
         planner.machineChanged(machine);
