--- a/src/main/java/org/havenford/coordination/agents/AgentCommands.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentCommands.java
@@ -179,12 +179,12 @@
     }
 
     private Command stop(AgentState machine, Heartbeat.AttemptStatus entry, Claim claim) {
-        Attempt suspicion = machine.attempt(claim.task(), claim.attempt());
+        Attempt attempt = machine.attempt(claim.task(), claim.attempt());
         if (clusterState.isCancelled(claim)) {
-            suspicion.stopReason = StopReason.CANCELLED;
+            attempt.stopReason = StopReason.CANCELLED;
         }
-        boolean cancelled = suspicion.stopReason == StopReason.CANCELLED;
-        if (suspicion.stopReason == null || (entry.state() == Heartbeat.State.SAVING && !cancelled)) {
+        boolean cancelled = attempt.stopReason == StopReason.CANCELLED;
+        if (attempt.stopReason == null || (entry.state() == Heartbeat.State.SAVING && !cancelled)) {
             return null;
         }
         Job job = clusterState.job(claim.task().job());
@@ -201,10 +201,10 @@
     }
 
     private boolean isToStart(AgentState machine, Claim claim) {
-        Attempt suspicion = machine.attempt(claim.task(), claim.attempt());
+        Attempt attempt = machine.attempt(claim.task(), claim.attempt());
         return claim.incarnation() == machine.heartbeat.incarnation()
-                && !suspicion.seen
-                && suspicion.stopReason == null
+                && !attempt.seen
+                && attempt.stopReason == null
                 && !clusterState.isCancelled(claim)
                 && !outcomes.contains(claim)
                 && machine.heartbeat.find(claim.task(), claim.attempt()) == null;
@@ -213,13 +213,13 @@
     private void noteRuns(AgentState machine, List<Command> commands, boolean direct) {
         for (Command command : commands) {
             if (command.op() == Command.Op.RUN) {
-                Attempt suspicion = machine.attempt(command.task(), command.attempt());
-                if (suspicion.pullStartedAt == null) {
-                    suspicion.pullStartedAt = loop.now();
-                    suspicion.sawPullStart = true;
+                Attempt attempt = machine.attempt(command.task(), command.attempt());
+                if (attempt.pullStartedAt == null) {
+                    attempt.pullStartedAt = loop.now();
+                    attempt.sawPullStart = true;
                 }
                 if (direct) {
-                    suspicion.directToken = machine.fencingToken();
+                    attempt.directToken = machine.fencingToken();
                     machine.startedByDirectCommand = true;
                 }
             }
--- a/src/main/java/org/havenford/coordination/agents/AgentState.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentState.java
@@ -97,9 +97,9 @@
         silentSincePause = true;
         lastHeartbeatAt = afterPause(lastHeartbeatAt, pause);
         lastSignAt = afterPause(lastSignAt, pause);
-        for (Attempt suspicion : attempts.values()) {
-            suspicion.interrupted = true;
-            suspicion.sawRunStart = false;
+        for (Attempt attempt : attempts.values()) {
+            attempt.interrupted = true;
+            attempt.sawRunStart = false;
         }
     }
 
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
@@ -66,67 +66,67 @@
             outcomes.end(claim, AttemptOutcome.RETRY);
         } else if (claim.incarnation() == heartbeat.incarnation()) {
             Heartbeat.AttemptStatus entry = heartbeat.find(claim.task(), claim.attempt());
-            Attempt suspicion = machine.attempt(claim.task(), claim.attempt());
+            Attempt attempt = machine.attempt(claim.task(), claim.attempt());
             if (entry == null) {
-                absent(machine, claim, suspicion, heartbeat, fromCheckin);
+                absent(machine, claim, attempt, heartbeat, fromCheckin);
             } else {
-                present(machine, claim, suspicion, entry);
+                present(machine, claim, attempt, entry);
             }
         }
     }
 
-    private void absent(AgentState machine, Claim claim, Attempt suspicion, Heartbeat heartbeat, boolean fromCheckin) {
-        boolean unwanted = suspicion.stopReason != null || clusterState.isCancelled(claim);
-        if (!suspicion.seen && !unwanted) {
+    private void absent(AgentState machine, Claim claim, Attempt attempt, Heartbeat heartbeat, boolean fromCheckin) {
+        boolean unwanted = attempt.stopReason != null || clusterState.isCancelled(claim);
+        if (!attempt.seen && !unwanted) {
             return;
         }
         // Absence in a report proves something only if no run can arrive any more: answers to reports can't be late
         // beyond the next report, and a run by /do is ruled out once the worker has seen a higher token.
         if (fromCheckin
                 && heartbeat.fencingToken() >= machine.epoch << FENCE_BITS
-                && heartbeat.fencingToken() > suspicion.directToken) {
+                && heartbeat.fencingToken() > attempt.directToken) {
             outcomes.end(
                     claim,
-                    suspicion.stopReason == StopReason.STRAGGLER ? AttemptOutcome.STRAGGLER : AttemptOutcome.RETRY);
-        } else if (suspicion.directToken >= machine.fencingToken()) {
+                    attempt.stopReason == StopReason.STRAGGLER ? AttemptOutcome.STRAGGLER : AttemptOutcome.RETRY);
+        } else if (attempt.directToken >= machine.fencingToken()) {
             machine.fence++;
             machine.startedByDirectCommand = false;
         }
     }
 
-    private void present(AgentState machine, Claim claim, Attempt suspicion, Heartbeat.AttemptStatus entry) {
-        boolean first = !suspicion.seen;
-        suspicion.seen = true;
+    private void present(AgentState machine, Claim claim, Attempt attempt, Heartbeat.AttemptStatus entry) {
+        boolean first = !attempt.seen;
+        attempt.seen = true;
         switch (entry.state()) {
-            case FETCHING -> fetches(claim, suspicion, first);
+            case FETCHING -> fetches(claim, attempt, first);
             case RUNNING -> {
-                runs(claim, suspicion);
+                runs(claim, attempt);
                 imageCache.used(machine, clusterState.job(claim.task().job()));
             }
-            case EXITED -> exited(machine, claim, suspicion, entry.exitCause());
+            case EXITED -> exited(machine, claim, attempt, entry.exitCause());
             default -> {
                 // A task that is saving still holds its resources.
             }
         }
     }
 
-    private void fetches(Claim claim, Attempt suspicion, boolean first) {
-        if (suspicion.pullStartedAt == null) {
-            suspicion.pullStartedAt = first && suspicion.sawPullStart ? suspicion.pullStartedAt : startOf(claim);
-            suspicion.sawPullStart = true;
+    private void fetches(Claim claim, Attempt attempt, boolean first) {
+        if (attempt.pullStartedAt == null) {
+            attempt.pullStartedAt = first && attempt.sawPullStart ? attempt.pullStartedAt : startOf(claim);
+            attempt.sawPullStart = true;
         }
     }
 
-    private void runs(Claim claim, Attempt suspicion) {
-        if (suspicion.runStartedAt != null) {
+    private void runs(Claim claim, Attempt attempt) {
+        if (attempt.runStartedAt != null) {
             return;
         }
-        suspicion.runStartedAt = loop.now();
+        attempt.runStartedAt = loop.now();
         boolean young = Duration.between(claim.claimedAt(), loop.timeOfDay()).compareTo(fresh) < 0;
-        suspicion.sawRunStart = !suspicion.interrupted && (suspicion.sawPullStart || young);
-        if (suspicion.sawRunStart) {
-            suspicion.pullSeconds =
-                    suspicion.pullStartedAt == null ? 0 : seconds(suspicion.pullStartedAt, suspicion.runStartedAt);
+        attempt.sawRunStart = !attempt.interrupted && (attempt.sawPullStart || young);
+        if (attempt.sawRunStart) {
+            attempt.pullSeconds =
+                    attempt.pullStartedAt == null ? 0 : seconds(attempt.pullStartedAt, attempt.runStartedAt);
         }
     }
 
@@ -140,13 +140,13 @@
         return loop.now().minus(age.isNegative() ? Duration.ZERO : age);
     }
 
-    private void exited(AgentState machine, Claim claim, Attempt suspicion, String why) {
+    private void exited(AgentState machine, Claim claim, Attempt attempt, String why) {
         switch (why) {
-            case "done" -> done(machine, claim, suspicion);
+            case "done" -> done(machine, claim, attempt);
             case "stopped" ->
                 outcomes.end(
                         claim,
-                        suspicion.stopReason == StopReason.STRAGGLER ? AttemptOutcome.STRAGGLER : AttemptOutcome.RETRY);
+                        attempt.stopReason == StopReason.STRAGGLER ? AttemptOutcome.STRAGGLER : AttemptOutcome.RETRY);
             case "error" -> {
                 LOG.info("{} failed on {}", claim.task(), machine.name);
                 machine.avoidedTasks.add(claim.task());
@@ -165,11 +165,11 @@
         }
     }
 
-    private void done(AgentState machine, Claim claim, Attempt suspicion) {
+    private void done(AgentState machine, Claim claim, Attempt attempt) {
         imageCache.used(machine, clusterState.job(claim.task().job()));
-        boolean sawRun = suspicion.sawRunStart && suspicion.runStartedAt != null;
-        double run = sawRun ? seconds(suspicion.runStartedAt, loop.now()) : -1;
+        boolean sawRun = attempt.sawRunStart && attempt.runStartedAt != null;
+        double run = sawRun ? seconds(attempt.runStartedAt, loop.now()) : -1;
         faultDetector.succeeded(machine.name);
-        outcomes.end(claim, AttemptOutcome.done(suspicion.pullSeconds, run));
+        outcomes.end(claim, AttemptOutcome.done(attempt.pullSeconds, run));
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/TaskStopper.java
+++ b/src/main/java/org/havenford/coordination/agents/TaskStopper.java
@@ -36,12 +36,12 @@
         if (machine.heartbeat == null || claim.incarnation() != machine.heartbeat.incarnation()) {
             return false;
         }
-        Attempt suspicion = machine.attempt(claim.task(), claim.attempt());
-        if (!suspicion.seen || suspicion.stopReason != null) {
+        Attempt attempt = machine.attempt(claim.task(), claim.attempt());
+        if (!attempt.seen || attempt.stopReason != null) {
             return false;
         }
         LOG.info("{} on {} is stopped for more urgent work", claim.task(), claim.machine());
-        suspicion.stopReason = StopReason.PREEMPTED;
+        attempt.stopReason = StopReason.PREEMPTED;
         return true;
     }
 
@@ -52,22 +52,22 @@
             return;
         }
         for (Claim claim : clusterState.claimsOn(machine.name).values()) {
-            Attempt suspicion = machine.attempts.get(claim.task());
+            Attempt attempt = machine.attempts.get(claim.task());
             Job job = clusterState.job(claim.task().job());
-            if (mayBeLate(suspicion, claim, job)) {
-                stopStragglers(machine, claim, suspicion, job, now);
+            if (mayBeLate(attempt, claim, job)) {
+                stopStragglers(machine, claim, attempt, job, now);
             }
         }
     }
 
     /** A running task goes on: what is late there is not restarted. */
-    private boolean mayBeLate(Attempt suspicion, Claim claim, Job job) {
-        boolean fetches = suspicion != null
-                && suspicion.number == claim.attempt()
-                && suspicion.seen
-                && suspicion.runStartedAt == null
-                && suspicion.pullStartedAt != null
-                && suspicion.stopReason == null;
+    private boolean mayBeLate(Attempt attempt, Claim claim, Job job) {
+        boolean fetches = attempt != null
+                && attempt.number == claim.attempt()
+                && attempt.seen
+                && attempt.runStartedAt == null
+                && attempt.pullStartedAt != null
+                && attempt.stopReason == null;
         int task = claim.task().index();
         return fetches
                 && job != null
@@ -75,13 +75,13 @@
                 && !job.storedTaskRange(job.taskRangeIndex(task)).wasLate(task);
     }
 
-    private void stopStragglers(AgentState machine, Claim claim, Attempt suspicion, Job job, Instant now) {
+    private void stopStragglers(AgentState machine, Claim claim, Attempt attempt, Job job, Instant now) {
         Duration fetch = job.medianPull();
         Duration run = job.medianRun();
         if (fetch == null || run == null) {
             return;
         }
-        Duration elapsed = Duration.between(suspicion.pullStartedAt, now);
+        Duration elapsed = Duration.between(attempt.pullStartedAt, now);
         Duration estimate = StragglerDetector.estimateFetching(elapsed, fetch, run);
         double coefficient = StragglerDetector.coefficient(estimate, fetch.plus(run));
         if (coefficient > operatorSettings.lateThreshold()) {
@@ -94,7 +94,7 @@
                     fetch,
                     run,
                     coefficient);
-            suspicion.stopReason = StopReason.STRAGGLER;
+            attempt.stopReason = StopReason.STRAGGLER;
         }
     }
 
@@ -105,20 +105,19 @@
         }
         Duration left = Duration.between(now, machine.noticeUntil);
         for (Claim claim : clusterState.claimsOn(machine.name).values()) {
-            Attempt suspicion = machine.attempts.get(claim.task());
+            Attempt attempt = machine.attempts.get(claim.task());
             Job job = clusterState.job(claim.task().job());
-            boolean goesOn = suspicion != null && suspicion.number == claim.attempt() && suspicion.stopReason == null;
-            if (goesOn && job != null && !endsWithin(left, suspicion, job, now)) {
-                suspicion.stopReason = StopReason.DRAINED;
+            boolean goesOn = attempt != null && attempt.number == claim.attempt() && attempt.stopReason == null;
+            if (goesOn && job != null && !endsWithin(left, attempt, job, now)) {
+                attempt.stopReason = StopReason.DRAINED;
             }
         }
     }
 
-    private static boolean endsWithin(Duration left, Attempt suspicion, Job job, Instant now) {
+    private static boolean endsWithin(Duration left, Attempt attempt, Job job, Instant now) {
         Duration run = job.medianRun();
         Duration whole = run == null ? job.spec().estimatedDuration() : run;
-        Duration elapsed =
-                suspicion.runStartedAt == null ? Duration.ZERO : Duration.between(suspicion.runStartedAt, now);
+        Duration elapsed = attempt.runStartedAt == null ? Duration.ZERO : Duration.between(attempt.runStartedAt, now);
         return whole.minus(elapsed).toMillis() <= left.toMillis() * ESTIMATE_MARGIN;
     }
 }
