--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -8,7 +8,10 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
+import org.havenford.coordination.agents.AgentContext;
+import org.havenford.coordination.agents.AgentListener;
 import org.havenford.coordination.agents.AgentManager;
+import org.havenford.coordination.agents.HeartbeatResponse;
 import org.havenford.coordination.failover.StandbyAccess;
 import org.havenford.coordination.failover.StandbyHost;
 import org.havenford.coordination.jobs.CoordinationContext;
@@ -104,17 +107,18 @@
                 membershipLife(settings, operatorSettings),
                 this::viewChanged,
                 this::ownedBy);
-        agentManager = new AgentManager(
-                loop,
-                calls,
-                settings,
-                operatorSettings,
-                clusterState,
-                replica,
-                store,
-                membership,
-                this::endsChanged,
-                this::wake);
+        AgentContext agentContext = new AgentContext(loop, settings, clusterState, replica, store, membership);
+        agentManager = new AgentManager(agentContext, calls, operatorSettings, new AgentListener() {
+            @Override
+            public void capacityChanged(String machine) {
+                scheduler.machineChanged(machine);
+            }
+
+            @Override
+            public void roundDue() {
+                wake();
+            }
+        });
         ConditionalWriter writer = new ConditionalWriter(loop, store, replica, settings.valueBytes(), this::wake);
         FinalStateCache finalStates = new FinalStateCache(loop, store, this::wake);
         CoordinationContext context = new CoordinationContext(
@@ -215,10 +219,6 @@
         standbyAccess.viewChanged();
     }
 
-    private void endsChanged(String machine) {
-        scheduler.machineChanged(machine);
-    }
-
     private int ownedBy(String node) {
         return agentManager.ownedBy(node);
     }
@@ -369,9 +369,9 @@
             if (body == null) {
                 throw new Json.BadMessage("too large or incomplete");
             }
-            AgentManager.HeartbeatResponse a = agentManager.handleHeartbeat(
+            HeartbeatResponse response = agentManager.handleHeartbeat(
                     Heartbeat.parse(Json.object(new String(body, StandardCharsets.UTF_8))));
-            return Response.of(a.status(), a.body());
+            return Response.of(response.status(), response.body());
         } catch (Json.BadMessage e) {
             if (loop.now().isAfter(lastWarning.plusSeconds(10))) {
                 lastWarning = loop.now();
--- /dev/null
+++ b/src/main/java/org/havenford/coordination/agents/AgentContext.java
@@ -0,0 +1,37 @@
+package org.havenford.coordination.agents;
+
+import org.havenford.coordination.membership.Membership;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.storage.ClusterState;
+import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreReplica;
+import org.havenford.transport.EventLoop;
+
+/**
+ * What the management of agents works with.
+ *
+ * @param loop the controller's event loop and clocks
+ * @param settings the settings of the installation
+ * @param clusterState the typed, read-only view of the replica
+ * @param replica the local copy of the store
+ * @param store the client of the store
+ * @param membership the cluster view and this controller's lease
+ */
+public record AgentContext(
+        EventLoop loop,
+        PlatformSettings settings,
+        ClusterState clusterState,
+        StoreReplica replica,
+        StoreClient store,
+        Membership membership) {
+
+    /** The name of this controller. */
+    String node() {
+        return settings.node();
+    }
+
+    /** Whether this controller owns a machine in the present view. */
+    boolean owns(String machine) {
+        return settings.node().equals(membership.owner(machine));
+    }
+}
--- a/src/main/java/org/havenford/coordination/agents/AgentState.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentState.java
@@ -12,6 +12,9 @@
 
 /** What this controller knows of a machine that it owns. Kept in memory only: a successor starts from nothing. */
 public final class AgentState {
+    /** Bits of a fencing token that the fence takes. */
+    private static final int FENCE_BITS = 32;
+
     /** Why a task is to be stopped, although its claim still holds. */
     enum StopReason {
         CANCELLED,
@@ -107,8 +110,41 @@
         return before.equals(Instant.MIN) ? before : before.plus(pause);
     }
 
+    /** The fencing token of direct commands and responses: the epoch of the view, and a fence that rises within it. */
     long fencingToken() {
-        return epoch << 32 | fence;
+        return epoch << FENCE_BITS | fence;
+    }
+
+    /** The lowest fencing token of the present epoch. */
+    long lowestFencingToken() {
+        return epoch << FENCE_BITS;
+    }
+
+    /** From now on fencing tokens are higher than that of any command sent so far. */
+    void raiseFencingToken() {
+        fence++;
+        startedByDirectCommand = false;
+    }
+
+    /** The view has a new epoch, in which this controller still owns the machine. */
+    void startEpoch(long newEpoch) {
+        epoch = newEpoch;
+        fence = 0;
+        startedByDirectCommand = false;
+    }
+
+    /** A response that renews the agent's lease goes out. */
+    void renewLease(Instant now) {
+        leaseRenewedAt = later(leaseRenewedAt, now);
+    }
+
+    /** When the agent was last heard or may have been answered by any owner. */
+    Instant lastSign() {
+        return lastSignAt.equals(Instant.MIN) ? leaseRenewedAt : later(leaseRenewedAt, lastSignAt);
+    }
+
+    private static Instant later(Instant a, Instant b) {
+        return a.isAfter(b) ? a : b;
     }
 
     Attempt attempt(TaskId task, long number) {
--- a/src/main/java/org/havenford/coordination/agents/AttemptOutcomes.java
+++ b/src/main/java/org/havenford/coordination/agents/AttemptOutcomes.java
@@ -6,7 +6,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Consumer;
 import java.util.function.Predicate;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Claim;
@@ -74,14 +73,14 @@
     }
 
     private final ClusterState clusterState;
-    private final Consumer<String> changed;
+    private final AgentListener listener;
     private final Map<Claim, TaskRangeOutcomes> recordOf = new HashMap<>();
     private final Map<String, TaskRangeOutcomes> records = new LinkedHashMap<>();
 
-    /** {@code changed} is told of machines on which an attempt has ended. */
-    AttemptOutcomes(ClusterState clusterState, Consumer<String> changed) {
+    /** {@code listener} is told of machines on which an attempt has ended. */
+    AttemptOutcomes(ClusterState clusterState, AgentListener listener) {
         this.clusterState = clusterState;
-        this.changed = changed;
+        this.listener = listener;
     }
 
     /** Notes the end of an attempt; the first end counts. */
@@ -95,7 +94,7 @@
         ended.ended.put(claim, outcome);
         ended.lookedAt = null;
         recordOf.put(claim, ended);
-        changed.accept(claim.machine());
+        listener.capacityChanged(claim.machine());
         LOG.debug("{} attempt {} on {} ended: {}", claim.task(), claim.attempt(), claim.machine(), outcome);
     }
 
--- /dev/null
+++ b/src/main/java/org/havenford/coordination/agents/CommandPlanner.java
@@ -0,0 +1,152 @@
+package org.havenford.coordination.agents;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.havenford.coordination.agents.AgentState.Attempt;
+import org.havenford.coordination.agents.AgentState.StopReason;
+import org.havenford.protocol.Command;
+import org.havenford.protocol.Heartbeat;
+import org.havenford.protocol.TaskId;
+import org.havenford.storage.ClusterState;
+import org.havenford.storage.records.Claim;
+import org.havenford.storage.records.Job;
+
+/** Works out the commands that an agent needs, from the claims on its machine and its newest heartbeat. */
+final class CommandPlanner {
+    /** Commands in the response to a heartbeat: a line of it must not be longer than 64 KiB. */
+    private static final int MAX_IN_RESPONSE = 200;
+
+    private static final int MAX_DIRECT = 40;
+
+    private final AgentContext context;
+    private final ClusterState clusterState;
+    private final AttemptOutcomes outcomes;
+
+    CommandPlanner(AgentContext context, AttemptOutcomes outcomes) {
+        this.context = context;
+        this.clusterState = context.clusterState();
+        this.outcomes = outcomes;
+    }
+
+    /** Commands that go out with the response to a heartbeat. */
+    List<Command> forHeartbeatResponse(AgentState agent) {
+        List<Command> commands = commands(agent, MAX_IN_RESPONSE);
+        noteStarts(agent, commands);
+        return commands;
+    }
+
+    /** Commands that are sent to the agent without waiting for its next heartbeat; empty if there is no need. */
+    List<Command> forDirectCall(AgentState agent) {
+        List<Command> commands = commands(agent, MAX_DIRECT);
+        commands.removeIf(command -> command.op() == Command.Op.FORGET);
+        noteStarts(agent, commands);
+        noteDirectStarts(agent, commands);
+        return commands;
+    }
+
+    private List<Command> commands(AgentState agent, int maxCommands) {
+        List<Command> commands = new ArrayList<>();
+        Heartbeat heartbeat = agent.heartbeat;
+        if (heartbeat == null || clusterState.machine(agent.name) == null) {
+            return commands;
+        }
+        Map<TaskId, Claim> claims = clusterState.claimsOn(agent.name);
+        for (Heartbeat.AttemptStatus status : heartbeat.tasks()) {
+            Command command = commandFor(agent, status, claims.get(status.task()));
+            if (command != null) {
+                commands.add(command);
+            }
+            if (commands.size() >= maxCommands) {
+                return commands;
+            }
+        }
+        // What others cancelled within our staleness window must not start: run commands wait until our replica has
+        // caught
+        // up. gap.trace
+        if (context.membership().mayStartTasks()) {
+            addRunCommands(agent, claims.values(), maxCommands, commands);
+        }
+        return commands;
+    }
+
+    /** The command for an attempt that the agent reports, or null if it needs none. */
+    private Command commandFor(AgentState agent, Heartbeat.AttemptStatus status, Claim claim) {
+        boolean held = claim != null
+                && claim.attempt() == status.attempt()
+                && claim.incarnation() == agent.heartbeat.incarnation();
+        if (status.state() == Heartbeat.State.EXITED) {
+            return held ? null : forget(agent, status);
+        }
+        if (!held) {
+            return new Command(Command.Op.STOP, status.task(), status.attempt(), Duration.ZERO);
+        }
+        return stop(agent, status, claim);
+    }
+
+    /**
+     * An agent that forgets an attempt can be made to start it again by a run command that is still under way: the fencing
+     * token that comes with a forget command is higher than that of any run command sent directly.
+     */
+    private static Command forget(AgentState agent, Heartbeat.AttemptStatus status) {
+        if (agent.startedByDirectCommand) {
+            agent.raiseFencingToken();
+        }
+        return new Command(Command.Op.FORGET, status.task(), status.attempt(), Duration.ZERO);
+    }
+
+    private Command stop(AgentState agent, Heartbeat.AttemptStatus status, Claim claim) {
+        Attempt attempt = agent.attempt(claim.task(), claim.attempt());
+        if (clusterState.isCancelled(claim)) {
+            attempt.stopReason = StopReason.CANCELLED;
+        }
+        boolean cancelled = attempt.stopReason == StopReason.CANCELLED;
+        if (attempt.stopReason == null || (status.state() == Heartbeat.State.SAVING && !cancelled)) {
+            return null;
+        }
+        Job job = clusterState.job(claim.task().job());
+        Duration gracePeriod =
+                job == null || cancelled ? Duration.ZERO : job.spec().checkpointDuration();
+        return new Command(Command.Op.STOP, status.task(), status.attempt(), gracePeriod);
+    }
+
+    private void addRunCommands(AgentState agent, Iterable<Claim> claims, int maxCommands, List<Command> commands) {
+        for (Claim claim : claims) {
+            if (commands.size() < maxCommands && mustStart(agent, claim)) {
+                commands.add(new Command(Command.Op.RUN, claim.task(), claim.attempt(), Duration.ZERO));
+            }
+        }
+    }
+
+    private boolean mustStart(AgentState agent, Claim claim) {
+        Attempt attempt = agent.attempt(claim.task(), claim.attempt());
+        return claim.incarnation() == agent.heartbeat.incarnation()
+                && !attempt.seen
+                && attempt.stopReason == null
+                && !clusterState.isCancelled(claim)
+                && !outcomes.contains(claim)
+                && agent.heartbeat.find(claim.task(), claim.attempt()) == null;
+    }
+
+    private void noteStarts(AgentState agent, List<Command> commands) {
+        for (Command command : commands) {
+            if (command.op() == Command.Op.RUN) {
+                Attempt attempt = agent.attempt(command.task(), command.attempt());
+                if (attempt.pullStartedAt == null) {
+                    attempt.pullStartedAt = context.loop().now();
+                    attempt.sawPullStart = true;
+                }
+            }
+        }
+    }
+
+    private static void noteDirectStarts(AgentState agent, List<Command> commands) {
+        for (Command command : commands) {
+            if (command.op() == Command.Op.RUN) {
+                agent.attempt(command.task(), command.attempt()).directToken = agent.fencingToken();
+                agent.startedByDirectCommand = true;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/havenford/coordination/agents/DirectCommandSender.java
@@ -0,0 +1,118 @@
+package org.havenford.coordination.agents;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.List;
+import org.havenford.protocol.Command;
+import org.havenford.protocol.Heartbeat;
+import org.havenford.protocol.Json;
+import org.havenford.transport.HttpCalls;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Sends commands to agents without waiting for their next heartbeats, and takes over the heartbeats in the replies. */
+final class DirectCommandSender {
+    private static final Logger LOG = LoggerFactory.getLogger(DirectCommandSender.class);
+    private static final int EXECUTED = 200;
+    /** The agent has seen a higher fencing token, or another incarnation of it is running. */
+    private static final int REFUSED = 409;
+
+    private static final Duration TIMEOUT = Duration.ofSeconds(3);
+    /** Between two direct calls to one agent. */
+    private static final Duration DELAY_AFTER_REPLY = Duration.ofMillis(20);
+
+    private static final Duration DELAY_AFTER_REFUSAL = Duration.ofMillis(500);
+    /** The agent's next heartbeat brings the same commands; here nothing is gained by hurry. */
+    private static final Duration DELAY_AFTER_FAILURE = Duration.ofSeconds(3);
+    /** Heartbeat intervals without a sign of an agent after which it is not called. */
+    private static final int REACHABLE_INTERVALS = 3;
+
+    private final AgentContext context;
+    private final HttpCalls calls;
+    private final AgentRegistry registry;
+    private final CommandPlanner planner;
+    private final HeartbeatIntake intake;
+    private final AgentListener listener;
+    private final Duration reachable;
+
+    DirectCommandSender(
+            AgentContext context,
+            HttpCalls calls,
+            AgentRegistry registry,
+            CommandPlanner planner,
+            HeartbeatIntake intake,
+            AgentListener listener) {
+        this.context = context;
+        this.calls = calls;
+        this.registry = registry;
+        this.planner = planner;
+        this.intake = intake;
+        this.listener = listener;
+        this.reachable = context.settings().heartbeatInterval().multipliedBy(REACHABLE_INTERVALS);
+    }
+
+    /** Sends an agent the commands that it needs, unless it is being called, may not be called yet, or is out of reach. */
+    void sendCommands(AgentState agent) {
+        if (!mayCall(agent, context.loop().now())) {
+            return;
+        }
+        List<Command> commands = planner.forDirectCall(agent);
+        if (!commands.isEmpty()) {
+            Heartbeat heartbeat = agent.heartbeat;
+            call(agent, heartbeat.endpoint(), Command.direct(agent.fencingToken(), heartbeat.incarnation(), commands));
+        }
+    }
+
+    private boolean mayCall(AgentState agent, Instant now) {
+        return !agent.directInFlight
+                && !now.isBefore(agent.directNotBefore)
+                && agent.heartbeat != null
+                && context.membership().mayAnswerAgents()
+                && Duration.between(agent.lastSignAt, now).compareTo(reachable) <= 0;
+    }
+
+    /** Shows this owner's fencing token to an agent that was taken over; the reply brings its heartbeat. */
+    void introduce(AgentState agent, AgentContact contact) {
+        if (!agent.directInFlight) {
+            call(agent, contact.endpoint(), Command.direct(agent.fencingToken(), contact.incarnation(), List.of()));
+        }
+    }
+
+    private void call(AgentState agent, String endpoint, String body) {
+        agent.directInFlight = true;
+        calls.call(endpoint, "POST", "/do", body, TIMEOUT, reply -> {
+            agent.directInFlight = false;
+            replied(agent, reply);
+        });
+    }
+
+    /** A reply of an agent whose machine has gone to another owner, or came back since, says nothing any more. */
+    private void replied(AgentState agent, HttpCalls.Reply reply) {
+        if (registry.get(agent.name) != agent) {
+            return;
+        }
+        Heartbeat heartbeat = heartbeatIn(agent, reply);
+        if (heartbeat != null && heartbeat.machine().equals(agent.name) && heartbeat.newerThan(agent.heartbeat)) {
+            intake.accept(agent, heartbeat, HeartbeatOrigin.COMMAND_REPLY);
+        }
+        listener.roundDue();
+    }
+
+    /** Reads the heartbeat in a reply, or null, and sets when the next direct call may go out. */
+    private Heartbeat heartbeatIn(AgentState agent, HttpCalls.Reply reply) {
+        boolean refused = reply.status() == REFUSED;
+        if (reply.status() != EXECUTED && !refused) {
+            agent.directNotBefore = context.loop().now().plus(DELAY_AFTER_FAILURE);
+            return null;
+        }
+        agent.directNotBefore = context.loop().now().plus(refused ? DELAY_AFTER_REFUSAL : DELAY_AFTER_REPLY);
+        try {
+            Heartbeat heartbeat = Heartbeat.parse(Json.object(reply.body()));
+            agent.directAnswers++;
+            return heartbeat;
+        } catch (Json.BadMessage e) {
+            LOG.warn("reply to direct commands is malformed: machine={} error={}", agent.name, e.getMessage());
+            return null;
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatIntake.java
@@ -0,0 +1,38 @@
+package org.havenford.coordination.agents;
+
+import org.havenford.protocol.Heartbeat;
+import org.havenford.storage.records.MachineRecord;
+
+/** Takes over what a new heartbeat says: of the attempts, of the machine's condition, or of a machine not on record. */
+final class HeartbeatIntake {
+    private final AgentContext context;
+    private final ChangedMachines changedMachines;
+    private final HeartbeatReconciler reconciler;
+    private final MachineAdoption adoption;
+    private final MachineHealthMonitor healthMonitor;
+
+    HeartbeatIntake(
+            AgentContext context,
+            ChangedMachines changedMachines,
+            HeartbeatReconciler reconciler,
+            MachineAdoption adoption,
+            MachineHealthMonitor healthMonitor) {
+        this.context = context;
+        this.changedMachines = changedMachines;
+        this.reconciler = reconciler;
+        this.adoption = adoption;
+        this.healthMonitor = healthMonitor;
+    }
+
+    /** Takes over a heartbeat that is newer than the agent's last. */
+    void accept(AgentState agent, Heartbeat heartbeat, HeartbeatOrigin origin) {
+        changedMachines.add(agent.name);
+        reconciler.reconcile(agent, heartbeat, origin);
+        MachineRecord onRecord = context.clusterState().machine(agent.name);
+        if (onRecord == null) {
+            adoption.reported(agent, heartbeat);
+        } else {
+            healthMonitor.judge(agent, onRecord, context.loop().now());
+        }
+    }
+}
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
@@ -17,8 +17,6 @@
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
     /** How long a machine that has refused a task gets no other. */
     private static final Duration REFUSAL_HOLDS = Duration.ofSeconds(4);
-    /** Bits of a token that the fence takes. */
-    private static final int FENCE_BITS = 32;
 
     private final EventLoop loop;
     private final ClusterState clusterState;
@@ -29,22 +27,21 @@
 
     /** Claims younger than {@code fresh} are taken to have begun when they were first seen. */
     HeartbeatReconciler(
-            EventLoop loop,
-            ClusterState clusterState,
+            AgentContext context,
             AttemptOutcomes outcomes,
             ImageCacheTracker imageCache,
             MachineFaultDetector faultDetector,
             Duration fresh) {
         this.faultDetector = faultDetector;
-        this.loop = loop;
-        this.clusterState = clusterState;
+        this.loop = context.loop();
+        this.clusterState = context.clusterState();
         this.outcomes = outcomes;
         this.imageCache = imageCache;
         this.fresh = fresh;
     }
 
-    /** Takes a report over; {@code fromCheckin} tells reports that came by themselves from answers to commands. */
-    void read(AgentState machine, Heartbeat heartbeat, boolean fromCheckin) {
+    /** Takes a heartbeat over. */
+    void reconcile(AgentState machine, Heartbeat heartbeat, HeartbeatOrigin origin) {
         Heartbeat before = machine.heartbeat;
         machine.heartbeat = heartbeat;
         machine.lastSignAt = loop.now();
@@ -56,11 +53,11 @@
             machine.attempts.clear();
         }
         for (Claim claim : List.copyOf(clusterState.claimsOn(machine.name).values())) {
-            compare(machine, claim, heartbeat, fromCheckin);
+            compare(machine, claim, heartbeat, origin);
         }
     }
 
-    private void compare(AgentState machine, Claim claim, Heartbeat heartbeat, boolean fromCheckin) {
+    private void compare(AgentState machine, Claim claim, Heartbeat heartbeat, HeartbeatOrigin origin) {
         if (claim.incarnation() < heartbeat.incarnation()) {
             // A later session: the worker has killed and forgotten everything from before.
             outcomes.end(claim, AttemptOutcome.RETRY);
@@ -68,29 +65,28 @@
             Heartbeat.AttemptStatus entry = heartbeat.find(claim.task(), claim.attempt());
             Attempt attempt = machine.attempt(claim.task(), claim.attempt());
             if (entry == null) {
-                absent(machine, claim, attempt, heartbeat, fromCheckin);
+                absent(machine, claim, attempt, heartbeat, origin);
             } else {
                 present(machine, claim, attempt, entry);
             }
         }
     }
 
-    private void absent(AgentState machine, Claim claim, Attempt attempt, Heartbeat heartbeat, boolean fromCheckin) {
+    private void absent(AgentState machine, Claim claim, Attempt attempt, Heartbeat heartbeat, HeartbeatOrigin origin) {
         boolean unwanted = attempt.stopReason != null || clusterState.isCancelled(claim);
         if (!attempt.seen && !unwanted) {
             return;
         }
         // Absence in a report proves something only if no run can arrive any more: answers to reports can't be late
         // beyond the next report, and a run by /do is ruled out once the worker has seen a higher token.
-        if (fromCheckin
-                && heartbeat.fencingToken() >= machine.epoch << FENCE_BITS
+        if (origin == HeartbeatOrigin.AGENT
+                && heartbeat.fencingToken() >= machine.lowestFencingToken()
                 && heartbeat.fencingToken() > attempt.directToken) {
             outcomes.end(
                     claim,
                     attempt.stopReason == StopReason.STRAGGLER ? AttemptOutcome.STRAGGLER : AttemptOutcome.RETRY);
         } else if (attempt.directToken >= machine.fencingToken()) {
-            machine.fence++;
-            machine.startedByDirectCommand = false;
+            machine.raiseFencingToken();
         }
     }
 
--- a/src/main/java/org/havenford/coordination/agents/ImageCacheTracker.java
+++ b/src/main/java/org/havenford/coordination/agents/ImageCacheTracker.java
@@ -3,7 +3,6 @@
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.Consumer;
 import org.havenford.protocol.MachineType;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Job;
@@ -16,13 +15,13 @@
     private static final Double USUAL_GB = 5.0;
 
     private final ClusterState clusterState;
-    private final Consumer<String> changed;
+    private final AgentListener listener;
     private final Object2ObjectOpenHashMap<String, Double> sizes = new Object2ObjectOpenHashMap<>();
 
-    /** {@code changed} is told of machines whose images have changed. */
-    ImageCacheTracker(ClusterState clusterState, Consumer<String> changed) {
+    /** {@code listener} is told of machines whose images have changed. */
+    ImageCacheTracker(ClusterState clusterState, AgentListener listener) {
         this.clusterState = clusterState;
-        this.changed = changed;
+        this.listener = listener;
     }
 
     /** A task of the job has its image: it goes to the front, and what no longer fits the cache drops out. */
@@ -44,7 +43,7 @@
         latestFirst.add(0, image);
         MachineType type = clusterState.types().get(machineRecord.type());
         machine.images = fitting(latestFirst, type == null ? 0 : type.cacheGb());
-        changed.accept(machine.name);
+        listener.capacityChanged(machine.name);
     }
 
     private List<String> fitting(List<String> latestFirst, double cacheGb) {
--- a/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
@@ -41,19 +41,13 @@
     private final Map<String, Heartbeat> found = new LinkedHashMap<>();
     private long batches;
 
-    MachineAdoption(
-            EventLoop loop,
-            ClusterState clusterState,
-            StoreReplica replica,
-            StoreClient store,
-            Membership membership,
-            String node) {
-        this.loop = loop;
-        this.clusterState = clusterState;
-        this.replica = replica;
-        this.store = store;
-        this.membership = membership;
-        this.node = node;
+    MachineAdoption(AgentContext context) {
+        this.loop = context.loop();
+        this.clusterState = context.clusterState();
+        this.replica = context.replica();
+        this.store = context.store();
+        this.membership = context.membership();
+        this.node = context.node();
     }
 
     /** A machine has reported that is in no record. One that was just rented will be, once the rental is answered. */
--- a/src/main/java/org/havenford/coordination/agents/MachineHealthMonitor.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineHealthMonitor.java
@@ -2,7 +2,6 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import java.util.function.Consumer;
 import org.havenford.protocol.Heartbeat;
 import org.havenford.settings.PlatformSettings;
 import org.havenford.storage.records.MachineRecord;
@@ -18,17 +17,17 @@
     /** A worker that has lost its controller tries others one after the other: no record is written for it meanwhile. */
     private static final Duration SEARCHING = Duration.ofSeconds(10);
 
-    private final Consumer<String> changed;
+    private final AgentListener listener;
     private final MachineFaultDetector faultDetector;
     /** Ages of a report, worked out once: they are compared for each machine in each round. */
     private final Duration fresh;
 
     private final Duration silent;
 
-    /** {@code changed} is told of machines whose condition has changed. */
-    MachineHealthMonitor(PlatformSettings settings, MachineFaultDetector faultDetector, Consumer<String> changed) {
+    /** {@code listener} is told of machines whose condition has changed. */
+    MachineHealthMonitor(PlatformSettings settings, MachineFaultDetector faultDetector, AgentListener listener) {
         this.faultDetector = faultDetector;
-        this.changed = changed;
+        this.listener = listener;
         this.fresh = settings.heartbeatInterval().multipliedBy(2);
         this.silent = settings.heartbeatInterval().multipliedBy(5).dividedBy(2);
     }
@@ -64,7 +63,7 @@
         }
         if (condition != machine.condition) {
             machine.condition = condition;
-            changed.accept(machine.name);
+            listener.capacityChanged(machine.name);
         }
     }
 
--- a/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
@@ -43,17 +43,12 @@
     private final StoreClient store;
     private final List<Part> parts = new ArrayList<>();
 
-    MachineStatusPublisher(
-            EventLoop loop,
-            PlatformSettings settings,
-            ClusterState clusterState,
-            StoreReplica replica,
-            StoreClient store) {
-        this.loop = loop;
-        this.settings = settings;
-        this.clusterState = clusterState;
-        this.replica = replica;
-        this.store = store;
+    MachineStatusPublisher(AgentContext context) {
+        this.loop = context.loop();
+        this.settings = context.settings();
+        this.clusterState = context.clusterState();
+        this.replica = context.replica();
+        this.store = context.store();
         parts.add(new Part());
     }
 
--- a/src/main/java/org/havenford/coordination/agents/ReachabilityProbe.java
+++ b/src/main/java/org/havenford/coordination/agents/ReachabilityProbe.java
@@ -26,11 +26,11 @@
     private Instant nextProbe = Instant.MIN;
     private int answers;
 
-    ReachabilityProbe(HttpCalls calls, ClusterState clusterState, Membership membership, String node) {
+    ReachabilityProbe(AgentContext context, HttpCalls calls) {
         this.calls = calls;
-        this.clusterState = clusterState;
-        this.membership = membership;
-        this.node = node;
+        this.clusterState = context.clusterState();
+        this.membership = context.membership();
+        this.node = context.node();
     }
 
     /** The view has changed; {@code wasResting} says whether this controller rested in the view before. */
