--- a/src/main/java/org/havenford/coordination/agents/AgentLeaseMonitor.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentLeaseMonitor.java
@@ -32,14 +32,17 @@
                 // The cloud has confirmed that the machine is gone.
                 boolean returned = clusterState.machine(machine) == null;
                 if (expired || returned) {
-                    clusterState.claimsOn(machine).values().forEach(claim -> outcomes.end(claim, AttemptOutcome.RETRY));
+                    clusterState
+                            .claimsOn(machine)
+                            .values()
+                            .forEach(claim -> outcomes.end(claim, AttemptOutcome.NotDone.RETRY));
                 }
             }
         }
     }
 
     private Instant leaseEnd(AgentState agent) {
-        return agent.leaseRenewedAt
+        return agent.leaseRenewedAt()
                 .plusNanos((long) (context.settings().workerLease().toNanos() * CLOCK_DRIFT))
                 .plus(MARGIN);
     }
--- a/src/main/java/org/havenford/coordination/agents/AgentManager.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentManager.java
@@ -84,11 +84,10 @@
             return;
         }
         AgentState agent = registry.getOrTakeOver(contact.machine());
-        if (agent.heartbeat != null) {
+        if (agent.hasReported()) {
             return;
         }
-        agent.checkinIncarnation = contact.incarnation();
-        agent.checkinSequence = contact.checkinSequence();
+        agent.takeOver(contact);
         commandSender.introduce(agent, contact);
     }
 
@@ -113,7 +112,7 @@
     /** Whether agents should report here: this controller owns machines that are on record as up. */
     public boolean expectsHeartbeats() {
         return context.membership().mayAnswerAgents()
-                && registry.all().stream().anyMatch(agent -> agent.condition == Condition.UP);
+                && registry.all().stream().anyMatch(agent -> agent.condition() == Condition.UP);
     }
 
     /** This process was paused, and heard no agent meanwhile. */
@@ -191,7 +190,7 @@
 
     /** A machine without tasks and claims needs no commands: of thousands most may be idle. */
     private boolean mayNeedCommands(AgentState agent) {
-        boolean hasTasks = agent.heartbeat != null && !agent.heartbeat.tasks().isEmpty();
+        boolean hasTasks = agent.hasReported() && !agent.heartbeat().tasks().isEmpty();
         return hasTasks || !context.clusterState().claimsOn(agent.name).isEmpty();
     }
 
@@ -238,19 +237,19 @@
     /** Whether a task should not be tried again on a machine. */
     public boolean avoided(TaskId task, String machine) {
         AgentState agent = registry.get(machine);
-        return agent != null && agent.avoidedTasks.contains(task);
+        return agent != null && agent.avoids(task);
     }
 
     /** The condition of a machine: of our own machines we know it before it is on record. */
     public Condition condition(MachineRecord machine) {
         boolean retiring = machine.condition().compareTo(Condition.RETIRING) >= 0;
         AgentState agent = retiring || !context.owns(machine.name()) ? null : registry.get(machine.name());
-        return agent == null ? machine.condition() : agent.condition;
+        return agent == null ? machine.condition() : agent.condition();
     }
 
     /** What a machine has cached: of our own machines we know more than is on record. */
     public List<String> images(MachineRecord machine) {
         AgentState agent = registry.get(machine.name());
-        return agent == null || agent.images == null ? machine.images() : agent.images;
+        return agent == null || agent.images() == null ? machine.images() : agent.images();
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/AgentRegistry.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentRegistry.java
@@ -7,7 +7,6 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.havenford.protocol.Heartbeat;
 import org.havenford.storage.records.ClusterView;
 import org.havenford.storage.records.MachineRecord;
 import org.havenford.storage.records.MachineRecord.Condition;
@@ -111,11 +110,11 @@
         Instant now = context.loop().now();
         AgentState agent = new AgentState(
                 machine, gone ? now : now.plus(context.membership().leaseDuration()));
-        agent.epoch = context.membership().view().epoch();
+        agent.startEpoch(context.membership().view().epoch());
         MachineRecord onRecord = context.clusterState().machine(machine);
         if (onRecord != null && onRecord.condition() == Condition.SILENT) {
             // Its agent may be one that no response reaches: a heartbeat alone does not show the contrary.
-            agent.unanswered = MachineHealthMonitor.MOST_UNANSWERED;
+            agent.assumeUnanswered();
         }
         return agent;
     }
@@ -124,14 +123,9 @@
     List<AgentContact> contacts() {
         List<AgentContact> contacts = new ArrayList<>(agents.size());
         for (AgentState agent : agents.values()) {
-            Heartbeat heartbeat = agent.heartbeat;
-            if (heartbeat != null) {
-                contacts.add(new AgentContact(
-                        agent.name,
-                        heartbeat.endpoint(),
-                        heartbeat.incarnation(),
-                        heartbeat.incarnation() == agent.checkinIncarnation ? agent.checkinSequence : 0,
-                        Math.max(heartbeat.fencingToken(), agent.fencingToken())));
+            AgentContact contact = agent.contact();
+            if (contact != null) {
+                contacts.add(contact);
             }
         }
         return contacts;
--- a/src/main/java/org/havenford/coordination/agents/AttemptOutcome.java
+++ b/src/main/java/org/havenford/coordination/agents/AttemptOutcome.java
@@ -1,15 +1,24 @@
 package org.havenford.coordination.agents;
 
-/** How an attempt ended. Seconds are negative where they were not seen. */
-public record AttemptOutcome(boolean done, boolean straggler, boolean failed, double pullSeconds, double runSeconds) {
-    /** Not done, to be tried again. */
-    static final AttemptOutcome RETRY = new AttemptOutcome(false, false, false, -1, -1);
-    /** Stopped because its fetch was late. */
-    static final AttemptOutcome STRAGGLER = new AttemptOutcome(false, true, false, -1, -1);
-    /** The task itself failed, or the worker would not take it. */
-    static final AttemptOutcome FAILED = new AttemptOutcome(false, false, true, -1, -1);
+import java.time.Duration;
 
-    static AttemptOutcome done(double fetchSeconds, double runSeconds) {
-        return new AttemptOutcome(true, false, false, fetchSeconds, runSeconds);
+/** How an attempt ended. */
+public sealed interface AttemptOutcome {
+    /**
+     * The task is done.
+     *
+     * @param pullDuration how long the image was pulled, or null if that was not seen
+     * @param runDuration how long the task ran, or null if that was not seen
+     */
+    record Done(Duration pullDuration, Duration runDuration) implements AttemptOutcome {}
+
+    /** The task is not done. */
+    enum NotDone implements AttemptOutcome {
+        /** It is to be tried again. */
+        RETRY,
+        /** It was stopped as a straggler, because its image pull was late. */
+        STRAGGLER,
+        /** The task itself failed, or the agent would not take it. */
+        FAILED
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/AttemptOutcomes.java
+++ b/src/main/java/org/havenford/coordination/agents/AttemptOutcomes.java
@@ -15,21 +15,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Attempts that ended and whose claims are still in the store, gathered by the record that holds the claim. By claim, not by
- * task: an end must never be taken for that of a later attempt.
+ * Outcomes of attempts that ended and whose claims are still in the store, gathered by the task range that holds the claim.
+ * By claim, not by task: an outcome must never be taken for that of a later attempt.
  */
 public final class AttemptOutcomes {
     private static final Logger LOG = LoggerFactory.getLogger(AttemptOutcomes.class);
 
-    /** Ends that are to be written into one record of tasks. */
+    /** Outcomes that are to be written into one task range. */
     public static final class TaskRangeOutcomes {
         private final String key;
         private final Job job;
         private final Map<Claim, AttemptOutcome> ended = new LinkedHashMap<>();
-        /** Since when ends are gathered; null before the first look at a record that nothing else is written into. */
+        /** Since when outcomes are gathered; null before the task range was first considered while not locked. */
         private Instant gatheredSince;
 
-        /** When it was last looked at whether the ends should be written; null after a change. */
+        /** When the task range was last considered for writing; null after a change. */
         private Instant lookedAt;
 
         private TaskRangeOutcomes(String key, Job job) {
@@ -37,36 +37,36 @@
             this.job = job;
         }
 
-        /** Key of the stored record of tasks. */
+        /** Key of the stored task range. */
         public String key() {
             return key;
         }
 
-        /** The job as it was when the first end was seen: its description does not change. */
+        /** The job as it was when the first outcome was seen: its specification does not change. */
         public Job job() {
             return job;
         }
 
-        /** The job of the tasks. */
+        /** The outcomes by claim, in the order in which they were seen. */
         public Map<Claim, AttemptOutcome> ended() {
             return ended;
         }
 
         /**
-         * Since when ends are gathered: from now on if this is the first look. Counted from the end itself, what ends while a
-         * claim of the record is written would at once be written after it, in the way of the next claim.
+         * Since when outcomes are gathered: from now on if this is the first look. Counted from the outcome itself, what ends
+         * while a claim of the task range is written would at once be written after it, in the way of the next claim.
          */
         public Instant gatheredSince(Instant now) {
             gatheredSince = gatheredSince == null ? now : gatheredSince;
             return gatheredSince;
         }
 
-        /** When the record was last considered for writing. */
+        /** When the task range was last considered for writing; null if not since the last change. */
         public Instant lookedAt() {
             return lookedAt;
         }
 
-        /** Notes that the record was considered for writing. */
+        /** Notes that the task range was considered for writing. */
         public void lookedAt(Instant now) {
             lookedAt = now;
         }
@@ -74,8 +74,8 @@
 
     private final ClusterState clusterState;
     private final AgentListener listener;
-    private final Map<Claim, TaskRangeOutcomes> recordOf = new HashMap<>();
-    private final Map<String, TaskRangeOutcomes> records = new LinkedHashMap<>();
+    private final Map<Claim, TaskRangeOutcomes> rangeOf = new HashMap<>();
+    private final Map<String, TaskRangeOutcomes> ranges = new LinkedHashMap<>();
 
     /** {@code listener} is told of machines on which an attempt has ended. */
     AttemptOutcomes(ClusterState clusterState, AgentListener listener) {
@@ -83,52 +83,57 @@
         this.listener = listener;
     }
 
-    /** Notes the end of an attempt; the first end counts. */
+    /** Notes the outcome of an attempt; the first outcome counts. */
     void end(Claim claim, AttemptOutcome outcome) {
         Job job = clusterState.job(claim.task().job());
-        if (job == null || recordOf.containsKey(claim)) {
+        if (job == null || rangeOf.containsKey(claim)) {
             return;
         }
         String key = Keys.tasks(job.id(), job.taskRangeIndex(claim.task().index()));
-        TaskRangeOutcomes ended = records.computeIfAbsent(key, k -> new TaskRangeOutcomes(k, job));
-        ended.ended.put(claim, outcome);
-        ended.lookedAt = null;
-        recordOf.put(claim, ended);
+        TaskRangeOutcomes range = ranges.computeIfAbsent(key, k -> new TaskRangeOutcomes(k, job));
+        range.ended.put(claim, outcome);
+        range.lookedAt = null;
+        rangeOf.put(claim, range);
         listener.capacityChanged(claim.machine());
-        LOG.debug("{} attempt {} on {} ended: {}", claim.task(), claim.attempt(), claim.machine(), outcome);
+        LOG.debug(
+                "attempt ended: task={} attempt={} machine={} outcome={}",
+                claim.task(),
+                claim.attempt(),
+                claim.machine(),
+                outcome);
     }
 
     /** Whether the outcome of a claim is known but not yet stored. */
     public boolean contains(Claim claim) {
-        return recordOf.containsKey(claim);
+        return rangeOf.containsKey(claim);
     }
 
     /** How an attempt ended, or null. */
     public AttemptOutcome of(Claim claim) {
-        TaskRangeOutcomes ended = recordOf.get(claim);
-        return ended == null ? null : ended.ended.get(claim);
+        TaskRangeOutcomes range = rangeOf.get(claim);
+        return range == null ? null : range.ended.get(claim);
     }
 
-    /** The ends of some claims are in the store, or the claims are no longer held. */
+    /** The outcomes of some claims are in the store, or the claims are no longer held. */
     public void remove(Collection<Claim> claims) {
         for (Claim claim : List.copyOf(claims)) {
-            TaskRangeOutcomes ended = recordOf.remove(claim);
-            if (ended != null) {
-                ended.ended.remove(claim);
-                if (ended.ended.isEmpty()) {
-                    records.remove(ended.key);
+            TaskRangeOutcomes range = rangeOf.remove(claim);
+            if (range != null) {
+                range.ended.remove(claim);
+                if (range.ended.isEmpty()) {
+                    ranges.remove(range.key);
                 }
             }
         }
     }
 
-    /** Forgets the ends of claims that are no longer held. */
+    /** Forgets the outcomes of claims that are no longer held. */
     void keepOnly(Predicate<Claim> held) {
-        remove(recordOf.keySet().stream().filter(held.negate()).toList());
+        remove(rangeOf.keySet().stream().filter(held.negate()).toList());
     }
 
-    /** Records with ends to be written, in the order in which the first end of each was seen. */
+    /** Task ranges with outcomes to be written, in the order in which the first outcome of each was seen. */
     public List<TaskRangeOutcomes> records() {
-        return List.copyOf(records.values());
+        return List.copyOf(ranges.values());
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/CommandPlanner.java
+++ b/src/main/java/org/havenford/coordination/agents/CommandPlanner.java
@@ -4,7 +4,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.havenford.coordination.agents.AgentState.Attempt;
 import org.havenford.coordination.agents.AgentState.StopReason;
 import org.havenford.protocol.Command;
 import org.havenford.protocol.Heartbeat;
@@ -48,7 +47,7 @@
 
     private List<Command> commands(AgentState agent, int maxCommands) {
         List<Command> commands = new ArrayList<>();
-        Heartbeat heartbeat = agent.heartbeat;
+        Heartbeat heartbeat = agent.heartbeat();
         if (heartbeat == null || clusterState.machine(agent.name) == null) {
             return commands;
         }
@@ -75,7 +74,7 @@
     private Command commandFor(AgentState agent, Heartbeat.AttemptStatus status, Claim claim) {
         boolean held = claim != null
                 && claim.attempt() == status.attempt()
-                && claim.incarnation() == agent.heartbeat.incarnation();
+                && claim.incarnation() == agent.heartbeat().incarnation();
         if (status.state() == Heartbeat.State.EXITED) {
             return held ? null : forget(agent, status);
         }
@@ -90,14 +89,12 @@
      * token that comes with a forget command is higher than that of any run command sent directly.
      */
     private static Command forget(AgentState agent, Heartbeat.AttemptStatus status) {
-        if (agent.startedByDirectCommand) {
-            agent.raiseFencingToken();
-        }
+        agent.raiseFencingTokenAfterDirectRun();
         return new Command(Command.Op.FORGET, status.task(), status.attempt(), Duration.ZERO);
     }
 
     private Command stop(AgentState agent, Heartbeat.AttemptStatus status, Claim claim) {
-        Attempt attempt = agent.attempt(claim.task(), claim.attempt());
+        AttemptState attempt = agent.attempt(claim.task(), claim.attempt());
         if (clusterState.isCancelled(claim)) {
             attempt.stopReason = StopReason.CANCELLED;
         }
@@ -120,23 +117,19 @@
     }
 
     private boolean mustStart(AgentState agent, Claim claim) {
-        Attempt attempt = agent.attempt(claim.task(), claim.attempt());
-        return claim.incarnation() == agent.heartbeat.incarnation()
+        AttemptState attempt = agent.attempt(claim.task(), claim.attempt());
+        return claim.incarnation() == agent.heartbeat().incarnation()
                 && !attempt.seen
                 && attempt.stopReason == null
                 && !clusterState.isCancelled(claim)
                 && !outcomes.contains(claim)
-                && agent.heartbeat.find(claim.task(), claim.attempt()) == null;
+                && agent.heartbeat().find(claim.task(), claim.attempt()) == null;
     }
 
     private void noteStarts(AgentState agent, List<Command> commands) {
         for (Command command : commands) {
             if (command.op() == Command.Op.RUN) {
-                Attempt attempt = agent.attempt(command.task(), command.attempt());
-                if (attempt.pullStartedAt == null) {
-                    attempt.pullStartedAt = context.loop().now();
-                    attempt.sawPullStart = true;
-                }
+                agent.attempt(command.task(), command.attempt()).runCommandSent(context.loop());
             }
         }
     }
@@ -144,8 +137,7 @@
     private static void noteDirectStarts(AgentState agent, List<Command> commands) {
         for (Command command : commands) {
             if (command.op() == Command.Op.RUN) {
-                agent.attempt(command.task(), command.attempt()).directToken = agent.fencingToken();
-                agent.startedByDirectCommand = true;
+                agent.runSentDirectly(agent.attempt(command.task(), command.attempt()));
             }
         }
     }
--- a/src/main/java/org/havenford/coordination/agents/DirectCommandSender.java
+++ b/src/main/java/org/havenford/coordination/agents/DirectCommandSender.java
@@ -58,30 +58,26 @@
         }
         List<Command> commands = planner.forDirectCall(agent);
         if (!commands.isEmpty()) {
-            Heartbeat heartbeat = agent.heartbeat;
+            Heartbeat heartbeat = agent.heartbeat();
             call(agent, heartbeat.endpoint(), Command.direct(agent.fencingToken(), heartbeat.incarnation(), commands));
         }
     }
 
     private boolean mayCall(AgentState agent, Instant now) {
-        return !agent.directInFlight
-                && !now.isBefore(agent.directNotBefore)
-                && agent.heartbeat != null
-                && context.membership().mayAnswerAgents()
-                && Duration.between(agent.lastSignAt, now).compareTo(reachable) <= 0;
+        return agent.mayBeCalled(now) && context.membership().mayAnswerAgents() && agent.hasSignWithin(reachable, now);
     }
 
     /** Shows this owner's fencing token to an agent that was taken over; the reply brings its heartbeat. */
     void introduce(AgentState agent, AgentContact contact) {
-        if (!agent.directInFlight) {
+        if (!agent.isCallInFlight()) {
             call(agent, contact.endpoint(), Command.direct(agent.fencingToken(), contact.incarnation(), List.of()));
         }
     }
 
     private void call(AgentState agent, String endpoint, String body) {
-        agent.directInFlight = true;
+        agent.callStarted();
         calls.call(endpoint, "POST", "/do", body, TIMEOUT, reply -> {
-            agent.directInFlight = false;
+            agent.callEnded();
             replied(agent, reply);
         });
     }
@@ -92,7 +88,7 @@
             return;
         }
         Heartbeat heartbeat = heartbeatIn(agent, reply);
-        if (heartbeat != null && heartbeat.machine().equals(agent.name) && heartbeat.newerThan(agent.heartbeat)) {
+        if (heartbeat != null && heartbeat.machine().equals(agent.name) && heartbeat.newerThan(agent.heartbeat())) {
             intake.accept(agent, heartbeat, HeartbeatOrigin.COMMAND_REPLY);
         }
         listener.roundDue();
@@ -102,13 +98,13 @@
     private Heartbeat heartbeatIn(AgentState agent, HttpCalls.Reply reply) {
         boolean refused = reply.status() == REFUSED;
         if (reply.status() != EXECUTED && !refused) {
-            agent.directNotBefore = context.loop().now().plus(DELAY_AFTER_FAILURE);
+            agent.delayCalls(context.loop().now().plus(DELAY_AFTER_FAILURE));
             return null;
         }
-        agent.directNotBefore = context.loop().now().plus(refused ? DELAY_AFTER_REFUSAL : DELAY_AFTER_REPLY);
+        agent.delayCalls(context.loop().now().plus(refused ? DELAY_AFTER_REFUSAL : DELAY_AFTER_REPLY));
         try {
             Heartbeat heartbeat = Heartbeat.parse(Json.object(reply.body()));
-            agent.directAnswers++;
+            agent.countCallReply();
             return heartbeat;
         } catch (Json.BadMessage e) {
             LOG.warn("reply to direct commands is malformed: machine={} error={}", agent.name, e.getMessage());
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatHandler.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatHandler.java
@@ -41,22 +41,20 @@
         }
         redirectedAgents.arrived(machine);
         AgentState agent = registry.getOrTakeOver(machine);
-        if (isLateCopy(agent, heartbeat)) {
+        if (agent.isLateCopy(heartbeat)) {
             return HeartbeatResponse.LATE_COPY;
         }
         return accept(agent, heartbeat);
     }
 
     private HeartbeatResponse accept(AgentState agent, Heartbeat heartbeat) {
-        agent.checkinIncarnation = heartbeat.incarnation();
-        agent.checkinSequence = heartbeat.sequence();
-        agent.lastHeartbeatAt = context.loop().now();
+        agent.heartbeatArrived(heartbeat, context.loop().now());
         List<Command> commands = List.of();
         // A heartbeat that says nothing new needs no round: of a thousand machines some hundred say so each second.
         boolean news = false;
-        if (heartbeat.newerThan(agent.heartbeat)) {
+        if (heartbeat.newerThan(agent.heartbeat())) {
             news = isNews(agent, heartbeat);
-            countUnanswered(agent, heartbeat);
+            agent.countUnanswered(heartbeat);
             intake.accept(agent, heartbeat, HeartbeatOrigin.AGENT);
             commands = commandPlanner.forHeartbeatResponse(agent);
             news |= !commands.isEmpty();
@@ -68,37 +66,11 @@
         return HeartbeatResponse.accepted(agent.fencingToken(), commands);
     }
 
-    /**
-     * A copy that comes late. Its agent waits for no response; counted as a renewal, it would put off the moment at which a
-     * machine that is gone gives its tasks back. A reply to direct commands may well have overtaken a heartbeat that is still
-     * waited for: so only heartbeats are compared.
-     */
-    private static boolean isLateCopy(AgentState agent, Heartbeat heartbeat) {
-        return heartbeat.incarnation() < agent.checkinIncarnation
-                || (heartbeat.incarnation() == agent.checkinIncarnation
-                        && heartbeat.sequence() <= agent.checkinSequence);
-    }
-
     private static boolean isNews(AgentState agent, Heartbeat heartbeat) {
-        return agent.heartbeat == null
-                || agent.condition != Condition.UP
-                || heartbeat.incarnation() != agent.heartbeat.incarnation()
-                || !heartbeat.tasks().equals(agent.heartbeat.tasks());
-    }
-
-    /**
-     * An agent that gets our response stays here. One that reports elsewhere before each heartbeat here, or whose lease runs
-     * out although we respond, does not get it: its machine takes no new work until it does.
-     */
-    private static void countUnanswered(AgentState agent, Heartbeat heartbeat) {
-        Heartbeat before = agent.heartbeat;
-        if (before != null) {
-            boolean reportedElsewhere = heartbeat.incarnation() > before.incarnation()
-                    || heartbeat.sequence() > before.sequence() + 1 + agent.directAnswers;
-            // An agent that got no response while this process was paused has asked others meanwhile.
-            boolean counts = reportedElsewhere && !agent.silentSincePause;
-            agent.unanswered = counts ? agent.unanswered + 1 : 0;
-        }
-        agent.directAnswers = 0;
+        Heartbeat before = agent.heartbeat();
+        return before == null
+                || agent.condition() != Condition.UP
+                || heartbeat.incarnation() != before.incarnation()
+                || !heartbeat.tasks().equals(before.tasks());
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/ImageCacheTracker.java
+++ b/src/main/java/org/havenford/coordination/agents/ImageCacheTracker.java
@@ -10,13 +10,13 @@
 
 /** Works out which images the machines of this controller have cached, from the tasks that ran there. */
 final class ImageCacheTracker {
-    private static final int MOST_IMAGES = 20;
+    private static final int MAX_IMAGES = 20;
     /** Size of an image of which no job is known, in GB. */
-    private static final Double USUAL_GB = 5.0;
+    private static final Double DEFAULT_IMAGE_GB = 5.0;
 
     private final ClusterState clusterState;
     private final AgentListener listener;
-    private final Object2ObjectOpenHashMap<String, Double> sizes = new Object2ObjectOpenHashMap<>();
+    private final Object2ObjectOpenHashMap<String, Double> sizesGb = new Object2ObjectOpenHashMap<>();
 
     /** {@code listener} is told of machines whose images have changed. */
     ImageCacheTracker(ClusterState clusterState, AgentListener listener) {
@@ -25,33 +25,34 @@
     }
 
     /** A task of the job has its image: it goes to the front, and what no longer fits the cache drops out. */
-    void used(AgentState machine, Job job) {
-        MachineRecord machineRecord = clusterState.machine(machine.name);
-        if (job == null || machineRecord == null) {
+    void used(AgentState agent, Job job) {
+        MachineRecord onRecord = clusterState.machine(agent.name);
+        if (job == null || onRecord == null) {
             return;
         }
         String image = job.spec().image();
-        sizes.put(image, (Double) job.spec().imageGb());
-        if (machine.images == null) {
-            machine.images = machineRecord.images();
+        sizesGb.put(image, (Double) job.spec().imageGb());
+        if (agent.images() == null) {
+            agent.setImages(onRecord.images());
         }
-        if (!machine.images.isEmpty() && machine.images.get(0).equals(image)) {
+        List<String> cached = agent.images();
+        if (!cached.isEmpty() && cached.get(0).equals(image)) {
             return;
         }
-        List<String> latestFirst = new ArrayList<>(machine.images);
+        List<String> latestFirst = new ArrayList<>(cached);
         latestFirst.remove(image);
         latestFirst.add(0, image);
-        MachineType type = clusterState.types().get(machineRecord.type());
-        machine.images = fitting(latestFirst, type == null ? 0 : type.cacheGb());
-        listener.capacityChanged(machine.name);
+        MachineType type = clusterState.types().get(onRecord.type());
+        agent.setImages(fitting(latestFirst, type == null ? 0 : type.cacheGb()));
+        listener.capacityChanged(agent.name);
     }
 
     private List<String> fitting(List<String> latestFirst, double cacheGb) {
-        double room = cacheGb;
+        double freeGb = cacheGb;
         List<String> kept = new ArrayList<>();
         for (String image : latestFirst) {
-            room -= sizes.getOrDefault(image, USUAL_GB);
-            if (room >= 0 && kept.size() < MOST_IMAGES) {
+            freeGb -= sizesGb.getOrDefault(image, DEFAULT_IMAGE_GB);
+            if (freeGb >= 0 && kept.size() < MAX_IMAGES) {
                 kept.add(image);
             }
         }
--- a/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
@@ -21,13 +21,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Puts machines on record that report and are in no record, such as those of a rental that was carried out late. */
+/**
+ * Adopts machines whose agents report and that are in no record, such as those of an instance request that was carried
+ * out late: puts them on record.
+ */
 final class MachineAdoption {
     private static final Logger LOG = LoggerFactory.getLogger(MachineAdoption.class);
-    /** How long the answer to a rental may take that puts the machine on record. */
-    private static final Duration RENTALS_ANSWERED = Duration.ofSeconds(5);
+    /** How long an instance request that puts the machine on record may stay unanswered. */
+    private static final Duration INSTANCE_REQUEST_TIMEOUT = Duration.ofSeconds(5);
     /** Many machines may be found at once; they are written together. */
-    private static final Duration GATHER = Duration.ofMillis(150);
+    private static final Duration BATCH_DELAY = Duration.ofMillis(150);
 
     /** Machines that can be in one batch. */
     private record Kind(String type, String zone, boolean spot) {}
@@ -50,25 +53,23 @@
         this.node = context.node();
     }
 
-    /** A machine has reported that is in no record. One that was just rented will be, once the rental is answered. */
-    void reported(AgentState state, Heartbeat heartbeat) {
+    /** The agent of a machine in no record has reported. One that was just rented will be, once the request is answered. */
+    void reported(AgentState agent, Heartbeat heartbeat) {
         Instant now = loop.now();
-        if (state.unknownSince == null) {
-            state.unknownSince = now;
-        }
-        boolean rentalsOpen =
-                !clusterState.instanceRequests().isEmpty() && now.isBefore(state.unknownSince.plus(RENTALS_ANSWERED));
-        if (rentalsOpen || found.containsKey(state.name)) {
+        Instant unknownSince = agent.unknownSince(now);
+        boolean requestsOpen =
+                !clusterState.instanceRequests().isEmpty() && now.isBefore(unknownSince.plus(INSTANCE_REQUEST_TIMEOUT));
+        if (requestsOpen || found.containsKey(agent.name)) {
             return;
         }
-        LOG.info("adopting {}, which reports and is in no record", state.name);
+        LOG.info("adopting unrecorded machine: machine={}", agent.name);
         if (found.isEmpty()) {
-            loop.after(GATHER, this::write);
+            loop.after(BATCH_DELAY, this::writeFound);
         }
-        found.put(state.name, heartbeat);
+        found.put(agent.name, heartbeat);
     }
 
-    private void write() {
+    private void writeFound() {
         Map<String, List<Heartbeat>> alike = new TreeMap<>();
         for (Heartbeat heartbeat : found.values()) {
             boolean owned = node.equals(membership.owner(heartbeat.machine()));
@@ -78,21 +79,21 @@
             }
         }
         found.clear();
-        for (List<Heartbeat> reports : alike.values()) {
-            for (List<Heartbeat> batch : Lists.partition(reports, MachineBatch.MAX_MACHINES)) {
-                write(batch);
+        for (List<Heartbeat> heartbeats : alike.values()) {
+            for (List<Heartbeat> batch : Lists.partition(heartbeats, MachineBatch.MAX_MACHINES)) {
+                writeBatch(batch);
             }
         }
     }
 
-    private void write(List<Heartbeat> reports) {
+    private void writeBatch(List<Heartbeat> heartbeats) {
         Long incarnation = membership.view().members().get(node);
         if (incarnation == null) {
             return;
         }
         String name = "a-" + node + "-" + incarnation + "-" + ++batches;
-        Heartbeat first = reports.get(0);
-        List<String> machines = reports.stream().map(Heartbeat::machine).toList();
+        Heartbeat first = heartbeats.get(0);
+        List<String> machines = heartbeats.stream().map(Heartbeat::machine).toList();
         MachineBatch batch =
                 MachineBatch.of(name, first.type(), first.zone(), first.spot(), loop.timeOfDay(), machines);
         Transaction transaction = new Transaction()
--- a/src/main/java/org/havenford/coordination/agents/MachineFaultDetector.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineFaultDetector.java
@@ -16,20 +16,20 @@
  */
 public final class MachineFaultDetector {
     /** Jobs known to work that must have failed on a machine, without a success in between, for it to be faulty. */
-    private static final int JOBS_THAT_PROVE = 2;
+    private static final int MIN_PROVING_JOBS = 2;
 
     /** Jobs that failed on one machine since the last task that was done there. */
     private static final class Failures {
-        /** Whether they work elsewhere is seen from their progress. */
+        /** Jobs of which it is seen from their progress whether they work elsewhere. */
         private final Set<String> unfinished = new HashSet<>();
-        /** They were done to their end. */
+        /** Jobs that were done to their end. */
         private final Set<String> done = new HashSet<>();
     }
 
     private final ClusterState clusterState;
     private final Map<String, Failures> byMachine = new HashMap<>();
 
-    /** Evidence over the jobs that the replica shows. */
+    /** A detector over the jobs that the replica shows. */
     public MachineFaultDetector(ClusterState clusterState) {
         this.clusterState = clusterState;
     }
@@ -61,10 +61,10 @@
     /** Whether several jobs that work elsewhere have failed on a machine. */
     public boolean isFaulty(String machine) {
         Failures failures = byMachine.get(machine);
-        return failures != null && jobsThatProve(failures).size() >= JOBS_THAT_PROVE;
+        return failures != null && provingJobs(failures).size() >= MIN_PROVING_JOBS;
     }
 
-    private List<String> jobsThatProve(Failures failures) {
+    private List<String> provingJobs(Failures failures) {
         List<String> proving = new ArrayList<>(failures.done);
         for (String id : failures.unfinished) {
             Job job = clusterState.job(id);
--- a/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
@@ -23,16 +23,16 @@
  * key, and only those keys where something has changed.
  */
 final class MachineStatusPublisher {
-    private static final Duration PUBLISH_EVERY = Duration.ofSeconds(2);
+    private static final Duration PUBLISH_INTERVAL = Duration.ofSeconds(2);
     /** Where only cached images have changed, or changes are scarce. */
-    private static final Duration PUBLISH_IMAGES_EVERY = Duration.ofSeconds(8);
+    private static final Duration IMAGES_PUBLISH_INTERVAL = Duration.ofSeconds(8);
     /** Machines under one key to begin with; the rest of the room is for those that come later. */
-    private static final int USUAL_MACHINES = MachineStatuses.MAX_MACHINES * 3 / 4;
+    private static final int INITIAL_MACHINES = MachineStatuses.MAX_MACHINES * 3 / 4;
 
     /** What was last stored under one key. */
     private static final class Part {
         private Map<String, MachineStatuses.Status> stored;
-        private Instant at = Instant.MIN;
+        private Instant publishedAt;
         private boolean inFlight;
     }
 
@@ -53,15 +53,15 @@
     }
 
     /** Publishes what has changed of the given machines. */
-    void publish(Iterable<AgentState> machines, Instant now) {
+    void publish(Iterable<AgentState> agents, Instant now) {
         List<AgentState> known = new ArrayList<>();
-        for (AgentState m : machines) {
-            if (m.condition != Condition.BOOTING && clusterState.machine(m.name) != null) {
-                known.add(m);
+        for (AgentState agent : agents) {
+            if (agent.condition() != Condition.BOOTING && clusterState.machine(agent.name) != null) {
+                known.add(agent);
             }
         }
         // Parts only grow in number, so that few machines change their part.
-        while (parts.size() * USUAL_MACHINES < known.size()) {
+        while (parts.size() * INITIAL_MACHINES < known.size()) {
             parts.add(new Part());
         }
         List<SortedMap<String, MachineStatuses.Status>> split = split(known);
@@ -70,19 +70,19 @@
         }
     }
 
-    private List<SortedMap<String, MachineStatuses.Status>> split(List<AgentState> machines) {
+    private List<SortedMap<String, MachineStatuses.Status>> split(List<AgentState> agents) {
         List<SortedMap<String, MachineStatuses.Status>> split = new ArrayList<>();
         for (int i = 0; i < parts.size(); i++) {
             split.add(new TreeMap<>());
         }
-        for (AgentState m : machines) {
-            int part = (m.name.hashCode() & Integer.MAX_VALUE) % parts.size();
+        for (AgentState agent : agents) {
+            int part = (agent.name.hashCode() & Integer.MAX_VALUE) % parts.size();
             for (int i = 0; i < parts.size() && split.get(part).size() >= MachineStatuses.MAX_MACHINES; i++) {
                 part = (part + 1) % parts.size();
             }
             List<String> images =
-                    m.images == null ? clusterState.machine(m.name).images() : m.images;
-            split.get(part).put(m.name, new MachineStatuses.Status(m.condition, images));
+                    agent.images() == null ? clusterState.machine(agent.name).images() : agent.images();
+            split.get(part).put(agent.name, new MachineStatuses.Status(agent.condition(), images));
         }
         return split;
     }
@@ -93,17 +93,17 @@
             return;
         }
         boolean conditionsChanged = conditionsChanged(statuses, part);
-        Duration every = conditionsChanged && !store.underPressure() ? PUBLISH_EVERY : PUBLISH_IMAGES_EVERY;
-        if (now.isBefore(part.at.plus(every))) {
+        Duration interval = conditionsChanged && !store.underPressure() ? PUBLISH_INTERVAL : IMAGES_PUBLISH_INTERVAL;
+        if (part.publishedAt != null && now.isBefore(part.publishedAt.plus(interval))) {
             return;
         }
         MachineStatuses value = new MachineStatuses(loop.timeOfDay(), statuses);
         Transaction transaction = new Transaction()
                 .put(Keys.machineStatuses(settings.node(), index), value.toJson(settings.valueBytes()));
         part.inFlight = true;
-        part.at = now;
-        CallPriority urgency = conditionsChanged ? CallPriority.WORK : CallPriority.SPARE;
-        store.commit(transaction, urgency, result -> {
+        part.publishedAt = now;
+        CallPriority priority = conditionsChanged ? CallPriority.WORK : CallPriority.SPARE;
+        store.commit(transaction, priority, result -> {
             part.inFlight = false;
             if (result.ok()) {
                 part.stored = statuses;
@@ -117,9 +117,9 @@
         if (part.stored == null) {
             return true;
         }
-        for (Map.Entry<String, MachineStatuses.Status> e : statuses.entrySet()) {
-            MachineStatuses.Status before = part.stored.get(e.getKey());
-            if (before == null || before.condition() != e.getValue().condition()) {
+        for (Map.Entry<String, MachineStatuses.Status> entry : statuses.entrySet()) {
+            MachineStatuses.Status before = part.stored.get(entry.getKey());
+            if (before == null || before.condition() != entry.getValue().condition()) {
                 return true;
             }
         }
--- a/src/main/java/org/havenford/coordination/agents/ReachabilityProbe.java
+++ b/src/main/java/org/havenford/coordination/agents/ReachabilityProbe.java
@@ -8,13 +8,13 @@
 import org.havenford.storage.ClusterState;
 import org.havenford.transport.HttpCalls;
 
-/** While this controller rests, asks some of its former workers now and then whether it reaches them again. */
+/** While this controller is cordoned, probes some of its former agents periodically, to see whether it reaches them again. */
 final class ReachabilityProbe {
-    private static final int MAX_WORKERS = 3;
-    private static final Duration PROBE_EVERY = Duration.ofSeconds(2);
+    private static final int MAX_AGENTS = 3;
+    private static final Duration PROBE_INTERVAL = Duration.ofSeconds(2);
     private static final Duration TIMEOUT = Duration.ofSeconds(1);
-    /** Answers in a row from each worker that show that it is reached. */
-    private static final int ANSWERS_PER_WORKER = 2;
+    /** Replies in a row, for each agent, that show that the agents are reached. */
+    private static final int REPLIES_PER_AGENT = 2;
 
     private record FormerAgent(String machine, String endpoint) {}
 
@@ -22,9 +22,9 @@
     private final ClusterState clusterState;
     private final Membership membership;
     private final String node;
-    private final List<FormerAgent> workers = new ArrayList<>();
+    private final List<FormerAgent> agents = new ArrayList<>();
     private Instant nextProbe = Instant.MIN;
-    private int answers;
+    private int repliesInRow;
 
     ReachabilityProbe(AgentContext context, HttpCalls calls) {
         this.calls = calls;
@@ -33,44 +33,44 @@
         this.node = context.node();
     }
 
-    /** The view has changed; {@code wasResting} says whether this controller rested in the view before. */
-    void viewChanged(boolean wasResting) {
-        answers = 0;
-        if (!wasResting || !isResting()) {
-            workers.clear();
+    /** The view has changed; {@code wasCordoned} says whether this controller was cordoned in the view before. */
+    void viewChanged(boolean wasCordoned) {
+        repliesInRow = 0;
+        if (!wasCordoned || !isCordoned()) {
+            agents.clear();
         }
     }
 
-    private boolean isResting() {
+    private boolean isCordoned() {
         return membership.view().cordoned().contains(node);
     }
 
     /** A machine went to another owner. */
-    void lost(AgentState machine) {
-        if (machine.heartbeat != null && workers.size() < MAX_WORKERS) {
-            workers.add(new FormerAgent(machine.name, machine.heartbeat.endpoint()));
+    void lost(AgentState agent) {
+        if (agent.hasReported() && agents.size() < MAX_AGENTS) {
+            agents.add(new FormerAgent(agent.name, agent.heartbeat().endpoint()));
         }
     }
 
     void step(Instant now) {
-        if (!isResting() || now.isBefore(nextProbe)) {
+        if (!isCordoned() || now.isBefore(nextProbe)) {
             return;
         }
-        nextProbe = now.plus(PROBE_EVERY);
-        // A machine that is gone never answers; waiting for it, a controller rested for good.
+        nextProbe = now.plus(PROBE_INTERVAL);
+        // A machine that is gone never replies; waiting for it, a controller stayed cordoned for good.
         // rests-while-machines-go.trace
-        workers.removeIf(w -> clusterState.machine(w.machine()) == null);
-        if (workers.isEmpty()) {
+        agents.removeIf(agent -> clusterState.machine(agent.machine()) == null);
+        if (agents.isEmpty()) {
             membership.requestUncordon();
         }
-        for (FormerAgent worker : workers) {
-            calls.call(worker.endpoint(), "GET", "/status", null, TIMEOUT, reply -> answered(reply.ok()));
+        for (FormerAgent agent : agents) {
+            calls.call(agent.endpoint(), "GET", "/status", null, TIMEOUT, reply -> replied(reply.ok()));
         }
     }
 
-    private void answered(boolean ok) {
-        answers = ok ? answers + 1 : 0;
-        if (answers >= ANSWERS_PER_WORKER * workers.size()) {
+    private void replied(boolean ok) {
+        repliesInRow = ok ? repliesInRow + 1 : 0;
+        if (repliesInRow >= REPLIES_PER_AGENT * agents.size()) {
             membership.requestUncordon();
         }
     }
--- a/src/main/java/org/havenford/coordination/agents/TaskStopper.java
+++ b/src/main/java/org/havenford/coordination/agents/TaskStopper.java
@@ -2,7 +2,6 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import org.havenford.coordination.agents.AgentState.Attempt;
 import org.havenford.coordination.agents.AgentState.StopReason;
 import org.havenford.settings.OperatorSettings;
 import org.havenford.storage.ClusterState;
@@ -11,10 +10,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Marks attempts to be stopped although their claims hold: for lateness, for more urgent work, or because a machine goes. */
+/**
+ * Marks attempts to be stopped although their claims hold: stragglers, preempted ones, and those that would not end before
+ * their spot machine is taken away.
+ */
 final class TaskStopper {
     private static final Logger LOG = LoggerFactory.getLogger(TaskStopper.class);
-    /** Part of the time left on a machine that is about to be taken by which an estimate may be exceeded. */
+    /** Part of the time left on a machine that is about to be taken away by which an estimate may be exceeded. */
     private static final double ESTIMATE_MARGIN = 1.3;
 
     private final ClusterState clusterState;
@@ -26,98 +28,97 @@
         this.operatorSettings = operatorSettings;
     }
 
-    /** How many tasks were stopped for lateness. */
+    /** How many tasks were stopped as stragglers. */
     long stragglerStops() {
         return stragglerStops;
     }
 
-    /** Marks a claim to be stopped for more urgent work; whether it was not marked before. */
-    boolean preempt(AgentState machine, Claim claim) {
-        if (machine.heartbeat == null || claim.incarnation() != machine.heartbeat.incarnation()) {
+    /** Marks a claim to be preempted; false if it was marked before or the agent has not shown the attempt yet. */
+    boolean preempt(AgentState agent, Claim claim) {
+        if (!agent.hasReported() || claim.incarnation() != agent.incarnation()) {
             return false;
         }
-        Attempt attempt = machine.attempt(claim.task(), claim.attempt());
-        if (!attempt.seen || attempt.stopReason != null) {
+        AttemptState attempt = agent.attempt(claim.task(), claim.attempt());
+        if (!attempt.seen || attempt.isToStop()) {
             return false;
         }
-        LOG.info("{} on {} is stopped for more urgent work", claim.task(), claim.machine());
+        LOG.info("preempting task: task={} machine={}", claim.task(), claim.machine());
         attempt.stopReason = StopReason.PREEMPTED;
         return true;
     }
 
-    /** The paper's trigger: marks attempts whose fetch is late against the medians of their job. */
-    void stopStragglers(AgentState machine, Instant now) {
-        if (machine.silentSincePause) {
-            // The fetch may be over: nobody has listened.
+    /** Marks attempts whose image pull is late against the medians of their job, by the trigger of the paper. */
+    void stopStragglers(AgentState agent, Instant now) {
+        if (agent.isSilentSincePause()) {
+            // The pull may be over: nobody has listened.
             return;
         }
-        for (Claim claim : clusterState.claimsOn(machine.name).values()) {
-            Attempt attempt = machine.attempts.get(claim.task());
+        for (Claim claim : clusterState.claimsOn(agent.name).values()) {
+            AttemptState attempt = agent.knownAttempt(claim.task(), claim.attempt());
             Job job = clusterState.job(claim.task().job());
-            if (mayBeLate(attempt, claim, job)) {
-                stopStragglers(machine, claim, attempt, job, now);
+            if (mayBeStraggler(attempt, claim, job)) {
+                stopIfStraggler(claim, attempt, job, now);
             }
         }
     }
 
-    /** A running task goes on: what is late there is not restarted. */
-    private boolean mayBeLate(Attempt attempt, Claim claim, Job job) {
-        boolean fetches = attempt != null
-                && attempt.number == claim.attempt()
+    /** A running task goes on: a straggler there is not restarted. */
+    private boolean mayBeStraggler(AttemptState attempt, Claim claim, Job job) {
+        boolean pulls = attempt != null
                 && attempt.seen
                 && attempt.runStartedAt == null
                 && attempt.pullStartedAt != null
-                && attempt.stopReason == null;
+                && !attempt.isToStop();
         int task = claim.task().index();
-        return fetches
+        return pulls
                 && job != null
                 && job.doneCount() >= operatorSettings.lateMinimumDone()
                 && !job.storedTaskRange(job.taskRangeIndex(task)).wasLate(task);
     }
 
-    private void stopStragglers(AgentState machine, Claim claim, Attempt attempt, Job job, Instant now) {
-        Duration fetch = job.medianPull();
-        Duration run = job.medianRun();
-        if (fetch == null || run == null) {
+    private void stopIfStraggler(Claim claim, AttemptState attempt, Job job, Instant now) {
+        Duration medianPull = job.medianPull();
+        Duration medianRun = job.medianRun();
+        if (medianPull == null || medianRun == null) {
             return;
         }
         Duration elapsed = Duration.between(attempt.pullStartedAt, now);
-        Duration estimate = StragglerDetector.estimateFetching(elapsed, fetch, run);
-        double coefficient = StragglerDetector.coefficient(estimate, fetch.plus(run));
+        Duration estimate = StragglerDetector.estimatePulling(elapsed, medianPull, medianRun);
+        double coefficient = StragglerDetector.coefficient(estimate, medianPull.plus(medianRun));
         if (coefficient > operatorSettings.lateThreshold()) {
             stragglerStops++;
             LOG.info(
-                    "late: {} on {} has fetched for {} (medians {} and {}), p = {}",
+                    "stopping straggler: task={} machine={} pulling={} medianPull={} medianRun={} coefficient={}",
                     claim.task(),
-                    machine.name,
+                    claim.machine(),
                     elapsed,
-                    fetch,
-                    run,
+                    medianPull,
+                    medianRun,
                     coefficient);
             attempt.stopReason = StopReason.STRAGGLER;
         }
     }
 
-    /** On a machine that is about to be taken, marks what can't be done in time, so that it starts elsewhere sooner. */
-    void drain(AgentState machine, Instant now) {
-        if (machine.noticeUntil == null) {
+    /** On a machine that is about to be taken away, marks what can't be done in time, so that it starts elsewhere sooner. */
+    void drain(AgentState agent, Instant now) {
+        if (agent.interruptionAt() == null) {
             return;
         }
-        Duration left = Duration.between(now, machine.noticeUntil);
-        for (Claim claim : clusterState.claimsOn(machine.name).values()) {
-            Attempt attempt = machine.attempts.get(claim.task());
+        Duration left = Duration.between(now, agent.interruptionAt());
+        for (Claim claim : clusterState.claimsOn(agent.name).values()) {
+            AttemptState attempt = agent.knownAttempt(claim.task(), claim.attempt());
             Job job = clusterState.job(claim.task().job());
-            boolean goesOn = attempt != null && attempt.number == claim.attempt() && attempt.stopReason == null;
+            boolean goesOn = attempt != null && !attempt.isToStop();
             if (goesOn && job != null && !endsWithin(left, attempt, job, now)) {
                 attempt.stopReason = StopReason.DRAINED;
             }
         }
     }
 
-    private static boolean endsWithin(Duration left, Attempt attempt, Job job, Instant now) {
-        Duration run = job.medianRun();
-        Duration whole = run == null ? job.spec().estimatedDuration() : run;
+    private static boolean endsWithin(Duration left, AttemptState attempt, Job job, Instant now) {
+        Duration medianRun = job.medianRun();
+        Duration estimate = medianRun == null ? job.spec().estimatedDuration() : medianRun;
         Duration elapsed = attempt.runStartedAt == null ? Duration.ZERO : Duration.between(attempt.runStartedAt, now);
-        return whole.minus(elapsed).toMillis() <= left.toMillis() * ESTIMATE_MARGIN;
+        return estimate.minus(elapsed).toMillis() <= left.toMillis() * ESTIMATE_MARGIN;
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
@@ -16,6 +16,7 @@
 import org.havenford.protocol.TaskId;
 import org.havenford.storage.CallPriority;
 import org.havenford.storage.StoreOutcome;
+import org.havenford.storage.Transaction;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
 
@@ -183,7 +184,141 @@
         return own;
     }
 
-    private void commit(ClaimDraft draft) {
+    /** Whether a record's first owner has had no room for so long that another may take some of it. */
+    private boolean helped(String key, Instant now) {
+        WithoutRoom before = withoutRoom.get(key);
+        Instant first = before == null ? now : before.first();
+        withoutRoom.put(key, new WithoutRoom(first, now));
+        return now.isAfter(first.plus(HELP_AFTER));
+    }
+
+    /** A claim while it is put together. */
+    private static final class Draft {
+        private final Job job;
+        private final int index;
+        private final String key;
+        private final Transaction transaction = new Transaction();
+        private final List<String> locks = new ArrayList<>();
+        private final Map<Claim, AttemptOutcome> ended = new HashMap<>();
+        private final Set<String> machines = new HashSet<>();
+        private final boolean firstAfterRelease;
+        private TaskRange taskRange;
+        private int claimed;
+        private QuotaAllocator.Charge charge;
+
+        Draft(Job job, int index) {
+            this.job = job;
+            this.index = index;
+            this.key = Keys.tasks(job.id(), index);
+            locks.add(key);
+            firstAfterRelease = !job.spec().dependencies().isEmpty() && job.claimCount() == 0 && job.doneCount() == 0;
+        }
+
+        Resources perTask() {
+            return new Resources(job.spec().cpus(), job.spec().gpus());
+        }
+
+        /** Machines of the new claims, one for each; a claim that was kept is the same object as before. */
+        @SuppressWarnings("ReferenceEquality")
+        List<String> claimedMachines() {
+            List<String> each = new ArrayList<>();
+            for (Claim claim : taskRange.claims()) {
+                if (job.claim(claim.task().index()) != claim) {
+                    each.add(claim.machine());
+                }
+            }
+            return each;
+        }
+    }
+
+    private void claim(List<Planner.Placement> planned) {
+        Job job = context.clusterState().job(planned.get(0).task().job());
+        if (job.awaitsDependencies()) {
+            // The plan leaves it out. That no task starts before its job is released rests on this and on the guard of
+            // the header.
+            return;
+        }
+        Draft draft = new Draft(job, job.taskRangeIndex(planned.get(0).task().index()));
+        String key = draft.key;
+        String header = Keys.job(job.id());
+        draft.transaction
+                .requireRevision(Keys.VIEW, context.membership().viewRevision())
+                .requireRevision(header, context.modRevision(header))
+                .requireRevision(key, context.modRevision(key));
+        PlatformSettings.Team team = context.settings().teams().get(job.spec().team());
+        boolean limited = team != null && team.limited();
+        int allowed = limited ? takeShare(draft, team, planned.size()) : planned.size();
+        if (job.spec().together() || job.spec().apart()) {
+            // Where tasks must stay together or apart, each claim of the job writes its header: so it is seen by the
+            // next.
+            draft.locks.add(header);
+            draft.transaction.put(header, job.header(false));
+        }
+        if (draft.locks.stream().anyMatch(context.writer()::isLocked)) {
+            return;
+        }
+        fill(draft, PlacementGuard.permitted(job, planned.subList(0, allowed), context.clusterState()), limited);
+        JsonObject value = draft.claimed == 0 ? null : context.toJson(draft.taskRange);
+        if (value == null) {
+            return;
+        }
+        draft.transaction.put(key, value);
+        if (limited) {
+            Resources taken = draft.perTask().times(draft.claimed);
+            long viewStamp = context.membership().viewRevision();
+            draft.charge =
+                    new QuotaAllocator.Charge(team.name(), taken, job.id(), key, context.modRevision(key), viewStamp);
+            quotaAllocator.add(draft.charge);
+        }
+        commit(draft);
+    }
+
+    private int takeShare(Draft draft, PlatformSettings.Team team, int wanted) {
+        int allowed = quotaAllocator.allocate(team, draft.perTask(), wanted, draft.transaction);
+        if (draft.transaction.operationCount() > 0) {
+            draft.locks.add(Keys.team(team.name()));
+        }
+        return allowed;
+    }
+
+    /** Adds the claims, and the ends that are known of the same record, to the draft. */
+    private void fill(Draft draft, List<Planner.Placement> placements, boolean limited) {
+        int index = draft.index;
+        draft.taskRange = draft.job.taskRange(index).copy();
+        for (Claim claim : draft.job.taskRange(index).claims()) {
+            AttemptOutcome outcome = agentManager.outcomes().of(claim);
+            if (outcome != null) {
+                draft.ended.put(claim, outcome);
+            }
+        }
+        TaskReleaser.apply(draft.ended, draft.taskRange);
+        Set<String> batches = new HashSet<>();
+        int maxBatches = context.settings().txnOps() * CONDITIONS_PER_CHANGE - OTHER_CONDITIONS;
+        for (Planner.Placement p : placements) {
+            AgentState state = agentManager.agent(p.machine());
+            Set<String> batchesOf = context.clusterState().batchesOf(p.machine());
+            if (state == null
+                    || !state.hasReported()
+                    || context.clusterState().machine(p.machine()) == null
+                    || batches.size() + batchesOf.size() > maxBatches
+                    || batchesOf.stream().anyMatch(b -> context.writer().isLocked(Keys.batch(b)))) {
+                continue;
+            }
+            // A machine that is to go changes its batch.
+            for (String batch : batchesOf) {
+                if (batches.add(batch)) {
+                    draft.transaction.requireRevision(Keys.batch(batch), context.modRevision(Keys.batch(batch)));
+                }
+            }
+            draft.machines.add(p.machine());
+            String account = limited ? context.node() : "";
+            Instant now = context.loop().timeOfDay();
+            draft.taskRange.claim(p.task().index(), p.machine(), state.incarnation(), now, account);
+            draft.claimed++;
+        }
+    }
+
+    private void commit(Draft draft) {
         JobSpec spec = draft.job.spec();
         List<String> claimedMachines = draft.claimedMachines();
         claimedMachines.forEach(name -> claimsInFlight.add(name, spec));
--- a/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
@@ -98,21 +98,27 @@
                 job.taskRangeIndex(ended.keySet().iterator().next().task().index()));
         return (taskRange.doneCount() + ended.size() == taskRange.size() && job.pendingCount() == 0)
                 || job.cancelled()
-                || ended.values().stream().anyMatch(e -> !e.done());
+                || ended.values().stream().anyMatch(outcome -> outcome instanceof AttemptOutcome.NotDone);
     }
 
-    /** Applies ends to a record. */
+    /** Applies outcomes to a task range. */
     static void apply(Map<Claim, AttemptOutcome> ended, TaskRange taskRange) {
-        ended.forEach((claim, e) -> {
+        ended.forEach((claim, outcome) -> {
             int task = claim.task().index();
-            if (e.done()) {
-                taskRange.finish(task, e.pullSeconds(), e.runSeconds());
+            if (outcome instanceof AttemptOutcome.Done done) {
+                taskRange.finish(task, seconds(done.pullDuration()), seconds(done.runDuration()));
             } else {
-                taskRange.release(task, e.straggler(), e.failed());
+                taskRange.release(
+                        task, outcome == AttemptOutcome.NotDone.STRAGGLER, outcome == AttemptOutcome.NotDone.FAILED);
             }
         });
     }
 
+    /** A duration as a task range takes it: in seconds, negative if it was not seen. */
+    private static double seconds(Duration duration) {
+        return duration == null ? -1 : duration.toMillis() / 1e3;
+    }
+
     private void write(String key, Map<Claim, AttemptOutcome> endedNow) {
         // More of them may end while these are being written.
         Map<Claim, AttemptOutcome> ended = new LinkedHashMap<>(endedNow);
--- a/src/main/java/org/havenford/standby/FrameCodec.java
+++ b/src/main/java/org/havenford/standby/FrameCodec.java
@@ -137,7 +137,7 @@
         putText(out, contact.machine());
         putText(out, contact.endpoint());
         out.putLong(contact.incarnation());
-        out.putLong(contact.checkinSequence());
+        out.putLong(contact.heartbeatSequence());
         out.putLong(contact.fencingToken());
     }
 
--- a/src/test/java/org/havenford/coordination/DecisionsTest.java
+++ b/src/test/java/org/havenford/coordination/DecisionsTest.java
@@ -25,13 +25,11 @@
     @Test
     void estimatesFollowThePaper() {
         assertEquals(s(742), StragglerDetector.estimateRunning(s(342), s(20), s(400)));
-        assertEquals(s(410), StragglerDetector.estimateFetching(s(3), s(10), s(400)));
+        assertEquals(s(410), StragglerDetector.estimatePulling(s(3), s(10), s(400)));
         assertEquals(0.5, StragglerDetector.coefficient(s(50), s(50)));
         // With a median of 10 + 30, a fetch is late once t is more than three times 40.
-        assertTrue(
-                StragglerDetector.coefficient(StragglerDetector.estimateFetching(s(89), s(10), s(30)), s(40)) < 0.75);
-        assertTrue(
-                StragglerDetector.coefficient(StragglerDetector.estimateFetching(s(91), s(10), s(30)), s(40)) > 0.75);
+        assertTrue(StragglerDetector.coefficient(StragglerDetector.estimatePulling(s(89), s(10), s(30)), s(40)) < 0.75);
+        assertTrue(StragglerDetector.coefficient(StragglerDetector.estimatePulling(s(91), s(10), s(30)), s(40)) > 0.75);
     }
 
     /** When a member goes, only its machines move. */
