--- a/src/main/java/org/havenford/coordination/agents/AgentLeaseMonitor.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentLeaseMonitor.java
@@ -49,8 +49,8 @@
 
     /** Whether an agent's machine went back to the cloud so long ago that nothing of it is expected any more. */
     boolean isForgotten(AgentState agent, Instant now) {
-        return context.clusterState().machine(agent.name) == null
-                && context.clusterState().claimsOn(agent.name).isEmpty()
+        return context.clusterState().machine(agent.machine()) == null
+                && context.clusterState().claimsOn(agent.machine()).isEmpty()
                 && Duration.between(agent.lastSign(), now).compareTo(RETENTION) > 0;
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/AgentManager.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentManager.java
@@ -34,7 +34,8 @@
     private final RedirectedAgents redirectedAgents;
     private final MachineStatusPublisher statusPublisher;
     private final ReachabilityProbe reachabilityProbe;
-    private Instant nextSweep = Instant.MIN;
+    /** When the next sweep is due; null for at once. */
+    private Instant nextSweep;
 
     /** A manager that knows no agents yet; {@code listener} is told what concerns the scheduler. */
     public AgentManager(
@@ -67,7 +68,7 @@
         reachabilityProbe.viewChanged(registry.wasCordoned());
         registry.viewChanged().forEach(reachabilityProbe::lost);
         outcomes.keepOnly(claim -> isHeld(claim) && context.owns(claim.machine()));
-        nextSweep = Instant.MIN;
+        nextSweep = null;
     }
 
     /** What is known of the agents of the machines that this controller owns. */
@@ -161,7 +162,7 @@
         }
         Instant now = context.loop().now();
         reachabilityProbe.step(now);
-        if (!now.isBefore(nextSweep)) {
+        if (nextSweep == null || !now.isBefore(nextSweep)) {
             nextSweep = now.plus(SWEEP_INTERVAL);
             sweep(now);
         }
@@ -171,13 +172,13 @@
         registry.takeOverOwnedMachines();
         leaseMonitor.expireLeases(now);
         for (AgentState agent : registry.all()) {
-            MachineRecord onRecord = context.clusterState().machine(agent.name);
+            MachineRecord onRecord = context.clusterState().machine(agent.machine());
             if (onRecord != null) {
                 taskStopper.stopStragglers(agent, now);
                 taskStopper.drain(agent, now);
                 healthMonitor.judge(agent, onRecord, now);
                 if (mayNeedCommands(agent)) {
-                    changedMachines.add(agent.name);
+                    changedMachines.add(agent.machine());
                 }
             }
         }
@@ -191,7 +192,7 @@
     /** A machine without tasks and claims needs no commands: of thousands most may be idle. */
     private boolean mayNeedCommands(AgentState agent) {
         boolean hasTasks = agent.hasReported() && !agent.heartbeat().tasks().isEmpty();
-        return hasTasks || !context.clusterState().claimsOn(agent.name).isEmpty();
+        return hasTasks || !context.clusterState().claimsOn(agent.machine()).isEmpty();
     }
 
     private boolean isHeld(Claim claim) {
--- a/src/main/java/org/havenford/coordination/agents/AgentState.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentState.java
@@ -22,15 +22,7 @@
     /** Before the first heartbeat: lower than any incarnation and sequence. */
     private static final long NONE = -1;
 
-    /** Why an attempt is to be stopped, although its claim still holds. */
-    enum StopReason {
-        CANCELLED,
-        STRAGGLER,
-        PREEMPTED,
-        DRAINED
-    }
-
-    final String name;
+    private final String machine;
 
     private Heartbeat heartbeat;
     /** Incarnation and sequence of the newest heartbeat that the agent sent by itself, not in the reply to a command. */
@@ -74,11 +66,16 @@
     private final Set<TaskId> avoidedTasks = new HashSet<>();
 
     /** An agent that was not heard yet; nobody renews its lease after {@code leaseRenewedAt} but this controller. */
-    AgentState(String name, Instant leaseRenewedAt) {
-        this.name = name;
+    AgentState(String machine, Instant leaseRenewedAt) {
+        this.machine = machine;
         this.leaseRenewedAt = leaseRenewedAt;
     }
 
+    /** The machine on which the agent runs. */
+    String machine() {
+        return machine;
+    }
+
     // ---- heartbeats
 
     /** The newest heartbeat, or null if none has come. */
@@ -136,7 +133,7 @@
             return null;
         }
         return new AgentContact(
-                name,
+                machine,
                 heartbeat.endpoint(),
                 heartbeat.incarnation(),
                 heartbeat.incarnation() == heartbeatIncarnation ? heartbeatSequence : 0,
@@ -336,7 +333,7 @@
     /** The state of an attempt; it replaces that of another attempt of the task. */
     AttemptState attempt(TaskId task, long number) {
         AttemptState attempt = attempts.get(task);
-        if (attempt == null || attempt.number != number) {
+        if (attempt == null || attempt.number() != number) {
             attempt = new AttemptState(number);
             attempts.put(task, attempt);
         }
@@ -346,12 +343,12 @@
     /** The state of an attempt if it is the one that is known of the task, or else null. */
     AttemptState knownAttempt(TaskId task, long number) {
         AttemptState attempt = attempts.get(task);
-        return attempt == null || attempt.number != number ? null : attempt;
+        return attempt == null || attempt.number() != number ? null : attempt;
     }
 
     /** A run command for an attempt is sent directly. */
     void runSentDirectly(AttemptState attempt) {
-        attempt.directToken = fencingToken();
+        attempt.runSentDirectly(fencingToken());
         startedByDirectCommand = true;
     }
 
--- a/src/main/java/org/havenford/coordination/agents/CommandPlanner.java
+++ b/src/main/java/org/havenford/coordination/agents/CommandPlanner.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.havenford.coordination.agents.AgentState.StopReason;
+import org.havenford.coordination.agents.AttemptState.StopReason;
 import org.havenford.protocol.Command;
 import org.havenford.protocol.Heartbeat;
 import org.havenford.protocol.TaskId;
@@ -48,10 +48,10 @@
     private List<Command> commands(AgentState agent, int maxCommands) {
         List<Command> commands = new ArrayList<>();
         Heartbeat heartbeat = agent.heartbeat();
-        if (heartbeat == null || clusterState.machine(agent.name) == null) {
+        if (heartbeat == null || clusterState.machine(agent.machine()) == null) {
             return commands;
         }
-        Map<TaskId, Claim> claims = clusterState.claimsOn(agent.name);
+        Map<TaskId, Claim> claims = clusterState.claimsOn(agent.machine());
         for (Heartbeat.AttemptStatus status : heartbeat.tasks()) {
             Command command = commandFor(agent, status, claims.get(status.task()));
             if (command != null) {
@@ -61,9 +61,8 @@
                 return commands;
             }
         }
-        // What others cancelled within our staleness window must not start: run commands wait until our replica has
-        // caught
-        // up. gap.trace
+        // What others cancelled within our staleness window must not start: run commands wait until our replica
+        // has caught up. gap.trace
         if (context.membership().mayStartTasks()) {
             addRunCommands(agent, claims.values(), maxCommands, commands);
         }
@@ -96,10 +95,10 @@
     private Command stop(AgentState agent, Heartbeat.AttemptStatus status, Claim claim) {
         AttemptState attempt = agent.attempt(claim.task(), claim.attempt());
         if (clusterState.isCancelled(claim)) {
-            attempt.stopReason = StopReason.CANCELLED;
+            attempt.stop(StopReason.CANCELLED);
         }
-        boolean cancelled = attempt.stopReason == StopReason.CANCELLED;
-        if (attempt.stopReason == null || (status.state() == Heartbeat.State.SAVING && !cancelled)) {
+        boolean cancelled = attempt.isToStop(StopReason.CANCELLED);
+        if (!attempt.isToStop() || (status.state() == Heartbeat.State.SAVING && !cancelled)) {
             return null;
         }
         Job job = clusterState.job(claim.task().job());
@@ -119,8 +118,8 @@
     private boolean mustStart(AgentState agent, Claim claim) {
         AttemptState attempt = agent.attempt(claim.task(), claim.attempt());
         return claim.incarnation() == agent.heartbeat().incarnation()
-                && !attempt.seen
-                && attempt.stopReason == null
+                && !attempt.isShown()
+                && !attempt.isToStop()
                 && !clusterState.isCancelled(claim)
                 && !outcomes.contains(claim)
                 && agent.heartbeat().find(claim.task(), claim.attempt()) == null;
@@ -129,7 +128,7 @@
     private void noteStarts(AgentState agent, List<Command> commands) {
         for (Command command : commands) {
             if (command.op() == Command.Op.RUN) {
-                agent.attempt(command.task(), command.attempt()).runCommandSent(context.loop());
+                agent.attempt(command.task(), command.attempt()).runSent(context.loop());
             }
         }
     }
--- a/src/main/java/org/havenford/coordination/agents/DirectCommandSender.java
+++ b/src/main/java/org/havenford/coordination/agents/DirectCommandSender.java
@@ -84,11 +84,13 @@
 
     /** A reply of an agent whose machine has gone to another owner, or came back since, says nothing any more. */
     private void replied(AgentState agent, HttpCalls.Reply reply) {
-        if (registry.get(agent.name) != agent) {
+        if (registry.get(agent.machine()) != agent) {
             return;
         }
         Heartbeat heartbeat = heartbeatIn(agent, reply);
-        if (heartbeat != null && heartbeat.machine().equals(agent.name) && heartbeat.newerThan(agent.heartbeat())) {
+        if (heartbeat != null
+                && heartbeat.machine().equals(agent.machine())
+                && heartbeat.newerThan(agent.heartbeat())) {
             intake.accept(agent, heartbeat, HeartbeatOrigin.COMMAND_REPLY);
         }
         listener.roundDue();
@@ -107,7 +109,7 @@
             agent.countCallReply();
             return heartbeat;
         } catch (Json.BadMessage e) {
-            LOG.warn("reply to direct commands is malformed: machine={} error={}", agent.name, e.getMessage());
+            LOG.warn("reply to direct commands is malformed: machine={} error={}", agent.machine(), e.getMessage());
             return null;
         }
     }
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatIntake.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatIntake.java
@@ -26,9 +26,9 @@
 
     /** Takes over a heartbeat that is newer than the agent's last. */
     void accept(AgentState agent, Heartbeat heartbeat, HeartbeatOrigin origin) {
-        changedMachines.add(agent.name);
+        changedMachines.add(agent.machine());
         reconciler.reconcile(agent, heartbeat, origin);
-        MachineRecord onRecord = context.clusterState().machine(agent.name);
+        MachineRecord onRecord = context.clusterState().machine(agent.machine());
         if (onRecord == null) {
             adoption.reported(agent, heartbeat);
         } else {
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.List;
-import org.havenford.coordination.agents.AgentState.StopReason;
+import org.havenford.coordination.agents.AttemptState.StopReason;
 import org.havenford.protocol.Heartbeat;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Claim;
@@ -44,7 +44,7 @@
         if (heartbeat.spotNoticeSeconds() != null && agent.interruptionAt() == null) {
             agent.interruptionNoticed(loop.now().plusMillis((long) (heartbeat.spotNoticeSeconds() * 1000)));
         }
-        for (Claim claim : List.copyOf(clusterState.claimsOn(agent.name).values())) {
+        for (Claim claim : List.copyOf(clusterState.claimsOn(agent.machine()).values())) {
             reconcile(agent, claim, heartbeat, origin);
         }
     }
@@ -67,24 +67,23 @@
     private void reconcileAbsent(
             AgentState agent, Claim claim, AttemptState attempt, Heartbeat heartbeat, HeartbeatOrigin origin) {
         boolean unwanted = attempt.isToStop() || clusterState.isCancelled(claim);
-        if (!attempt.seen && !unwanted) {
+        if (!attempt.isShown() && !unwanted) {
             return;
         }
         // Absence in a heartbeat proves something only if no run command can arrive any more: responses to heartbeats
-        // can't
-        // be late beyond the next heartbeat, and a direct run command is ruled out once the agent has seen a higher
-        // token.
+        // can't be late beyond the next heartbeat, and a direct run command is ruled out once the agent has seen a
+        // higher token.
         if (origin == HeartbeatOrigin.AGENT
                 && heartbeat.fencingToken() >= agent.lowestFencingToken()
-                && heartbeat.fencingToken() > attempt.directToken) {
+                && attempt.isDirectRunFenced(heartbeat.fencingToken())) {
             outcomes.end(claim, outcomeOfStopped(attempt));
-        } else if (attempt.directToken >= agent.fencingToken()) {
+        } else if (!attempt.isDirectRunFenced(agent.fencingToken())) {
             agent.raiseFencingToken();
         }
     }
 
     private void reconcilePresent(AgentState agent, Claim claim, AttemptState attempt, Heartbeat.AttemptStatus status) {
-        attempt.seen = true;
+        attempt.show();
         switch (status.state()) {
             case FETCHING -> attempt.pullSeen(loop, claim);
             case RUNNING -> {
@@ -99,21 +98,22 @@
     }
 
     private void exited(AgentState agent, Claim claim, AttemptState attempt, String cause) {
-        switch (cause) {
-            case "done" -> done(agent, claim, attempt);
-            case "stopped" -> outcomes.end(claim, outcomeOfStopped(attempt));
-            case "error" -> {
-                LOG.info("task failed: task={} machine={}", claim.task(), agent.name);
+        switch (ExitCause.parse(cause)) {
+            case DONE -> done(agent, claim, attempt);
+            case STOPPED -> outcomes.end(claim, outcomeOfStopped(attempt));
+            case ERROR -> {
+                LOG.info("task failed: task={} machine={}", claim.task(), agent.machine());
                 agent.avoid(claim.task());
-                faultDetector.failed(agent.name, claim.task().job());
+                faultDetector.failed(agent.machine(), claim.task().job());
                 outcomes.end(claim, AttemptOutcome.NotDone.FAILED);
             }
-            case "no_room", "busy" -> {
+            case REFUSED_FOR_NOW -> {
                 logRefused(agent, claim, cause);
                 agent.refuseTasksUntil(loop.now().plus(REFUSAL_BACKOFF));
                 outcomes.end(claim, AttemptOutcome.NotDone.RETRY);
             }
             default -> {
+                // Refused for good, or for a cause that is not known here.
                 logRefused(agent, claim, cause);
                 outcomes.end(claim, AttemptOutcome.NotDone.FAILED);
             }
@@ -121,19 +121,17 @@
     }
 
     private static void logRefused(AgentState agent, Claim claim, String cause) {
-        LOG.info("task refused: task={} machine={} cause={}", claim.task(), agent.name, cause);
+        LOG.info("task refused: task={} machine={} cause={}", claim.task(), agent.machine(), cause);
     }
 
     private static AttemptOutcome outcomeOfStopped(AttemptState attempt) {
-        return attempt.stopReason == StopReason.STRAGGLER
-                ? AttemptOutcome.NotDone.STRAGGLER
-                : AttemptOutcome.NotDone.RETRY;
+        return attempt.isToStop(StopReason.STRAGGLER) ? AttemptOutcome.NotDone.STRAGGLER : AttemptOutcome.NotDone.RETRY;
     }
 
     private void done(AgentState agent, Claim claim, AttemptState attempt) {
         imageCache.used(agent, clusterState.job(claim.task().job()));
         Duration runDuration = attempt.runDuration(loop);
-        faultDetector.succeeded(agent.name);
-        outcomes.end(claim, new AttemptOutcome.Done(attempt.pullDuration, runDuration));
+        faultDetector.succeeded(agent.machine());
+        outcomes.end(claim, new AttemptOutcome.Done(attempt.pullDuration(), runDuration));
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/ImageCacheTracker.java
+++ b/src/main/java/org/havenford/coordination/agents/ImageCacheTracker.java
@@ -26,7 +26,7 @@
 
     /** A task of the job has its image: it goes to the front, and what no longer fits the cache drops out. */
     void used(AgentState agent, Job job) {
-        MachineRecord onRecord = clusterState.machine(agent.name);
+        MachineRecord onRecord = clusterState.machine(agent.machine());
         if (job == null || onRecord == null) {
             return;
         }
@@ -44,7 +44,7 @@
         latestFirst.add(0, image);
         MachineType type = clusterState.types().get(onRecord.type());
         agent.setImages(fitting(latestFirst, type == null ? 0 : type.cacheGb()));
-        listener.capacityChanged(agent.name);
+        listener.capacityChanged(agent.machine());
     }
 
     private List<String> fitting(List<String> latestFirst, double cacheGb) {
--- a/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
@@ -59,14 +59,14 @@
         Instant unknownSince = agent.unknownSince(now);
         boolean requestsOpen =
                 !clusterState.instanceRequests().isEmpty() && now.isBefore(unknownSince.plus(INSTANCE_REQUEST_TIMEOUT));
-        if (requestsOpen || found.containsKey(agent.name)) {
+        if (requestsOpen || found.containsKey(agent.machine())) {
             return;
         }
-        LOG.info("adopting unrecorded machine: machine={}", agent.name);
+        LOG.info("adopting unrecorded machine: machine={}", agent.machine());
         if (found.isEmpty()) {
             loop.after(BATCH_DELAY, this::writeFound);
         }
-        found.put(agent.name, heartbeat);
+        found.put(agent.machine(), heartbeat);
     }
 
     private void writeFound() {
--- a/src/main/java/org/havenford/coordination/agents/MachineHealthMonitor.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineHealthMonitor.java
@@ -47,6 +47,14 @@
 
     /** Works out the condition of a machine anew. */
     void judge(AgentState agent, MachineRecord onRecord, Instant now) {
+        Condition condition = conditionOf(agent, onRecord, now);
+        if (condition != agent.condition()) {
+            agent.setCondition(condition);
+            listener.capacityChanged(agent.machine());
+        }
+    }
+
+    private Condition conditionOf(AgentState agent, MachineRecord onRecord, Instant now) {
         Condition condition = agent.condition();
         if (agent.hasReported() && agent.hasHeartbeatWithin(fresh, now)) {
             condition = conditionOfReporting(agent, onRecord);
@@ -55,20 +63,14 @@
             condition = onRecord.condition();
         }
         boolean expected = condition == Condition.UP || condition == Condition.DRAINING;
-        if (expected && agent.isSilentLongerThan(maxSilence(agent), now)) {
-            condition = Condition.SILENT;
-        }
-        if (condition != agent.condition()) {
-            agent.setCondition(condition);
-            listener.capacityChanged(agent.name);
-        }
+        return expected && agent.isSilentLongerThan(maxSilence(agent), now) ? Condition.SILENT : condition;
     }
 
     private Condition conditionOfReporting(AgentState agent, MachineRecord onRecord) {
         if (agent.isUnanswered()) {
             return Condition.SILENT;
         }
-        boolean faulty = faultDetector.isFaulty(agent.name)
+        boolean faulty = faultDetector.isFaulty(agent.machine())
                 || agent.condition() == Condition.FAULTY
                 || contradicts(agent, onRecord);
         if (faulty) {
@@ -79,7 +81,7 @@
 
     /** After this long without a heartbeat a machine is on record as silent. */
     private Duration maxSilence(AgentState agent) {
-        return !agent.hasReported() ? silent.plus(SEARCH_TIME) : silent;
+        return agent.hasReported() ? silent : silent.plus(SEARCH_TIME);
     }
 
     /**
@@ -94,7 +96,7 @@
         if (!same && agent.condition() != Condition.FAULTY) {
             LOG.error(
                     "machine contradicts its record: machine={} recordType={} recordZone={} recordSpot={} type={} zone={} spot={}",
-                    agent.name,
+                    agent.machine(),
                     onRecord.type(),
                     onRecord.zone(),
                     onRecord.spot(),
--- a/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
@@ -56,7 +56,7 @@
     void publish(Iterable<AgentState> agents, Instant now) {
         List<AgentState> known = new ArrayList<>();
         for (AgentState agent : agents) {
-            if (agent.condition() != Condition.BOOTING && clusterState.machine(agent.name) != null) {
+            if (agent.condition() != Condition.BOOTING && clusterState.machine(agent.machine()) != null) {
                 known.add(agent);
             }
         }
@@ -76,13 +76,14 @@
             split.add(new TreeMap<>());
         }
         for (AgentState agent : agents) {
-            int part = (agent.name.hashCode() & Integer.MAX_VALUE) % parts.size();
+            int part = (agent.machine().hashCode() & Integer.MAX_VALUE) % parts.size();
             for (int i = 0; i < parts.size() && split.get(part).size() >= MachineStatuses.MAX_MACHINES; i++) {
                 part = (part + 1) % parts.size();
             }
-            List<String> images =
-                    agent.images() == null ? clusterState.machine(agent.name).images() : agent.images();
-            split.get(part).put(agent.name, new MachineStatuses.Status(agent.condition(), images));
+            List<String> images = agent.images() == null
+                    ? clusterState.machine(agent.machine()).images()
+                    : agent.images();
+            split.get(part).put(agent.machine(), new MachineStatuses.Status(agent.condition(), images));
         }
         return split;
     }
--- a/src/main/java/org/havenford/coordination/agents/ReachabilityProbe.java
+++ b/src/main/java/org/havenford/coordination/agents/ReachabilityProbe.java
@@ -23,7 +23,9 @@
     private final Membership membership;
     private final String node;
     private final List<FormerAgent> agents = new ArrayList<>();
-    private Instant nextProbe = Instant.MIN;
+    /** When the next probe is due; null before the first. */
+    private Instant nextProbe;
+
     private int repliesInRow;
 
     ReachabilityProbe(AgentContext context, HttpCalls calls) {
@@ -48,12 +50,13 @@
     /** A machine went to another owner. */
     void lost(AgentState agent) {
         if (agent.hasReported() && agents.size() < MAX_AGENTS) {
-            agents.add(new FormerAgent(agent.name, agent.heartbeat().endpoint()));
+            agents.add(new FormerAgent(agent.machine(), agent.heartbeat().endpoint()));
         }
     }
 
+    /** Probes the former agents if that is due; requests the uncordoning if none is left. */
     void step(Instant now) {
-        if (!isCordoned() || now.isBefore(nextProbe)) {
+        if (!isCordoned() || (nextProbe != null && now.isBefore(nextProbe))) {
             return;
         }
         nextProbe = now.plus(PROBE_INTERVAL);
--- a/src/main/java/org/havenford/coordination/agents/TaskStopper.java
+++ b/src/main/java/org/havenford/coordination/agents/TaskStopper.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import org.havenford.coordination.agents.AgentState.StopReason;
+import org.havenford.coordination.agents.AttemptState.StopReason;
 import org.havenford.settings.OperatorSettings;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Claim;
@@ -39,11 +39,11 @@
             return false;
         }
         AttemptState attempt = agent.attempt(claim.task(), claim.attempt());
-        if (!attempt.seen || attempt.isToStop()) {
+        if (!attempt.isShown() || attempt.isToStop()) {
             return false;
         }
         LOG.info("preempting task: task={} machine={}", claim.task(), claim.machine());
-        attempt.stopReason = StopReason.PREEMPTED;
+        attempt.stop(StopReason.PREEMPTED);
         return true;
     }
 
@@ -53,7 +53,7 @@
             // The pull may be over: nobody has listened.
             return;
         }
-        for (Claim claim : clusterState.claimsOn(agent.name).values()) {
+        for (Claim claim : clusterState.claimsOn(agent.machine()).values()) {
             AttemptState attempt = agent.knownAttempt(claim.task(), claim.attempt());
             Job job = clusterState.job(claim.task().job());
             if (mayBeStraggler(attempt, claim, job)) {
@@ -64,11 +64,7 @@
 
     /** A running task goes on: a straggler there is not restarted. */
     private boolean mayBeStraggler(AttemptState attempt, Claim claim, Job job) {
-        boolean pulls = attempt != null
-                && attempt.seen
-                && attempt.runStartedAt == null
-                && attempt.pullStartedAt != null
-                && !attempt.isToStop();
+        boolean pulls = attempt != null && attempt.isPulling() && !attempt.isToStop();
         int task = claim.task().index();
         return pulls
                 && job != null
@@ -82,7 +78,7 @@
         if (medianPull == null || medianRun == null) {
             return;
         }
-        Duration elapsed = Duration.between(attempt.pullStartedAt, now);
+        Duration elapsed = attempt.pullElapsed(now);
         Duration estimate = StragglerDetector.estimatePulling(elapsed, medianPull, medianRun);
         double coefficient = StragglerDetector.coefficient(estimate, medianPull.plus(medianRun));
         if (coefficient > operatorSettings.lateThreshold()) {
@@ -95,7 +91,7 @@
                     medianPull,
                     medianRun,
                     coefficient);
-            attempt.stopReason = StopReason.STRAGGLER;
+            attempt.stop(StopReason.STRAGGLER);
         }
     }
 
@@ -105,12 +101,12 @@
             return;
         }
         Duration left = Duration.between(now, agent.interruptionAt());
-        for (Claim claim : clusterState.claimsOn(agent.name).values()) {
+        for (Claim claim : clusterState.claimsOn(agent.machine()).values()) {
             AttemptState attempt = agent.knownAttempt(claim.task(), claim.attempt());
             Job job = clusterState.job(claim.task().job());
             boolean goesOn = attempt != null && !attempt.isToStop();
             if (goesOn && job != null && !endsWithin(left, attempt, job, now)) {
-                attempt.stopReason = StopReason.DRAINED;
+                attempt.stop(StopReason.DRAINED);
             }
         }
     }
@@ -118,7 +114,6 @@
     private static boolean endsWithin(Duration left, AttemptState attempt, Job job, Instant now) {
         Duration medianRun = job.medianRun();
         Duration estimate = medianRun == null ? job.spec().estimatedDuration() : medianRun;
-        Duration elapsed = attempt.runStartedAt == null ? Duration.ZERO : Duration.between(attempt.runStartedAt, now);
-        return estimate.minus(elapsed).toMillis() <= left.toMillis() * ESTIMATE_MARGIN;
+        return estimate.minus(attempt.runElapsed(now)).toMillis() <= left.toMillis() * ESTIMATE_MARGIN;
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
@@ -107,9 +107,7 @@
             String machine = placement.machine();
             AgentState agent = agentManager.agent(machine);
             Set<String> batchesOfMachine = context.clusterState().batchesOf(machine);
-            if (agent == null
-                    || agent.heartbeat == null
-                    || context.clusterState().machine(machine) == null) {
+            if (agent == null || !agent.hasReported() || context.clusterState().machine(machine) == null) {
                 continue;
             }
             if (batches.size() + batchesOfMachine.size() > maxBatches || isAnyLocked(batchesOfMachine)) {
@@ -121,7 +119,7 @@
                     requireRevision(Keys.batch(batch), draft);
                 }
             }
-            draft.claim(placement, agent.heartbeat.incarnation(), context.loop().timeOfDay(), account);
+            draft.claim(placement, agent.incarnation(), context.loop().timeOfDay(), account);
         }
     }
 
