--- a/src/main/java/org/havenford/storage/records/Claim.java
+++ b/src/main/java/org/havenford/storage/records/Claim.java
@@ -4,8 +4,9 @@
 import org.havenford.protocol.TaskId;
 
 /**
- * One attempt of a task, bound to a session of a machine. It holds until a release says otherwise. {@code account} is the
- * controller whose share of the team's limit it is charged to; empty where the team has no limit.
+ * One attempt of a task, bound to an incarnation of a machine. It holds until it is released.
+ *
+ * @param quotaHolder the controller whose share of the team's limit it is charged to; empty where the team has no limit
  */
 public record Claim(
         TaskId task, long attempt, String machine, long incarnation, Instant claimedAt, String quotaHolder) {
--- a/src/main/java/org/havenford/storage/records/ClusterView.java
+++ b/src/main/java/org/havenford/storage/records/ClusterView.java
@@ -16,7 +16,7 @@
 
 /**
  * Who takes part, as one key of the store says: node and incarnation (the lease it joined with). Each change raises the
- * epoch, and with it every token. A resting member owns no machines: their workers could not reach it. Of an evicted node
+ * epoch, and with it every token. A cordoned member owns no machines: their agents could not reach it. Of an evicted node
  * the incarnation is kept that was taken out before its lease had ended, until another one of it is a member.
  */
 public record ClusterView(
@@ -25,6 +25,13 @@
         TreeMap<String, String> reassigned,
         TreeSet<String> cordoned,
         TreeMap<String, Long> evicted) {
+    // Stored field names; versions in production read and write them, so they must not change.
+    private static final String EPOCH = "epoch";
+    private static final String MEMBERS = "members";
+    private static final String REASSIGNED = "moved";
+    private static final String CORDONED = "resting";
+    private static final String EVICTED = "evicted";
+
     private static final HashFunction HASH = Hashing.murmur3_128(0x68617665);
 
     /** A view from which nobody was evicted. */
@@ -40,10 +47,10 @@
 
     /** Reads the stored view. */
     public static ClusterView parse(JsonObject json) throws Json.BadMessage {
-        TreeMap<String, String> moved = entries(json, "moved", JsonElement::getAsString);
-        TreeMap<String, Long> evicted = Json.has(json, "evicted") ? incarnations(json, "evicted") : new TreeMap<>();
-        TreeSet<String> resting = new TreeSet<>(Json.texts(json, "resting"));
-        return new ClusterView(Json.count(json, "epoch"), incarnations(json, "members"), moved, resting, evicted);
+        TreeMap<String, String> reassigned = entries(json, REASSIGNED, JsonElement::getAsString);
+        TreeMap<String, Long> evicted = Json.has(json, EVICTED) ? incarnations(json, EVICTED) : new TreeMap<>();
+        TreeSet<String> cordoned = new TreeSet<>(Json.texts(json, CORDONED));
+        return new ClusterView(Json.count(json, EPOCH), incarnations(json, MEMBERS), reassigned, cordoned, evicted);
     }
 
     private static TreeMap<String, Long> incarnations(JsonObject json, String field) throws Json.BadMessage {
@@ -66,29 +73,29 @@
     /** The stored value. */
     public JsonObject toJson() {
         JsonObject json = new JsonObject();
-        json.addProperty("epoch", epoch);
-        JsonObject m = new JsonObject();
-        members.forEach(m::addProperty);
-        json.add("members", m);
-        JsonObject v = new JsonObject();
-        reassigned.forEach(v::addProperty);
-        json.add("moved", v);
-        JsonArray r = new JsonArray();
-        cordoned.forEach(r::add);
-        json.add("resting", r);
+        json.addProperty(EPOCH, epoch);
+        JsonObject incarnations = new JsonObject();
+        members.forEach(incarnations::addProperty);
+        json.add(MEMBERS, incarnations);
+        JsonObject owners = new JsonObject();
+        reassigned.forEach(owners::addProperty);
+        json.add(REASSIGNED, owners);
+        JsonArray withoutMachines = new JsonArray();
+        cordoned.forEach(withoutMachines::add);
+        json.add(CORDONED, withoutMachines);
         if (!evicted.isEmpty()) {
-            JsonObject out = new JsonObject();
-            evicted.forEach(out::addProperty);
-            json.add("evicted", out);
+            JsonObject evictedIncarnations = new JsonObject();
+            evicted.forEach(evictedIncarnations::addProperty);
+            json.add(EVICTED, evictedIncarnations);
         }
         return json;
     }
 
-    /** The node that takes a machine's reports: the active member with the highest hash, unless the machine was moved. */
+    /** The node that takes a machine's reports: the active member with the highest hash, unless the machine was reassigned. */
     public String owner(String machine) {
-        String over = reassigned.get(machine);
-        if (over != null && members.containsKey(over) && !cordoned.contains(over)) {
-            return over;
+        String newOwner = reassigned.get(machine);
+        if (newOwner != null && members.containsKey(newOwner) && !cordoned.contains(newOwner)) {
+            return newOwner;
         }
         return highest(machine, activeMembers());
     }
@@ -102,16 +109,16 @@
 
     /** Whether an incarnation of a node was taken out before its lease had ended. */
     public boolean wasEvicted(String node, long incarnation) {
-        Long out = evicted.get(node);
-        return out != null && out == incarnation;
+        Long evictedIncarnation = evicted.get(node);
+        return evictedIncarnation != null && evictedIncarnation == incarnation;
     }
 
-    /** The member with the highest hash for a name, resting ones included. */
+    /** The member with the highest hash for a name, cordoned ones included. */
     public String rendezvousOwner(String name) {
         return highest(name, members.keySet());
     }
 
-    /** Members that own machines; all of them, should all be resting. */
+    /** Members that own machines; all of them, should all be cordoned. */
     public Set<String> activeMembers() {
         Set<String> active = new TreeSet<>(members.keySet());
         active.removeAll(cordoned);
@@ -123,10 +130,10 @@
         String best = null;
         long bestHash = 0;
         for (String node : nodes) {
-            long h = HashCommon.murmurHash3(named ^ HashCommon.mix(node.hashCode() * 0x9E3779B97F4A7C15L));
-            if (best == null || Long.compareUnsigned(h, bestHash) > 0) {
+            long hash = HashCommon.murmurHash3(named ^ HashCommon.mix(node.hashCode() * 0x9E3779B97F4A7C15L));
+            if (best == null || Long.compareUnsigned(hash, bestHash) > 0) {
                 best = node;
-                bestHash = h;
+                bestHash = hash;
             }
         }
         return best;
--- /dev/null
+++ b/src/main/java/org/havenford/storage/records/CompactClaimsCodec.java
@@ -0,0 +1,87 @@
+package org.havenford.storage.records;
+
+import com.google.common.base.Strings;
+import com.google.gson.JsonArray;
+import com.google.gson.JsonObject;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import org.havenford.protocol.Json;
+import org.havenford.protocol.TaskId;
+
+/**
+ * The short form of the claims of a task range: one text, with what the claims share stated once. A claim is written as
+ * "TASK ATTEMPT MACHINE INCARNATION TIME HOLDER": the task counts from the first of the range, the machine lacks the
+ * common prefix, the time is in milliseconds after the earliest claim, and the quota holder is an index into a list.
+ */
+final class CompactClaimsCodec {
+    // Stored field names; versions in production read and write them, so they must not change.
+    private static final String MACHINE_PREFIX = "p";
+    private static final String EARLIEST_CLAIM = "t";
+    private static final String QUOTA_HOLDERS = "a";
+    private static final String CLAIMS = "c";
+
+    private static final String CLAIM_SEPARATOR = ";";
+    private static final String PART_SEPARATOR = " ";
+
+    private CompactClaimsCodec() {}
+
+    /** The short form of the claims of a range that begins with the given task. */
+    static JsonObject encode(Collection<Claim> claims, int firstTask) {
+        String machinePrefix = null;
+        long earliest = Long.MAX_VALUE;
+        for (Claim claim : claims) {
+            machinePrefix =
+                    machinePrefix == null ? claim.machine() : Strings.commonPrefix(machinePrefix, claim.machine());
+            earliest = Math.min(earliest, claim.claimedAt().toEpochMilli());
+        }
+        List<String> quotaHolders = new ArrayList<>();
+        StringBuilder text = new StringBuilder();
+        for (Claim claim : claims) {
+            if (!quotaHolders.contains(claim.quotaHolder())) {
+                quotaHolders.add(claim.quotaHolder());
+            }
+            text.append(text.isEmpty() ? "" : CLAIM_SEPARATOR)
+                    .append(claim.task().index() - firstTask)
+                    .append(PART_SEPARATOR)
+                    .append(claim.attempt())
+                    .append(PART_SEPARATOR)
+                    .append(claim.machine().substring(machinePrefix.length()))
+                    .append(PART_SEPARATOR)
+                    .append(claim.incarnation())
+                    .append(PART_SEPARATOR)
+                    .append(claim.claimedAt().toEpochMilli() - earliest)
+                    .append(PART_SEPARATOR)
+                    .append(quotaHolders.indexOf(claim.quotaHolder()));
+        }
+        JsonArray holders = new JsonArray();
+        quotaHolders.forEach(holders::add);
+        JsonObject json = new JsonObject();
+        json.addProperty(MACHINE_PREFIX, machinePrefix == null ? "" : machinePrefix);
+        json.addProperty(EARLIEST_CLAIM, claims.isEmpty() ? 0 : earliest);
+        json.add(QUOTA_HOLDERS, holders);
+        json.addProperty(CLAIMS, text.toString());
+        return json;
+    }
+
+    /** Reads the claims of a job's range; parts of a wrong form throw what their conversion throws. */
+    static List<Claim> decode(JsonObject json, String job, int firstTask) throws Json.BadMessage {
+        String machinePrefix = Json.text(json, MACHINE_PREFIX);
+        long earliest = Json.count(json, EARLIEST_CLAIM);
+        List<String> quotaHolders = Json.texts(json, QUOTA_HOLDERS);
+        String text = Json.text(json, CLAIMS);
+        List<Claim> claims = new ArrayList<>();
+        for (String claim : text.isEmpty() ? new String[0] : text.split(CLAIM_SEPARATOR)) {
+            String[] parts = claim.split(PART_SEPARATOR, -1);
+            claims.add(new Claim(
+                    new TaskId(job, firstTask + Integer.parseInt(parts[0])),
+                    Long.parseLong(parts[1]),
+                    machinePrefix + parts[2],
+                    Long.parseLong(parts[3]),
+                    Instant.ofEpochMilli(earliest + Long.parseLong(parts[4])),
+                    quotaHolders.get(Integer.parseInt(parts[5]))));
+        }
+        return claims;
+    }
+}
--- a/src/main/java/org/havenford/storage/records/Job.java
+++ b/src/main/java/org/havenford/storage/records/Job.java
@@ -12,7 +12,16 @@
 
 /** An accepted job that is not over, with its tasks. */
 public final class Job {
-    private static final int LEAST_CHUNK = 16;
+    // Stored field names; versions in production read and write them, so they must not change.
+    private static final String SUBMITTED_AT = "_at";
+    private static final String TASK_RANGE_SIZE = "_chunk";
+    private static final String CANCELLED = "_cancelled";
+    private static final String DEPENDENCIES_DONE_AT = "_ready";
+
+    private static final int MIN_TASK_RANGE_SIZE = 16;
+    /** Durations are kept in tenths of a second. */
+    private static final int MILLIS_PER_TENTH = 100;
+
     private final JobSpec spec;
     private final Instant submittedAt;
     private final int taskRangeSize;
@@ -24,36 +33,38 @@
     private int done;
     private int claimed;
     private int errors;
-    /** Middles of the phases, worked out when asked for after a change. */
+    /** Medians of the phases, worked out when asked for after a change. */
     private boolean mediansKnown;
 
     private Duration medianPull;
     private Duration medianRun;
 
     /** A job that was just accepted, or one that awaits no other. */
-    public Job(JobSpec spec, Instant submitted, int chunkSize, boolean cancelled) {
-        this(spec, submitted, chunkSize, cancelled, null);
+    public Job(JobSpec spec, Instant submittedAt, int taskRangeSize, boolean cancelled) {
+        this(spec, submittedAt, taskRangeSize, cancelled, null);
     }
 
-    private Job(JobSpec spec, Instant submitted, int chunkSize, boolean cancelled, Instant ready) {
-        this.dependenciesDoneAt = ready;
+    private Job(JobSpec spec, Instant submittedAt, int taskRangeSize, boolean cancelled, Instant dependenciesDoneAt) {
+        this.dependenciesDoneAt = dependenciesDoneAt;
         this.spec = spec;
-        this.submittedAt = submitted;
-        this.taskRangeSize = chunkSize;
+        this.submittedAt = submittedAt;
+        this.taskRangeSize = taskRangeSize;
         this.cancelled = cancelled;
-        this.taskRanges = new TaskRange[(spec.taskCount() + chunkSize - 1) / chunkSize];
+        this.taskRanges = new TaskRange[(spec.taskCount() + taskRangeSize - 1) / taskRangeSize];
     }
 
-    /** Tasks per key, so that a full chunk stays within the value limit. */
+    /** Tasks per key, so that a full task range stays within the value limit. */
     public static int taskRangeSize(int valueBytes) {
         // Small values take more tasks than full records would allow: those are written in the short form.
         return Math.max(Math.min(32, (valueBytes - 250) / 56), Math.max(4, Math.min(64, (valueBytes - 600) / 130)));
     }
 
-    /** Keys for the controllers to share a job by, none so small that a write says little. */
+    /** Tasks per key, so that the controllers can share a job by its keys; none so small that a write says little. */
     public static int taskRangeSize(int valueBytes, int tasks, int controllers, boolean scarceChanges) {
         int even = (tasks + controllers - 1) / Math.max(1, controllers);
-        return Math.min(taskRangeSize(valueBytes), Math.max(scarceChanges ? 2 * LEAST_CHUNK : LEAST_CHUNK, even));
+        return Math.min(
+                taskRangeSize(valueBytes),
+                Math.max(scarceChanges ? 2 * MIN_TASK_RANGE_SIZE : MIN_TASK_RANGE_SIZE, even));
     }
 
     /** The job as its user described it. */
@@ -96,7 +107,7 @@
         return task / taskRangeSize;
     }
 
-    /** The chunk, or null when none of its tasks was ever claimed. */
+    /** The task range, or null when none of its tasks was ever claimed. */
     public TaskRange storedTaskRange(int index) {
         return taskRanges[index];
     }
@@ -141,13 +152,13 @@
 
     /** All claims of the job's tasks. */
     public List<Claim> claims() {
-        List<Claim> out = new ArrayList<>();
+        List<Claim> claims = new ArrayList<>();
         for (TaskRange taskRange : taskRanges) {
             if (taskRange != null) {
-                out.addAll(taskRange.claims());
+                claims.addAll(taskRange.claims());
             }
         }
-        return out;
+        return claims;
     }
 
     /** Number of claimed tasks. */
@@ -165,13 +176,13 @@
         return errors;
     }
 
-    /** The middle of the tasks' fetches, or null while there are none. */
+    /** The median duration of the tasks' image pulls, or null while there are none. */
     public Duration medianPull() {
         findMedians();
         return medianPull;
     }
 
-    /** The middle of the tasks' runs, or null while there are none. */
+    /** The median duration of the tasks' runs, or null while there are none. */
     public Duration medianRun() {
         findMedians();
         return medianRun;
@@ -196,9 +207,9 @@
             return null;
         }
         all.sort(null);
-        int n = all.size();
-        double middle = n % 2 == 1 ? all.getInt(n / 2) : (all.getInt(n / 2 - 1) + all.getInt(n / 2)) / 2.0;
-        return Duration.ofMillis((long) (middle * 100));
+        int half = all.size() / 2;
+        double middle = all.size() % 2 == 1 ? all.getInt(half) : (all.getInt(half - 1) + all.getInt(half)) / 2.0;
+        return Duration.ofMillis((long) (middle * MILLIS_PER_TENTH));
     }
 
     /** When the job should be done; jobs without a deadline get none. */
@@ -209,13 +220,13 @@
     /** The stored header, cancelled or not. */
     public JsonObject header(boolean withCancel) {
         JsonObject json = spec.toJson();
-        json.addProperty("_at", submittedAt.toEpochMilli());
-        json.addProperty("_chunk", taskRangeSize);
+        json.addProperty(SUBMITTED_AT, submittedAt.toEpochMilli());
+        json.addProperty(TASK_RANGE_SIZE, taskRangeSize);
         if (withCancel) {
-            json.addProperty("_cancelled", true);
+            json.addProperty(CANCELLED, true);
         }
         if (dependenciesDoneAt != null) {
-            json.addProperty("_ready", dependenciesDoneAt.toEpochMilli());
+            json.addProperty(DEPENDENCIES_DONE_AT, dependenciesDoneAt.toEpochMilli());
         }
         return json;
     }
@@ -229,9 +240,11 @@
     public static Job parse(JsonObject json) throws Json.BadMessage {
         return new Job(
                 JobSpec.parse(json),
-                Instant.ofEpochMilli(Json.count(json, "_at")),
-                (int) Math.max(1, Json.count(json, "_chunk")),
-                Json.flagOr(json, "_cancelled", false),
-                Json.has(json, "_ready") ? Instant.ofEpochMilli(Json.count(json, "_ready")) : null);
+                Instant.ofEpochMilli(Json.count(json, SUBMITTED_AT)),
+                (int) Math.max(1, Json.count(json, TASK_RANGE_SIZE)),
+                Json.flagOr(json, CANCELLED, false),
+                Json.has(json, DEPENDENCIES_DONE_AT)
+                        ? Instant.ofEpochMilli(Json.count(json, DEPENDENCIES_DONE_AT))
+                        : null);
     }
 }
--- a/src/main/java/org/havenford/storage/records/MachineBatch.java
+++ b/src/main/java/org/havenford/storage/records/MachineBatch.java
@@ -15,6 +15,13 @@
  */
 public record MachineBatch(
         String name, String type, String zone, boolean spot, Instant since, TreeMap<String, ServiceState> machines) {
+    // Stored field names; versions in production read and write them, so they must not change.
+    private static final String TYPE = "t";
+    private static final String ZONE = "z";
+    private static final String SPOT = "b";
+    private static final String SINCE = "at";
+    private static final String MACHINES = "m";
+
     /** Most machines in one batch. */
     public static final int MAX_MACHINES = 50;
 
@@ -29,7 +36,7 @@
     public static MachineBatch of(
             String name, String type, String zone, boolean spot, Instant since, Collection<String> machines) {
         TreeMap<String, ServiceState> all = new TreeMap<>();
-        machines.forEach(m -> all.put(m, ServiceState.IN_SERVICE));
+        machines.forEach(machine -> all.put(machine, ServiceState.IN_SERVICE));
         return new MachineBatch(name, type, zone, spot, since, all);
     }
 
@@ -50,28 +57,31 @@
     /** The stored value. */
     public JsonObject toJson() {
         JsonObject json = new JsonObject();
-        json.addProperty("t", type);
-        json.addProperty("z", zone);
-        json.addProperty("b", spot);
-        json.addProperty("at", since.toEpochMilli());
+        json.addProperty(TYPE, type);
+        json.addProperty(ZONE, zone);
+        json.addProperty(SPOT, spot);
+        json.addProperty(SINCE, since.toEpochMilli());
         JsonObject all = new JsonObject();
-        machines.forEach((m, s) -> all.addProperty(m, s.name().toLowerCase(Locale.ROOT)));
-        json.add("m", all);
+        machines.forEach(
+                (machine, state) -> all.addProperty(machine, state.name().toLowerCase(Locale.ROOT)));
+        json.add(MACHINES, all);
         return json;
     }
 
     /** Reads a stored value. */
     public static MachineBatch parse(String name, JsonObject json) throws Json.BadMessage {
         TreeMap<String, ServiceState> all = new TreeMap<>();
-        for (Map.Entry<String, JsonElement> e : Json.child(json, "m").entrySet()) {
-            all.put(e.getKey(), ServiceState.valueOf(e.getValue().getAsString().toUpperCase(Locale.ROOT)));
+        for (Map.Entry<String, JsonElement> entry : Json.child(json, MACHINES).entrySet()) {
+            all.put(
+                    entry.getKey(),
+                    ServiceState.valueOf(entry.getValue().getAsString().toUpperCase(Locale.ROOT)));
         }
         return new MachineBatch(
                 name,
-                Json.text(json, "t"),
-                Json.text(json, "z"),
-                Json.flagOr(json, "b", false),
-                Instant.ofEpochMilli(Json.count(json, "at")),
+                Json.text(json, TYPE),
+                Json.text(json, ZONE),
+                Json.flagOr(json, SPOT, false),
+                Instant.ofEpochMilli(Json.count(json, SINCE)),
                 all);
     }
 }
--- a/src/main/java/org/havenford/storage/records/MachineStatuses.java
+++ b/src/main/java/org/havenford/storage/records/MachineStatuses.java
@@ -18,9 +18,15 @@
  * claim, release or return rests on it alone.
  */
 public record MachineStatuses(Instant at, SortedMap<String, Status> machines) {
+    // Stored field names; versions in production read and write them, so they must not change.
+    private static final String REPORTED_AT = "at";
+    private static final String IMAGES = "i";
+    private static final String MACHINES = "m";
+
     /** Most machines under one key, so that it stays within the value limit. */
     public static final int MAX_MACHINES = 60;
 
+    /** Most images that are named of one machine. */
     public static final int MAX_IMAGES = 12;
 
     /** Last known condition of one machine and the images in its cache. */
@@ -39,47 +45,50 @@
 
     private JsonObject toJsonWith(int maxImages) {
         JsonObject json = new JsonObject();
-        json.addProperty("at", at.toEpochMilli());
+        json.addProperty(REPORTED_AT, at.toEpochMilli());
         List<String> names = new ArrayList<>();
         JsonObject all = new JsonObject();
-        machines.forEach((machine, s) -> {
-            JsonArray a = new JsonArray();
-            a.add(s.condition.name().toLowerCase(Locale.ROOT));
-            for (String image : s.images.subList(0, Math.min(maxImages, s.images.size()))) {
-                int i = names.indexOf(image);
-                if (i < 0) {
-                    i = names.size();
+        machines.forEach((machine, status) -> {
+            JsonArray values = new JsonArray();
+            values.add(status.condition.name().toLowerCase(Locale.ROOT));
+            for (String image : status.images.subList(0, Math.min(maxImages, status.images.size()))) {
+                int index = names.indexOf(image);
+                if (index < 0) {
+                    index = names.size();
                     names.add(image);
                 }
-                a.add(i);
+                values.add(index);
             }
-            all.add(machine, a);
+            all.add(machine, values);
         });
         JsonArray images = new JsonArray();
         names.forEach(images::add);
-        json.add("i", images);
-        json.add("m", all);
+        json.add(IMAGES, images);
+        json.add(MACHINES, all);
         return json;
     }
 
     /** Reads a stored value. */
     public static MachineStatuses parse(JsonObject json) throws Json.BadMessage {
-        List<String> names = Json.texts(json, "i");
+        List<String> names = Json.texts(json, IMAGES);
         TreeMap<String, Status> all = new TreeMap<>();
         try {
-            for (Map.Entry<String, JsonElement> e : Json.child(json, "m").entrySet()) {
-                JsonArray a = e.getValue().getAsJsonArray();
-                List<String> images = new ArrayList<>();
-                for (int i = 1; i < a.size(); i++) {
-                    images.add(names.get(a.get(i).getAsInt()));
-                }
-                all.put(
-                        e.getKey(),
-                        new Status(Condition.valueOf(a.get(0).getAsString().toUpperCase(Locale.ROOT)), images));
+            for (Map.Entry<String, JsonElement> entry :
+                    Json.child(json, MACHINES).entrySet()) {
+                all.put(entry.getKey(), parseStatus(entry.getValue().getAsJsonArray(), names));
             }
         } catch (IllegalStateException | IllegalArgumentException | IndexOutOfBoundsException e) {
-            throw new Json.BadMessage("what was heard of machines can't be read");
+            throw new Json.BadMessage(MACHINES + " is not a map of conditions and indices of images");
+        }
+        return new MachineStatuses(Instant.ofEpochMilli(Json.count(json, REPORTED_AT)), all);
+    }
+
+    private static Status parseStatus(JsonArray values, List<String> imageNames) {
+        List<String> images = new ArrayList<>();
+        for (int i = 1; i < values.size(); i++) {
+            images.add(imageNames.get(values.get(i).getAsInt()));
         }
-        return new MachineStatuses(Instant.ofEpochMilli(Json.count(json, "at")), all);
+        String condition = values.get(0).getAsString().toUpperCase(Locale.ROOT);
+        return new Status(Condition.valueOf(condition), images);
     }
 }
--- a/src/main/java/org/havenford/storage/records/TeamQuota.java
+++ b/src/main/java/org/havenford/storage/records/TeamQuota.java
@@ -10,15 +10,17 @@
 import org.havenford.protocol.Json;
 
 /**
- * A team's limit, dealt out to the controllers: CPUs and cards that the claims charged to each may take. The shares never
- * add up to more than the limit; what nobody holds is free to be taken. Who finds nothing free is named as short, so that
+ * A team's limit, dealt out to the controllers: CPUs and GPUs that the claims charged to each may take. The shares never
+ * add up to more than the limit; what nobody holds is free to be taken. Who finds nothing free is named as starved, so that
  * others give back what they can spare.
  */
 public final class TeamQuota {
-    /** An amount of CPUs and cards. */
+    /** An amount of CPUs and GPUs. */
     public record Resources(double cpus, double gpus) {
+        /** Nothing. */
         public static final Resources NONE = new Resources(0, 0);
-        private static final double GRAIN = 1e-6;
+        /** Sums of shares are not exact. */
+        private static final double TOLERANCE = 1e-6;
 
         /** The sum. */
         public Resources plus(Resources other) {
@@ -31,8 +33,8 @@
         }
 
         /** A multiple. */
-        public Resources times(double n) {
-            return new Resources(cpus * n, gpus * n);
+        public Resources times(double factor) {
+            return new Resources(cpus * factor, gpus * factor);
         }
 
         /** The smaller of both in each part. */
@@ -47,12 +49,13 @@
 
         /** Whether no part exceeds the other's. */
         public boolean within(Resources other) {
-            return cpus <= other.cpus + GRAIN && gpus <= other.gpus + GRAIN;
+            return cpus <= other.cpus + TOLERANCE && gpus <= other.gpus + TOLERANCE;
         }
     }
 
+    // Stored field names; versions in production read and write them, so they must not change.
     private static final String SHARES = "shares";
-    private static final String SHORT = "short";
+    private static final String STARVED_HOLDERS = "short";
 
     private final TreeMap<String, Resources> shares = new TreeMap<>();
     private final TreeSet<String> starvedHolders = new TreeSet<>();
@@ -82,32 +85,32 @@
     }
 
     private TeamQuota copy() {
-        TeamQuota q = new TeamQuota();
-        q.shares.putAll(shares);
-        q.starvedHolders.addAll(starvedHolders);
-        return q;
+        TeamQuota copy = new TeamQuota();
+        copy.shares.putAll(shares);
+        copy.starvedHolders.addAll(starvedHolders);
+        return copy;
     }
 
     /** The same with another share for one node. */
     public TeamQuota with(String node, Resources share) {
-        TeamQuota q = copy();
+        TeamQuota changed = copy();
         if (share.within(Resources.NONE)) {
-            q.shares.remove(node);
+            changed.shares.remove(node);
         } else {
-            q.shares.put(node, share);
+            changed.shares.put(node, share);
         }
-        return q;
+        return changed;
     }
 
-    /** The same with a node named as short, or no longer. */
-    public TeamQuota withStarved(String node, boolean isShort) {
-        TeamQuota q = copy();
-        if (isShort) {
-            q.starvedHolders.add(node);
+    /** The same with a node named as starved, or no longer. */
+    public TeamQuota withStarved(String node, boolean starved) {
+        TeamQuota changed = copy();
+        if (starved) {
+            changed.starvedHolders.add(node);
         } else {
-            q.starvedHolders.remove(node);
+            changed.starvedHolders.remove(node);
         }
-        return q;
+        return changed;
     }
 
     /** The stored value. */
@@ -123,24 +126,24 @@
         starvedHolders.forEach(names::add);
         JsonObject json = new JsonObject();
         json.add(SHARES, all);
-        json.add(SHORT, names);
+        json.add(STARVED_HOLDERS, names);
         return json;
     }
 
     /** Reads a stored value. */
     public static TeamQuota parse(JsonObject json) throws Json.BadMessage {
-        TeamQuota q = new TeamQuota();
+        TeamQuota quota = new TeamQuota();
         try {
-            for (Map.Entry<String, JsonElement> e : Json.child(json, SHARES).entrySet()) {
-                JsonArray pair = e.getValue().getAsJsonArray();
-                q.shares.put(
-                        e.getKey(),
+            for (Map.Entry<String, JsonElement> entry : Json.child(json, SHARES).entrySet()) {
+                JsonArray pair = entry.getValue().getAsJsonArray();
+                quota.shares.put(
+                        entry.getKey(),
                         new Resources(pair.get(0).getAsDouble(), pair.get(1).getAsDouble()));
             }
         } catch (IllegalStateException | NumberFormatException | IndexOutOfBoundsException e) {
-            throw new Json.BadMessage("shares of a limit can't be read");
+            throw new Json.BadMessage(SHARES + " is not a map of pairs of numbers");
         }
-        q.starvedHolders.addAll(Json.texts(json, SHORT));
-        return q;
+        quota.starvedHolders.addAll(Json.texts(json, STARVED_HOLDERS));
+        return quota;
     }
 }
--- a/src/test/java/org/havenford/storage/records/TaskRangeTest.java
+++ b/src/test/java/org/havenford/storage/records/TaskRangeTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.gson.JsonObject;
@@ -10,6 +11,7 @@
 import java.time.Instant;
 import java.util.List;
 import java.util.Set;
+import org.havenford.protocol.Json;
 import org.junit.jupiter.api.Test;
 
 class TaskRangeTest {
@@ -141,4 +143,22 @@
         taskRange.release(0, false, false);
         assertEquals(2, taskRange.claim(0, "host-1", 1, AT, "").attempt());
     }
+
+    @Test
+    void aFieldOfTheWrongFormIsNamed() {
+        for (String field : List.of(
+                "\"d\":[\"x\"]",
+                "\"c\":[[1,2]]",
+                "\"s\":{\"p\":\"\",\"t\":0,\"a\":[],\"c\":\"0 1 m 1 0 0\"}",
+                "\"n\":{\"x\":1}",
+                "\"l\":{\"1\":null}",
+                "\"f\":[\"x\"]",
+                "\"r\":[{}]",
+                "\"x\":\"1\"")) {
+            JsonObject stored = JsonParser.parseString("{" + field + "}").getAsJsonObject();
+            TaskRange fresh = new TaskRange("j-1", 0, 2);
+            Json.BadMessage error = assertThrows(Json.BadMessage.class, () -> fresh.read(stored), field);
+            assertEquals(field.substring(1, 2), error.getMessage().substring(0, 1));
+        }
+    }
 }
