--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -34,6 +34,7 @@
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.ConditionalWriter;
 import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreLimits;
 import org.havenford.storage.StoreReplica;
 import org.havenford.storage.records.ClusterView;
 import org.havenford.storage.records.Job;
@@ -93,9 +94,7 @@
                 loop,
                 calls,
                 settings.stateAddress(),
-                settings.stateRps(),
-                settings.stateWriteRps(),
-                settings.nextWriteRps(),
+                new StoreLimits(settings.stateRps(), settings.stateWriteRps(), settings.nextWriteRps()),
                 settings.peers().size() + 1);
         replica = new StoreReplica(loop, store, Keys.REPLICATED, clusterState);
         membership = new Membership(
--- a/src/main/java/org/havenford/coordination/jobs/FinalStateCache.java
+++ b/src/main/java/org/havenford/coordination/jobs/FinalStateCache.java
@@ -58,7 +58,7 @@
     /** Parses and caches the body of a read; null if it can't be understood. */
     FinalState parsed(String id, StoreResult result) {
         try {
-            FinalState state = FinalState.parse(Json.child(result.body(), "v"));
+            FinalState state = FinalState.parse(result.value());
             cache.put(id, state);
             return state;
         } catch (Json.BadMessage e) {
--- a/src/main/java/org/havenford/coordination/jobs/JobApi.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobApi.java
@@ -93,11 +93,11 @@
                     answer.accept(JobApiResponses.retryLater());
                     return;
                 }
-                Job job = Job.parse(Json.child(result.body(), "v"));
+                Job job = Job.parse(result.value());
                 if (job.cancelled()) {
                     answer.accept(JobApiResponses.cancelled(id));
                 } else {
-                    cancel(job, Json.count(result.body(), "stamp"), attempts, answer);
+                    cancel(job, result.modRevision(), attempts, answer);
                 }
             } catch (Json.BadMessage e) {
                 answer.accept(JobApiResponses.retryLater());
--- a/src/main/java/org/havenford/coordination/jobs/JobQueries.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobQueries.java
@@ -110,7 +110,7 @@
             return stale;
         }
         try {
-            stale.addAll(Json.texts(result.body(), "failed"));
+            stale.addAll(result.conflictingKeys());
         } catch (Json.BadMessage e) {
             stale.clear();
         }
@@ -149,7 +149,7 @@
 
     private Response unfinished(StoreResult header) {
         try {
-            return unfinished(Job.parse(Json.child(header.body(), "v")));
+            return unfinished(Job.parse(header.value()));
         } catch (Json.BadMessage e) {
             return JobApiResponses.retryLater();
         }
--- a/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
@@ -136,7 +136,7 @@
             return existing;
         }
         try {
-            List<String> failed = Json.texts(result.body(), "failed");
+            List<String> failed = result.conflictingKeys();
             for (String id : asked) {
                 if (failed.contains(Keys.job(id)) || failed.contains(Keys.finalState(id))) {
                     existing.add(id);
--- a/src/main/java/org/havenford/coordination/membership/Membership.java
+++ b/src/main/java/org/havenford/coordination/membership/Membership.java
@@ -247,7 +247,7 @@
                 return;
             }
             try {
-                leaseId = Json.count(result.body(), "permit");
+                leaseId = result.leaseId();
                 leaseUntil = until(sent, leaseDuration);
                 register();
                 loop.after(leaseDuration.dividedBy(4), () -> renew(leaseId));
--- a/src/main/java/org/havenford/storage/CommitObserver.java
+++ b/src/main/java/org/havenford/storage/CommitObserver.java
@@ -7,6 +7,6 @@
     /** A transaction is about to be sent; returns the number under which its outcome will be told. */
     long committing(List<String> keys);
 
-    /** The outcome of a transaction; the edition is 0 unless it was committed. */
-    void finished(long number, StoreOutcome outcome, long edition);
+    /** The outcome of a transaction; the revision is 0 unless it was committed. */
+    void finished(long number, StoreOutcome outcome, long revision);
 }
--- a/src/main/java/org/havenford/storage/ConditionalWriter.java
+++ b/src/main/java/org/havenford/storage/ConditionalWriter.java
@@ -8,7 +8,6 @@
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.havenford.protocol.Json;
@@ -25,13 +24,13 @@
     private static final Logger LOG = LoggerFactory.getLogger(ConditionalWriter.class);
     /** After a transaction that was not executed, or whose outcome is unknown. */
     private static final Duration RETRY = Duration.ofMillis(250);
-    /** What the service calls malformed or too large would be so again: other work comes first. */
+    /** What the store calls malformed or too large would be so again: other work comes first. */
     private static final Duration REJECTED_RETRY = Duration.ofSeconds(20);
     /** How long keys stay locked for a replica that does not catch up. */
     private static final Duration REPLICA_PATIENCE = Duration.ofSeconds(1);
 
-    /** Keys on which nothing is decided before our replica has reached an edition. */
-    private record AwaitedRevision(long revision, Instant until, Set<String> keys) {}
+    /** Keys that stay locked until our replica has reached a revision, or until a time. */
+    private record ReplicaLock(long revision, Instant until, Set<String> keys) {}
 
     private final EventLoop loop;
     private final StoreClient store;
@@ -39,10 +38,15 @@
     private final int nextValueBytes;
     private final Runnable wake;
     private final Set<String> locked = new HashSet<>();
-    private final List<AwaitedRevision> awaitedRevisions = new ArrayList<>();
+    private final List<ReplicaLock> replicaLocks = new ArrayList<>();
     private boolean limitsLowered;
 
-    /** A writer over one replica; {@code wake} asks for another round once keys are free again. */
+    /**
+     * A writer over one replica.
+     *
+     * @param nextValueBytes the limit to come of the size of a value, in bytes
+     * @param wake asks for another round once keys are free again
+     */
     public ConditionalWriter(
             EventLoop loop, StoreClient store, StoreReplica replica, int nextValueBytes, Runnable wake) {
         this.loop = loop;
@@ -58,7 +62,7 @@
     }
 
     /**
-     * Whether the service has refused a value larger than its limit to come. The limits fall only after the upgrade of
+     * Whether the store has refused a value larger than its limit to come. The limits fall only after the upgrade of
      * all controllers, so from then on all of them read what this version writes.
      */
     public boolean limitsLowered() {
@@ -67,58 +71,64 @@
 
     /** Unlocks what was locked until our replica has caught up. */
     public void unlockKeysCaughtUp(Instant now) {
-        awaitedRevisions.removeIf(a -> {
-            boolean over = replica.revision() >= a.revision() || now.isAfter(a.until());
+        replicaLocks.removeIf(lock -> {
+            boolean over = replica.revision() >= lock.revision() || now.isAfter(lock.until());
             if (over) {
-                locked.removeAll(a.keys());
+                locked.removeAll(lock.keys());
             }
             return over;
         });
     }
 
     /** Commits a transaction and keeps its keys locked until the replica has caught up with the outcome. */
-    public void commit(Transaction transaction, CallPriority urgency, Collection<String> locks, Runnable onSuccess) {
-        commit(transaction, urgency, locks, onSuccess, result -> {});
+    public void commit(Transaction transaction, CallPriority priority, Collection<String> locks, Runnable onSuccess) {
+        commit(transaction, priority, locks, onSuccess, result -> {});
     }
 
     /**
-     * Commits a transaction. {@code onSuccess} is run before our replica shows it; {@code after} is told every outcome, a good one
-     * when our replica shows it.
+     * Commits a transaction and keeps its keys locked until the replica has caught up with the outcome.
+     *
+     * @param onSuccess run before our replica shows the transaction
+     * @param afterwards told every outcome; a good one when our replica shows it
      */
     public void commit(
             Transaction transaction,
-            CallPriority urgency,
+            CallPriority priority,
             Collection<String> locks,
             Runnable onSuccess,
-            Consumer<StoreResult> after) {
+            Consumer<StoreResult> afterwards) {
         locked.addAll(locks);
-        store.commit(transaction, urgency, () -> isCurrent(transaction), result -> {
+        store.commit(transaction, priority, () -> isCurrent(transaction), result -> {
             if (result.ok()) {
                 onSuccess.run();
                 replica.applyCommitted(transaction, result.revision());
-                after.accept(result);
+                afterwards.accept(result);
                 unlock(locks);
-                return;
-            }
-            after.accept(result);
-            switch (result.outcome()) {
-                case CONFLICT -> lockUntilCaughtUp(result, locks);
-                case STALE -> unlock(locks);
-                case REJECTED -> {
-                    boolean shorterFormHelps = !limitsLowered && largestValue(transaction) > nextValueBytes;
-                    limitsLowered |= shorterFormHelps;
-                    loop.after(shorterFormHelps ? RETRY : REJECTED_RETRY, () -> unlock(locks));
-                }
-                default -> loop.after(RETRY, () -> unlock(locks));
+            } else {
+                afterwards.accept(result);
+                unlockAfterFailure(transaction, result, locks);
             }
         });
     }
 
+    private void unlockAfterFailure(Transaction transaction, StoreResult result, Collection<String> locks) {
+        switch (result.outcome()) {
+            case CONFLICT -> lockUntilCaughtUp(result, locks);
+            case STALE -> unlock(locks);
+            case REJECTED -> {
+                boolean shorterFormHelps = !limitsLowered && largestValueBytes(transaction) > nextValueBytes;
+                limitsLowered |= shorterFormHelps;
+                loop.after(shorterFormHelps ? RETRY : REJECTED_RETRY, () -> unlock(locks));
+            }
+            default -> loop.after(RETRY, () -> unlock(locks));
+        }
+    }
+
     /** Whether our replica still holds what the transaction was decided on; what others have changed would fail it. */
     private boolean isCurrent(Transaction transaction) {
-        for (Map.Entry<String, Long> guard : transaction.requiredRevisions().entrySet()) {
-            String key = guard.getKey();
-            if (key.startsWith(Keys.REPLICATED) && replica.modRevision(key) != guard.getValue()) {
+        for (Transaction.Condition condition : transaction.conditions()) {
+            String key = condition.key();
+            if (key.startsWith(Keys.REPLICATED) && replica.modRevision(key) != condition.modRevision()) {
                 return false;
             }
         }
@@ -130,9 +140,10 @@
         wake.run();
     }
 
-    private static int largestValue(Transaction transaction) {
+    private static int largestValueBytes(Transaction transaction) {
         int largest = 0;
-        for (JsonElement value : transaction.values()) {
+        for (Transaction.Operation operation : transaction.operations()) {
+            JsonElement value = operation.valueOrNull();
             if (value != null) {
                 largest = Math.max(largest, value.toString().getBytes(StandardCharsets.UTF_8).length);
             }
@@ -144,12 +155,12 @@
     private void lockUntilCaughtUp(StoreResult result, Collection<String> locks) {
         Set<String> keys = new HashSet<>(locks);
         try {
-            keys.addAll(Json.texts(result.body(), "failed"));
+            keys.addAll(result.conflictingKeys());
         } catch (Json.BadMessage e) {
-            LOG.warn("state service: a conflict does not name its keys: {}", e.getMessage());
+            LOG.warn("cannot read conflicting keys: error={}", e.getMessage());
         }
-        keys.removeIf(k -> !locks.contains(k) && locked.contains(k));
+        keys.removeIf(key -> !locks.contains(key) && locked.contains(key));
         locked.addAll(keys);
-        awaitedRevisions.add(new AwaitedRevision(result.revision(), loop.now().plus(REPLICA_PATIENCE), keys));
+        replicaLocks.add(new ReplicaLock(result.revision(), loop.now().plus(REPLICA_PATIENCE), keys));
     }
 }
--- /dev/null
+++ b/src/main/java/org/havenford/storage/StoreRequestBudget.java
@@ -0,0 +1,178 @@
+package org.havenford.storage;
+
+import java.time.Duration;
+import java.time.Instant;
+
+/**
+ * This controller's share of the store's limits. It starts even and follows what the store takes: it grows slowly while it
+ * is used up, and shrinks when the store refuses a call; after a refusal no call is sent for a while.
+ */
+final class StoreRequestBudget {
+    /** Part of the store's limits that the controllers use together when each keeps to its even share. */
+    private static final double SAFETY = 0.92;
+    /** Part of an even share that is used however often the store refuses. */
+    private static final double MIN_SHARE = 0.7;
+
+    private static final double REQUEST_BURST_SECONDS = 0.5;
+    private static final double WRITE_BURST_SECONDS = 0.8;
+
+    private static final Duration ADJUSTMENT_INTERVAL = Duration.ofSeconds(1);
+    /** The share grows only when the store has not refused a call for this long. */
+    private static final Duration GROWTH_DELAY = Duration.ofSeconds(2);
+
+    private static final double GROWTH = 1.15;
+    private static final double SHRINKAGE = 0.75;
+    /** Part of the limits that one controller may come to use while the others are idle. */
+    private static final double MAX_PART_OF_LIMITS = 0.9;
+    /** How an unused share returns to an even one from below, and from above. */
+    private static final double RECOVERY_UP = 1.03;
+
+    private static final double RECOVERY_DOWN = 0.97;
+
+    private static final Duration LEASE_BACK_OFF = Duration.ofMillis(60);
+    private static final Duration BACK_OFF_STEP = Duration.ofMillis(100);
+    private static final int MAX_BACK_OFF_STEPS = 10;
+
+    private final StoreLimits limits;
+    private final double minShare;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
+    private int controllers;
+    /** Our share of the limits, in even shares. */
+    private double share = 1;
+
+    private boolean exhausted;
+    private Instant lastAdjustment;
+    private int consecutiveRefusals;
+    /** Null until the first refusal, as are the times until which calls are held back. */
+    private Instant lastRefusal;
+
+    private Instant backOffUntil;
+    private Instant leaseBackOffUntil;
+
+    /** An even share of the limits among so many controllers, with full buckets. */
+    StoreRequestBudget(StoreLimits limits, int controllers, Instant now) {
+        this.limits = limits;
+        this.minShare = MIN_SHARE * limits.nextWritesPerSecond() / limits.writesPerSecond();
+        this.requests = new TokenBucket(limits.requestsPerSecond(), REQUEST_BURST_SECONDS, now);
+        this.writes = new TokenBucket(limits.writesPerSecond(), WRITE_BURST_SECONDS, now);
+        this.lastAdjustment = now;
+        divideAmong(controllers);
+    }
+
+    /** Divides the limits among the controllers that are alive. */
+    void divideAmong(int aliveControllers) {
+        controllers = Math.max(1, aliveControllers);
+        share = Math.min(share, controllers);
+        applyShare();
+    }
+
+    private void applyShare() {
+        requests.setRate(limits.requestsPerSecond() * SAFETY * share / controllers);
+        writes.setRate(limits.writesPerSecond() * SAFETY * share / controllers);
+    }
+
+    /** Our share of the limits, in even shares. */
+    double share() {
+        return share;
+    }
+
+    /** Requests a second of an even share. */
+    double evenShareOfRequests() {
+        return limits.requestsPerSecond() * SAFETY / controllers;
+    }
+
+    /** Whether so many operations would have to wait for the limit of writes. */
+    boolean lacksWrites(int operationCount, Instant now) {
+        return !writes.has(operationCount, now);
+    }
+
+    /**
+     * Adapts the share to what was used and refused, once an interval. A refused call was not executed, so trying for more
+     * than the even share costs no more than that call.
+     */
+    void adjust(Instant now) {
+        if (Duration.between(lastAdjustment, now).compareTo(ADJUSTMENT_INTERVAL) < 0) {
+            return;
+        }
+        lastAdjustment = now;
+        double before = share;
+        if (!exhausted) {
+            share = share < 1 ? Math.min(1, share * RECOVERY_UP) : Math.max(1, share * RECOVERY_DOWN);
+        } else if (!refusedWithin(GROWTH_DELAY, now)) {
+            share = Math.min(Math.max(1, controllers * MAX_PART_OF_LIMITS), share * GROWTH);
+        }
+        exhausted = false;
+        if (share != before) {
+            applyShare();
+        }
+    }
+
+    /** Notes that a call which matters had to wait for the budget. */
+    void markExhausted() {
+        exhausted = true;
+    }
+
+    /** Notes that the store refused a call because of its limits. */
+    void recordRefusal(Instant now) {
+        consecutiveRefusals++;
+        backOffUntil = now.plus(BACK_OFF_STEP.multipliedBy(Math.min(MAX_BACK_OFF_STEPS, consecutiveRefusals)));
+        leaseBackOffUntil = now.plus(LEASE_BACK_OFF);
+        if (!refusedWithin(ADJUSTMENT_INTERVAL, now)) {
+            share = Math.max(minShare, share * SHRINKAGE);
+            applyShare();
+        }
+        lastRefusal = now;
+    }
+
+    /** Ends a row of refusals: the next back-off is the shortest again. */
+    void resetBackOff() {
+        consecutiveRefusals = 0;
+    }
+
+    private boolean refusedWithin(Duration time, Instant now) {
+        return lastRefusal != null && !now.isAfter(lastRefusal.plus(time));
+    }
+
+    /**
+     * Whether a call may be sent now. A renewal never waits for the budget: losing the lease costs far more than one refused
+     * call. After a refusal it waits a moment all the same, and the rest for longer each time: calls that go again at once
+     * use up what limit there is.
+     *
+     * @param othersWait whether calls of a higher priority wait for the budget
+     */
+    boolean permits(CallPriority priority, int operationCount, boolean othersWait, Instant now) {
+        if (priority == CallPriority.LEASE) {
+            return hasPassed(leaseBackOffUntil, now);
+        }
+        if (priority == CallPriority.WATCH) {
+            return hasPassed(backOffUntil, now);
+        }
+        if (othersWait || !hasPassed(backOffUntil, now)) {
+            return false;
+        }
+        double reserved = reservedPart(priority);
+        return requests.has(1 + requests.capacity() * reserved, now)
+                && (operationCount == 0 || writes.has(operationCount + writes.capacity() * reserved, now));
+    }
+
+    private static boolean hasPassed(Instant time, Instant now) {
+        return time == null || !now.isBefore(time);
+    }
+
+    /** Part of a bucket that is left to calls of a higher priority: accepting a job must not wait for a bucket that work has just emptied. */
+    private static double reservedPart(CallPriority priority) {
+        return switch (priority) {
+            case USER -> 0;
+            case CLAIM -> 0.15;
+            case WORK -> 0.3;
+            default -> 0.5;
+        };
+    }
+
+    /** Takes one request with so many operations. */
+    void take(int operationCount) {
+        requests.take(1);
+        writes.take(operationCount);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/havenford/storage/StoreStatistics.java
@@ -0,0 +1,92 @@
+package org.havenford.storage;
+
+import java.util.Arrays;
+import java.util.Locale;
+import java.util.TreeMap;
+import org.havenford.protocol.Json;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Counts of the calls to the store since the last summary, for the log. */
+final class StoreStatistics {
+    private static final Logger LOG = LoggerFactory.getLogger(StoreStatistics.class);
+
+    private final long[] sentRequests = new long[CallPriority.values().length];
+    private final TreeMap<String, Integer> conflictingKeyKinds = new TreeMap<>();
+    private long operations;
+    private long conflicts;
+    private long refusals;
+    private long expired;
+    private long stale;
+
+    /** A request was sent. */
+    void countSent(StoreCall call) {
+        sentRequests[call.priority().ordinal()]++;
+        operations += call.request().operationCount();
+    }
+
+    /** The store refused a request because of its limits. */
+    void countRefusal() {
+        refusals++;
+    }
+
+    /** A call waited too long for its turn. */
+    void countExpired() {
+        expired++;
+    }
+
+    /** A transaction was not sent since its conditions were known to fail. */
+    void countStale() {
+        stale++;
+    }
+
+    /** A transaction failed; counted by the kind of the keys that had changed, which is what a remedy starts from. */
+    void countConflict(StoreResult result) {
+        conflicts++;
+        try {
+            for (String key : result.conflictingKeys()) {
+                conflictingKeyKinds.merge(kind(key), 1, Integer::sum);
+            }
+        } catch (Json.BadMessage e) {
+            LOG.warn("cannot read conflicting keys: error={}", e.getMessage());
+        }
+    }
+
+    /** The second part of a key, as {@code job} of {@code live/job/j-1}. */
+    private static String kind(String key) {
+        int first = key.indexOf('/');
+        int second = key.indexOf('/', first + 1);
+        return second > 0 ? key.substring(first + 1, second) : key.substring(first + 1);
+    }
+
+    /** The counts as {@code key=value} pairs; they start again at 0. */
+    String takeSummary(int queued, double share) {
+        StringBuilder text = new StringBuilder();
+        for (CallPriority priority : CallPriority.values()) {
+            text.append(priority.name().toLowerCase(Locale.ROOT))
+                    .append("Requests=")
+                    .append(sentRequests[priority.ordinal()])
+                    .append(' ');
+        }
+        text.append("operations=").append(operations);
+        text.append(" conflicts=").append(conflicts);
+        text.append(" conflictingKeys=").append(conflictingKeyKinds);
+        text.append(" refused=").append(refusals);
+        text.append(" expired=").append(expired);
+        text.append(" stale=").append(stale);
+        text.append(" queued=").append(queued);
+        text.append(String.format(Locale.ROOT, " share=%.2f", share));
+        reset();
+        return text.toString();
+    }
+
+    private void reset() {
+        Arrays.fill(sentRequests, 0);
+        conflictingKeyKinds.clear();
+        operations = 0;
+        conflicts = 0;
+        refusals = 0;
+        expired = 0;
+        stale = 0;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/havenford/storage/StoreWireCodec.java
@@ -0,0 +1,161 @@
+package org.havenford.storage;
+
+import com.google.gson.JsonArray;
+import com.google.gson.JsonElement;
+import com.google.gson.JsonObject;
+import java.time.Duration;
+import java.util.List;
+import org.havenford.protocol.Json;
+
+/**
+ * The store's protocol: paths and bodies of requests, fields of responses. The only place that knows the words which the
+ * store uses on the wire.
+ */
+final class StoreWireCodec {
+    /** Path of transactions. */
+    static final String TRANSACTIONS = "/multi";
+    /** Path under which leases are created. */
+    static final String LEASES = "/holds";
+
+    private static final int KEYS_PER_PAGE = 500;
+
+    private static final String KEY = "k";
+    private static final String VALUE = "v";
+    private static final String MOD_REVISION = "stamp";
+    private static final String REVISION = "edition";
+    private static final String LEASE_ID = "permit";
+    private static final String CONDITIONS = "guards";
+    private static final String OPERATIONS = "writes";
+    private static final String PUT = "set";
+    private static final String DELETE = "delete";
+    private static final String FAILED_CONDITIONS = "failed";
+    private static final String ENTRIES = "items";
+    private static final String MORE_PAGES = "truncated";
+    private static final String EVENTS = "log";
+
+    private StoreWireCodec() {}
+
+    // ---- requests
+
+    /** Path of one key. */
+    static String keyPath(String key) {
+        return "/store/" + key;
+    }
+
+    /** Path of a page of keys, beginning after the given key, or at the first if null. */
+    static String pagePath(String prefix, String after) {
+        return "/store?prefix=" + prefix + (after == null ? "" : "&since=" + after) + "&limit=" + KEYS_PER_PAGE;
+    }
+
+    /** Path of a watch of the changes after a revision. */
+    static String watchPath(String prefix, long revision, Duration timeout) {
+        return "/changes?prefix=" + prefix + "&since=" + revision + "&blockMs=" + timeout.toMillis();
+    }
+
+    /** Path of one lease. */
+    static String leasePath(long leaseId) {
+        return LEASES + "/" + leaseId;
+    }
+
+    /** Path that renews a lease. */
+    static String renewalPath(long leaseId) {
+        return leasePath(leaseId) + "/touch";
+    }
+
+    /** Body of a request for a lease. */
+    static String leaseRequest(Duration duration) {
+        return "{\"lifeMs\":" + duration.toMillis() + "}";
+    }
+
+    /** Body of a transaction. */
+    static String transaction(Transaction transaction) {
+        JsonArray conditions = new JsonArray(transaction.conditionCount());
+        transaction.conditions().forEach(condition -> conditions.add(condition(condition)));
+        JsonArray operations = new JsonArray(transaction.operationCount());
+        transaction.operations().forEach(operation -> operations.add(operation(operation)));
+        JsonObject body = new JsonObject();
+        body.add(CONDITIONS, conditions);
+        body.add(OPERATIONS, operations);
+        return body.toString();
+    }
+
+    private static JsonObject condition(Transaction.Condition condition) {
+        JsonObject json = new JsonObject();
+        json.addProperty(KEY, condition.key());
+        json.addProperty(MOD_REVISION, condition.modRevision());
+        return json;
+    }
+
+    private static JsonObject operation(Transaction.Operation operation) {
+        JsonObject json = new JsonObject();
+        if (operation instanceof Transaction.Put put) {
+            json.addProperty(PUT, put.key());
+            json.add(VALUE, put.value());
+            put.leaseId().ifPresent(id -> json.addProperty(LEASE_ID, id));
+        } else {
+            json.addProperty(DELETE, operation.key());
+        }
+        return json;
+    }
+
+    // ---- responses
+
+    /** Revision of the store that a response names, or 0 where it names none. */
+    static long revision(JsonObject body) throws Json.BadMessage {
+        return Json.countOr(body, REVISION, 0);
+    }
+
+    /** Id of the lease that was created. */
+    static long leaseId(JsonObject body) throws Json.BadMessage {
+        return Json.count(body, LEASE_ID);
+    }
+
+    /** Value of the key that was read. */
+    static JsonObject value(JsonObject body) throws Json.BadMessage {
+        return Json.child(body, VALUE);
+    }
+
+    /** Mod revision of the key that was read. */
+    static long modRevision(JsonObject body) throws Json.BadMessage {
+        return Json.count(body, MOD_REVISION);
+    }
+
+    /** Keys whose conditions did not hold. */
+    static List<String> conflictingKeys(JsonObject body) throws Json.BadMessage {
+        return Json.texts(body, FAILED_CONDITIONS);
+    }
+
+    /** Whether more keys follow those of this page. */
+    static boolean hasMorePages(JsonObject body) throws Json.BadMessage {
+        return Json.flagOr(body, MORE_PAGES, false);
+    }
+
+    /** Visits the keys of a page in their order, up to the first that can't be read. */
+    static void visitEntries(JsonObject body, KeyVisitor visitor) throws Json.BadMessage {
+        for (JsonObject entry : Json.objects(body, ENTRIES)) {
+            String key = Json.text(entry, KEY);
+            visitor.visit(key, entry.get(VALUE), Json.count(entry, MOD_REVISION));
+        }
+    }
+
+    /** Visits the changes that a watch returned in their order, up to the first that can't be read; returns their number. */
+    static int visitEvents(JsonObject body, KeyVisitor visitor) throws Json.BadMessage {
+        List<JsonObject> events = Json.objects(body, EVENTS);
+        for (JsonObject event : events) {
+            long modRevision = Json.count(event, MOD_REVISION);
+            if (Json.has(event, PUT)) {
+                visitor.visit(Json.text(event, PUT), event.get(VALUE), modRevision);
+            } else {
+                visitor.visit(Json.text(event, DELETE), null, modRevision);
+            }
+        }
+        return events.size();
+    }
+
+    /** Receives keys as the store has them; called for each key, so no object is made for it. */
+    @FunctionalInterface
+    interface KeyVisitor {
+        /** {@code value} is null when the key was deleted. */
+        void visit(String key, JsonElement value, long modRevision);
+    }
+}
--- a/src/main/java/org/havenford/storage/TokenBucket.java
+++ b/src/main/java/org/havenford/storage/TokenBucket.java
@@ -5,42 +5,47 @@
 
 /** Our own limit on calls to an outside system, below the one that it enforces. */
 public final class TokenBucket {
-    private double rate;
+    private static final double NANOS_PER_SECOND = 1e9;
+    /** Tokens that rounding may lose. */
+    private static final double TOLERANCE = 1e-9;
+
     private final double burstSeconds;
+    private double rate;
     private double tokens;
-    private Instant last;
+    private Instant lastRefill;
 
     /** A full bucket for {@code rate} tokens a second that holds what comes in {@code burstSeconds}. */
     public TokenBucket(double rate, double burstSeconds, Instant now) {
         this.rate = rate;
         this.burstSeconds = burstSeconds;
         this.tokens = rate * burstSeconds;
-        this.last = now;
+        this.lastRefill = now;
     }
 
-    /** Changes the rate. */
-    public void rate(double newRate) {
+    /** Changes the rate, in tokens a second. */
+    public void setRate(double newRate) {
         rate = newRate;
     }
 
-    /** The most that the bucket holds. */
-    public double size() {
+    /** The most tokens that the bucket holds; at least one. */
+    public double capacity() {
         return Math.max(1, rate * burstSeconds);
     }
 
     private void refill(Instant now) {
-        tokens = Math.min(size(), tokens + Duration.between(last, now).toNanos() / 1e9 * rate);
-        last = now;
+        double elapsedSeconds = Duration.between(lastRefill, now).toNanos() / NANOS_PER_SECOND;
+        tokens = Math.min(capacity(), tokens + elapsedSeconds * rate);
+        lastRefill = now;
     }
 
-    /** Whether {@code n} can be taken; a need larger than the whole bucket is met once the bucket is full. */
-    public boolean has(double n, Instant now) {
+    /** Whether so many tokens can be taken; a need larger than the whole bucket is met once the bucket is full. */
+    public boolean has(double needed, Instant now) {
         refill(now);
-        return tokens >= Math.min(n, size()) - 1e-9;
+        return tokens >= Math.min(needed, capacity()) - TOLERANCE;
     }
 
     /** Takes tokens; their number may become negative. */
-    public void take(double n) {
-        tokens -= n;
+    public void take(double taken) {
+        tokens -= taken;
     }
 }
--- a/src/main/java/org/havenford/storage/Transaction.java
+++ b/src/main/java/org/havenford/storage/Transaction.java
@@ -1,89 +1,94 @@
 package org.havenford.storage;
 
-import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
-import com.google.gson.JsonObject;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
+import java.util.Collections;
 import java.util.List;
-import java.util.Map;
+import java.util.OptionalLong;
 
-/** A guarded transaction. */
+/** A compare-and-swap over several keys: all of its operations are carried out if all of its conditions hold, or none. */
 public final class Transaction {
-    private final JsonArray conditionCount = new JsonArray();
-    private final JsonArray operationCount = new JsonArray();
-    private final Map<String, Long> requiredRevisions = new LinkedHashMap<>();
-    private final List<String> keys = new ArrayList<>();
-    private final List<JsonElement> values = new ArrayList<>();
-
-    /** Adds a condition: the key has this stamp; 0 means that it does not exist. */
-    public Transaction requireRevision(String key, long stamp) {
-        JsonObject g = new JsonObject();
-        g.addProperty("k", key);
-        g.addProperty("stamp", stamp);
-        conditionCount.add(g);
-        requiredRevisions.put(key, stamp);
-        return this;
+    /** The key must have this mod revision; 0 means that it must not exist. */
+    public record Condition(String key, long modRevision) {}
+
+    /** A change of one key. */
+    public sealed interface Operation permits Put, Delete {
+        /** The key that is changed. */
+        String key();
+
+        /** The value that the key has afterwards, or null if the key is deleted. */
+        JsonElement valueOrNull();
     }
 
-    /** Adds a change that sets a key. */
-    public Transaction put(String key, JsonElement value) {
-        return put(key, value, 0);
+    /** Sets a key, and attaches it to the lease if there is one; the key is deleted when the lease ends. */
+    public record Put(String key, JsonElement value, OptionalLong leaseId) implements Operation {
+        @Override
+        public JsonElement valueOrNull() {
+            return value;
+        }
     }
 
-    /** Adds a change that sets a key and attaches it to a lease. */
-    public Transaction put(String key, JsonElement value, long permit) {
-        JsonObject w = new JsonObject();
-        w.addProperty("set", key);
-        w.add("v", value);
-        if (permit != 0) {
-            w.addProperty("permit", permit);
+    /** Deletes a key. */
+    public record Delete(String key) implements Operation {
+        @Override
+        public JsonElement valueOrNull() {
+            return null;
         }
-        operationCount.add(w);
-        keys.add(key);
-        values.add(value);
+    }
+
+    private final List<Condition> conditions = new ArrayList<>();
+    private final List<Operation> operations = new ArrayList<>();
+    private final List<String> changedKeys = new ArrayList<>();
+
+    /** Adds the condition that the key has this mod revision; 0 means that it does not exist. */
+    public Transaction requireRevision(String key, long modRevision) {
+        conditions.add(new Condition(key, modRevision));
         return this;
     }
 
-    /** Adds a change that deletes a key. */
+    /** Adds an operation that sets a key and detaches it from any lease. */
+    public Transaction put(String key, JsonElement value) {
+        return add(new Put(key, value, OptionalLong.empty()));
+    }
+
+    /** Adds an operation that sets a key and attaches it to a lease. */
+    public Transaction put(String key, JsonElement value, long leaseId) {
+        return add(new Put(key, value, OptionalLong.of(leaseId)));
+    }
+
+    /** Adds an operation that deletes a key. */
     public Transaction delete(String key) {
-        JsonObject w = new JsonObject();
-        w.addProperty("delete", key);
-        operationCount.add(w);
-        keys.add(key);
-        values.add(null);
-        return this;
+        return add(new Delete(key));
     }
 
-    /** Number of changes. */
-    public int operationCount() {
-        return operationCount.size();
+    private Transaction add(Operation operation) {
+        operations.add(operation);
+        changedKeys.add(operation.key());
+        return this;
     }
 
-    /** Guarded keys, and the stamps that they must have. */
-    public Map<String, Long> requiredRevisions() {
-        return requiredRevisions;
+    /** Conditions in the order in which they were added. */
+    public List<Condition> conditions() {
+        return Collections.unmodifiableList(conditions);
     }
 
-    /** Number of conditions. */
-    public int conditionCount() {
-        return conditionCount.size();
+    /** Operations in the order in which they were added. */
+    public List<Operation> operations() {
+        return Collections.unmodifiableList(operations);
     }
 
-    /** Keys that are changed, in order. */
-    public List<String> keys() {
-        return keys;
+    /** Keys that are changed, in the order of the operations. */
+    public List<String> changedKeys() {
+        return Collections.unmodifiableList(changedKeys);
     }
 
-    /** Values that are set, in the order of the keys; null for a deletion. */
-    public List<JsonElement> values() {
-        return values;
+    /** Number of conditions. */
+    public int conditionCount() {
+        return conditions.size();
     }
 
-    String text() {
-        JsonObject json = new JsonObject();
-        json.add("guards", conditionCount);
-        json.add("writes", operationCount);
-        return json.toString();
+    /** Number of operations. */
+    public int operationCount() {
+        return operations.size();
     }
 }
--- a/src/test/java/org/havenford/coordination/GoldenCalls.java
+++ b/src/test/java/org/havenford/coordination/GoldenCalls.java
@@ -17,6 +17,7 @@
 import org.havenford.storage.CallPriority;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.StoreClient;
+import org.havenford.storage.StoreLimits;
 import org.havenford.storage.StoreReplica;
 import org.havenford.storage.Transaction;
 import org.havenford.storage.records.ClusterView;
@@ -32,7 +33,7 @@
     private static final long EDITION = 40;
 
     private final ManualLoop loop = new ManualLoop();
-    private final StoreClient store = new StoreClient(loop, this, "state:1", 1000, 1000, 1000, 1);
+    private final StoreClient store = new StoreClient(loop, this, "state:1", new StoreLimits(1000, 1000, 1000), 1);
     private final Map<String, JsonElement> built = new LinkedHashMap<>();
     private StoreReplica replica;
     private String name;
--- a/src/test/java/org/havenford/storage/StoreClientTest.java
+++ b/src/test/java/org/havenford/storage/StoreClientTest.java
@@ -61,7 +61,7 @@
     };
 
     /** Five changes a second for this controller alone. */
-    private final StoreClient store = new StoreClient(loop, calls, "state:1", 100, 5, 5, 1);
+    private final StoreClient store = new StoreClient(loop, calls, "state:1", new StoreLimits(100, 5, 5), 1);
 
     private static Transaction changes(int n) {
         Transaction transaction = new Transaction();
