--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -124,16 +124,8 @@
                 loop, settings, clusterState, replica, store, membership, writer, finalStates, pipelineMetrics);
         JobDependencies dependencies = new JobDependencies(context);
         scheduler = new Scheduler(context, operatorSettings, agentManager, dependencies);
-        provisioner = new Provisioner(new ProvisioningContext(
-                loop,
-                new CloudClient(loop, calls, settings),
-                settings,
-                operatorSettings,
-                clusterState,
-                replica,
-                store,
-                membership,
-                this::wake));
+        CloudClient cloudClient = new CloudClient(loop, calls, settings);
+        provisioner = new Provisioner(new ProvisioningContext(context, cloudClient, operatorSettings, this::wake));
         jobApi = new JobApi(context, dependencies, this::wake);
         evictions = new MemberEvictions(loop, store, replica, membership, settings.node());
         standbyAccess = new StandbyAccess(
--- a/src/main/java/org/havenford/coordination/provisioning/BootMonitor.java
+++ b/src/main/java/org/havenford/coordination/provisioning/BootMonitor.java
@@ -10,52 +10,53 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells operators of rented machines that are overdue or were given up, gathered by type and zone: when the first is overdue,
- * then at growing intervals, and once none is any more.
+ * Logs machines that are overdue or were given up, grouped by type and zone: when the first is overdue, then at growing
+ * intervals, and once none is overdue any more.
  */
 final class BootMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(BootMonitor.class);
     private static final Duration FIRST_INTERVAL = Duration.ofSeconds(30);
-    private static final Duration LONGEST_INTERVAL = Duration.ofMinutes(8);
+    private static final Duration MAX_INTERVAL = Duration.ofMinutes(8);
 
-    /** Machines that are told of together. */
+    /** Machines that are reported together. */
     private record Group(String type, String zone) {}
 
-    private record Told(Instant next, Duration interval) {}
+    private record LastReport(Instant nextAt, Duration interval) {}
 
-    private final Map<Group, Told> told = new HashMap<>();
+    private final Map<Group, LastReport> lastReports = new HashMap<>();
     private int overdueNow;
-    private int countGivenUp;
+    private int givenUp;
 
-    /** Machines that are overdue at a moment, by what was rented. */
-    void reportOverdue(Map<InstanceOffer, Integer> machines, BootTimeEstimator times, Instant now) {
-        Map<Group, Integer> groups = new HashMap<>();
-        Map<Group, Duration> expected = new HashMap<>();
-        machines.forEach((offer, number) -> {
+    /** Reports the machines that are overdue now, by offer. */
+    void reportOverdue(Map<InstanceOffer, Integer> overdueByOffer, BootTimeEstimator bootTimeEstimator, Instant now) {
+        Map<Group, Integer> overdueByGroup = new HashMap<>();
+        Map<Group, Duration> expectedByGroup = new HashMap<>();
+        overdueByOffer.forEach((offer, number) -> {
             Group group = new Group(offer.kind().type(), offer.zone());
-            groups.merge(group, number, Integer::sum);
-            expected.put(group, times.expected(offer));
+            overdueByGroup.merge(group, number, Integer::sum);
+            expectedByGroup.put(group, bootTimeEstimator.expectedBootTime(offer));
         });
-        overdueNow = groups.values().stream().mapToInt(Integer::intValue).sum();
-        groups.forEach((group, number) -> tell(group, number, expected.get(group), now));
-        Set<Group> over = new HashSet<>(told.keySet());
-        over.removeAll(groups.keySet());
-        for (Group group : over) {
-            told.remove(group);
-            LOG.info("no machine of {} in {} is overdue any more", group.type(), group.zone());
+        overdueNow =
+                overdueByGroup.values().stream().mapToInt(Integer::intValue).sum();
+        overdueByGroup.forEach((group, number) -> report(group, number, expectedByGroup.get(group), now));
+        Set<Group> recovered = new HashSet<>(lastReports.keySet());
+        recovered.removeAll(overdueByGroup.keySet());
+        for (Group group : recovered) {
+            lastReports.remove(group);
+            LOG.info("no machines are overdue to boot any more: type={} zone={}", group.type(), group.zone());
         }
     }
 
-    private void tell(Group group, int number, Duration expected, Instant now) {
-        Told before = told.get(group);
-        if (before != null && now.isBefore(before.next())) {
+    private void report(Group group, int number, Duration expected, Instant now) {
+        LastReport last = lastReports.get(group);
+        if (last != null && now.isBefore(last.nextAt())) {
             return;
         }
-        Duration interval = before == null ? FIRST_INTERVAL : before.interval().multipliedBy(2);
-        interval = interval.compareTo(LONGEST_INTERVAL) > 0 ? LONGEST_INTERVAL : interval;
-        told.put(group, new Told(now.plus(interval), interval));
+        Duration doubled = last == null ? FIRST_INTERVAL : last.interval().multipliedBy(2);
+        Duration interval = doubled.compareTo(MAX_INTERVAL) > 0 ? MAX_INTERVAL : doubled;
+        lastReports.put(group, new LastReport(now.plus(interval), interval));
         LOG.warn(
-                "{} machines of {} in {} are overdue: they were rented and should have been up after {} s",
+                "machines are overdue to boot: machines={} type={} zone={} expectedSeconds={}",
                 number,
                 group.type(),
                 group.zone(),
@@ -64,13 +65,13 @@
 
     /** A machine that did not come up is returned. */
     void countGivenUp() {
-        countGivenUp++;
+        givenUp++;
     }
 
-    /** For the log's line of each minute; counts of machines given up since the last one. */
+    /** Numbers for the statistics that are logged each minute: machines overdue now, and given up since the last call. */
     String summary() {
-        String text = "overdue " + overdueNow + ", given up " + countGivenUp;
-        countGivenUp = 0;
+        String text = "overdue=" + overdueNow + " givenUp=" + givenUp;
+        givenUp = 0;
         return text;
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/BootTimeEstimator.java
+++ b/src/main/java/org/havenford/coordination/provisioning/BootTimeEstimator.java
@@ -13,159 +13,182 @@
 import org.havenford.storage.records.MachineRecord.Condition;
 
 /**
- * How long rented machines take until they report, and which are overdue. What is expected of a machine follows from its
- * type and from what was seen of that type in its zone lately. An offer of which several machines are overdue, and none has
- * come up that was rented as late as they, is in trouble: it is asked for a few machines at a time until one comes up. All
- * but the times that were seen follows from the records, so a successor judges alike.
+ * Estimates how long launched machines take until they report, and which are overdue. The estimate follows from the machine's
+ * type and from the recent boots of that type in its zone. An offer of which several machines are overdue, and none has come
+ * up that was launched as late as they, fails to boot: a few of its machines are requested at a time until one comes up. All
+ * but the recent boot times follows from the records, so a successor decides alike.
  */
 final class BootTimeEstimator {
     /** Times its nominal boot time that a machine usually takes at the most. */
-    private static final double USUAL_AT_MOST = 1.6;
-    /** Times the longest of the last boots that a machine may take. */
-    private static final double SEEN_MARGIN = 1.25;
-    /** Times its nominal boot time after which a machine is overdue whatever was seen. */
-    private static final double OVERDUE_FOR_SURE = 3;
+    private static final double USUAL_BOOT_FACTOR = 1.6;
+    /** Times the second longest of the recent boots that a machine may take. */
+    private static final double RECENT_BOOT_FACTOR = 1.25;
+    /** Times its nominal boot time after which a machine is overdue, however long recent boots took. */
+    private static final double MAX_BOOT_FACTOR = 3;
     /** A machine needs this long to report and to be put on record as up. */
-    private static final Duration REPORTED_WITHIN = Duration.ofSeconds(5);
+    private static final Duration REPORT_DELAY = Duration.ofSeconds(5);
     /** Boot time of a type that is not known. */
-    private static final Duration UNKNOWN_TYPE = Duration.ofSeconds(60);
-    /** After so many times its nominal boot time, and a while, a machine is given up. */
-    private static final int GIVEN_UP = 3;
-
-    private static final Duration GIVEN_UP_MARGIN = Duration.ofSeconds(20);
-    private static final int REMEMBERED_BOOTS = 16;
-    private static final int LEAST_BOOTS = 3;
-    /** Overdue machines of one offer from which on it is taken to be in trouble. */
-    private static final int TROUBLED_FROM = 2;
-    /** Times between two tries of an offer in trouble, in nominal boot times. */
-    private static final double TRY_EVERY = 1.0;
-
-    /** Machines of one offer that boot. */
-    private static final class Booting {
+    private static final Duration DEFAULT_BOOT_TIME = Duration.ofSeconds(60);
+    /** After so many times its nominal boot time, and a margin, a machine is given up. */
+    private static final int GIVE_UP_FACTOR = 3;
+
+    private static final Duration GIVE_UP_MARGIN = Duration.ofSeconds(20);
+    private static final int MAX_RECENT_BOOTS = 16;
+    private static final int MIN_RECENT_BOOTS = 3;
+    /** Overdue machines of one offer from which on it may count as failing to boot. */
+    private static final int MIN_OVERDUE_TO_FAIL = 2;
+    /** Time between two trials of an offer that fails to boot, in nominal boot times. */
+    private static final double RETRY_FACTOR = 1.0;
+
+    /** What is known of the boots of one offer's machines. */
+    private static final class OfferBoots {
         private int overdue;
+        /** When the oldest overdue machine was launched; null while none is overdue. */
         private Instant oldestOverdue;
-        private Instant lastRented = Instant.MIN;
-        private Instant lastRentedThatCameUp = Instant.MIN;
+        /** When the last machine was launched. */
+        private Instant lastLaunched;
+        /** When the last of the machines that came up was launched; null while none has. */
+        private Instant lastLaunchedThatCameUp;
+
+        void addLaunched(Instant launched) {
+            lastLaunched = later(lastLaunched, launched);
+        }
+
+        void addOverdue(Instant launched) {
+            overdue++;
+            if (oldestOverdue == null || launched.isBefore(oldestOverdue)) {
+                oldestOverdue = launched;
+            }
+        }
+
+        void addCameUp(Instant launched) {
+            lastLaunchedThatCameUp = later(lastLaunchedThatCameUp, launched);
+        }
+
+        boolean isFailing() {
+            return overdue >= MIN_OVERDUE_TO_FAIL
+                    && (lastLaunchedThatCameUp == null || lastLaunchedThatCameUp.isBefore(oldestOverdue));
+        }
+
+        private static Instant later(Instant known, Instant other) {
+            return known != null && known.isAfter(other) ? known : other;
+        }
     }
 
     private final ClusterState clusterState;
-    private final Map<String, Instant> rentedAt = new HashMap<>();
-    private final Map<InstanceOffer, ArrayDeque<Duration>> seen = new HashMap<>();
-    private Map<InstanceOffer, Booting> booting = Map.of();
-    private Instant now = Instant.MIN;
+    private final Map<String, Instant> bootingSince = new HashMap<>();
+    private final Map<InstanceOffer, ArrayDeque<Duration>> recentBoots = new HashMap<>();
+    private Map<InstanceOffer, OfferBoots> bootsByOffer = Map.of();
+    /** Time of day of the last update. */
+    private Instant now;
 
     BootTimeEstimator(ClusterState clusterState) {
         this.clusterState = clusterState;
     }
 
-    /** Forgets what was seen before this controller became the provisioner. */
+    /** Forgets the boot times from before this controller became the provisioner. */
     void reset() {
-        rentedAt.clear();
-        seen.clear();
-        booting = Map.of();
+        bootingSince.clear();
+        recentBoots.clear();
+        bootsByOffer = Map.of();
     }
 
-    /** Looks at all machines once more, at a time of day. */
+    /** Takes in the present condition of all machines; called before the first estimate. */
     void update(Instant timeOfDay) {
         now = timeOfDay;
-        learn();
-        Map<InstanceOffer, Booting> next = new HashMap<>();
+        recordBootTimes();
+        Map<InstanceOffer, OfferBoots> updated = new HashMap<>();
         for (MachineRecord machine : clusterState.machines()) {
-            Booting of = next.computeIfAbsent(InstanceOffer.of(machine), k -> new Booting());
-            Instant rented = clusterState.rentedAt(machine.name());
-            of.lastRented = later(of.lastRented, rented);
-            if (machine.condition() == Condition.BOOTING) {
-                if (isOverdue(machine)) {
-                    of.overdue++;
-                    of.oldestOverdue =
-                            of.oldestOverdue == null || rented.isBefore(of.oldestOverdue) ? rented : of.oldestOverdue;
-                }
-            } else {
-                of.lastRentedThatCameUp = later(of.lastRentedThatCameUp, rented);
+            OfferBoots boots = updated.computeIfAbsent(InstanceOffer.of(machine), offer -> new OfferBoots());
+            Instant launched = clusterState.rentedAt(machine.name());
+            boots.addLaunched(launched);
+            if (machine.condition() != Condition.BOOTING) {
+                boots.addCameUp(launched);
+            } else if (isOverdue(machine)) {
+                boots.addOverdue(launched);
             }
         }
-        booting = next;
+        bootsByOffer = updated;
     }
 
-    /** Machines that were booting and are up have told how long it takes. */
-    private void learn() {
+    /** Takes in the boot times of the machines that were booting and are up now. */
+    private void recordBootTimes() {
         for (MachineRecord machine : clusterState.machines()) {
             if (machine.condition() == Condition.BOOTING) {
-                rentedAt.putIfAbsent(machine.name(), clusterState.rentedAt(machine.name()));
-            } else if (machine.condition() == Condition.UP && rentedAt.containsKey(machine.name())) {
-                ArrayDeque<Duration> boots = seen.computeIfAbsent(InstanceOffer.of(machine), k -> new ArrayDeque<>());
-                boots.addLast(Duration.between(rentedAt.remove(machine.name()), now));
-                if (boots.size() > REMEMBERED_BOOTS) {
+                bootingSince.putIfAbsent(machine.name(), clusterState.rentedAt(machine.name()));
+            } else if (machine.condition() == Condition.UP && bootingSince.containsKey(machine.name())) {
+                ArrayDeque<Duration> boots =
+                        recentBoots.computeIfAbsent(InstanceOffer.of(machine), offer -> new ArrayDeque<>());
+                boots.addLast(Duration.between(bootingSince.remove(machine.name()), now));
+                if (boots.size() > MAX_RECENT_BOOTS) {
                     boots.removeFirst();
                 }
             }
         }
-        rentedAt.keySet().removeIf(name -> clusterState.machine(name) == null);
-    }
-
-    private static Instant later(Instant a, Instant b) {
-        return a.isAfter(b) ? a : b;
+        bootingSince.keySet().removeIf(name -> clusterState.machine(name) == null);
     }
 
-    private Duration nominal(String type) {
-        MachineType known = clusterState.types().get(type);
-        return known == null ? UNKNOWN_TYPE : known.bootTime();
+    private Duration nominalBootTime(String type) {
+        MachineType machineType = clusterState.types().get(type);
+        return machineType == null ? DEFAULT_BOOT_TIME : machineType.bootTime();
     }
 
-    private static Duration times(Duration duration, double factor) {
+    private static Duration scaled(Duration duration, double factor) {
         return Duration.ofMillis((long) (duration.toMillis() * factor));
     }
 
-    /** Time within which a rented machine of an offer is expected to be up. */
-    Duration expected(InstanceOffer offer) {
-        Duration nominal = nominal(offer.kind().type());
-        Duration usual = times(nominal, USUAL_AT_MOST);
-        List<Duration> boots = new ArrayList<>(seen.getOrDefault(offer, new ArrayDeque<>()));
-        if (boots.size() >= LEAST_BOOTS) {
+    /** The boot time estimate: time from launch within which a machine of an offer should be up. */
+    Duration expectedBootTime(InstanceOffer offer) {
+        Duration nominal = nominalBootTime(offer.kind().type());
+        Duration usual = scaled(nominal, USUAL_BOOT_FACTOR);
+        List<Duration> boots = new ArrayList<>(recentBoots.getOrDefault(offer, new ArrayDeque<>()));
+        if (boots.size() >= MIN_RECENT_BOOTS) {
             boots.sort(null);
-            // One that took far longer than the others says nothing of the next.
-            Duration longest = times(boots.get(boots.size() - 2), SEEN_MARGIN);
+            // One boot that took far longer than the others says nothing of the next.
+            Duration longest = scaled(boots.get(boots.size() - 2), RECENT_BOOT_FACTOR);
             usual = longest.compareTo(usual) > 0 ? longest : usual;
         }
-        Duration most = times(nominal, OVERDUE_FOR_SURE);
-        return (usual.compareTo(most) > 0 ? most : usual).plus(REPORTED_WITHIN);
+        Duration most = scaled(nominal, MAX_BOOT_FACTOR);
+        return (usual.compareTo(most) > 0 ? most : usual).plus(REPORT_DELAY);
     }
 
-    private Duration age(MachineRecord machine) {
+    private Duration timeSinceLaunch(MachineRecord machine) {
         return Duration.between(clusterState.rentedAt(machine.name()), now);
     }
 
     /** Whether a machine that boots should have been up by now: then it counts no longer as on its way. */
     boolean isOverdue(MachineRecord machine) {
         return machine.condition() == Condition.BOOTING
-                && age(machine).compareTo(expected(InstanceOffer.of(machine))) > 0;
+                && timeSinceLaunch(machine).compareTo(expectedBootTime(InstanceOffer.of(machine))) > 0;
     }
 
-    /** Whether a machine that boots is not waited for any longer. */
+    /** Whether a machine that boots is given up, since its boot time is over by far. */
     boolean isGivenUp(MachineRecord machine) {
-        Duration patience = nominal(machine.type()).multipliedBy(GIVEN_UP).plus(GIVEN_UP_MARGIN);
-        return machine.condition() == Condition.BOOTING && age(machine).compareTo(patience) > 0;
+        Duration patience =
+                nominalBootTime(machine.type()).multipliedBy(GIVE_UP_FACTOR).plus(GIVE_UP_MARGIN);
+        return machine.condition() == Condition.BOOTING
+                && timeSinceLaunch(machine).compareTo(patience) > 0;
     }
 
-    /** Whether machines of an offer don't come up at present. */
-    boolean isTroubled(InstanceOffer offer) {
-        Booting of = booting.get(offer);
-        return of != null && of.overdue >= TROUBLED_FROM && of.lastRentedThatCameUp.isBefore(of.oldestOverdue);
+    /** Whether machines of an offer don't come up at present: some are overdue, and none has come up that was launched as late. */
+    boolean isFailingToBoot(InstanceOffer offer) {
+        OfferBoots boots = bootsByOffer.get(offer);
+        return boots != null && boots.isFailing();
     }
 
-    /** Whether an offer in trouble may be tried again: a while after the last try. */
-    boolean mayBeTried(InstanceOffer offer) {
-        Booting of = booting.get(offer);
-        Duration between = times(nominal(offer.kind().type()), TRY_EVERY);
-        return of == null || !now.isBefore(of.lastRented.plus(between));
+    /** Whether an offer that fails to boot may be requested again: some time after the last launch. */
+    boolean mayRetry(InstanceOffer offer) {
+        OfferBoots boots = bootsByOffer.get(offer);
+        Duration interval = scaled(nominalBootTime(offer.kind().type()), RETRY_FACTOR);
+        return boots == null || !now.isBefore(boots.lastLaunched.plus(interval));
     }
 
-    /** Numbers of overdue machines, by what was rented. */
-    Map<InstanceOffer, Integer> overdue() {
+    /** Numbers of overdue machines, by offer; offers without any are left out. */
+    Map<InstanceOffer, Integer> overdueByOffer() {
         Map<InstanceOffer, Integer> overdue = new HashMap<>();
-        booting.forEach((offer, of) -> {
-            if (of.overdue > 0) {
-                overdue.put(offer, of.overdue);
+        bootsByOffer.forEach((offer, boots) -> {
+            if (boots.overdue > 0) {
+                overdue.put(offer, boots.overdue);
             }
         });
         return overdue;
--- a/src/main/java/org/havenford/coordination/provisioning/CapacityRefusals.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CapacityRefusals.java
@@ -6,29 +6,29 @@
 import java.util.Map;
 import org.havenford.protocol.MachineType;
 
-/** Offers that the cloud had no capacity for lately; they are not asked for again for a while. */
+/** Capacity refusals: offers that the cloud had no capacity for lately. They are not requested again for a while. */
 final class CapacityRefusals {
-    private static final Duration REFUSAL_HOLDS = Duration.ofSeconds(90);
+    private static final Duration REFUSAL_PERIOD = Duration.ofSeconds(90);
 
-    private final Map<InstanceOffer, Instant> refused = new HashMap<>();
+    private final Map<InstanceOffer, Instant> refusedAt = new HashMap<>();
 
-    /** The cloud gave less than was asked for. */
+    /** The cloud launched fewer machines than were requested. */
     void refused(InstanceOffer offer, Instant now) {
-        refused.put(offer, now);
+        refusedAt.put(offer, now);
     }
 
-    /** What went back can be had again. */
+    /** A machine was returned: the offer has capacity again. */
     void available(InstanceOffer offer) {
-        refused.remove(offer);
+        refusedAt.remove(offer);
     }
 
     /** Whether an offer was refused lately. */
     boolean wasRefusedLately(InstanceOffer offer, Instant now) {
-        Instant at = refused.get(offer);
-        return at != null && now.isBefore(at.plus(REFUSAL_HOLDS));
+        Instant time = refusedAt.get(offer);
+        return time != null && now.isBefore(time.plus(REFUSAL_PERIOD));
     }
 
-    /** Whether a kind of machine was refused in every zone. */
+    /** Whether an instance kind was refused lately in every zone. */
     boolean isRefusedEverywhere(InstanceKind kind, MachineType type, Instant now) {
         return type.zones().stream().allMatch(zone -> wasRefusedLately(new InstanceOffer(kind, zone), now));
     }
--- a/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
@@ -1,6 +1,5 @@
 package org.havenford.coordination.provisioning;
 
-import com.google.gson.JsonObject;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -13,7 +12,6 @@
 import org.havenford.protocol.CloudMessages;
 import org.havenford.protocol.CloudMessages.ListedMachine;
 import org.havenford.protocol.Json;
-import org.havenford.protocol.MachineType;
 import org.havenford.storage.Transaction;
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
@@ -22,21 +20,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the cloud says: the machine types that it offers, and the list of machines that it rents to us. The list lags, so it
- * never proves that a machine is gone.
+ * The cloud's list of our machines, read at intervals. The list lags, so it never proves that a machine is gone. Listed
+ * machines that are in no record are adopted.
  */
 final class CloudInventory {
     private static final Logger LOG = LoggerFactory.getLogger(CloudInventory.class);
-    private static final Duration TYPES_EVERY = Duration.ofSeconds(45);
-    private static final Duration TYPES_RETRY = Duration.ofSeconds(1);
-    private static final Duration TYPES_TIMEOUT = Duration.ofSeconds(5);
-    private static final Duration LIST_EVERY = Duration.ofSeconds(3);
-    private static final int PAGE = 500;
-    private static final Duration PAGE_RETRY = Duration.ofMillis(100);
-    /** A listed machine without a record is adopted once it is older than the answer to any rental may be late. */
-    private static final Duration ADOPTED_FROM = Duration.ofSeconds(10);
-    /** How long what was seen of a machine in the list is remembered. */
-    private static final Duration REMEMBERED = Duration.ofMinutes(10);
+    private static final String ADOPTED_NAME_PREFIX = "l";
+    private static final Duration LIST_INTERVAL = Duration.ofSeconds(3);
+    private static final int PAGE_SIZE = 500;
+    private static final Duration PAGE_RETRY_DELAY = Duration.ofMillis(100);
+    /** A listed machine without a record is adopted once it is older than any reply to an instance request may be late. */
+    private static final Duration MIN_ADOPTION_AGE = Duration.ofSeconds(10);
+    /** How long it is kept when a machine was listed or returned. */
+    private static final Duration RETENTION = Duration.ofMinutes(10);
 
     private final ProvisioningContext context;
     private final Map<String, Instant> lastListed = new HashMap<>();
@@ -44,11 +40,11 @@
     private final Map<String, Instant> returned = new HashMap<>();
 
     private final Set<String> failed = new HashSet<>();
-    private Instant nextTypes = Instant.MIN;
-    private Instant nextList = Instant.MIN;
-    private Instant lastFullList = Instant.MIN;
+    private final DueTime listDue = new DueTime();
+    /** When the last list that was read to its end was asked for; null before. */
+    private Instant lastFullList;
+
     private boolean listing;
-    private String storedTypes = "";
 
     CloudInventory(ProvisioningContext context) {
         this.context = context;
@@ -57,17 +53,21 @@
     /** Forgets what was listed before this controller became the provisioner. */
     void reset() {
         lastListed.clear();
-        lastFullList = Instant.MIN;
+        lastFullList = null;
     }
 
-    /** Asks for the types and for the list when they are due. */
+    /** Asks the cloud for the list when it is due. */
     void step(Instant now) {
-        askTypes(now);
-        askList(now);
+        if (listing || !listDue.isReached(now)) {
+            return;
+        }
+        listing = true;
+        listDue.postponeTo(now.plus(LIST_INTERVAL));
+        requestPage(now, "", new HashMap<>());
     }
 
     /** Whether the cloud lists a machine as failed. */
-    boolean failed(String machine) {
+    boolean isFailed(String machine) {
         return failed.contains(machine);
     }
 
@@ -80,60 +80,25 @@
      * Whether a machine that has been silent since a moment is no longer listed. Once listed, a machine stays listed until it
      * is gone. The list may lag by twice its usual lag, and it is no proof: the return that follows is.
      */
-    boolean noLongerListed(String machine, Instant silentFrom) {
+    boolean isNoLongerListed(String machine, Instant silentSince) {
         Instant seen = lastListed.get(machine);
-        Instant settled = silentFrom.plus(context.settings().listLag().multipliedBy(2));
-        return seen != null && seen.isBefore(settled) && lastFullList.isAfter(settled) && !lastFullList.equals(seen);
-    }
-
-    private void askTypes(Instant now) {
-        if (now.isBefore(nextTypes)) {
-            return;
-        }
-        if (context.cloud().call("GET", "/machine_types", null, this::typesAnswered)) {
-            nextTypes = now.plus(TYPES_TIMEOUT);
-        }
-    }
-
-    private void typesAnswered(HttpCalls.Reply reply) {
-        boolean unknown = context.clusterState().types().isEmpty();
-        nextTypes = context.loop().now().plus(unknown ? TYPES_RETRY : TYPES_EVERY);
-        if (!reply.ok()) {
-            return;
-        }
-        try {
-            JsonObject value = MachineType.toJson(MachineType.parseAll(Json.object(reply.body())));
-            String text = value.toString();
-            if (!text.equals(storedTypes)) {
-                context.write(new Transaction().put(Keys.TYPES, value), ok -> {
-                    // Written under a view that has just changed, they are not there: then they come again.
-                    storedTypes = ok ? text : storedTypes;
-                    nextTypes = ok ? nextTypes : Instant.MIN;
-                });
-            }
-        } catch (Json.BadMessage e) {
-            LOG.warn("cloud: the machine types can't be read: {}", e.getMessage());
-        }
-    }
-
-    private void askList(Instant now) {
-        if (listing || now.isBefore(nextList)) {
-            return;
-        }
-        listing = true;
-        nextList = now.plus(LIST_EVERY);
-        askPage(now, "", new HashMap<>());
+        Instant settled = silentSince.plus(context.settings().listLag().multipliedBy(2));
+        return seen != null
+                && seen.isBefore(settled)
+                && lastFullList != null
+                && lastFullList.isAfter(settled)
+                && !lastFullList.equals(seen);
     }
 
-    private void askPage(Instant asked, String after, Map<String, ListedMachine> all) {
-        String path = "/machines?limit=" + PAGE + (after.isEmpty() ? "" : "&since=" + after);
-        if (!context.cloud().call("GET", path, null, reply -> pageAnswered(asked, after, all, reply))) {
+    private void requestPage(Instant askedAt, String after, Map<String, ListedMachine> all) {
+        String path = "/machines?limit=" + PAGE_SIZE + (after.isEmpty() ? "" : "&since=" + after);
+        if (!context.cloud().tryCall("GET", path, null, reply -> onPage(askedAt, after, all, reply))) {
             // A long list takes more calls than may go out at once. Given up, it would never be read to its end.
-            context.loop().after(PAGE_RETRY, () -> askPage(asked, after, all));
+            context.loop().after(PAGE_RETRY_DELAY, () -> requestPage(askedAt, after, all));
         }
     }
 
-    private void pageAnswered(Instant asked, String after, Map<String, ListedMachine> all, HttpCalls.Reply reply) {
+    private void onPage(Instant askedAt, String after, Map<String, ListedMachine> all, HttpCalls.Reply reply) {
         if (!reply.ok()) {
             listing = false;
             return;
@@ -146,51 +111,52 @@
                 last = machine.machine();
             }
             if (page.more() && !last.equals(after)) {
-                askPage(asked, last, all);
+                requestPage(askedAt, last, all);
             } else {
                 listing = false;
-                listed(asked, all);
+                onFullList(askedAt, all);
             }
         } catch (Json.BadMessage e) {
             listing = false;
-            LOG.warn("cloud: the machine list can't be read: {}", e.getMessage());
+            LOG.warn("unreadable machine list from the cloud: error=\"{}\"", e.getMessage());
         }
     }
 
-    private void listed(Instant asked, Map<String, ListedMachine> all) {
-        lastFullList = asked;
+    private void onFullList(Instant askedAt, Map<String, ListedMachine> all) {
+        lastFullList = askedAt;
         failed.clear();
         for (ListedMachine machine : all.values()) {
-            lastListed.put(machine.machine(), asked);
+            lastListed.put(machine.machine(), askedAt);
             if (machine.status() == CloudMessages.Status.FAILED) {
                 failed.add(machine.machine());
             }
         }
-        adopt(all);
-        Instant forgotten = asked.minus(REMEMBERED);
-        lastListed.values().removeIf(at -> at.isBefore(forgotten));
-        returned.values().removeIf(at -> at.isBefore(forgotten));
+        adoptUnrecorded(all);
+        Instant oldest = askedAt.minus(RETENTION);
+        lastListed.values().removeIf(time -> time.isBefore(oldest));
+        returned.values().removeIf(time -> time.isBefore(oldest));
     }
 
-    /** Machines that nobody has a record of: of a rental that was carried out late, or whose answer was lost. */
-    private void adopt(Map<String, ListedMachine> all) {
+    /** Adopts machines without a record: of an instance request that was carried out late, or whose reply was lost. */
+    private void adoptUnrecorded(Map<String, ListedMachine> all) {
         if (!context.clusterState().instanceRequests().isEmpty()) {
             return;
         }
-        Map<InstanceOffer, List<ListedMachine>> unknown = new LinkedHashMap<>();
+        Map<InstanceOffer, List<ListedMachine>> unrecorded = new LinkedHashMap<>();
         for (ListedMachine machine : all.values()) {
-            boolean known = context.clusterState().machine(machine.machine()) != null
+            boolean ignored = context.clusterState().machine(machine.machine()) != null
                     || returned.containsKey(machine.machine())
-                    || machine.age().compareTo(ADOPTED_FROM) <= 0;
-            if (!known) {
-                LOG.info("adopting {}, which the cloud lists and is in no record", machine.machine());
-                InstanceOffer offer =
-                        new InstanceOffer(new InstanceKind(machine.type(), machine.spot()), machine.zone());
-                unknown.computeIfAbsent(offer, k -> new ArrayList<>()).add(machine);
+                    || machine.age().compareTo(MIN_ADOPTION_AGE) <= 0;
+            if (!ignored) {
+                LOG.info(
+                        "adopting a machine that the cloud lists and that is in no record: machine={}",
+                        machine.machine());
+                InstanceOffer offer = InstanceOffer.of(machine);
+                unrecorded.computeIfAbsent(offer, key -> new ArrayList<>()).add(machine);
             }
         }
         Transaction transaction = new Transaction();
-        unknown.forEach((offer, machines) -> {
+        unrecorded.forEach((offer, machines) -> {
             if (transaction.operationCount() < context.settings().txnOps()) {
                 adopt(offer, machines, transaction);
             }
@@ -201,7 +167,7 @@
     }
 
     private void adopt(InstanceOffer offer, List<ListedMachine> machines, Transaction transaction) {
-        String name = context.uniqueName("l");
+        String name = context.uniqueName(ADOPTED_NAME_PREFIX);
         Instant since = context.loop().timeOfDay().minus(machines.get(0).age());
         List<String> names = machines.stream()
                 .limit(MachineBatch.MAX_MACHINES)
--- a/src/main/java/org/havenford/coordination/provisioning/InstanceOffer.java
+++ b/src/main/java/org/havenford/coordination/provisioning/InstanceOffer.java
@@ -1,5 +1,6 @@
 package org.havenford.coordination.provisioning;
 
+import org.havenford.protocol.CloudMessages.ListedMachine;
 import org.havenford.storage.records.InstanceRequest;
 import org.havenford.storage.records.MachineRecord;
 
@@ -10,6 +11,11 @@
         return new InstanceOffer(InstanceKind.of(machine), machine.zone());
     }
 
+    /** The offer that a machine in the cloud's list came from. */
+    static InstanceOffer of(ListedMachine machine) {
+        return new InstanceOffer(new InstanceKind(machine.type(), machine.spot()), machine.zone());
+    }
+
     /** The offer that an instance request asks for. */
     static InstanceOffer of(InstanceRequest request) {
         return new InstanceOffer(InstanceKind.of(request), request.zone());
--- a/src/main/java/org/havenford/coordination/provisioning/MachineBatchChange.java
+++ b/src/main/java/org/havenford/coordination/provisioning/MachineBatchChange.java
@@ -11,67 +11,70 @@
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
 
-/** Changes of the batches that machines are in, gathered into one transaction. */
+/** Changes of the batches that machines are in, collected for one transaction. */
 final class MachineBatchChange {
     private final ClusterState clusterState;
     private final int maxBatches;
-    private final Predicate<String> isBusy;
-    private final TreeMap<String, MachineBatch> next = new TreeMap<>();
+    private final Predicate<String> isInFlight;
+    private final TreeMap<String, MachineBatch> changed = new TreeMap<>();
     private final List<String> machines = new ArrayList<>();
 
-    /** {@code isBusy} tells of batches that are being written. */
-    MachineBatchChange(ClusterState clusterState, int maxBatches, Predicate<String> isBusy) {
+    /** At most {@code maxBatches} are changed, and none for which {@code isInFlight} says that it is being written. */
+    MachineBatchChange(ClusterState clusterState, int maxBatches, Predicate<String> isInFlight) {
         this.clusterState = clusterState;
         this.maxBatches = maxBatches;
-        this.isBusy = isBusy;
+        this.isInFlight = isInFlight;
     }
 
     /** Whether there is room for the machine's batches, and none of them is being written. */
-    private boolean takes(String machine) {
+    private boolean hasRoomFor(String machine) {
         Set<String> batches = clusterState.batchesOf(machine);
-        long more = batches.stream().filter(b -> !next.containsKey(b)).count();
-        return !batches.isEmpty() && batches.stream().noneMatch(isBusy) && next.size() + more <= maxBatches;
+        long added = batches.stream().filter(name -> !changed.containsKey(name)).count();
+        return !batches.isEmpty() && batches.stream().noneMatch(isInFlight) && changed.size() + added <= maxBatches;
     }
 
-    /** Changes the service that a machine is in; whether the transaction had room for it. */
+    /** Changes the service state of a machine; returns whether the transaction had room for it. */
     boolean mark(String machine, MachineBatch.ServiceState service) {
-        if (!takes(machine)) {
+        if (!hasRoomFor(machine)) {
             return false;
         }
         for (String name : clusterState.batchesOf(machine)) {
-            next.put(name, next.getOrDefault(name, clusterState.batch(name)).with(machine, service));
+            changed.put(
+                    name, changed.getOrDefault(name, clusterState.batch(name)).with(machine, service));
         }
         machines.add(machine);
         return true;
     }
 
-    /** Takes a machine off the record, if the transaction has room for it. */
-    void drop(String machine) {
-        if (takes(machine)) {
+    /** Removes the record of a machine, if the transaction has room for it. */
+    void remove(String machine) {
+        if (hasRoomFor(machine)) {
             for (String name : clusterState.batchesOf(machine)) {
-                next.put(name, next.getOrDefault(name, clusterState.batch(name)).without(List.of(machine)));
+                changed.put(
+                        name,
+                        changed.getOrDefault(name, clusterState.batch(name)).without(List.of(machine)));
             }
         }
     }
 
     boolean isEmpty() {
-        return next.isEmpty();
+        return changed.isEmpty();
     }
 
     /** Batches that are changed. */
     Set<String> batches() {
-        return next.keySet();
+        return changed.keySet();
     }
 
-    /** Machines whose service is changed. */
+    /** Machines whose service state is changed. */
     List<String> machines() {
         return machines;
     }
 
-    /** The transaction, guarded by the stamps of the batches that were changed. */
+    /** The transaction, on condition that none of the batches has changed since it was read. */
     Transaction transaction(StoreReplica replica) {
         Transaction transaction = new Transaction();
-        next.forEach((name, batch) -> {
+        changed.forEach((name, batch) -> {
             String key = Keys.batch(name);
             transaction.requireRevision(key, replica.modRevision(key));
             if (batch.machines().isEmpty()) {
--- a/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
+++ b/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
@@ -9,123 +9,143 @@
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.InstanceRequest;
 import org.havenford.storage.records.MachineRecord;
-import org.havenford.storage.records.MachineRecord.Condition;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Rents and returns machines; active on the view's first member alone. All that must survive it is in the store: an
- * intent before each rental, and the condition RETURNING before each return.
+ * Scales the fleet out and in; active on the leader for provisioning alone. All that must survive a failover is in the store:
+ * an instance request before each launch, and the condition RETURNING before each return.
  */
 public final class Provisioner {
     private static final Logger LOG = LoggerFactory.getLogger(Provisioner.class);
-    private static final Duration SIZE_EVERY = Duration.ofMillis(500);
+    private static final Duration SIZING_INTERVAL = Duration.ofMillis(500);
 
     private final ProvisioningContext context;
+    private final MachineTypeRefresher machineTypes;
     private final CloudInventory inventory;
     private final CapacityRefusals capacityRefusals = new CapacityRefusals();
+    private final InstanceRequestPlanner requestPlanner;
     private final ScaleOut scaleOut;
     private final ScaleIn scaleIn;
     private final BootTimeEstimator bootTimeEstimator;
     private final BootMonitor bootMonitor = new BootMonitor();
     private final FleetSizeTarget target;
-    private final boolean speedFirst;
-    private Instant nextSize = Instant.MIN;
+    private final ScalingGoal goal;
+    private final DueTime sizingDue = new DueTime();
     private boolean active;
 
-    /** A provisioner that acts once this member is the first of the view. */
+    /** A provisioner that acts once this member is the leader for provisioning. */
     public Provisioner(ProvisioningContext context) {
         this.context = context;
-        this.speedFirst = context.operator().speedFirst(context.settings());
+        this.goal = context.operator().speedFirst(context.settings()) ? ScalingGoal.SPEED : ScalingGoal.COST;
+        this.machineTypes = new MachineTypeRefresher(context);
         this.inventory = new CloudInventory(context);
         this.bootTimeEstimator = new BootTimeEstimator(context.clusterState());
-        this.scaleOut = new ScaleOut(context, capacityRefusals, bootTimeEstimator);
-        this.scaleIn = new ScaleIn(context, inventory, capacityRefusals, bootTimeEstimator, bootMonitor, speedFirst);
-        this.target = new FleetSizeTarget(speedFirst, context.operator().spareShare());
+        this.requestPlanner = new InstanceRequestPlanner(context.clusterState(), capacityRefusals, bootTimeEstimator);
+        this.scaleOut = new ScaleOut(context, capacityRefusals);
+        this.scaleIn = new ScaleIn(
+                context,
+                inventory,
+                capacityRefusals,
+                new UnfitMachineDetector(context, inventory, bootTimeEstimator),
+                new IdleMachines(context.clusterState(), context.operator().idleBeforeReturn(), goal),
+                bootMonitor);
+        this.target = new FleetSizeTarget(goal, context.operator().spareShare());
     }
 
-    /** Compares the demand with the fleet, and rents or returns machines. */
+    /** Compares the demand with the fleet, and requests or returns machines. */
     public void step() {
-        Membership membership = context.membership();
-        boolean first = context.replica().loaded()
-                && membership.mayAnswerAgents()
-                && context.settings().node().equals(membership.view().provisioningLeader());
-        if (!first) {
+        if (!isLeader()) {
             active = false;
             return;
         }
         Instant now = context.loop().now();
         if (!active) {
             active = true;
-            begin(now);
+            reset(now);
         }
+        machineTypes.step(now);
         inventory.step(now);
         scaleIn.returnMachines();
         scaleOut.sendRequests();
-        if (!now.isBefore(nextSize) && !context.clusterState().types().isEmpty()) {
-            nextSize = now.plus(SIZE_EVERY);
+        if (sizingDue.isReached(now) && !context.clusterState().types().isEmpty()) {
+            sizingDue.postponeTo(now.plus(SIZING_INTERVAL));
             bootTimeEstimator.update(context.loop().timeOfDay());
-            bootMonitor.reportOverdue(bootTimeEstimator.overdue(), bootTimeEstimator, now);
+            bootMonitor.reportOverdue(bootTimeEstimator.overdueByOffer(), bootTimeEstimator, now);
             scaleIn.markUnfit(now);
             adjustFleetSize(now);
         }
     }
 
-    /** Machines that don't come up, for the log's line of each minute; null where this member is not the one that rents. */
+    /** Machines that don't come up, for the statistics that are logged each minute; null where the provisioner is not active. */
     public String summary() {
         return active ? bootMonitor.summary() : null;
     }
 
-    /** This process has stood still: what was seen of idle and silent machines before is old. */
+    /** This process was paused: what it knew of idle and silent machines is out of date. */
     public void processPaused() {
         active = false;
     }
 
-    private void begin(Instant now) {
+    private boolean isLeader() {
+        Membership membership = context.membership();
+        return context.replica().loaded()
+                && membership.mayAnswerAgents()
+                && context.settings().node().equals(membership.view().provisioningLeader());
+    }
+
+    private void reset(Instant now) {
         inventory.reset();
         bootTimeEstimator.reset();
         scaleOut.reset();
         scaleIn.reset(now);
         target.reset();
-        nextSize = Instant.MIN;
+        sizingDue.reset();
     }
 
     private void adjustFleetSize(Instant now) {
         ClusterState clusterState = context.clusterState();
-        InstanceCounts have = machineCounts();
+        InstanceCounts present = presentMachines();
         Instant timeOfDay = context.loop().timeOfDay();
-        List<TaskDemand> allDemands = taskDemands(timeOfDay, Pace.ALL_AT_ONCE);
-        List<TaskDemand> leastDemands = taskDemands(timeOfDay, Pace.AS_NEEDED);
-        Object2DoubleOpenHashMap<InstanceKind> full = machines(allDemands, now, have);
-        Object2DoubleOpenHashMap<InstanceKind> least = machines(leastDemands, now, have);
+        List<TaskDemand> allTasks = taskDemands(timeOfDay, Pace.ALL_AT_ONCE);
+        List<TaskDemand> neededTasks = taskDemands(timeOfDay, Pace.AS_NEEDED);
+        MachineDemand demand =
+                new MachineDemand(machinesFor(allTasks, now, present), machinesFor(neededTasks, now, present));
         InstanceCounts wanted =
-                target.desired(now, clusterState.types().values(), full, least, kind -> exhausted(kind, now), have);
+                target.wanted(now, clusterState.types().values(), demand, kind -> isExhausted(kind, now), present);
         if (LOG.isDebugEnabled()) {
-            LOG.debug("fleet: have {}, idle {}, wanted {}, needed {}, could use {}", have, idle(), wanted, least, full);
+            LOG.debug(
+                    "fleet size: present={} idle={} wanted={} asNeeded={} allAtOnce={}",
+                    present,
+                    idleMachines(),
+                    wanted,
+                    demand.asNeeded(),
+                    demand.allAtOnce());
         }
-        scaleOut.requestInstances(now, wanted, have, boundToZones(speedFirst ? allDemands : leastDemands, now));
-        scaleIn.retireSurplus(now, wanted, have);
+        List<TaskDemand> zoneTasks = goal == ScalingGoal.SPEED ? allTasks : neededTasks;
+        scaleOut.storeRequests(requestPlanner.plan(now, wanted, present, boundToZones(zoneTasks, now)));
+        scaleIn.retireSurplus(now, wanted, present);
     }
 
     private List<TaskDemand> taskDemands(Instant timeOfDay, Pace pace) {
         return TaskDemandEstimator.estimate(context.clusterState(), context.settings(), timeOfDay, pace);
     }
 
-    /** Machines that there are, or that are on their way. */
-    private InstanceCounts machineCounts() {
-        InstanceCounts have = new InstanceCounts();
+    /** Machines that are up or silent, boot in time, or have been requested. */
+    private InstanceCounts presentMachines() {
+        InstanceCounts present = new InstanceCounts();
         for (MachineRecord machine : context.clusterState().machines()) {
-            if (counts(machine)) {
-                have.add(InstanceKind.of(machine), 1);
+            if (countsAsPresent(machine)) {
+                present.add(InstanceKind.of(machine), 1);
             }
         }
-        for (InstanceRequest booking : context.clusterState().instanceRequests()) {
-            have.add(InstanceKind.of(booking), booking.count());
+        for (InstanceRequest request : context.clusterState().instanceRequests()) {
+            present.add(InstanceKind.of(request), request.count());
         }
-        return have;
+        return present;
     }
 
-    private boolean counts(MachineRecord machine) {
+    private boolean countsAsPresent(MachineRecord machine) {
         return switch (machine.condition()) {
             case UP, SILENT -> true;
             case BOOTING -> !bootTimeEstimator.isOverdue(machine);
@@ -133,26 +153,25 @@
         };
     }
 
-    private InstanceCounts idle() {
+    private InstanceCounts idleMachines() {
         InstanceCounts idle = new InstanceCounts();
         for (MachineRecord machine : context.clusterState().machines()) {
-            boolean isIdle = machine.condition() == Condition.UP
-                    && context.clusterState().claimsOn(machine.name()).isEmpty();
-            if (isIdle) {
+            if (IdleMachines.isIdle(machine, context.clusterState())) {
                 idle.add(InstanceKind.of(machine), 1);
             }
         }
         return idle;
     }
 
-    private boolean exhausted(InstanceKind kind, Instant now) {
+    private boolean isExhausted(InstanceKind kind, Instant now) {
         return capacityRefusals.isRefusedEverywhere(
                 kind, context.clusterState().types().get(kind.type()), now);
     }
 
-    private Object2DoubleOpenHashMap<InstanceKind> machines(
-            List<TaskDemand> demands, Instant now, InstanceCounts have) {
-        return CapacityDemand.machines(demands, context.clusterState().types(), kind -> exhausted(kind, now), have);
+    private Object2DoubleOpenHashMap<InstanceKind> machinesFor(
+            List<TaskDemand> demands, Instant now, InstanceCounts present) {
+        return CapacityDemand.machines(
+                demands, context.clusterState().types(), kind -> isExhausted(kind, now), present);
     }
 
     private Object2DoubleOpenHashMap<InstanceOffer> boundToZones(List<TaskDemand> demands, Instant now) {
--- a/src/test/java/org/havenford/coordination/provisioning/BootTimeEstimatorTest.java
+++ b/src/test/java/org/havenford/coordination/provisioning/BootTimeEstimatorTest.java
@@ -98,16 +98,16 @@
         times.update(at(20));
         up(elsewhere.get(0), 20);
         times.update(at(45));
-        assertTrue(times.isTroubled(ZONE_A));
-        assertFalse(times.isTroubled(ZONE_B), "one that was rented with them is up");
-        assertEquals(Map.of(ZONE_A, 5, ZONE_B, 4), times.overdue());
-        assertTrue(times.mayBeTried(ZONE_A));
+        assertTrue(times.isFailingToBoot(ZONE_A));
+        assertFalse(times.isFailingToBoot(ZONE_B), "one that was rented with them is up");
+        assertEquals(Map.of(ZONE_A, 5, ZONE_B, 4), times.overdueByOffer());
+        assertTrue(times.mayRetry(ZONE_A));
         List<String> tried = rent(ZONE_A, 45, 2);
         times.update(at(46));
-        assertFalse(times.mayBeTried(ZONE_A), "not again at once");
+        assertFalse(times.mayRetry(ZONE_A), "not again at once");
         up(tried.get(0), 60);
         times.update(at(60));
-        assertFalse(times.isTroubled(ZONE_A), "a machine rented later than those is up");
+        assertFalse(times.isFailingToBoot(ZONE_A), "a machine rented later than those is up");
     }
 
     /** A successor has seen no boots, and judges from the records alike. */
@@ -117,7 +117,7 @@
         times.update(at(45));
         BootTimeEstimator successor = new BootTimeEstimator(clusterState);
         successor.update(at(45));
-        assertTrue(successor.isTroubled(ZONE_A));
-        assertEquals(times.overdue(), successor.overdue());
+        assertTrue(successor.isFailingToBoot(ZONE_A));
+        assertEquals(times.overdueByOffer(), successor.overdueByOffer());
     }
 }
