--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -8,8 +8,6 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
-import org.havenford.coordination.agents.AgentContext;
-import org.havenford.coordination.agents.AgentListener;
 import org.havenford.coordination.agents.AgentManager;
 import org.havenford.coordination.agents.HeartbeatResponse;
 import org.havenford.coordination.failover.StandbyAccess;
@@ -21,6 +19,8 @@
 import org.havenford.coordination.jobs.PipelineMetrics;
 import org.havenford.coordination.membership.MemberEvictions;
 import org.havenford.coordination.membership.Membership;
+import org.havenford.coordination.membership.MembershipListener;
+import org.havenford.coordination.membership.MembershipSettings;
 import org.havenford.coordination.monitoring.LinkMonitor;
 import org.havenford.coordination.monitoring.ProcessPauseDetector;
 import org.havenford.coordination.provisioning.CloudClient;
@@ -101,23 +101,19 @@
                 loop,
                 store,
                 replica,
-                settings.node(),
-                nodes(settings),
-                membershipLife(settings, operatorSettings),
-                this::viewChanged,
-                this::ownedBy);
-        AgentContext agentContext = new AgentContext(loop, settings, clusterState, replica, store, membership);
-        agentManager = new AgentManager(agentContext, calls, operatorSettings, new AgentListener() {
-            @Override
-            public void capacityChanged(String machine) {
-                scheduler.machineChanged(machine);
-            }
-
-            @Override
-            public void roundDue() {
-                wake();
-            }
-        });
+                new MembershipSettings(settings.node(), nodes(settings), membershipLife(settings, operatorSettings)),
+                membershipListener());
+        agentManager = new AgentManager(
+                loop,
+                calls,
+                settings,
+                operatorSettings,
+                clusterState,
+                replica,
+                store,
+                membership,
+                this::endsChanged,
+                this::wake);
         ConditionalWriter writer = new ConditionalWriter(loop, store, replica, settings.valueBytes(), this::wake);
         FinalStateCache finalStates = new FinalStateCache(loop, store, this::wake);
         CoordinationContext context = new CoordinationContext(
@@ -210,8 +206,22 @@
         standbyAccess.viewChanged();
     }
 
-    private int ownedBy(String node) {
-        return agentManager.ownedBy(node);
+    private void endsChanged(String machine) {
+        scheduler.machineChanged(machine);
+    }
+
+    private MembershipListener membershipListener() {
+        return new MembershipListener() {
+            @Override
+            public void viewChanged() {
+                Controller.this.viewChanged();
+            }
+
+            @Override
+            public int ownedMachines(String node) {
+                return agentManager.ownedBy(node);
+            }
+        };
     }
 
     /**
--- a/src/main/java/org/havenford/coordination/membership/MemberEvictions.java
+++ b/src/main/java/org/havenford/coordination/membership/MemberEvictions.java
@@ -17,32 +17,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes a member out of the view before its lease has ended. The state service is the witness: the member is asked through
- * a key whether it is alive, and removes the key if it is; the eviction is guarded by the key's stamp, so it can't be
- * committed once the member has answered.
+ * Takes a member out of the view before its lease has ended. The store is the witness: the member is asked by a liveness
+ * probe, which is a key of the store, whether it is alive, and deletes the key if it is. The eviction is conditional on the
+ * mod revision of the key, so it cannot be committed once the member has answered.
  */
 public final class MemberEvictions {
     private static final Logger LOG = LoggerFactory.getLogger(MemberEvictions.class);
-    /** Time until the same node may be evicted again; twice as long after each eviction that comes soon after. */
-    private static final Duration FIRST_INTERVAL = Duration.ofSeconds(30);
 
-    private static final Duration LONGEST_INTERVAL = Duration.ofMinutes(10);
+    /** A probe older than this was left by a member that has ended, and may be replaced by another member's. */
+    private static final Duration PROBE_TIMEOUT = Duration.ofSeconds(2);
 
-    /** A question older than this was left by a member that has ended, and may be asked anew by another. */
-    private static final Duration QUESTION_STANDS = Duration.ofSeconds(2);
-
-    /** When a node was last evicted, and how long it is spared. */
-    private record Latest(Instant at, Duration interval) {}
+    /** What a probe that cannot be read names as its requester. */
+    private static final String UNKNOWN_REQUESTER = "?";
 
     private final EventLoop loop;
     private final StoreClient store;
     private final StoreReplica replica;
     private final Membership membership;
     private final String node;
-    private final Map<String, Latest> records = new HashMap<>();
-    /** Evictions that were counted, so that a view that repeats one does not count it twice. */
-    private final Map<String, Long> counted = new HashMap<>();
-    /** Questions that stand, by the node that is asked, and when they were first seen here. */
+    private final EvictionBackoff backoff = new EvictionBackoff();
+    /** When the probes that stand were first seen here, by the node that is asked. */
     private final Map<String, Instant> unansweredProbes = new HashMap<>();
 
     /** Evictions carried out by the given node. */
@@ -57,34 +51,23 @@
 
     /** The view has changed: every member counts the evictions that it names. */
     public void viewChanged() {
-        membership.view().evicted().forEach((name, incarnation) -> {
-            if (!incarnation.equals(counted.put(name, incarnation))) {
-                count(name);
-            }
-        });
+        membership.view().evicted().forEach((name, incarnation) -> backoff.evicted(name, incarnation, loop.now()));
     }
 
-    private void count(String name) {
-        Instant now = loop.now();
-        Latest before = records.get(name);
-        boolean soon = before != null && now.isBefore(before.at().plus(LONGEST_INTERVAL));
-        Duration doubled = soon ? before.interval().multipliedBy(2) : FIRST_INTERVAL;
-        records.put(name, new Latest(now, doubled.compareTo(LONGEST_INTERVAL) > 0 ? LONGEST_INTERVAL : doubled));
-    }
-
-    /** Whether a member may be evicted now: it was not lately, and every member reads the mark of an eviction. */
+    /** Whether a member may be evicted now: it was not lately, and every member reads views that name evictions. */
     public boolean mayEvict(String name) {
-        Latest record = records.get(name);
-        boolean spared = record != null && loop.now().isBefore(record.at().plus(record.interval()));
-        return !spared && membership.mayAnswerAgents() && membership.allSupportEvictions();
+        return !backoff.isSpared(name, loop.now()) && membership.mayAnswerAgents() && membership.allSupportEvictions();
     }
 
-    /** Asks a member through the state service whether it is alive; tells the stamp of the question, 0 if it failed. */
+    /**
+     * Asks a member through the store whether it is alive.
+     *
+     * @param asked is given the mod revision of the probe, 0 if it was not made
+     */
     public void probe(String name, long incarnation, LongConsumer asked) {
-        Instant since = unansweredProbes.get(name);
-        if (since != null && loop.now().isBefore(since.plus(QUESTION_STANDS))) {
-            // Another member's question would be replaced, and its eviction would fail: two would only hinder each
-            // other.
+        Instant probedAt = unansweredProbes.get(name);
+        if (probedAt != null && loop.now().isBefore(probedAt.plus(PROBE_TIMEOUT))) {
+            // Another member's probe would be replaced, and its eviction would fail: two would only hinder each other.
             // standby-two-conductors.trace
             asked.accept(0);
             return;
@@ -102,14 +85,19 @@
         });
     }
 
-    /** Takes a question back. */
-    public void withdrawProbe(String name, long stamp) {
-        remove(Keys.livenessProbe(name), stamp);
+    /** Whether a probe still stands, as far as the replica shows: nobody has answered, replaced or withdrawn it. */
+    public boolean probeIsUnanswered(String name, long probeRevision) {
+        return replica.modRevision(Keys.livenessProbe(name)) == probeRevision;
+    }
+
+    /** Withdraws a probe. */
+    public void withdrawProbe(String name, long probeRevision) {
+        deleteProbe(name, probeRevision);
     }
 
-    /** Evicts a member that did not answer the question with this stamp; tells whether the view without it was committed. */
-    public void evict(String name, long incarnation, long challengeStamp, Consumer<Boolean> done) {
-        membership.evict(name, incarnation, challengeStamp, committed -> {
+    /** Evicts a member that did not answer a probe; tells whether the view without it was committed. */
+    public void evict(String name, long incarnation, long probeRevision, Consumer<Boolean> done) {
+        membership.evict(name, incarnation, probeRevision, committed -> {
             if (committed) {
                 // A late copy of its registration then finds no lease to attach to.
                 store.endLease(incarnation, result -> {});
@@ -118,25 +106,33 @@
         });
     }
 
-    /** A question was asked: if it is for this node, removing it is the answer, also for a former life of the node. */
-    public void livenessProbeChanged(String name, LivenessProbe probe, long stamp) {
+    /**
+     * A probe was made, or is gone if {@code probe} is null. If it is for this node, deleting it is the answer, also when
+     * it asks for a former incarnation of the node.
+     */
+    public void livenessProbeChanged(String name, LivenessProbe probe, long probeRevision) {
         if (probe == null) {
             unansweredProbes.remove(name);
-        } else {
-            unansweredProbes.put(name, loop.now());
+            return;
         }
-        if (probe != null && name.equals(node)) {
-            if (probe.readError() != null) {
-                LOG.warn("the question to {} can't be read: {}", name, probe.readError());
-            }
-            String by = probe.requester() == null ? "?" : probe.requester();
-            LOG.info("{} suspects this node: it answers that it is alive", by);
-            remove(Keys.livenessProbe(name), stamp);
+        unansweredProbes.put(name, loop.now());
+        if (name.equals(node)) {
+            LOG.info("answering a liveness probe: suspectedBy={}", requesterOf(probe));
+            deleteProbe(name, probeRevision);
+        }
+    }
+
+    private String requesterOf(LivenessProbe probe) {
+        if (probe.readError() != null) {
+            LOG.warn("liveness probe cannot be read: member={} error={}", node, probe.readError());
         }
+        return probe.requester() == null ? UNKNOWN_REQUESTER : probe.requester();
     }
 
-    private void remove(String key, long stamp) {
-        Transaction transaction = new Transaction().requireRevision(key, stamp).delete(key);
+    private void deleteProbe(String name, long probeRevision) {
+        String key = Keys.livenessProbe(name);
+        Transaction transaction =
+                new Transaction().requireRevision(key, probeRevision).delete(key);
         store.commit(transaction, CallPriority.LEASE, result -> {
             if (result.ok()) {
                 replica.applyCommitted(transaction, result.revision());
--- /dev/null
+++ b/src/main/java/org/havenford/coordination/membership/MembershipSettings.java
@@ -0,0 +1,13 @@
+package org.havenford.coordination.membership;
+
+import java.time.Duration;
+import java.util.Set;
+
+/**
+ * Settings of a node's membership.
+ *
+ * @param node name of this node
+ * @param configuredNodes names of all controllers of the deployment, this node included
+ * @param leaseDuration duration of the membership lease
+ */
+public record MembershipSettings(String node, Set<String> configuredNodes, Duration leaseDuration) {}
--- a/src/test/java/org/havenford/coordination/GoldenCalls.java
+++ b/src/test/java/org/havenford/coordination/GoldenCalls.java
@@ -13,6 +13,8 @@
 import java.util.function.Consumer;
 import org.havenford.coordination.membership.MemberEvictions;
 import org.havenford.coordination.membership.Membership;
+import org.havenford.coordination.membership.MembershipListener;
+import org.havenford.coordination.membership.MembershipSettings;
 import org.havenford.protocol.Json;
 import org.havenford.storage.CallPriority;
 import org.havenford.storage.ClusterState;
@@ -63,7 +65,16 @@
         ClusterState clusterState = new ClusterState();
         clusterState.setObserver(new QuietObservertype());
         replica = new StoreReplica(loop, store, Keys.REPLICATED, clusterState);
-        return new Membership(loop, store, replica, "node-0", configured, Duration.ofSeconds(5), () -> {}, node -> 0);
+        MembershipSettings settings = new MembershipSettings("node-0", configured, Duration.ofSeconds(5));
+        return new Membership(loop, store, replica, settings, new MembershipListener() {
+            @Override
+            public void viewChanged() {}
+
+            @Override
+            public int ownedMachines(String node) {
+                return 0;
+            }
+        });
     }
 
     private void plainCalls() {
