--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -124,8 +124,7 @@
         provisioner = new Provisioner(new ProvisioningContext(context, cloudClient, operatorSettings, this::wake));
         jobApi = new JobApi(context, dependencies, this::wake);
         evictions = new MemberEvictions(loop, store, replica, membership, settings.node());
-        standbyAccess = new StandbyAccess(
-                loop, pauseDetector::eventStarted, store, replica, clusterState, membership, evictions, agentManager);
+        standbyAccess = new StandbyAccess(pauseDetector, store, clusterState, membership, evictions, agentManager);
         clusterState.setObserver(new ClusterState.Observer() {
             @Override
             public void viewChanged(ClusterView view, long modRevision) {
--- a/src/main/java/org/havenford/coordination/failover/StandbyAccess.java
+++ b/src/main/java/org/havenford/coordination/failover/StandbyAccess.java
@@ -7,42 +7,36 @@
 import org.havenford.coordination.agents.AgentManager;
 import org.havenford.coordination.membership.MemberEvictions;
 import org.havenford.coordination.membership.Membership;
+import org.havenford.coordination.monitoring.ProcessPauseDetector;
 import org.havenford.protocol.JobSpec;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.StoreClient;
-import org.havenford.storage.StoreReplica;
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.ClusterView;
 import org.havenford.storage.records.Job;
-import org.havenford.storage.records.Keys;
 import org.havenford.transport.EventLoop;
 
 /** The controller's side of {@link StandbyHost}; it does nothing while nobody observes. */
 public final class StandbyAccess implements StandbyHost {
-    private final EventLoop loop;
-    private final Runnable eventBegins;
+    private final ProcessPauseDetector loop;
     private final StoreClient store;
-    private final StoreReplica replica;
     private final ClusterState clusterState;
     private final Membership membership;
     private final MemberEvictions evictions;
     private final AgentManager agentManager;
+    /** Null while nobody observes. */
     private Observer observer;
 
     /** The access to the controller made of these parts. */
     public StandbyAccess(
-            EventLoop loop,
-            Runnable eventBegins,
+            ProcessPauseDetector loop,
             StoreClient store,
-            StoreReplica replica,
             ClusterState clusterState,
             Membership membership,
             MemberEvictions evictions,
             AgentManager agentManager) {
         this.loop = loop;
-        this.eventBegins = eventBegins;
         this.store = store;
-        this.replica = replica;
         this.clusterState = clusterState;
         this.membership = membership;
         this.evictions = evictions;
@@ -70,7 +64,7 @@
 
     @Override
     public void eventStarted() {
-        eventBegins.run();
+        loop.eventStarted();
     }
 
     @Override
@@ -96,7 +90,7 @@
 
     @Override
     public long replicaRevision() {
-        return replica.revision();
+        return membership.replicaRevision();
     }
 
     @Override
@@ -115,18 +109,18 @@
     }
 
     @Override
-    public boolean probeIsUnanswered(String node, long stamp) {
-        return replica.modRevision(Keys.livenessProbe(node)) == stamp;
+    public boolean probeIsUnanswered(String node, long probeRevision) {
+        return evictions.probeIsUnanswered(node, probeRevision);
     }
 
     @Override
-    public void withdrawProbe(String node, long stamp) {
-        evictions.withdrawProbe(node, stamp);
+    public void withdrawProbe(String node, long probeRevision) {
+        evictions.withdrawProbe(node, probeRevision);
     }
 
     @Override
-    public void evict(String node, long incarnation, long challengeStamp, Consumer<Boolean> done) {
-        evictions.evict(node, incarnation, challengeStamp, done);
+    public void evict(String node, long incarnation, long probeRevision, Consumer<Boolean> done) {
+        evictions.evict(node, incarnation, probeRevision, done);
     }
 
     @Override
@@ -136,14 +130,14 @@
 
     @Override
     public int urgency(String machine) {
-        int most = JobSpec.Priority.values().length;
+        int mostUrgent = JobSpec.Priority.values().length;
         for (Claim claim : clusterState.claimsOn(machine).values()) {
             Job job = clusterState.job(claim.task().job());
             if (job != null) {
-                most = Math.min(most, job.spec().priority().ordinal());
+                mostUrgent = Math.min(mostUrgent, job.spec().priority().ordinal());
             }
         }
-        return most;
+        return mostUrgent;
     }
 
     @Override
--- a/src/main/java/org/havenford/coordination/monitoring/LinkMonitor.java
+++ b/src/main/java/org/havenford/coordination/monitoring/LinkMonitor.java
@@ -17,68 +17,82 @@
 
 /**
  * Watches which of the parties that this controller depends on it still reaches, so that its log and {@code /healthz} can
- * name the link that is lost, and since when. Nothing is decided on it.
+ * name the link that is lost, and since when. No decision depends on it.
  */
 public final class LinkMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(LinkMonitor.class);
     /** A link is lost when nothing came over it for this long although it was tried. */
     private static final Duration LOST_AFTER = Duration.ofSeconds(3);
 
-    private static final int LEAST_FAILURES = 2;
-    /** Times between two reports without any report from which on the workers are out of reach. */
-    private static final int REPORTS_MISSED = 3;
+    private static final int MIN_FAILURES = 2;
+    /** Heartbeat intervals without any heartbeat after which the agents are out of reach. */
+    private static final int MISSED_HEARTBEATS = 3;
 
     private static final int UNAVAILABLE = 503;
 
     /** A party that this controller depends on. */
     enum Link {
-        STATE_SERVICE("the state service"),
-        CLOUD("the cloud"),
-        WORKERS("the workers");
+        STATE_SERVICE("state_service"),
+        CLOUD("cloud"),
+        AGENTS("workers");
 
-        private final String text;
+        /** Name in the answer to a health check. */
+        private final String healthName;
 
-        Link(String text) {
-            this.text = text;
+        Link(String healthName) {
+            this.healthName = healthName;
+        }
+
+        String logName() {
+            return name().toLowerCase(Locale.ROOT);
         }
     }
 
     /** Why a link does not serve. */
-    enum Failure {
+    private enum Failure {
         REFUSED("it refuses this controller"),
         UNREACHABLE("no connection or no answer"),
         SILENT("no reports");
 
-        private final String text;
+        /** Text in the answer to a health check. */
+        private final String healthText;
 
-        Failure(String text) {
-            this.text = text;
+        Failure(String healthText) {
+            this.healthText = healthText;
+        }
+
+        String logName() {
+            return name().toLowerCase(Locale.ROOT);
         }
     }
 
-    private static final class State {
-        private Instant lastGood;
+    private static final class LinkState {
+        private Instant lastSuccess;
         private int failures;
+        /** The latest failure since the last success; null if there is none. */
         private Failure failure;
+
         private boolean lost;
+
+        LinkState(Instant lastSuccess) {
+            this.lastSuccess = lastSuccess;
+        }
     }
 
     private final EventLoop loop;
-    private final String stateAddress;
+    private final String storeAddress;
     private final String cloudAddress;
-    private final Map<Link, State> states = new EnumMap<>(Link.class);
-    private final Duration workersLostAfter;
+    private final Map<Link, LinkState> states = new EnumMap<>(Link.class);
+    private final Duration agentsLostAfter;
 
     /** A monitor of the links to the addresses in the settings. */
     public LinkMonitor(PlatformSettings settings, EventLoop loop) {
         this.loop = loop;
-        this.stateAddress = settings.stateAddress();
+        this.storeAddress = settings.stateAddress();
         this.cloudAddress = settings.cloudAddress();
-        this.workersLostAfter = settings.heartbeatInterval().multipliedBy(REPORTS_MISSED);
+        this.agentsLostAfter = settings.heartbeatInterval().multipliedBy(MISSED_HEARTBEATS);
         for (Link link : Link.values()) {
-            State state = new State();
-            state.lastGood = loop.now();
-            states.put(link, state);
+            states.put(link, new LinkState(loop.now()));
         }
     }
 
@@ -92,64 +106,62 @@
     }
 
     private Link linkTo(String address) {
-        if (address.equals(stateAddress)) {
+        if (address.equals(storeAddress)) {
             return Link.STATE_SERVICE;
         }
-        return address.equals(cloudAddress) ? Link.CLOUD : Link.WORKERS;
+        return address.equals(cloudAddress) ? Link.CLOUD : Link.AGENTS;
     }
 
     private void replied(Link link, HttpCalls.Reply reply) {
         switch (reply.status()) {
-            case HttpCalls.NOT_SENT, HttpCalls.NO_ANSWER -> fails(link, Failure.UNREACHABLE);
-            case UNAVAILABLE -> fails(link, Failure.REFUSED);
-            default -> works(link);
+            case HttpCalls.NOT_SENT, HttpCalls.NO_ANSWER -> recordFailure(link, Failure.UNREACHABLE);
+            case UNAVAILABLE -> recordFailure(link, Failure.REFUSED);
+            default -> recordSuccess(link);
         }
     }
 
-    /** A worker has reported. */
+    /** An agent has sent a heartbeat. */
     public void heartbeatArrived() {
-        works(Link.WORKERS);
+        recordSuccess(Link.AGENTS);
     }
 
-    /** Time has passed; {@code reportsExpected} says whether workers should have reported by now. */
-    public void step(boolean reportsExpected) {
-        if (reportsExpected) {
-            if (sinceGood(states.get(Link.WORKERS)).compareTo(workersLostAfter) >= 0) {
-                fails(Link.WORKERS, Failure.SILENT);
-            }
-        } else {
-            works(Link.WORKERS);
+    /** Time has passed; {@code heartbeatsExpected} says whether agents should have sent heartbeats by now. */
+    public void step(boolean heartbeatsExpected) {
+        if (!heartbeatsExpected) {
+            recordSuccess(Link.AGENTS);
+        } else if (sinceSuccess(states.get(Link.AGENTS)).compareTo(agentsLostAfter) >= 0) {
+            recordFailure(Link.AGENTS, Failure.SILENT);
         }
     }
 
-    private void works(Link link) {
-        State state = states.get(link);
+    private void recordSuccess(Link link) {
+        LinkState state = states.get(link);
         if (state.lost) {
-            LOG.info("{} can be reached again after {} s", link.text, seconds(state));
+            LOG.info("link restored: link={} lostForS={}", link.logName(), secondsSinceSuccess(state));
         }
         state.lost = false;
         state.failures = 0;
         state.failure = null;
-        state.lastGood = loop.now();
+        state.lastSuccess = loop.now();
     }
 
-    private void fails(Link link, Failure failure) {
-        State state = states.get(link);
+    private void recordFailure(Link link, Failure failure) {
+        LinkState state = states.get(link);
         state.failures++;
         state.failure = failure;
-        Duration patience = link == Link.WORKERS ? workersLostAfter : LOST_AFTER;
-        boolean longEnough = sinceGood(state).compareTo(patience) >= 0;
-        if (!state.lost && longEnough && state.failures >= LEAST_FAILURES) {
+        Duration lostAfter = link == Link.AGENTS ? agentsLostAfter : LOST_AFTER;
+        boolean longEnough = sinceSuccess(state).compareTo(lostAfter) >= 0;
+        if (!state.lost && longEnough && state.failures >= MIN_FAILURES) {
             state.lost = true;
-            LOG.warn("{} can't be reached since {} s: {}", link.text, seconds(state), failure.text);
+            LOG.warn("link lost: {}", lossSummary(link, state));
         }
     }
 
-    /** The process stood still: that it heard nobody meanwhile says nothing of its links. */
+    /** The process was paused: that it heard nobody meanwhile says nothing of its links. */
     public void processPaused(Duration pause) {
-        for (State state : states.values()) {
+        for (LinkState state : states.values()) {
             state.failures = 0;
-            state.lastGood = state.lastGood.plus(pause);
+            state.lastSuccess = state.lastSuccess.plus(pause);
         }
     }
 
@@ -160,35 +172,40 @@
 
     /** The lost links for operators, as part of the answer to a health check. */
     public JsonArray toJson() {
-        JsonArray lost = new JsonArray();
+        JsonArray lostLinks = new JsonArray();
         states.forEach((link, state) -> {
             if (state.lost) {
-                JsonObject one = new JsonObject();
-                one.addProperty("link", link.name().toLowerCase(Locale.ROOT));
-                one.addProperty("lostForS", sinceGood(state).toMillis() / 1e3);
-                one.addProperty("why", state.failure.text);
-                lost.add(one);
+                JsonObject lostLink = new JsonObject();
+                lostLink.addProperty("link", link.healthName);
+                lostLink.addProperty("lostForS", sinceSuccess(state).toMillis() / 1e3);
+                lostLink.addProperty("why", state.failure.healthText);
+                lostLinks.add(lostLink);
             }
         });
-        return lost;
+        return lostLinks;
     }
 
-    /** The links for the log's line of each minute. */
+    /** The lost links as text for the log's line of each minute. */
     public String summary() {
-        List<String> lost = new ArrayList<>();
+        List<String> lostLinks = new ArrayList<>();
         states.forEach((link, state) -> {
             if (state.lost) {
-                lost.add(link.text + " can't be reached since " + seconds(state) + " s: " + state.failure.text);
+                lostLinks.add(lossSummary(link, state));
             }
         });
-        return lost.isEmpty() ? "all reached" : String.join(", ", lost);
+        return lostLinks.isEmpty() ? "lost=none" : "lost=" + lostLinks;
+    }
+
+    private String lossSummary(Link link, LinkState state) {
+        return "link=" + link.logName() + " lostForS=" + secondsSinceSuccess(state) + " reason="
+                + state.failure.logName();
     }
 
-    private Duration sinceGood(State state) {
-        return Duration.between(state.lastGood, loop.now());
+    private Duration sinceSuccess(LinkState state) {
+        return Duration.between(state.lastSuccess, loop.now());
     }
 
-    private String seconds(State state) {
-        return String.format(Locale.ROOT, "%.1f", sinceGood(state).toMillis() / 1e3);
+    private String secondsSinceSuccess(LinkState state) {
+        return String.format(Locale.ROOT, "%.1f", sinceSuccess(state).toMillis() / 1e3);
     }
 }
--- a/src/main/java/org/havenford/coordination/monitoring/ProcessPauseDetector.java
+++ b/src/main/java/org/havenford/coordination/monitoring/ProcessPauseDetector.java
@@ -7,33 +7,34 @@
 import org.havenford.transport.HttpCalls;
 
 /**
- * Notices when this process has stood still while its clocks went on: between two events of the loop, of which a timer
- * brings several a second, far more time has passed than any of them takes. Every event of the controller passes through
- * here, so the pause is known before the first of those that were due or came in meanwhile is handled.
+ * Detects that this process was paused while its clocks went on: between two events of the loop, of which a timer brings
+ * several a second, far more time has passed than any of them takes. Every event of the controller passes through here,
+ * so the pause is known before the first of those that were due or came in meanwhile is handled.
  */
 public final class ProcessPauseDetector implements EventLoop, HttpCalls {
     /** The loop's timer comes several times a second; a busy processor delays it, but not for this long. */
-    static final Duration LEAST_PAUSE = Duration.ofSeconds(2);
+    static final Duration MIN_PAUSE = Duration.ofSeconds(2);
 
     private final EventLoop loop;
     private final HttpCalls calls;
-    private final Consumer<Duration> paused;
+    private final Consumer<Duration> pauseListener;
+    /** When the last event began; null before the first. */
     private Instant lastEvent;
 
-    /** {@code paused} is told of each pause and its length, before the event that ends it is handled. */
-    public ProcessPauseDetector(EventLoop loop, HttpCalls calls, Consumer<Duration> paused) {
+    /** {@code pauseListener} is told of each pause and its length, before the event that ends it is handled. */
+    public ProcessPauseDetector(EventLoop loop, HttpCalls calls, Consumer<Duration> pauseListener) {
         this.loop = loop;
         this.calls = calls;
-        this.paused = paused;
+        this.pauseListener = pauseListener;
     }
 
     /** An event of the loop begins. */
     public void eventStarted() {
         Instant now = loop.now();
-        Duration since = lastEvent == null ? Duration.ZERO : Duration.between(lastEvent, now);
+        Duration sinceLastEvent = lastEvent == null ? Duration.ZERO : Duration.between(lastEvent, now);
         lastEvent = now;
-        if (since.compareTo(LEAST_PAUSE) >= 0) {
-            paused.accept(since);
+        if (sinceLastEvent.compareTo(MIN_PAUSE) >= 0) {
+            pauseListener.accept(sinceLastEvent);
         }
     }
 
