--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -8,6 +8,8 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
+import org.havenford.coordination.agents.AgentContext;
+import org.havenford.coordination.agents.AgentListener;
 import org.havenford.coordination.agents.AgentManager;
 import org.havenford.coordination.agents.HeartbeatResponse;
 import org.havenford.coordination.failover.StandbyAccess;
@@ -103,17 +105,18 @@
                 replica,
                 new MembershipSettings(settings.node(), nodes(settings), membershipLife(settings, operatorSettings)),
                 membershipListener());
-        agentManager = new AgentManager(
-                loop,
-                calls,
-                settings,
-                operatorSettings,
-                clusterState,
-                replica,
-                store,
-                membership,
-                this::endsChanged,
-                this::wake);
+        AgentContext agentContext = new AgentContext(loop, settings, clusterState, replica, store, membership);
+        agentManager = new AgentManager(agentContext, calls, operatorSettings, new AgentListener() {
+            @Override
+            public void capacityChanged(String machine) {
+                scheduler.machineChanged(machine);
+            }
+
+            @Override
+            public void roundDue() {
+                wake();
+            }
+        });
         ConditionalWriter writer = new ConditionalWriter(loop, store, replica, settings.valueBytes(), this::wake);
         FinalStateCache finalStates = new FinalStateCache(loop, store, this::wake);
         CoordinationContext context = new CoordinationContext(
@@ -205,10 +208,6 @@
         standbyAccess.viewChanged();
     }
 
-    private void endsChanged(String machine) {
-        scheduler.machineChanged(machine);
-    }
-
     private MembershipListener membershipListener() {
         return new MembershipListener() {
             @Override
--- a/src/main/java/org/havenford/coordination/membership/MembershipLease.java
+++ b/src/main/java/org/havenford/coordination/membership/MembershipLease.java
@@ -99,7 +99,7 @@
     }
 
     private static long leaseId(StoreResult result) throws Json.BadMessage {
-        return Json.count(result.body(), "permit");
+        return result.leaseId();
     }
 
     private void acquired(long newId, Instant sentAt) {
