--- a/src/main/java/org/havenford/storage/ClusterState.java
+++ b/src/main/java/org/havenford/storage/ClusterState.java
@@ -185,8 +185,8 @@
     }
 
     /** What the claims of a team hold that are charged to one controller's share. */
-    public Resources charged(String team, String account) {
-        return claimIndex.usage(team, account);
+    public Resources charged(String team, String quotaHolder) {
+        return claimIndex.usage(team, quotaHolder);
     }
 
     /** The shares of a team's limit. */
