--- /dev/null
+++ b/src/test/java/org/havenford/coordination/agents/AgentStateTest.java
@@ -0,0 +1,136 @@
+package org.havenford.coordination.agents;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotSame;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.List;
+import org.havenford.protocol.Heartbeat;
+import org.havenford.protocol.TaskId;
+import org.junit.jupiter.api.Test;
+
+/** What an owner concludes from the heartbeats of one agent. */
+class AgentStateTest {
+    private static final Instant START = Instant.EPOCH;
+    private static final TaskId TASK = new TaskId("job", 0);
+
+    private final AgentState agent = new AgentState("host-1", START);
+
+    private static Heartbeat heartbeat(long incarnation, long sequence) {
+        return new Heartbeat("host-1", "10.0.0.1:9000", "small", "a", false, incarnation, sequence, 0, null, List.of());
+    }
+
+    private void arrive(Heartbeat heartbeat, Instant now) {
+        agent.heartbeatArrived(heartbeat, now);
+        agent.countUnanswered(heartbeat);
+        agent.reported(heartbeat, now);
+    }
+
+    @Test
+    void aHeartbeatThatIsNoNewerIsALateCopy() {
+        arrive(heartbeat(2, 5), START);
+        assertTrue(agent.isLateCopy(heartbeat(2, 5)));
+        assertTrue(agent.isLateCopy(heartbeat(1, 9)));
+        assertFalse(agent.isLateCopy(heartbeat(2, 6)));
+        assertFalse(agent.isLateCopy(heartbeat(3, 0)));
+    }
+
+    @Test
+    void lateCopiesAreKnownFromTheFormerOwner() {
+        agent.takeOver(new AgentContact("host-1", "10.0.0.1:9000", 2, 5, 0));
+        assertTrue(agent.isLateCopy(heartbeat(2, 5)));
+        assertFalse(agent.isLateCopy(heartbeat(2, 6)));
+    }
+
+    @Test
+    void aReplyToACommandMayOvertakeAHeartbeat() {
+        arrive(heartbeat(1, 1), START);
+        agent.reported(heartbeat(1, 3), START);
+        assertFalse(agent.isLateCopy(heartbeat(1, 2)));
+    }
+
+    @Test
+    void skippedSequencesShowThatResponsesDoNotArrive() {
+        arrive(heartbeat(1, 1), START);
+        arrive(heartbeat(1, 3), START);
+        assertFalse(agent.isUnanswered());
+        arrive(heartbeat(1, 5), START);
+        assertTrue(agent.isUnanswered());
+        arrive(heartbeat(1, 6), START);
+        assertFalse(agent.isUnanswered());
+    }
+
+    @Test
+    void repliesToCommandsAreNoSkippedSequences() {
+        arrive(heartbeat(1, 1), START);
+        for (int round = 1; round <= 3; round++) {
+            agent.countCallReply();
+            arrive(heartbeat(1, 1 + 2L * round), START);
+        }
+        assertFalse(agent.isUnanswered());
+    }
+
+    @Test
+    void aPauseDoesNotCountAsSilenceOfTheAgent() {
+        Duration second = Duration.ofSeconds(1);
+        arrive(heartbeat(1, 1), START);
+        Instant later = START.plusSeconds(10);
+        assertTrue(agent.isSilentLongerThan(second, later));
+        agent.processPaused(Duration.ofSeconds(10));
+        assertFalse(agent.isSilentLongerThan(second, later));
+        assertTrue(agent.isSilentSincePause());
+        assertEquals(START, agent.leaseRenewedAt());
+    }
+
+    @Test
+    void anAgentThatOnlyRepliesToCommandsHasNoHeartbeat() {
+        agent.reported(heartbeat(1, 1), START);
+        assertTrue(agent.hasReported());
+        assertFalse(agent.hasHeartbeatWithin(Duration.ofDays(1), START));
+        assertTrue(agent.isSilentLongerThan(Duration.ofDays(1), START));
+    }
+
+    @Test
+    void fencingTokensRiseWithinAnEpochAndWithIt() {
+        agent.startEpoch(1);
+        long first = agent.fencingToken();
+        agent.raiseFencingTokenAfterDirectRun();
+        assertEquals(first, agent.fencingToken());
+        AttemptState attempt = agent.attempt(TASK, 1);
+        agent.runSentDirectly(attempt);
+        assertFalse(attempt.isDirectRunFenced(first));
+        agent.raiseFencingTokenAfterDirectRun();
+        assertTrue(attempt.isDirectRunFenced(agent.fencingToken()));
+        long second = agent.fencingToken();
+        agent.startEpoch(2);
+        assertTrue(agent.lowestFencingToken() > second);
+        assertEquals(agent.lowestFencingToken(), agent.fencingToken());
+    }
+
+    @Test
+    void aLaterIncarnationHasForgottenAllAttempts() {
+        arrive(heartbeat(1, 1), START);
+        AttemptState attempt = agent.attempt(TASK, 1);
+        arrive(heartbeat(1, 2), START);
+        assertSame(attempt, agent.knownAttempt(TASK, 1));
+        assertNull(agent.knownAttempt(TASK, 2));
+        arrive(heartbeat(2, 0), START);
+        assertNull(agent.knownAttempt(TASK, 1));
+        assertNotSame(attempt, agent.attempt(TASK, 1));
+    }
+
+    @Test
+    void aContactNamesTheNewestHeartbeatAndToken() {
+        assertNull(agent.contact());
+        agent.startEpoch(1);
+        arrive(heartbeat(1, 7), START);
+        assertEquals(new AgentContact("host-1", "10.0.0.1:9000", 1, 7, agent.fencingToken()), agent.contact());
+        agent.reported(heartbeat(2, 1), START);
+        assertEquals(new AgentContact("host-1", "10.0.0.1:9000", 2, 0, agent.fencingToken()), agent.contact());
+    }
+}
