--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -19,6 +19,7 @@
 import org.havenford.coordination.jobs.JobApi;
 import org.havenford.coordination.jobs.JobDependencies;
 import org.havenford.coordination.jobs.PipelineMetrics;
+import org.havenford.coordination.jobs.StoreAccess;
 import org.havenford.coordination.membership.MemberEvictions;
 import org.havenford.coordination.membership.Membership;
 import org.havenford.coordination.membership.MembershipListener;
@@ -120,7 +121,12 @@
         ConditionalWriter writer = new ConditionalWriter(loop, store, replica, settings.valueBytes(), this::wake);
         FinalStateCache finalStates = new FinalStateCache(loop, store, this::wake);
         CoordinationContext context = new CoordinationContext(
-                loop, settings, clusterState, replica, store, membership, writer, finalStates, pipelineMetrics);
+                loop,
+                settings,
+                new StoreAccess(store, replica, clusterState, writer),
+                membership,
+                finalStates,
+                pipelineMetrics);
         JobDependencies dependencies = new JobDependencies(context);
         scheduler = new Scheduler(context, operatorSettings, agentManager, dependencies);
         CloudClient cloudClient = new CloudClient(loop, calls, settings);
--- a/src/main/java/org/havenford/coordination/jobs/FinalStateCache.java
+++ b/src/main/java/org/havenford/coordination/jobs/FinalStateCache.java
@@ -7,6 +7,7 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import org.havenford.protocol.Json;
 import org.havenford.storage.CallPriority;
@@ -28,64 +29,70 @@
     /** Reads under way at a time, so that a pipeline with many jobs does not crowd out other calls. */
     static final int MAX_READS = 8;
     /** When to read again what was not there, or could not be read. */
-    private static final Duration RETRY = Duration.ofMillis(300);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
     private final EventLoop loop;
     private final StoreClient store;
-    private final Runnable changed;
+    private final Runnable requestRound;
     private final Cache<String, FinalState> cache =
             CacheBuilder.newBuilder().maximumSize(MAX_CACHED).build();
-    private final Set<String> reading = new HashSet<>();
+    private final Set<String> readsUnderWay = new HashSet<>();
     private final Map<String, Instant> retryAt = new HashMap<>();
 
-    /** {@code changed} is run whenever a read has brought a final state. */
-    public FinalStateCache(EventLoop loop, StoreClient store, Runnable changed) {
+    /** {@code requestRound} is run whenever a read has brought a final state, or may be repeated. */
+    public FinalStateCache(EventLoop loop, StoreClient store, Runnable requestRound) {
         this.loop = loop;
         this.store = store;
-        this.changed = changed;
+        this.requestRound = requestRound;
     }
 
-    /** The final state of a job, or null while none is known here. */
-    FinalState known(String id) {
-        return cache.getIfPresent(id);
+    /** The final state of a job, or null while none is known here: rounds ask once per dependency, so nothing is allocated. */
+    FinalState known(String jobId) {
+        return cache.getIfPresent(jobId);
     }
 
-    /** Adds what was learnt from the store in another way. */
-    void put(String id, FinalState state) {
-        cache.put(id, state);
+    /** Adds a final state that was learnt from the store in another way. */
+    void put(String jobId, FinalState state) {
+        cache.put(jobId, state);
     }
 
-    /** Parses and caches the body of a read; null if it can't be understood. */
-    FinalState parsed(String id, StoreResult result) {
+    /** Parses and caches the final state that the store has returned; empty if it can't be parsed. */
+    Optional<FinalState> parse(String jobId, StoreResult result) {
         try {
             FinalState state = FinalState.parse(result.value());
-            cache.put(id, state);
-            return state;
+            cache.put(jobId, state);
+            return Optional.of(state);
         } catch (Json.BadMessage e) {
-            LOG.error("the final state of {} can't be read: {}", id, e.getMessage());
-            return null;
+            LOG.error("final state cannot be parsed: job={} cause=\"{}\"", jobId, e.getMessage());
+            return Optional.empty();
         }
     }
 
     /** Starts to read a final state, unless a read is under way, was made a moment ago, or too many others are. */
-    void read(String id) {
+    void read(String jobId) {
         Instant now = loop.now();
-        if (reading.size() >= MAX_READS || now.isBefore(retryAt.getOrDefault(id, Instant.MIN)) || !reading.add(id)) {
+        if (readsUnderWay.size() >= MAX_READS
+                || now.isBefore(retryAt.getOrDefault(jobId, Instant.MIN))
+                || !readsUnderWay.add(jobId)) {
             return;
         }
-        store.get(Keys.finalState(id), CallPriority.CLAIM, result -> {
-            reading.remove(id);
-            retryAt.remove(id);
-            if (result.ok() && parsed(id, result) != null) {
-                changed.run();
+        store.get(Keys.finalState(jobId), CallPriority.CLAIM, result -> {
+            readsUnderWay.remove(jobId);
+            retryAt.remove(jobId);
+            if (result.ok() && parse(jobId, result).isPresent()) {
+                requestRound.run();
                 return;
             }
             // Absent: the job is one whose header our replica has yet to show.
-            retryAt.put(id, loop.now().plus(RETRY));
-            loop.after(RETRY, () -> {
-                retryAt.remove(id);
-                changed.run();
-            });
+            retryLater(jobId);
+        });
+    }
+
+    private void retryLater(String jobId) {
+        retryAt.put(jobId, loop.now().plus(RETRY_DELAY));
+        loop.after(RETRY_DELAY, () -> {
+            retryAt.remove(jobId);
+            requestRound.run();
         });
     }
 }
--- a/src/main/java/org/havenford/coordination/jobs/JobApiResponses.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobApiResponses.java
@@ -5,9 +5,21 @@
 import org.havenford.storage.records.FinalState;
 import org.havenford.transport.HttpServer.Response;
 
-/** The responses that users are given. */
+/** The responses of the job API. */
 final class JobApiResponses {
+    static final int BAD_REQUEST = 400;
+    static final int UNPROCESSABLE = 422;
+    private static final int OK = 200;
+    private static final int CREATED = 201;
+    private static final int NOT_FOUND = 404;
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
+
+    // Field names and states as users read them.
+    private static final String ERROR = "error";
+    private static final String JOB_ID = "nameId";
+    private static final String STATUS = "status";
+    private static final String DONE_TASKS = "done";
+    private static final String RUNNING_TASKS = "running";
     private static final String PENDING = "pending";
     private static final String RUNNING = "running";
 
@@ -15,12 +27,16 @@
 
     static Response error(int status, String reason) {
         JsonObject body = new JsonObject();
-        body.addProperty("error", reason);
+        body.addProperty(ERROR, reason);
         return Response.of(status, body.toString());
     }
 
     static Response unknownJob() {
-        return error(404, "no such job");
+        return error(NOT_FOUND, "no such job");
+    }
+
+    static boolean isUnknownJob(Response response) {
+        return response.status() == NOT_FOUND;
     }
 
     /** Nothing can be said for sure at present; the user is told when to come back. */
@@ -28,33 +44,38 @@
         return Response.comeBack(RETRY_AFTER);
     }
 
-    static Response accepted(String id) {
-        return Response.of(201, state(id, PENDING));
+    static Response accepted(String jobId) {
+        return Response.of(CREATED, state(jobId, PENDING).toString());
     }
 
-    static Response cancelled(String id) {
-        return Response.of(200, state(id, FinalState.Status.CANCELLED.text()));
+    static Response cancelled(String jobId) {
+        return Response.of(OK, state(jobId, FinalState.Status.CANCELLED.text()).toString());
     }
 
-    static Response ended(String id, FinalState state) {
-        return Response.of(200, progress(id, state.status().text(), state.doneTasks(), 0));
+    static Response ended(String jobId, FinalState state) {
+        return progress(jobId, state.status().text(), state.doneTasks(), 0);
     }
 
-    /** A job that is cancelled, but not over. */
-    static Response beingCancelled(String id, int done) {
-        return Response.of(200, progress(id, FinalState.Status.CANCELLED.text(), done, 0));
+    /** A job that is cancelled, but has yet to end. */
+    static Response beingCancelled(String jobId, int doneTasks) {
+        return progress(jobId, FinalState.Status.CANCELLED.text(), doneTasks, 0);
     }
 
-    static Response unfinished(String id, int done, int running) {
-        return Response.of(200, progress(id, running > 0 ? RUNNING : PENDING, done, running));
+    static Response unfinished(String jobId, int doneTasks, int runningTasks) {
+        return progress(jobId, runningTasks > 0 ? RUNNING : PENDING, doneTasks, runningTasks);
     }
 
-    private static String state(String id, String status) {
-        return "{\"nameId\":\"" + id + "\",\"status\":\"" + status + "\"}";
+    private static Response progress(String jobId, String status, int doneTasks, int runningTasks) {
+        JsonObject body = state(jobId, status);
+        body.addProperty(DONE_TASKS, doneTasks);
+        body.addProperty(RUNNING_TASKS, runningTasks);
+        return Response.of(OK, body.toString());
     }
 
-    private static String progress(String id, String status, int done, int running) {
-        return "{\"nameId\":\"" + id + "\",\"status\":\"" + status + "\",\"done\":" + done + ",\"running\":" + running
-                + "}";
+    private static JsonObject state(String jobId, String status) {
+        JsonObject body = new JsonObject();
+        body.addProperty(JOB_ID, jobId);
+        body.addProperty(STATUS, status);
+        return body;
     }
 }
--- a/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
@@ -17,53 +17,52 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Releases jobs whose needed jobs are all finally done, and withdraws those of which a needed job is cancelled. Both are
- * guarded by the stamp of the job's header; claims are guarded by it as well, so no task starts before the release.
+ * Releases jobs whose dependencies are all done, and cancels those of which a dependency is cancelled. Both are conditional
+ * on the mod revision of the job's header; claims are as well, so no task starts before the release.
  */
 public final class JobDependencies {
     private static final Logger LOG = LoggerFactory.getLogger(JobDependencies.class);
-    /** Withdrawals of a wide cascade leave room in the queue for claims. */
-    private static final int MAX_WITHDRAWALS_UNDER_WAY = 2;
-    /** A withdrawal sets the final state and deletes the header. */
-    private static final int CHANGES_PER_WITHDRAWAL = 2;
+    /** Transactions that cancel dependents; so a wide cascade leaves room in the queue for claims. */
+    private static final int MAX_CANCELLATIONS_UNDER_WAY = 2;
+    /** Cancelling a dependent puts its final state and deletes its header. */
+    private static final int OPERATIONS_PER_CANCELLATION = 2;
 
-    /** What is known of the jobs that a waiting job needs. */
+    /** What is known of a job's dependencies; of several, the last in this order counts. */
     enum DependencyStatus {
-        /** Each of them is finally done in the store. */
+        /** Each of them is done according to its stored final state. */
         DONE,
-        /** Some are not over; none that is known here is cancelled. */
+        /** Some have not ended; none that is known here is cancelled. */
         OPEN,
-        /** The end of one has yet to be read from the store. */
+        /** The final state of one has yet to be read from the store. */
         UNKNOWN,
-        /** One, directly or through others, is cancelled: it can never be done, nor can what needs it. */
+        /** One, directly or through others, is cancelled: it can never be done, nor can what depends on it. */
         CANCELLED
     }
 
     private final CoordinationContext context;
-    private int withdrawalsUnderWay;
+    private int cancellationsUnderWay;
 
-    /** Dependencies as seen and settled in the given context. */
+    /** Dependencies as seen in the given context. */
     public JobDependencies(CoordinationContext context) {
         this.context = context;
     }
 
     /**
-     * The outlook of a job that needs the given ones. A cancelled header can only become a withdrawn job, and a job that
-     * needs a withdrawn one can only be withdrawn; so {@code WITHDRAWN} is certain however old our replica is.
+     * The status of a job that depends on the given ones. A cancelled header can only end as a cancelled job, and so can a job
+     * that depends on a cancelled one; so {@code CANCELLED} is certain however old our replica is.
      */
-    DependencyStatus statusOf(Collection<String> needed) {
-        DependencyStatus all = DependencyStatus.DONE;
-        Set<String> seen = new HashSet<>(needed);
-        ArrayDeque<String> unvisited = new ArrayDeque<>(needed);
+    DependencyStatus statusOf(Collection<String> jobIds) {
+        DependencyStatus combined = DependencyStatus.DONE;
+        Set<String> seen = new HashSet<>(jobIds);
+        ArrayDeque<String> unvisited = new ArrayDeque<>(jobIds);
         while (!unvisited.isEmpty()) {
-            String id = unvisited.poll();
-            Job job = context.clusterState().job(id);
-            DependencyStatus one =
-                    job == null ? ended(id) : job.cancelled() ? DependencyStatus.CANCELLED : DependencyStatus.OPEN;
-            if (one == DependencyStatus.CANCELLED) {
-                return one;
+            String jobId = unvisited.poll();
+            Job job = context.clusterState().job(jobId);
+            DependencyStatus status = job == null ? endedStatus(jobId) : unfinishedStatus(job);
+            if (status == DependencyStatus.CANCELLED) {
+                return status;
             }
-            all = one.compareTo(all) > 0 ? one : all;
+            combined = status.compareTo(combined) > 0 ? status : combined;
             if (job != null && job.awaitsDependencies()) {
                 for (String further : job.spec().dependencies()) {
                     if (seen.add(further)) {
@@ -72,39 +71,43 @@
                 }
             }
         }
-        return all;
+        return combined;
     }
 
-    /** The outlook of a job whose header is gone, or not here yet; what is unknown is read. */
-    private DependencyStatus ended(String id) {
-        FinalState state = context.finalStates().known(id);
+    private static DependencyStatus unfinishedStatus(Job job) {
+        return job.cancelled() ? DependencyStatus.CANCELLED : DependencyStatus.OPEN;
+    }
+
+    /** The status of a job whose header is gone, or not here yet; a final state that is not known is read. */
+    private DependencyStatus endedStatus(String jobId) {
+        FinalState state = context.finalStates().known(jobId);
         if (state == null) {
-            context.finalStates().read(id);
+            context.finalStates().read(jobId);
             return DependencyStatus.UNKNOWN;
         }
         return state.status() == FinalState.Status.DONE ? DependencyStatus.DONE : DependencyStatus.CANCELLED;
     }
 
     /**
-     * Whether a waiting job may be called pending. A cancellation that our replica does not show yet must be so young that
-     * the time for cancellations is not over; after an outage the replica may lack older ones.
+     * Whether a job that awaits dependencies may be called pending. A cancellation that our replica does not show yet must be
+     * so young that the time for cancellations is not over; after an outage the replica may lack older ones.
      */
     boolean isCertainlyPending(Job waiting) {
-        DependencyStatus outlook = statusOf(waiting.spec().dependencies());
-        return (outlook == DependencyStatus.OPEN || outlook == DependencyStatus.DONE)
+        DependencyStatus status = statusOf(waiting.spec().dependencies());
+        return (status == DependencyStatus.OPEN || status == DependencyStatus.DONE)
                 && context.membership()
                         .replicaIsFresherThan(
                                 context.settings().cancellationLimit().dividedBy(2));
     }
 
     /**
-     * When a job could start whose needed jobs are all done: the end of the last of them, or now where the version that ended one did not
-     * store it; not before its submission.
+     * When a job could start whose dependencies are all done: the end of the last of them, or now where the version that
+     * ended one did not store it; not before its submission.
      */
-    Instant releaseTime(Collection<String> needed, Instant submitted) {
-        Instant latest = submitted;
-        for (String id : needed) {
-            FinalState state = context.finalStates().known(id);
+    private Instant releaseTime(Job job) {
+        Instant latest = job.submittedAt();
+        for (String dependency : job.spec().dependencies()) {
+            FinalState state = context.finalStates().known(dependency);
             if (state == null || state.endedAt() == null) {
                 return context.loop().timeOfDay();
             }
@@ -113,28 +116,28 @@
         return latest;
     }
 
-    /** Releases and withdraws what this member is responsible for; each job is looked after by one member. */
+    /** Releases and cancels jobs that this controller is responsible for. */
     public void step() {
-        List<Job> withdrawn = new ArrayList<>();
-        for (String id : List.copyOf(context.clusterState().jobsAwaitingDependencies())) {
-            Job job = context.clusterState().job(id);
+        List<Job> toCancel = new ArrayList<>();
+        for (String jobId : List.copyOf(context.clusterState().jobsAwaitingDependencies())) {
+            Job job = context.clusterState().job(jobId);
             if (job.cancelled()) {
                 continue;
             }
-            // Every member finds out, so that each can answer users and knows the rest at a take-over.
-            DependencyStatus outlook = statusOf(job.spec().dependencies());
-            if (context.writer().isLocked(Keys.job(id)) || !context.isResponsibleFor(job)) {
+            // Every member finds out, so that each can answer users and knows the final states at a failover.
+            DependencyStatus status = statusOf(job.spec().dependencies());
+            if (context.writer().isLocked(Keys.job(jobId)) || !context.isResponsibleFor(job)) {
                 continue;
             }
-            if (outlook == DependencyStatus.CANCELLED) {
-                withdrawn.add(job);
-            } else if (outlook == DependencyStatus.DONE) {
+            if (status == DependencyStatus.CANCELLED) {
+                toCancel.add(job);
+            } else if (status == DependencyStatus.DONE) {
                 release(job);
             }
         }
-        for (List<Job> jobs :
-                Lists.partition(withdrawn, Math.max(1, context.settings().txnOps() / CHANGES_PER_WITHDRAWAL))) {
-            if (withdrawalsUnderWay < MAX_WITHDRAWALS_UNDER_WAY) {
+        int jobsPerTransaction = Math.max(1, context.settings().txnOps() / OPERATIONS_PER_CANCELLATION);
+        for (List<Job> jobs : Lists.partition(toCancel, jobsPerTransaction)) {
+            if (cancellationsUnderWay < MAX_CANCELLATIONS_UNDER_WAY) {
                 cancelDependents(jobs);
             }
         }
@@ -142,15 +145,16 @@
 
     private void release(Job job) {
         String key = Keys.job(job.id());
-        LOG.debug("{} has all that it awaits", job.id());
-        Instant at = releaseTime(job.spec().dependencies(), job.submittedAt());
+        LOG.debug("dependencies done: job={}", job.id());
+        Instant releasedAt = releaseTime(job);
         Transaction transaction =
-                new Transaction().requireRevision(key, context.modRevision(key)).put(key, job.readyHeader(at));
-        context.writer().commit(transaction, CallPriority.CLAIM, List.of(key), () -> context.pipelineMetrics()
-                .released(at, context.loop().timeOfDay()));
+                new Transaction().requireRevision(key, context.modRevision(key)).put(key, job.readyHeader(releasedAt));
+        Runnable onSuccess = () ->
+                context.pipelineMetrics().released(releasedAt, context.loop().timeOfDay());
+        context.writer().commit(transaction, CallPriority.CLAIM, List.of(key), onSuccess);
     }
 
-    /** They were never released, so they hold no task, and with the guards on their headers none can be claimed any more. */
+    /** They were never released, so they hold no task, and with the conditions on their headers none can be claimed any more. */
     private void cancelDependents(List<Job> jobs) {
         Transaction transaction = new Transaction();
         List<String> keys = new ArrayList<>();
@@ -164,8 +168,8 @@
                     .put(Keys.finalState(job.id()), state.toJson())
                     .delete(key);
         }
-        LOG.info("withdrawn with a job that they need: {}", keys);
-        withdrawalsUnderWay++;
-        context.writer().commit(transaction, CallPriority.CLAIM, keys, () -> {}, result -> withdrawalsUnderWay--);
+        LOG.info("cancelled with a dependency: jobs={}", keys);
+        cancellationsUnderWay++;
+        context.writer().commit(transaction, CallPriority.CLAIM, keys, () -> {}, result -> cancellationsUnderWay--);
     }
 }
--- a/src/main/java/org/havenford/coordination/jobs/JobQueries.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobQueries.java
@@ -20,17 +20,14 @@
 import org.havenford.transport.HttpServer.Response;
 
 /**
- * Answers questions about jobs. Whatever is not yet final is answered from our replica only once a comparison of stamps has
- * shown that the replica holds the present header; one comparison serves all who wait for it. What the replica lacks, or
- * holds in an older version, is read from the store.
+ * Answers queries for jobs. Whatever is not yet final is answered from our replica only once a comparison of mod revisions
+ * has shown that the replica holds the present header; one comparison serves all queries that wait for it. What the replica
+ * lacks, or holds in an older version, is read from the store.
  */
 final class JobQueries {
-    /** A transaction allows this many conditions a change. */
-    private static final int CONDITIONS_PER_CHANGE = 4;
-
     private final CoordinationContext context;
     private final JobDependencies dependencies;
-    /** Jobs asked for since the last comparison was sent. */
+    /** Queries by job, of those that came since the last comparison was sent. */
     private final Map<String, List<Consumer<Response>>> waiting = new LinkedHashMap<>();
 
     private boolean comparing;
@@ -41,19 +38,19 @@
     }
 
     /** Answers with the present state of a job; 404 if it was never accepted. */
-    void query(String id, Consumer<Response> answer) {
-        FinalState known = context.finalStates().known(id);
+    void query(String jobId, Consumer<Response> answer) {
+        FinalState known = context.finalStates().known(jobId);
         if (known != null) {
-            answer.accept(JobApiResponses.ended(id, known));
-        } else if (context.clusterState().job(id) == null) {
-            readFromStore(id, answer);
+            answer.accept(JobApiResponses.ended(jobId, known));
+        } else if (context.clusterState().job(jobId) == null) {
+            readFromStore(jobId, answer);
         } else {
-            waiting.computeIfAbsent(id, k -> new ArrayList<>()).add(answer);
-            compare();
+            waiting.computeIfAbsent(jobId, id -> new ArrayList<>()).add(answer);
+            compareNextBatch();
         }
     }
 
-    private void compare() {
+    private void compareNextBatch() {
         if (comparing || waiting.isEmpty()) {
             return;
         }
@@ -63,39 +60,44 @@
         }
         Transaction transaction = new Transaction();
         Map<String, Job> compared = new HashMap<>();
-        for (String id : batch.keySet()) {
-            transaction.requireRevision(Keys.job(id), context.modRevision(Keys.job(id)));
-            compared.put(id, context.clusterState().job(id));
+        for (String jobId : batch.keySet()) {
+            transaction.requireRevision(Keys.job(jobId), context.modRevision(Keys.job(jobId)));
+            compared.put(jobId, context.clusterState().job(jobId));
         }
         comparing = true;
         context.store().commit(transaction, CallPriority.USER, result -> {
             comparing = false;
-            boolean answered = result.ok() || result.outcome() == StoreOutcome.CONFLICT;
-            Set<String> stale = answered ? stale(result, batch.keySet()) : Set.of();
-            batch.forEach((id, answers) -> {
-                if (!answered) {
-                    answers.forEach(a -> a.accept(JobApiResponses.retryLater()));
-                } else if (stale.contains(Keys.job(id))) {
-                    answers.forEach(a -> readFromStore(id, a));
-                } else {
-                    Response response = unfinished(compared.get(id));
-                    answers.forEach(a -> a.accept(response));
-                }
-            });
-            compare();
+            answerBatch(result, batch, compared);
+            compareNextBatch();
         });
     }
 
+    private void answerBatch(
+            StoreResult result, Map<String, List<Consumer<Response>>> batch, Map<String, Job> compared) {
+        boolean wasCompared = result.ok() || result.outcome() == StoreOutcome.CONFLICT;
+        Set<String> outdated = wasCompared ? outdatedHeaders(result, batch.keySet()) : Set.of();
+        batch.forEach((jobId, answers) -> {
+            if (!wasCompared) {
+                answers.forEach(answer -> answer.accept(JobApiResponses.retryLater()));
+            } else if (outdated.contains(Keys.job(jobId))) {
+                answers.forEach(answer -> readFromStore(jobId, answer));
+            } else {
+                Response response = unfinished(compared.get(jobId));
+                answers.forEach(answer -> answer.accept(response));
+            }
+        });
+    }
+
+    /** Takes as many waiting queries as one comparison has room for; those of jobs that have left the replica are read. */
     private Map<String, List<Consumer<Response>>> nextBatch() {
         Map<String, List<Consumer<Response>>> batch = new LinkedHashMap<>();
-        int most = context.settings().txnOps() * CONDITIONS_PER_CHANGE;
         Iterator<Map.Entry<String, List<Consumer<Response>>>> entries =
                 waiting.entrySet().iterator();
-        while (entries.hasNext() && batch.size() < most) {
+        while (entries.hasNext() && batch.size() < context.maxConditions()) {
             Map.Entry<String, List<Consumer<Response>>> entry = entries.next();
             entries.remove();
             if (context.clusterState().job(entry.getKey()) == null) {
-                entry.getValue().forEach(a -> readFromStore(entry.getKey(), a));
+                entry.getValue().forEach(answer -> readFromStore(entry.getKey(), answer));
             } else {
                 batch.put(entry.getKey(), entry.getValue());
             }
@@ -103,30 +105,26 @@
         return batch;
     }
 
-    /** Headers that have changed since our replica's; all of them, if the service does not say. */
-    private static Set<String> stale(StoreResult result, Set<String> asked) {
-        Set<String> stale = new HashSet<>();
+    /** Keys of the headers that our replica holds in an older version; all of them, if the store does not name them. */
+    private static Set<String> outdatedHeaders(StoreResult result, Set<String> jobIds) {
+        Set<String> outdated = new HashSet<>();
         if (result.ok()) {
-            return stale;
-        }
-        try {
-            stale.addAll(result.conflictingKeys());
-        } catch (Json.BadMessage e) {
-            stale.clear();
+            return outdated;
         }
-        if (stale.isEmpty()) {
-            asked.forEach(id -> stale.add(Keys.job(id)));
+        outdated.addAll(StoreResponses.conflictingKeys(result));
+        if (outdated.isEmpty()) {
+            jobIds.forEach(jobId -> outdated.add(Keys.job(jobId)));
         }
-        return stale;
+        return outdated;
     }
 
-    /** The header first, the final state second: a job that ends in between is found by the second call. */
-    void readFromStore(String id, Consumer<Response> answer) {
-        context.store().get(Keys.job(id), CallPriority.USER, result -> {
+    /** Reads the header first, the final state second: a job that ends in between is found by the second call. */
+    void readFromStore(String jobId, Consumer<Response> answer) {
+        context.store().get(Keys.job(jobId), CallPriority.USER, result -> {
             if (result.ok()) {
                 answer.accept(unfinished(result));
             } else if (result.outcome() == StoreOutcome.ABSENT) {
-                readFinalState(id, answer);
+                readFinalState(jobId, answer);
             } else {
                 answer.accept(JobApiResponses.retryLater());
             }
@@ -134,11 +132,13 @@
     }
 
     /** Answers with how a job ended; 404 if there is no final state. */
-    void readFinalState(String id, Consumer<Response> answer) {
-        context.store().get(Keys.finalState(id), CallPriority.USER, result -> {
+    void readFinalState(String jobId, Consumer<Response> answer) {
+        context.store().get(Keys.finalState(jobId), CallPriority.USER, result -> {
             if (result.ok()) {
-                FinalState state = context.finalStates().parsed(id, result);
-                answer.accept(state == null ? JobApiResponses.retryLater() : JobApiResponses.ended(id, state));
+                answer.accept(context.finalStates()
+                        .parse(jobId, result)
+                        .map(state -> JobApiResponses.ended(jobId, state))
+                        .orElseGet(JobApiResponses::retryLater));
             } else if (result.outcome() == StoreOutcome.ABSENT) {
                 answer.accept(JobApiResponses.unknownJob());
             } else {
@@ -149,23 +149,23 @@
 
     private Response unfinished(StoreResult header) {
         try {
-            return unfinished(Job.parse(header.value()));
+            return unfinished(StoreResponses.header(header));
         } catch (Json.BadMessage e) {
             return JobApiResponses.retryLater();
         }
     }
 
-    /** What a header says that is the present one; how many tasks run and are done is taken from our replica. */
+    /** The state that the present header tells; how many tasks run and are done is taken from our replica. */
     private Response unfinished(Job header) {
         Job job = context.clusterState().job(header.id());
-        int done = job == null ? 0 : job.doneCount();
-        int running = job == null ? 0 : job.claimCount();
+        int doneTasks = job == null ? 0 : job.doneCount();
+        int runningTasks = job == null ? 0 : job.claimCount();
         if (header.cancelled()) {
-            return JobApiResponses.beingCancelled(header.id(), done);
+            return JobApiResponses.beingCancelled(header.id(), doneTasks);
         }
         if (header.awaitsDependencies() && !dependencies.isCertainlyPending(header)) {
             return JobApiResponses.retryLater();
         }
-        return JobApiResponses.unfinished(header.id(), done, running);
+        return JobApiResponses.unfinished(header.id(), doneTasks, runningTasks);
     }
 }
--- a/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
@@ -2,46 +2,45 @@
 
 import java.nio.charset.StandardCharsets;
 import java.time.Instant;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.HashSet;
-import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Consumer;
+import org.havenford.coordination.jobs.DependencyVerifier.Verification;
+import org.havenford.coordination.jobs.JobDependencies.DependencyStatus;
 import org.havenford.coordination.placement.PlacementRules;
 import org.havenford.protocol.JobSpec;
-import org.havenford.protocol.Json;
 import org.havenford.protocol.MachineType;
 import org.havenford.settings.PlatformSettings;
 import org.havenford.storage.CallPriority;
 import org.havenford.storage.StoreOutcome;
-import org.havenford.storage.StoreResult;
 import org.havenford.storage.Transaction;
 import org.havenford.storage.records.FinalState;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
 import org.havenford.transport.HttpServer.Response;
 
-/** Checks submissions and stores the accepted ones. A job is accepted once its header is in the store. */
+/**
+ * Checks submissions and stores the accepted ones. A job is accepted once its header is in the store. A submission is an
+ * idempotent request: one whose id is known is answered with the state of that job.
+ */
 final class JobSubmissions {
-    /** What a cancellation adds to a header. */
-    private static final int CANCELLED_LENGTH = 24;
-    /** A transaction allows this many conditions a change. */
-    private static final int CONDITIONS_PER_CHANGE = 4;
-    /** A job is looked for in two places: its header and its final state. */
-    private static final int CONDITIONS_PER_JOB = 2;
+    /** Bytes that a cancellation adds to a header. */
+    private static final int CANCELLATION_BYTES = 24;
 
     private final CoordinationContext context;
     private final JobDependencies dependencies;
+    private final DependencyVerifier dependencyVerifier;
     private final JobQueries queries;
-    private final Runnable wake;
+    private final Runnable requestRound;
 
-    JobSubmissions(CoordinationContext context, JobDependencies dependencies, JobQueries queries, Runnable wake) {
+    JobSubmissions(
+            CoordinationContext context, JobDependencies dependencies, JobQueries queries, Runnable requestRound) {
         this.context = context;
         this.dependencies = dependencies;
+        this.dependencyVerifier = new DependencyVerifier(context);
         this.queries = queries;
-        this.wake = wake;
+        this.requestRound = requestRound;
     }
 
     /** Accepts a well-formed job that can run, or answers with the state of one that is known already. */
@@ -50,165 +49,100 @@
             queries.query(spec.id(), answer);
             return;
         }
-        String neverRuns = whyItCannotRun(spec);
-        if (neverRuns != null) {
-            refuse(spec, 422, neverRuns, answer);
+        Optional<String> infeasible = whyInfeasible(spec);
+        if (infeasible.isPresent()) {
+            refuse(spec, JobApiResponses.UNPROCESSABLE, infeasible.get(), answer);
             return;
         }
-        requireAccepted(unknown(spec), spec, answer);
+        dependencyVerifier.verify(spec, verification -> dependenciesVerified(verification, spec, answer));
+    }
+
+    private void dependenciesVerified(Verification verification, JobSpec spec, Consumer<Response> answer) {
+        if (verification instanceof Verification.NeverAccepted neverAccepted) {
+            String reason = "awaits a job that was never accepted: " + neverAccepted.jobId();
+            refuse(spec, JobApiResponses.UNPROCESSABLE, reason, answer);
+        } else if (verification instanceof Verification.Unavailable) {
+            answer.accept(JobApiResponses.retryLater());
+        } else {
+            accept(withKnownTypes(spec), answer);
+        }
     }
 
     /** What looks impossible now may have been accepted when it was not; then it stays accepted. */
     private void refuse(JobSpec spec, int status, String reason, Consumer<Response> answer) {
         queries.readFromStore(
-                spec.id(), r -> answer.accept(r.status() == 404 ? JobApiResponses.error(status, reason) : r));
+                spec.id(),
+                response -> answer.accept(
+                        JobApiResponses.isUnknownJob(response) ? JobApiResponses.error(status, reason) : response));
     }
 
-    private String whyItCannotRun(JobSpec spec) {
+    /** Why no task of a job could ever be placed; empty if one could. */
+    private Optional<String> whyInfeasible(JobSpec spec) {
         PlatformSettings.Team team = context.settings().teams().get(spec.team());
         if (team == null) {
-            return "unknown team";
+            return Optional.of("unknown team");
         }
         if ((team.cpusMax() > 0 && spec.cpus() > team.cpusMax())
                 || (team.gpusMax() > 0 && spec.gpus() > team.gpusMax())) {
-            return "a task needs more than the team's limit";
+            return Optional.of("a task needs more than the team's limit");
         }
+        return fitsSomeMachineType(spec) ? Optional.empty() : Optional.of("a task fits no allowed machine type");
+    }
+
+    private boolean fitsSomeMachineType(JobSpec spec) {
         for (MachineType type : context.clusterState().types().values()) {
             for (String zone : type.zones()) {
                 if (PlacementRules.machine(spec, type, zone, false).allowed()) {
-                    return null;
-                }
-            }
-        }
-        return "a task fits no allowed machine type";
-    }
-
-    // ---- jobs that the submission awaits
-
-    /** Awaited jobs that this controller has not seen to be accepted. */
-    private ArrayDeque<String> unknown(JobSpec spec) {
-        ArrayDeque<String> unknown = new ArrayDeque<>();
-        for (String id : spec.dependencies()) {
-            if (context.clusterState().job(id) == null && context.finalStates().known(id) == null) {
-                unknown.add(id);
-            }
-        }
-        return unknown;
-    }
-
-    /**
-     * Goes on once each awaited job was found to be accepted. Acceptance can't be undone, so it is read and need not be
-     * guarded. Many jobs are looked for with one transaction that only compares: a condition that fails names a job that
-     * exists. As the conditions of a transaction hold at one moment, a job that ends meanwhile is not missed.
-     */
-    private void requireAccepted(ArrayDeque<String> unknown, JobSpec spec, Consumer<Response> answer) {
-        if (unknown.isEmpty()) {
-            learnEnds(spec, answer);
-            return;
-        }
-        Transaction transaction = new Transaction();
-        int most = context.settings().txnOps() * CONDITIONS_PER_CHANGE / CONDITIONS_PER_JOB;
-        List<String> asked = new ArrayList<>();
-        for (String id : unknown) {
-            if (asked.size() < most) {
-                asked.add(id);
-                transaction.requireRevision(Keys.job(id), 0).requireRevision(Keys.finalState(id), 0);
-            }
-        }
-        context.store().commit(transaction, CallPriority.USER, result -> {
-            if (result.ok()) {
-                refuse(spec, 422, "awaits a job that was never accepted: " + asked.get(0), answer);
-                return;
-            }
-            Set<String> existing = existing(result, asked);
-            if (existing.isEmpty()) {
-                answer.accept(JobApiResponses.retryLater());
-                return;
-            }
-            unknown.removeAll(existing);
-            requireAccepted(unknown, spec, answer);
-        });
-    }
-
-    private static Set<String> existing(StoreResult result, List<String> asked) {
-        Set<String> existing = new HashSet<>();
-        if (result.outcome() != StoreOutcome.CONFLICT) {
-            return existing;
-        }
-        try {
-            List<String> failed = result.conflictingKeys();
-            for (String id : asked) {
-                if (failed.contains(Keys.job(id)) || failed.contains(Keys.finalState(id))) {
-                    existing.add(id);
+                    return true;
                 }
             }
-        } catch (Json.BadMessage e) {
-            existing.clear();
-        }
-        return existing;
-    }
-
-    /** Reads how the awaited jobs that are over have ended, if they are few: then the job need not wait first. */
-    private void learnEnds(JobSpec spec, Consumer<Response> answer) {
-        List<String> over = new ArrayList<>(unknown(spec));
-        if (over.isEmpty() || over.size() > FinalStateCache.MAX_READS) {
-            accept(spec, answer);
-            return;
-        }
-        int[] left = {over.size()};
-        for (String id : over) {
-            context.store().get(Keys.finalState(id), CallPriority.USER, result -> {
-                if (result.ok()) {
-                    context.finalStates().parsed(id, result);
-                }
-                left[0]--;
-                if (left[0] == 0) {
-                    accept(spec, answer);
-                }
-            });
         }
+        return false;
     }
 
-    // ---- acceptance
-
-    private void accept(JobSpec given, Consumer<Response> answer) {
-        JobSpec spec = withKnownTypes(given);
-        String id = spec.id();
+    private void accept(JobSpec spec, Consumer<Response> answer) {
         Instant now = context.loop().timeOfDay();
-        Job job = new Job(spec, now, chunkSize(spec), false);
+        Job job = new Job(spec, now, taskRangeSize(spec), false);
         if (tooLarge(job, now)) {
             refuse(
                     spec,
-                    400,
+                    JobApiResponses.BAD_REQUEST,
                     "the names in this submission, and the jobs that it awaits, are too many to be kept",
                     answer);
             return;
         }
-        Transaction transaction =
-                new Transaction().requireRevision(Keys.job(id), 0).requireRevision(Keys.finalState(id), 0);
-        JobDependencies.DependencyStatus outlook = dependencies.statusOf(spec.dependencies());
-        FinalState withdrawn = outlook == JobDependencies.DependencyStatus.CANCELLED
-                ? FinalState.of(FinalState.Status.CANCELLED, spec.taskCount())
-                : null;
-        if (withdrawn != null) {
-            // It can never start, so it is over at once.
-            transaction.put(Keys.finalState(id), withdrawn.toJson());
-        } else if (outlook == JobDependencies.DependencyStatus.DONE
-                && !spec.dependencies().isEmpty()) {
-            transaction.put(Keys.job(id), job.readyHeader(now));
-        } else {
-            transaction.put(Keys.job(id), job.header(false));
+        DependencyStatus status = dependencies.statusOf(spec.dependencies());
+        if (status == DependencyStatus.CANCELLED) {
+            acceptCancelled(spec, answer);
+            return;
         }
+        boolean ready = status == DependencyStatus.DONE && !spec.dependencies().isEmpty();
+        Transaction transaction =
+                ifUnknown(spec.id()).put(Keys.job(spec.id()), ready ? job.readyHeader(now) : job.header(false));
+        commit(transaction, spec.id(), () -> {}, answer);
+    }
+
+    /** Accepts a job of which a dependency is cancelled: it can never start, so it is over at once. */
+    private void acceptCancelled(JobSpec spec, Consumer<Response> answer) {
+        FinalState cancelled = FinalState.of(FinalState.Status.CANCELLED, spec.taskCount());
+        Transaction transaction = ifUnknown(spec.id()).put(Keys.finalState(spec.id()), cancelled.toJson());
+        commit(transaction, spec.id(), () -> context.finalStates().put(spec.id(), cancelled), answer);
+    }
+
+    /** A transaction that fails if the store has a job of this id, ended or not. */
+    private static Transaction ifUnknown(String jobId) {
+        return new Transaction().requireRevision(Keys.job(jobId), 0).requireRevision(Keys.finalState(jobId), 0);
+    }
+
+    private void commit(Transaction transaction, String jobId, Runnable onSuccess, Consumer<Response> answer) {
         context.store().commit(transaction, CallPriority.USER, result -> {
             if (result.ok()) {
-                if (withdrawn != null) {
-                    context.finalStates().put(id, withdrawn);
-                }
+                onSuccess.run();
                 context.replica().applyCommitted(transaction, result.revision());
-                answer.accept(JobApiResponses.accepted(id));
-                wake.run();
+                answer.accept(JobApiResponses.accepted(jobId));
+                requestRound.run();
             } else if (result.outcome() == StoreOutcome.CONFLICT) {
-                queries.query(id, answer);
+                queries.query(jobId, answer);
             } else {
                 answer.accept(JobApiResponses.retryLater());
             }
@@ -225,7 +159,7 @@
         return spec.withTypes(kept);
     }
 
-    private int chunkSize(JobSpec spec) {
+    private int taskRangeSize(JobSpec spec) {
         PlatformSettings settings = context.settings();
         int controllers = settings.peers().size() + 1;
         return Job.taskRangeSize(settings.valueBytes(), spec.taskCount(), controllers, settings.scarceChanges());
@@ -234,6 +168,6 @@
     /** Whether the header would not fit a value of the store, now or once the job is released and cancelled. */
     private boolean tooLarge(Job job, Instant now) {
         int bytes = job.readyHeader(now).toString().getBytes(StandardCharsets.UTF_8).length;
-        return bytes + CANCELLED_LENGTH > context.settings().valueBytes();
+        return bytes + CANCELLATION_BYTES > context.settings().valueBytes();
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
@@ -147,7 +147,7 @@
         }
         // Users and pipelines wait for the end of a job; it must not stand behind all claims.
         boolean last = job.pendingCount() == 0 && job.claimCount() == ended.size();
-        CallPriority urgency = last ? JobCompletion.urgency(job) : CallPriority.WORK;
+        CallPriority urgency = last ? JobCompletion.commitPriority(job) : CallPriority.WORK;
         Runnable afterEnd = onEnd;
         context.writer().commit(transaction, urgency, locks, () -> {
             agentManager.outcomes().remove(ended.keySet());
