--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -1,17 +1,15 @@
 package org.havenford.controller;
 
-import com.google.gson.JsonObject;
-import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.time.Instant;
+import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import org.HdrHistogram.Histogram;
 import org.havenford.coordination.agents.AgentContext;
 import org.havenford.coordination.agents.AgentListener;
 import org.havenford.coordination.agents.AgentManager;
-import org.havenford.coordination.agents.HeartbeatResponse;
 import org.havenford.coordination.failover.StandbyAccess;
 import org.havenford.coordination.failover.StandbyHost;
 import org.havenford.coordination.jobs.CoordinationContext;
@@ -30,8 +28,6 @@
 import org.havenford.coordination.provisioning.Provisioner;
 import org.havenford.coordination.provisioning.ProvisioningContext;
 import org.havenford.coordination.scheduling.Scheduler;
-import org.havenford.protocol.Heartbeat;
-import org.havenford.protocol.Json;
 import org.havenford.settings.OperatorSettings;
 import org.havenford.settings.PlatformSettings;
 import org.havenford.storage.ClusterState;
@@ -39,11 +35,7 @@
 import org.havenford.storage.StoreClient;
 import org.havenford.storage.StoreLimits;
 import org.havenford.storage.StoreReplica;
-import org.havenford.storage.records.ClusterView;
-import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
-import org.havenford.storage.records.LivenessProbe;
-import org.havenford.storage.records.MemberRegistration;
 import org.havenford.transport.EventLoop;
 import org.havenford.transport.HttpCalls;
 import org.havenford.transport.HttpServer;
@@ -52,146 +44,126 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller: puts the parts together, and runs their loops in rounds. All of it happens on the event loop. */
+/** One controller: puts the parts together, and tells them of events. All of it happens on the event loop. */
 public final class Controller implements HttpServer.Handler {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-    private static final Duration TICK = Duration.ofMillis(250);
-    private static final Duration GATHER = Duration.ofMillis(4);
-    private static final Duration BETWEEN_ROUNDS = Duration.ofMillis(50);
-    /** Times as long as a round took that the next one waits: with a thousand machines it is answers that use the processor. */
-    private static final int RESTS = 12;
-    /** Time for a worker to hear of a cancellation, and for clocks that differ. */
+    /** Time for an agent to hear of a cancellation, and for clocks that differ. */
     private static final Duration CANCEL_MARGIN = Duration.ofSeconds(6);
+    /** A limit of the membership lease below this is not applied. */
+    private static final Duration MIN_LEASE_LIMIT = Duration.ofSeconds(2);
 
-    private static final Duration STATISTICS_INTERVAL = Duration.ofSeconds(60);
-
-    private final EventLoop loop;
+    private final PlatformSettings settings;
+    private final OperatorSettings operatorSettings;
     private final ProcessPauseDetector pauseDetector;
+    private final EventLoop loop;
+    private final HttpCalls calls;
+    private final RoundTimer roundTimer;
     private final LinkMonitor links;
-    private final ClusterState clusterState = new ClusterState();
+    private final ClusterState clusterState;
     private final StoreClient store;
     private final StoreReplica replica;
     private final Membership membership;
     private final AgentManager agentManager;
     private final Scheduler scheduler;
     private final Provisioner provisioner;
-    private final JobApi jobApi;
     private final MemberEvictions evictions;
     private final StandbyAccess standbyAccess;
-    private final PipelineMetrics pipelineMetrics = new PipelineMetrics();
-    private final Histogram answerMicros = new Histogram(60_000_000L, 2);
-    private final Histogram lagMicros = new Histogram(60_000_000L, 2);
-    private boolean roundDue;
-    private Instant restUntil = Instant.MIN;
-    private Instant nextStatistics;
-    private Instant lastWarning = Instant.MIN;
+    private final HttpRouter router;
+    private final ControllerStatistics statistics;
 
     /** Puts a controller together; nothing happens before {@link #start}. */
     public Controller(
             EventLoop outerLoop, HttpCalls outerCalls, PlatformSettings settings, OperatorSettings operatorSettings) {
+        this.settings = settings;
+        this.operatorSettings = operatorSettings;
         pauseDetector = new ProcessPauseDetector(outerLoop, outerCalls, this::processPaused);
         loop = pauseDetector;
+        roundTimer = new RoundTimer(loop, new ControllerWork());
         links = new LinkMonitor(settings, loop);
-        HttpCalls calls = links.watching(pauseDetector);
-        store = new StoreClient(
+        calls = links.watching(pauseDetector);
+
+        clusterState = new ClusterState();
+        store = createStoreClient();
+        replica = new StoreReplica(loop, store, Keys.REPLICATED, clusterState);
+        membership = createMembership();
+        agentManager = createAgentManager();
+
+        CoordinationContext context = createCoordinationContext();
+        JobDependencies dependencies = new JobDependencies(context);
+        scheduler = new Scheduler(context, operatorSettings, agentManager, dependencies);
+        CloudClient cloudClient = new CloudClient(loop, calls, settings);
+        provisioner = new Provisioner(
+                new ProvisioningContext(context, cloudClient, operatorSettings, roundTimer::requestRound));
+        evictions = new MemberEvictions(loop, store, replica, membership, settings.node());
+        standbyAccess = new StandbyAccess(pauseDetector, store, clusterState, membership, evictions, agentManager);
+        clusterState.setObserver(
+                new ReplicaObserver(clusterState, membership, evictions, agentManager, scheduler, roundTimer));
+
+        router = new HttpRouter(
+                new JobApi(context, dependencies, roundTimer::requestRound),
+                new HeartbeatEndpoint(loop, links, agentManager),
+                new HealthCheck(replica, membership, clusterState, links));
+        statistics = createStatistics(context.pipelineMetrics());
+    }
+
+    private StoreClient createStoreClient() {
+        return new StoreClient(
                 loop,
                 calls,
                 settings.stateAddress(),
                 new StoreLimits(settings.stateRps(), settings.stateWriteRps(), settings.nextWriteRps()),
                 settings.peers().size() + 1);
-        replica = new StoreReplica(loop, store, Keys.REPLICATED, clusterState);
-        membership = new Membership(
+    }
+
+    private Membership createMembership() {
+        return new Membership(
                 loop,
                 store,
                 replica,
-                new MembershipSettings(settings.node(), nodes(settings), membershipLife(settings, operatorSettings)),
-                membershipListener());
-        AgentContext agentContext = new AgentContext(loop, settings, clusterState, replica, store, membership);
-        agentManager = new AgentManager(agentContext, calls, operatorSettings, new AgentListener() {
-            @Override
-            public void capacityChanged(String machine) {
-                scheduler.machineChanged(machine);
-            }
+                new MembershipSettings(settings.node(), nodes(settings), membershipLease(settings, operatorSettings)),
+                new ControllerMembershipListener());
+    }
 
-            @Override
-            public void roundDue() {
-                wake();
-            }
-        });
-        ConditionalWriter writer = new ConditionalWriter(loop, store, replica, settings.valueBytes(), this::wake);
-        FinalStateCache finalStates = new FinalStateCache(loop, store, this::wake);
-        CoordinationContext context = new CoordinationContext(
+    private AgentManager createAgentManager() {
+        AgentContext context = new AgentContext(loop, settings, clusterState, replica, store, membership);
+        return new AgentManager(context, calls, operatorSettings, new AgentObserver());
+    }
+
+    private CoordinationContext createCoordinationContext() {
+        ConditionalWriter writer =
+                new ConditionalWriter(loop, store, replica, settings.valueBytes(), roundTimer::requestRound);
+        return new CoordinationContext(
                 loop,
                 settings,
                 new StoreAccess(store, replica, clusterState, writer),
                 membership,
-                finalStates,
-                pipelineMetrics);
-        JobDependencies dependencies = new JobDependencies(context);
-        scheduler = new Scheduler(context, operatorSettings, agentManager, dependencies);
-        CloudClient cloudClient = new CloudClient(loop, calls, settings);
-        provisioner = new Provisioner(new ProvisioningContext(context, cloudClient, operatorSettings, this::wake));
-        jobApi = new JobApi(context, dependencies, this::wake);
-        evictions = new MemberEvictions(loop, store, replica, membership, settings.node());
-        standbyAccess = new StandbyAccess(pauseDetector, store, clusterState, membership, evictions, agentManager);
-        clusterState.setObserver(new ClusterState.Observer() {
-            @Override
-            public void viewChanged(ClusterView view, long modRevision) {
-                membership.viewChanged(view, modRevision);
-            }
-
-            @Override
-            public void memberChanged(String node, MemberRegistration registration, long modRevision) {
-                membership.memberChanged(node, registration, modRevision);
-            }
-
-            @Override
-            public void livenessProbeChanged(String node, LivenessProbe probe, long modRevision) {
-                evictions.livenessProbeChanged(node, probe, modRevision);
-            }
-
-            @Override
-            public void machineChanged(String machine) {
-                agentManager.machineChanged(machine);
-                scheduler.machineChanged(machine);
-            }
-
-            @Override
-            public void changesApplied() {
-                wake();
-            }
-
-            @Override
-            public void jobEnded(Job last) {
-                agentManager.jobEnded(last);
-                scheduler.jobEnded(last);
-            }
+                new FinalStateCache(loop, store, roundTimer::requestRound),
+                new PipelineMetrics());
+    }
 
-            @Override
-            public void loaded() {
-                LOG.info(
-                        "the store has been read: {} jobs, {} machines",
-                        clusterState.jobs().size(),
-                        clusterState.machines().size());
-            }
-        });
-        nextStatistics = loop.now().plus(STATISTICS_INTERVAL);
+    private ControllerStatistics createStatistics(PipelineMetrics pipelineMetrics) {
+        List<ControllerStatistics.Section> sections = List.of(
+                new ControllerStatistics.Section("store", () -> Optional.of(store.statistics())),
+                new ControllerStatistics.Section("pipelines", () -> Optional.of(pipelineMetrics.summary())),
+                new ControllerStatistics.Section("links", () -> Optional.of(links.summary())),
+                new ControllerStatistics.Section("booting machines", () -> Optional.ofNullable(provisioner.summary())));
+        return new ControllerStatistics(loop, scheduler, agentManager, clusterState, sections);
     }
 
     /**
-     * A silent task must be gone within the time for cancellations, even if its owner can't be reached: an owner cut
-     * off may renew the worker's lease until its own ends.
+     * How long the membership lease lasts. A silent task must be gone within the time for cancellations, even if its owner
+     * can't be reached: an owner cut off may renew the agent's lease until its own ends.
      */
-    static Duration membershipLife(PlatformSettings settings, OperatorSettings operatorSettings) {
-        Duration most =
+    private static Duration membershipLease(PlatformSettings settings, OperatorSettings operatorSettings) {
+        Duration limit =
                 settings.cancellationLimit().minus(settings.workerLease()).minus(CANCEL_MARGIN);
-        Duration life = operatorSettings.membershipLease();
-        return life.compareTo(most) > 0 && most.compareTo(Duration.ofSeconds(2)) > 0 ? most : life;
+        Duration lease = operatorSettings.membershipLease();
+        return lease.compareTo(limit) > 0 && limit.compareTo(MIN_LEASE_LIMIT) > 0 ? limit : lease;
     }
 
     private static Set<String> nodes(PlatformSettings settings) {
         Set<String> all = new TreeSet<>(Set.of(settings.node()));
-        settings.peers().forEach(p -> all.add(p.node()));
+        settings.peers().forEach(peer -> all.add(peer.node()));
         return all;
     }
 
@@ -199,7 +171,7 @@
     public void start() {
         replica.start();
         membership.start();
-        tick();
+        roundTimer.start();
     }
 
     /** What a standby in this process sees of the controller, and may ask of it. */
@@ -207,33 +179,22 @@
         return standbyAccess;
     }
 
-    private void viewChanged() {
-        agentManager.viewChanged();
-        scheduler.allChanged();
-        evictions.viewChanged();
-        standbyAccess.viewChanged();
-    }
-
-    private MembershipListener membershipListener() {
-        return new MembershipListener() {
-            @Override
-            public void viewChanged() {
-                Controller.this.viewChanged();
-            }
-
-            @Override
-            public int ownedMachines(String node) {
-                return agentManager.ownedBy(node);
-            }
-        };
+    @Override
+    public void handle(Request request, Consumer<Response> answer) {
+        pauseDetector.eventStarted();
+        Instant start = loop.now();
+        router.handle(request, response -> {
+            statistics.recordAnswer(Duration.between(start, loop.now()));
+            answer.accept(response);
+        });
     }
 
     /**
-     * This process has stood still while its clocks went on. What it knew before is old: others may have taken its place, its
-     * machines and its work. It is told here before anything that came or was due meanwhile is handled.
+     * This process was paused while its clocks went on. What it knew before is old: others may have taken over its
+     * membership, its machines and its work. The parts are told before anything that came or was due meanwhile is handled.
      */
     private void processPaused(Duration pause) {
-        LOG.warn("stood still for {} s: nothing is decided on what was known before", pause.toMillis() / 1e3);
+        LOG.warn("process paused, knowledge from before is not acted on: seconds={}", pause.toMillis() / 1e3);
         links.processPaused(pause);
         membership.processPaused();
         agentManager.processPaused(pause);
@@ -242,147 +203,55 @@
         standbyAccess.processPaused();
     }
 
-    private void tick() {
-        Instant due = loop.now().plus(TICK);
-        loop.after(TICK, () -> {
-            lagMicros.recordValue(Math.max(
-                    0, Math.min(60_000_000L, Duration.between(due, loop.now()).toNanos() / 1000)));
-            tick();
-            round();
-            provisioner.step();
-            links.step(agentManager.expectsHeartbeats());
-            logStatistics();
-        });
-    }
-
-    /** Asks for a round soon; what comes in together is decided together, and rounds leave most of the time to answers. */
-    private void wake() {
-        if (!roundDue) {
-            roundDue = true;
-            Duration rest = Duration.between(loop.now(), restUntil);
-            loop.after(rest.compareTo(GATHER) > 0 ? rest : GATHER, () -> {
-                if (roundDue) {
-                    round();
-                }
-            });
+    /** Passes on a new view, and answers what membership decides on. */
+    private final class ControllerMembershipListener implements MembershipListener {
+        @Override
+        public void viewChanged() {
+            agentManager.viewChanged();
+            scheduler.allChanged();
+            evictions.viewChanged();
+            standbyAccess.viewChanged();
         }
-    }
-
-    private void round() {
-        roundDue = false;
-        Instant start = loop.now();
-        membership.step();
-        agentManager.step();
-        scheduler.step();
-        agentManager.sendChangedCommands();
-        Instant end = loop.now();
-        restUntil =
-                end.plusNanos(Duration.between(start, end).toNanos() * RESTS).plus(BETWEEN_ROUNDS);
-    }
 
-    private void logStatistics() {
-        if (loop.now().isBefore(nextStatistics)) {
-            return;
+        @Override
+        public int ownedMachines(String node) {
+            return agentManager.ownedBy(node);
         }
-        nextStatistics = loop.now().plus(STATISTICS_INTERVAL);
-        Histogram rounds = scheduler.roundMicros();
-        LOG.info(
-                "rounds {} (p50 {} us, p99 {} us), answers {} (p50 {} us, p99 {} us), timers late p99 {} us, late tasks {}, "
-                        + "jobs {}, machines {}, memory {} MB",
-                rounds.getTotalCount(),
-                rounds.getValueAtPercentile(50),
-                rounds.getValueAtPercentile(99),
-                answerMicros.getTotalCount(),
-                answerMicros.getValueAtPercentile(50),
-                answerMicros.getValueAtPercentile(99),
-                lagMicros.getValueAtPercentile(99),
-                agentManager.stragglerStops(),
-                clusterState.jobs().size(),
-                clusterState.machines().size(),
-                (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 20);
-        LOG.info("store: {}", store.statistics());
-        LOG.info("pipelines: {}", pipelineMetrics.summary());
-        LOG.info("links: {}", links.summary());
-        String machinesThatBoot = provisioner.summary();
-        if (machinesThatBoot != null) {
-            LOG.info("machines that boot: {}", machinesThatBoot);
-        }
-        rounds.reset();
-        answerMicros.reset();
-        lagMicros.reset();
     }
 
-    // ---- requests
-
-    @Override
-    public void handle(Request request, Consumer<Response> answer) {
-        pauseDetector.eventStarted();
-        Instant start = loop.now();
-        route(request, response -> {
-            answerMicros.recordValue(Math.max(
-                    0, Math.min(60_000_000L, Duration.between(start, loop.now()).toNanos() / 1000)));
-            answer.accept(response);
-        });
-    }
+    /** Passes on what agents have changed. */
+    private final class AgentObserver implements AgentListener {
+        @Override
+        public void capacityChanged(String machine) {
+            scheduler.machineChanged(machine);
+        }
 
-    private void route(Request request, Consumer<Response> answer) {
-        String path = request.path();
-        boolean post = request.method().equals("POST");
-        boolean get = request.method().equals("GET");
-        if (path.equals("/checkin") && post) {
-            answer.accept(checkin(request.body()));
-        } else if (path.equals("/healthz") && get) {
-            answer.accept(health());
-        } else if (path.equals("/submissions") && post) {
-            jobApi.submit(request.body(), answer);
-        } else if (path.startsWith("/submissions/")) {
-            String rest = path.substring("/submissions/".length());
-            if (post && rest.endsWith("/abort")) {
-                jobApi.cancel(rest.substring(0, rest.length() - "/abort".length()), answer);
-            } else if (get) {
-                jobApi.get(rest, answer);
-            } else {
-                answer.accept(Response.of(405, "{\"error\":\"method not allowed\"}"));
-            }
-        } else {
-            answer.accept(Response.of(404, "{\"error\":\"no such path\"}"));
+        @Override
+        public void roundDue() {
+            roundTimer.requestRound();
         }
     }
 
-    /** Whether requests can be taken; for operators, the reason if not, and which links are lost since when. */
-    private Response health() {
-        String reason = null;
-        if (!replica.loaded()) {
-            reason = "the state service has not been read";
-        } else if (!membership.holdsLease()) {
-            reason = "the membership lease is over";
-        } else if (clusterState.types().isEmpty()) {
-            reason = "the machine types are not known";
+    /** What the controller does in rounds and with each tick. */
+    private final class ControllerWork implements RoundTimer.Work {
+        @Override
+        public void tickStarted(Duration delay) {
+            statistics.recordTimerDelay(delay);
         }
-        JsonObject body = new JsonObject();
-        body.addProperty("ready", reason == null);
-        if (reason != null) {
-            body.addProperty("reason", reason);
+
+        @Override
+        public void runRound() {
+            membership.step();
+            agentManager.step();
+            scheduler.step();
+            agentManager.sendChangedCommands();
         }
-        body.add("lostLinks", links.toJson());
-        return Response.of(reason == null ? 200 : 503, body.toString());
-    }
 
-    private Response checkin(byte[] body) {
-        links.heartbeatArrived();
-        try {
-            if (body == null) {
-                throw new Json.BadMessage("too large or incomplete");
-            }
-            HeartbeatResponse response = agentManager.handleHeartbeat(
-                    Heartbeat.parse(Json.object(new String(body, StandardCharsets.UTF_8))));
-            return Response.of(response.status(), response.body());
-        } catch (Json.BadMessage e) {
-            if (loop.now().isAfter(lastWarning.plusSeconds(10))) {
-                lastWarning = loop.now();
-                LOG.warn("a report can't be read: {}", e.getMessage());
-            }
-            return Response.of(400, "{\"error\":\"not a report\"}");
+        @Override
+        public void runPeriodicWork() {
+            provisioner.step();
+            links.step(agentManager.expectsHeartbeats());
+            statistics.logIfDue();
         }
     }
 }
--- /dev/null
+++ b/src/main/java/org/havenford/controller/HealthCheck.java
@@ -0,0 +1,53 @@
+package org.havenford.controller;
+
+import com.google.gson.JsonObject;
+import java.util.Optional;
+import org.havenford.coordination.membership.Membership;
+import org.havenford.coordination.monitoring.LinkMonitor;
+import org.havenford.storage.ClusterState;
+import org.havenford.storage.StoreReplica;
+import org.havenford.transport.HttpServer.Response;
+
+/** The readiness check: whether requests can be taken; for operators, the reason if not, and the lost links. */
+final class HealthCheck {
+    private static final int READY_STATUS = 200;
+    private static final int NOT_READY_STATUS = 503;
+    private static final String READY = "ready";
+    private static final String REASON = "reason";
+    private static final String LOST_LINKS = "lostLinks";
+
+    private final StoreReplica replica;
+    private final Membership membership;
+    private final ClusterState clusterState;
+    private final LinkMonitor links;
+
+    HealthCheck(StoreReplica replica, Membership membership, ClusterState clusterState, LinkMonitor links) {
+        this.replica = replica;
+        this.membership = membership;
+        this.clusterState = clusterState;
+        this.links = links;
+    }
+
+    /** GET /healthz. */
+    Response check() {
+        Optional<String> reason = whyNotReady();
+        JsonObject body = new JsonObject();
+        body.addProperty(READY, reason.isEmpty());
+        reason.ifPresent(text -> body.addProperty(REASON, text));
+        body.add(LOST_LINKS, links.toJson());
+        return Response.of(reason.isEmpty() ? READY_STATUS : NOT_READY_STATUS, body.toString());
+    }
+
+    private Optional<String> whyNotReady() {
+        if (!replica.loaded()) {
+            return Optional.of("the state service has not been read");
+        }
+        if (!membership.holdsLease()) {
+            return Optional.of("the membership lease is over");
+        }
+        if (clusterState.types().isEmpty()) {
+            return Optional.of("the machine types are not known");
+        }
+        return Optional.empty();
+    }
+}
--- /dev/null
+++ b/src/main/java/org/havenford/controller/HeartbeatEndpoint.java
@@ -0,0 +1,56 @@
+package org.havenford.controller;
+
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.time.Instant;
+import org.havenford.coordination.agents.AgentManager;
+import org.havenford.coordination.agents.HeartbeatResponse;
+import org.havenford.coordination.monitoring.LinkMonitor;
+import org.havenford.protocol.Heartbeat;
+import org.havenford.protocol.Json;
+import org.havenford.transport.EventLoop;
+import org.havenford.transport.HttpServer.Response;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Parses the heartbeats of agents and has them handled. */
+final class HeartbeatEndpoint {
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatEndpoint.class);
+    private static final Duration WARNING_INTERVAL = Duration.ofSeconds(10);
+    private static final Response BAD_HEARTBEAT = Response.of(400, "{\"error\":\"not a report\"}");
+
+    private final EventLoop loop;
+    private final LinkMonitor links;
+    private final AgentManager agentManager;
+    /** The first warning is due at once. */
+    private Instant lastWarning = Instant.MIN;
+
+    HeartbeatEndpoint(EventLoop loop, LinkMonitor links, AgentManager agentManager) {
+        this.loop = loop;
+        this.links = links;
+        this.agentManager = agentManager;
+    }
+
+    /** POST /checkin; {@code body} is null when it was too large or incomplete. */
+    Response handle(byte[] body) {
+        links.heartbeatArrived();
+        try {
+            if (body == null) {
+                throw new Json.BadMessage("too large or incomplete");
+            }
+            Heartbeat heartbeat = Heartbeat.parse(Json.object(new String(body, StandardCharsets.UTF_8)));
+            HeartbeatResponse response = agentManager.handleHeartbeat(heartbeat);
+            return Response.of(response.status(), response.body());
+        } catch (Json.BadMessage e) {
+            warn(e);
+            return BAD_HEARTBEAT;
+        }
+    }
+
+    private void warn(Json.BadMessage cause) {
+        if (loop.now().isAfter(lastWarning.plus(WARNING_INTERVAL))) {
+            lastWarning = loop.now();
+            LOG.warn("heartbeat cannot be parsed: cause=\"{}\"", cause.getMessage());
+        }
+    }
+}
--- a/src/main/java/org/havenford/controller/package-info.java
+++ b/src/main/java/org/havenford/controller/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Composition root: builds one controller of all its parts, and runs their loops in rounds.
+ * Composition root: builds one controller of all its parts, runs them in rounds, and routes requests to them.
  *
  * <p>It owns the wiring and the round timer. Called by the command line and by tests.
  */
