--- a/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
@@ -2,19 +2,14 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import org.havenford.protocol.CloudMessages;
 import org.havenford.protocol.CloudMessages.ListedMachine;
 import org.havenford.protocol.Json;
-import org.havenford.storage.Transaction;
-import org.havenford.storage.records.Keys;
-import org.havenford.storage.records.MachineBatch;
 import org.havenford.transport.HttpCalls;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -25,16 +20,14 @@
  */
 final class CloudInventory {
     private static final Logger LOG = LoggerFactory.getLogger(CloudInventory.class);
-    private static final String ADOPTED_NAME_PREFIX = "l";
     private static final Duration LIST_INTERVAL = Duration.ofSeconds(3);
     private static final int PAGE_SIZE = 500;
     private static final Duration PAGE_RETRY_DELAY = Duration.ofMillis(100);
-    /** A listed machine without a record is adopted once it is older than any reply to an instance request may be late. */
-    private static final Duration MIN_ADOPTION_AGE = Duration.ofSeconds(10);
     /** How long it is kept when a machine was listed or returned. */
     private static final Duration RETENTION = Duration.ofMinutes(10);
 
     private final ProvisioningContext context;
+    private final UnrecordedMachineAdoption adoption;
     private final Map<String, Instant> lastListed = new HashMap<>();
     /** Machines whose return the cloud has confirmed, and when. */
     private final Map<String, Instant> returned = new HashMap<>();
@@ -48,6 +41,7 @@
 
     CloudInventory(ProvisioningContext context) {
         this.context = context;
+        this.adoption = new UnrecordedMachineAdoption(context);
     }
 
     /** Forgets what was listed before this controller became the provisioner. */
@@ -131,50 +125,9 @@
                 failed.add(machine.machine());
             }
         }
-        adoptUnrecorded(all);
+        adoption.adoptUnrecorded(all.values(), returned.keySet());
         Instant oldest = askedAt.minus(RETENTION);
         lastListed.values().removeIf(time -> time.isBefore(oldest));
         returned.values().removeIf(time -> time.isBefore(oldest));
     }
-
-    /** Adopts machines without a record: of an instance request that was carried out late, or whose reply was lost. */
-    private void adoptUnrecorded(Map<String, ListedMachine> all) {
-        if (!context.clusterState().instanceRequests().isEmpty()) {
-            return;
-        }
-        Map<InstanceOffer, List<ListedMachine>> unrecorded = new LinkedHashMap<>();
-        for (ListedMachine machine : all.values()) {
-            boolean ignored = context.clusterState().machine(machine.machine()) != null
-                    || returned.containsKey(machine.machine())
-                    || machine.age().compareTo(MIN_ADOPTION_AGE) <= 0;
-            if (!ignored) {
-                LOG.info(
-                        "adopting a machine that the cloud lists and that is in no record: machine={}",
-                        machine.machine());
-                InstanceOffer offer = InstanceOffer.of(machine);
-                unrecorded.computeIfAbsent(offer, key -> new ArrayList<>()).add(machine);
-            }
-        }
-        Transaction transaction = new Transaction();
-        unrecorded.forEach((offer, machines) -> {
-            if (transaction.operationCount() < context.settings().txnOps()) {
-                adopt(offer, machines, transaction);
-            }
-        });
-        if (transaction.operationCount() > 0) {
-            context.write(transaction, ok -> {});
-        }
-    }
-
-    private void adopt(InstanceOffer offer, List<ListedMachine> machines, Transaction transaction) {
-        String name = context.uniqueName(ADOPTED_NAME_PREFIX);
-        Instant since = context.loop().timeOfDay().minus(machines.get(0).age());
-        List<String> names = machines.stream()
-                .limit(MachineBatch.MAX_MACHINES)
-                .map(ListedMachine::machine)
-                .toList();
-        MachineBatch batch = MachineBatch.of(
-                name, offer.kind().type(), offer.zone(), offer.kind().spot(), since, names);
-        transaction.requireRevision(Keys.batch(name), 0).put(Keys.batch(name), batch.toJson());
-    }
 }
--- /dev/null
+++ b/src/main/java/org/havenford/coordination/provisioning/UnrecordedMachineAdoption.java
@@ -0,0 +1,74 @@
+package org.havenford.coordination.provisioning;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.havenford.protocol.CloudMessages.ListedMachine;
+import org.havenford.storage.Transaction;
+import org.havenford.storage.records.Keys;
+import org.havenford.storage.records.MachineBatch;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Takes machines that the cloud lists and that are in no record into the store. */
+final class UnrecordedMachineAdoption {
+    private static final Logger LOG = LoggerFactory.getLogger(UnrecordedMachineAdoption.class);
+    private static final String BATCH_NAME_PREFIX = "l";
+    /** A listed machine without a record is adopted once it is older than any reply to an instance request may be late. */
+    private static final Duration MIN_AGE = Duration.ofSeconds(10);
+
+    private final ProvisioningContext context;
+
+    UnrecordedMachineAdoption(ProvisioningContext context) {
+        this.context = context;
+    }
+
+    /**
+     * Adopts machines without a record: of an instance request that was carried out late, or whose reply was lost.
+     * Nothing is adopted while an instance request is open, nor a machine whose return the cloud has confirmed.
+     */
+    void adoptUnrecorded(Collection<ListedMachine> listed, Set<String> returned) {
+        if (!context.clusterState().instanceRequests().isEmpty()) {
+            return;
+        }
+        Map<InstanceOffer, List<ListedMachine>> unrecorded = new LinkedHashMap<>();
+        for (ListedMachine machine : listed) {
+            boolean ignored = context.clusterState().machine(machine.machine()) != null
+                    || returned.contains(machine.machine())
+                    || machine.age().compareTo(MIN_AGE) <= 0;
+            if (!ignored) {
+                LOG.info(
+                        "adopting a machine that the cloud lists and that is in no record: machine={}",
+                        machine.machine());
+                InstanceOffer offer = InstanceOffer.of(machine);
+                unrecorded.computeIfAbsent(offer, key -> new ArrayList<>()).add(machine);
+            }
+        }
+        Transaction transaction = new Transaction();
+        unrecorded.forEach((offer, machines) -> {
+            if (transaction.operationCount() < context.settings().txnOps()) {
+                addBatch(offer, machines, transaction);
+            }
+        });
+        if (transaction.operationCount() > 0) {
+            context.write(transaction, ok -> {});
+        }
+    }
+
+    private void addBatch(InstanceOffer offer, List<ListedMachine> machines, Transaction transaction) {
+        String name = context.uniqueName(BATCH_NAME_PREFIX);
+        Instant since = context.loop().timeOfDay().minus(machines.get(0).age());
+        List<String> names = machines.stream()
+                .limit(MachineBatch.MAX_MACHINES)
+                .map(ListedMachine::machine)
+                .toList();
+        MachineBatch batch = MachineBatch.of(
+                name, offer.kind().type(), offer.zone(), offer.kind().spot(), since, names);
+        transaction.requireRevision(Keys.batch(name), 0).put(Keys.batch(name), batch.toJson());
+    }
+}
