--- a/src/main/java/org/havenford/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/havenford/coordination/placement/PlacementRules.java
@@ -51,7 +51,7 @@
         if (spec.together() && !others.allIn(zone)) {
             return Verdict.NOT_TOGETHER;
         }
-        return spec.apart() && others.mostIn(zone) >= mostInOneZone(spec) ? Verdict.NOT_APART : Verdict.ALLOWED;
+        return spec.apart() && others.maxTasksIn(zone) >= maxTasksInOneZone(spec) ? Verdict.NOT_APART : Verdict.ALLOWED;
     }
 
     /** Whether one more task may start on a machine. */
@@ -66,7 +66,7 @@
     }
 
     /** How many tasks of a job that must stay apart one zone may hold. */
-    static int mostInOneZone(JobSpec spec) {
+    static int maxTasksInOneZone(JobSpec spec) {
         return (spec.taskCount() + 1) / 2;
     }
 }
--- a/src/main/java/org/havenford/coordination/placement/TaskZones.java
+++ b/src/main/java/org/havenford/coordination/placement/TaskZones.java
@@ -59,7 +59,7 @@
     }
 
     /** The largest number of tasks that the zone may hold now. */
-    int mostIn(String zone) {
+    int maxTasksIn(String zone) {
         return byZone.getOrDefault(zone, 0) + inUnknownZone;
     }
 
--- a/src/main/java/org/havenford/coordination/scheduling/FreeCapacity.java
+++ b/src/main/java/org/havenford/coordination/scheduling/FreeCapacity.java
@@ -11,16 +11,16 @@
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.MachineRecord;
 
-/** What is left on a machine; claims that are not confirmed gone count as taken. */
+/** Free capacity of a machine; claims that are not confirmed to have ended count as taken. */
 final class FreeCapacity {
     /** Amounts are decimal numbers: what differs by less than this is equal. */
     static final double EPSILON = 1e-6;
-    /** Least rate of image fetches that is reckoned with, in GB a second. */
-    private static final double SLOWEST_FETCH = 0.01;
-    /** Part of a fetch that is left, on average, when another task has begun it. */
-    private static final double LEFT_OF_FETCH = 0.6;
+    /** Slower image pulls are taken to have this rate, in GB a second. */
+    static final double MIN_PULL_GB_PER_SECOND = 0.01;
+    /** Part of a pull that is left, on average, when another task has begun it. */
+    private static final double REMAINING_PULL_FRACTION = 0.6;
 
-    private final Predicate<Instant> availability;
+    private final Predicate<Instant> takesTasksAt;
     final MachineRecord machine;
     final MachineType type;
     /** The controller that may claim here. */
@@ -28,13 +28,13 @@
 
     final Set<String> images;
     final List<Claim> claims = new ArrayList<>();
-    /** Images that claims on this machine may still be fetching. */
+    /** Images that claims on this machine may still be pulling. */
     final Set<String> pulling = new HashSet<>(4);
 
     double cpus;
     double gpus;
-    double mem;
-    /** Work of this priority is about to take what room there is; it is not for lower work meanwhile. */
+    double memGb;
+    /** The capacity is kept for work of this priority and above until the next round; null if it is not reserved. */
     JobSpec.Priority reservedFor;
 
     FreeCapacity(
@@ -42,24 +42,25 @@
             MachineType type,
             String owner,
             List<String> images,
-            Predicate<Instant> availability) {
+            Predicate<Instant> takesTasksAt) {
         this.owner = owner;
-        this.availability = availability;
+        this.takesTasksAt = takesTasksAt;
         this.machine = machine;
         this.type = type;
         this.images = Set.copyOf(images);
         cpus = type.cpus();
         gpus = type.gpus();
-        mem = type.memGb();
+        memGb = type.memGb();
     }
 
-    /** Whether the machine can be given new tasks at a steady time. */
+    /** Whether the machine can be given new tasks at a time of the monotonic clock. */
     boolean takesTasks(Instant now) {
-        return availability.test(now);
+        return takesTasksAt.test(now);
     }
 
+    /** Whether one more task of a job fits. */
     boolean fits(JobSpec spec) {
-        return spec.cpus() <= cpus + EPSILON && spec.gpus() <= gpus + EPSILON && spec.memGb() <= mem + EPSILON;
+        return spec.cpus() <= cpus + EPSILON && spec.gpus() <= gpus + EPSILON && spec.memGb() <= memGb + EPSILON;
     }
 
     /** Whether the machine is reserved for work that is more urgent than this priority. */
@@ -72,35 +73,37 @@
         return images.contains(image) || pulling.contains(image);
     }
 
+    /** Takes the capacity of one task, which may have to pull its image. */
     void allocate(JobSpec spec) {
         cpus -= spec.cpus();
         gpus -= spec.gpus();
-        mem -= spec.memGb();
+        memGb -= spec.memGb();
         if (!images.contains(spec.image())) {
             pulling.add(spec.image());
         }
     }
 
+    /** Gives back the capacity of one task. */
     void release(JobSpec spec) {
         cpus += spec.cpus();
         gpus += spec.gpus();
-        mem += spec.memGb();
+        memGb += spec.memGb();
     }
 
-    /** How many more tasks fit. */
+    /** How many more tasks of a job fit. */
     int slots(JobSpec spec) {
-        double n = cpus / spec.cpus();
-        n = spec.gpus() > 0 ? Math.min(n, gpus / spec.gpus()) : n;
-        n = spec.memGb() > 0 ? Math.min(n, mem / spec.memGb()) : n;
-        return (int) (n + EPSILON);
+        double slots = cpus / spec.cpus();
+        slots = spec.gpus() > 0 ? Math.min(slots, gpus / spec.gpus()) : slots;
+        slots = spec.memGb() > 0 ? Math.min(slots, memGb / spec.memGb()) : slots;
+        return (int) (slots + EPSILON);
     }
 
-    /** Seconds until a task that is claimed now has its image. */
+    /** Seconds until a task that is claimed now has its image; pulls share the machine's bandwidth. */
     double pullSeconds(JobSpec spec) {
         if (images.contains(spec.image())) {
             return 0;
         }
-        double alone = spec.imageGb() / Math.max(SLOWEST_FETCH, type.imagePullGbPerSecond());
-        return pulling.contains(spec.image()) ? alone * LEFT_OF_FETCH : alone * (1 + pulling.size());
+        double alone = spec.imageGb() / Math.max(MIN_PULL_GB_PER_SECOND, type.imagePullGbPerSecond());
+        return pulling.contains(spec.image()) ? alone * REMAINING_PULL_FRACTION : alone * (1 + pulling.size());
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/JobOrder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/JobOrder.java
@@ -17,39 +17,42 @@
 
 /**
  * The order in which jobs are served: what has waited too long without a start, then work within its team's guarantee, then
- * by priority, then by the latest start that still meets the aim of the class; last those that seem to fail on every machine.
+ * by priority, then by the latest start that still meets the objective of the class; last those that seem to fail on every
+ * machine.
  * Jobs that wait for others are no part of it.
  */
 final class JobOrder {
-    /** How long after its latest start a job is still taken to be in time: estimates are rough. */
-    private static final Duration HOPELESS = Duration.ofSeconds(2);
-    /** A job that can't be in time any more goes behind those that can for this long at most. */
-    private static final Duration AFTER_ALL = Duration.ofMinutes(5);
-    /** A job that has waited this long without a start goes first, whatever else there is. */
-    private static final Duration STARVING = Duration.ofSeconds(90);
+    /** How long after its latest start a job is still taken to meet its deadline: estimates are rough. */
+    private static final Duration LATENESS_TOLERANCE = Duration.ofSeconds(2);
+    /** A job that can't meet its deadline any more goes behind those that can for this long at most. */
+    private static final Duration MAX_DELAY_IF_LATE = Duration.ofMinutes(5);
+    /** A job that has waited this long without a start is starving and goes first, whatever else there is. */
+    private static final Duration STARVATION_DELAY = Duration.ofSeconds(90);
     /** Starving jobs that go first at a time. */
-    private static final int MOST_STARVING = 8;
-    /** Jobs without deadline and aim should start within this. */
-    private static final Duration USUAL_WAIT = Duration.ofMinutes(2);
-    /** The shortest run that is reckoned with, in seconds. */
-    private static final double SHORTEST_RUN = 0.5;
+    private static final int MAX_STARVING_JOBS = 8;
+    /** Jobs without deadline and objective should start within this. */
+    private static final Duration DEFAULT_MAX_WAIT = Duration.ofMinutes(2);
+    /** Shorter runs are taken to last this many seconds. */
+    private static final double MIN_RUN_SECONDS = 0.5;
 
-    /** What a job is ordered by, worked out once: there may be a thousand jobs. */
+    private static final double MILLIS_PER_SECOND = 1e3;
+
+    /** What a job is ordered by, computed once: there may be a thousand jobs. */
     private record Ranked(
             Job job,
-            boolean goesLast,
-            boolean starves,
+            boolean deprioritized,
+            boolean starving,
             boolean guaranteed,
             JobSpec.Priority priority,
             Instant latestStart) {
         boolean isUrgent() {
             boolean aboveNormal = priority.compareTo(JobSpec.Priority.NORMAL) < 0;
-            return !goesLast && (starves || guaranteed || aboveNormal);
+            return !deprioritized && (starving || guaranteed || aboveNormal);
         }
     }
 
-    private static final Comparator<Ranked> IN_ORDER = Comparator.comparing(Ranked::goesLast)
-            .thenComparing(ranked -> !ranked.starves())
+    private static final Comparator<Ranked> IN_ORDER = Comparator.comparing(Ranked::deprioritized)
+            .thenComparing(ranked -> !ranked.starving())
             .thenComparing(ranked -> !ranked.guaranteed())
             .thenComparing(Ranked::priority)
             .thenComparing(Ranked::latestStart)
@@ -73,14 +76,14 @@
         return priorityInheritance.priority(job);
     }
 
-    /** When a job must be done for itself and what needs it to be in time; null where there is no deadline. */
+    /** When a job must be done so that it and the jobs that depend on it meet their deadlines; null if there is none. */
     Instant deadline(Job job) {
         return priorityInheritance.deadline(job);
     }
 
     /** Run time of a task in seconds: the median so far, or its owner's estimate. */
     static double runSeconds(Job job) {
-        return Math.max(SHORTEST_RUN, run(job).toMillis() / 1e3);
+        return Math.max(MIN_RUN_SECONDS, run(job).toMillis() / MILLIS_PER_SECOND);
     }
 
     private static Duration run(Job job) {
@@ -117,13 +120,13 @@
     private static Set<String> starving(List<Job> open, Instant now) {
         List<Job> waited = new ArrayList<>();
         for (Job job : open) {
-            if (starves(job, now)) {
+            if (isStarving(job, now)) {
                 waited.add(job);
             }
         }
         waited.sort(Comparator.comparing(Job::releasedAt).thenComparing(Job::id));
         Set<String> starving = new HashSet<>();
-        waited.stream().limit(MOST_STARVING).forEach(job -> starving.add(job.id()));
+        waited.stream().limit(MAX_STARVING_JOBS).forEach(job -> starving.add(job.id()));
         return starving;
     }
 
@@ -158,35 +161,35 @@
         return guaranteed;
     }
 
-    private static boolean starves(Job job, Instant now) {
+    private static boolean isStarving(Job job, Instant now) {
         return job.claimCount() == 0
                 && job.doneCount() == 0
-                && now.isAfter(job.releasedAt().plus(STARVING));
+                && now.isAfter(job.releasedAt().plus(STARVATION_DELAY));
     }
 
-    /** When a task of the job must start so that the aim of its class is met. */
+    /** When a task of the job must start so that its deadline and the service-level objective of its class are met. */
     Instant latestStart(Job job, Instant now) {
-        Instant due = deadline(job);
-        Instant latest = due == null ? null : latestStart(job, due, now);
-        for (PlatformSettings.ServiceObjective aim : settings.objectives()) {
-            boolean concerns = aim.kind().equals("wait")
-                    && aim.jobClass().equals(job.spec().jobClass());
-            if (concerns && aim.within() != null) {
-                Instant at = job.releasedAt().plus(aim.within());
+        Instant deadline = deadline(job);
+        Instant latest = deadline == null ? null : latestStart(job, deadline, now);
+        for (PlatformSettings.ServiceObjective objective : settings.objectives()) {
+            boolean applies = objective.kind().equals("wait")
+                    && objective.jobClass().equals(job.spec().jobClass());
+            if (applies && objective.within() != null) {
+                Instant at = job.releasedAt().plus(objective.within());
                 latest = latest == null || at.isBefore(latest) ? at : latest;
             }
         }
-        return latest == null ? job.releasedAt().plus(USUAL_WAIT) : latest;
+        return latest == null ? job.releasedAt().plus(DEFAULT_MAX_WAIT) : latest;
     }
 
-    private static Instant latestStart(Job job, Instant due, Instant now) {
-        Instant latest = due.minus(run(job));
-        if (!now.isAfter(latest.plus(HOPELESS))) {
+    private static Instant latestStart(Job job, Instant deadline, Instant now) {
+        Instant latest = deadline.minus(run(job));
+        if (!now.isAfter(latest.plus(LATENESS_TOLERANCE))) {
             return latest;
         }
-        // It can't be in time any more: those that can go before it, but it is not left to the end of days.
-        Duration allowed = Duration.between(job.submittedAt(), due);
-        Instant late = due.plus(allowed.dividedBy(2)).minus(run(job));
-        return now.isAfter(late) ? job.submittedAt().plus(AFTER_ALL) : late;
+        // It can't meet its deadline any more: those that can go before it, but it must not starve.
+        Duration allowed = Duration.between(job.submittedAt(), deadline);
+        Instant late = deadline.plus(allowed.dividedBy(2)).minus(run(job));
+        return now.isAfter(late) ? job.submittedAt().plus(MAX_DELAY_IF_LATE) : late;
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/JobPacing.java
+++ b/src/main/java/org/havenford/coordination/scheduling/JobPacing.java
@@ -19,8 +19,6 @@
     private static final Duration IDLE_MACHINE_PATIENCE = Duration.ofSeconds(60);
     /** Part of a run from which on a pull counts as long. */
     private static final double LONG_PULL_OF_RUN = 0.3;
-    /** Slowest pull that is reckoned with, in GB a second. */
-    private static final double MIN_PULL_GB_PER_SECOND = 0.01;
     /** Pull rate, in GB a second, where no machine type fits. */
     private static final double DEFAULT_PULL_GB_PER_SECOND = 1;
     /** Runs may take longer than the median by this factor. */
@@ -66,6 +64,6 @@
                 .mapToDouble(MachineType::imagePullGbPerSecond)
                 .max()
                 .orElse(DEFAULT_PULL_GB_PER_SECOND);
-        return spec.imageGb() / Math.max(MIN_PULL_GB_PER_SECOND, gbPerSecond);
+        return spec.imageGb() / Math.max(FreeCapacity.MIN_PULL_GB_PER_SECOND, gbPerSecond);
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/PlacementGuard.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PlacementGuard.java
@@ -12,7 +12,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Looks at planned placements once more before they are claimed. A placement that would break a constraint of its job is
+ * Checks planned placements once more before they are claimed. A placement that would break a constraint of its job is
  * never claimed; that there is one means a fault elsewhere, so it is logged as an error.
  */
 final class PlacementGuard {
@@ -39,12 +39,13 @@
                 permitted.add(placement);
             } else {
                 LOG.error(
-                        "{} was planned for {} ({}, zone {}, {}), which its job does not allow: {}; tasks by zone {}",
+                        "planned placement violates a constraint of its job: task={} machine={}"
+                                + " machineType={} zone={} spot={} violation={} tasksByZone={}",
                         placement.task(),
                         machine.name(),
                         machine.type(),
                         machine.zone(),
-                        machine.spot() ? "spot" : "ordinary",
+                        machine.spot(),
                         verdict,
                         zones);
             }
--- a/src/main/java/org/havenford/coordination/scheduling/Preemption.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Preemption.java
@@ -148,7 +148,7 @@
         FreeCapacity capacity = machine.capacity();
         double cpus = capacity.cpus;
         double gpus = capacity.gpus;
-        double memGb = capacity.mem;
+        double memGb = capacity.memGb;
         long loss = 0;
         for (Claim claim : machine.claims()) {
             if (fits(spec, cpus, gpus, memGb)) {
--- a/src/main/java/org/havenford/coordination/scheduling/PriorityInheritance.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PriorityInheritance.java
@@ -12,24 +12,26 @@
 
 /**
  * Priorities and deadlines passed backwards through pipelines: a job has the highest priority of any job that needs it,
- * directly or through others, and is due early enough for the jobs after it to be in time.
+ * directly or through others, and has a deadline early enough for the jobs after it to meet theirs.
  */
 final class PriorityInheritance {
-    /** Priority and due time of a job, its own or inherited; {@code due} is null where there is none. */
+    /** Priority and deadline of a job, its own or inherited; {@code deadline} is null where there is none. */
     record Inherited(JobSpec.Priority priority, Instant deadline) {
         static Inherited own(Job job) {
             return new Inherited(job.spec().priority(), job.deadline());
         }
 
-        Inherited with(JobSpec.Priority otherPriority, Instant otherDue) {
+        Inherited with(JobSpec.Priority otherPriority, Instant otherDeadline) {
             JobSpec.Priority higher = otherPriority.compareTo(priority) < 0 ? otherPriority : priority;
-            boolean earlier = deadline == null || (otherDue != null && otherDue.isBefore(deadline));
-            return new Inherited(higher, earlier ? otherDue : deadline);
+            boolean earlier = deadline == null || (otherDeadline != null && otherDeadline.isBefore(deadline));
+            return new Inherited(higher, earlier ? otherDeadline : deadline);
         }
     }
 
     private final ClusterState clusterState;
+    /** Count of pipeline changes that {@code inherited} was computed for; -1 before the first time. */
     private long computedFor = -1;
+
     private Map<String, Inherited> inherited = Map.of();
 
     PriorityInheritance(ClusterState clusterState) {
@@ -37,16 +39,16 @@
     }
 
     JobSpec.Priority priority(Job job) {
-        Inherited of = inherited.get(job.id());
-        return of == null ? job.spec().priority() : of.priority();
+        Inherited values = inherited.get(job.id());
+        return values == null ? job.spec().priority() : values.priority();
     }
 
     Instant deadline(Job job) {
-        Inherited of = inherited.get(job.id());
-        return of == null ? job.deadline() : of.deadline();
+        Inherited values = inherited.get(job.id());
+        return values == null ? job.deadline() : values.deadline();
     }
 
-    /** Works everything out anew if a pipeline has changed since the last call. */
+    /** Computes everything again if a pipeline has changed since the last call. */
     void refresh() {
         if (computedFor != clusterState.pipelineChanges()) {
             computedFor = clusterState.pipelineChanges();
@@ -55,17 +57,12 @@
     }
 
     /**
-     * Visits each waiting job after all waiting jobs that need it. Times of acceptance don't give that order, since the
-     * clocks of two controllers differ.
+     * Visits each waiting job after all waiting jobs that depend on it, in topological order. Submission times don't give
+     * that order, since the clocks of two controllers differ.
      */
     private Map<String, Inherited> compute() {
         List<Job> waiting = waitingJobs();
-        Map<String, Integer> unvisitedDependents = new HashMap<>();
-        for (Job job : waiting) {
-            for (String needed : job.spec().dependencies()) {
-                unvisitedDependents.merge(needed, 1, Integer::sum);
-            }
-        }
+        Map<String, Integer> unvisitedDependents = countDependents(waiting);
         ArrayDeque<Job> visitable = new ArrayDeque<>();
         for (Job job : waiting) {
             if (!unvisitedDependents.containsKey(job.id())) {
@@ -74,14 +71,14 @@
         }
         Map<String, Inherited> computed = new HashMap<>();
         while (!visitable.isEmpty()) {
-            Job later = visitable.poll();
-            for (String id : later.spec().dependencies()) {
+            Job dependent = visitable.poll();
+            for (String id : dependent.spec().dependencies()) {
                 Job needed = clusterState.job(id);
                 boolean last = unvisitedDependents.merge(id, -1, Integer::sum) == 0;
                 if (needed == null) {
                     continue;
                 }
-                passOn(later, needed, computed);
+                passOn(dependent, needed, computed);
                 if (last && needed.awaitsDependencies() && !needed.cancelled()) {
                     visitable.add(needed);
                 }
@@ -90,6 +87,17 @@
         return computed;
     }
 
+    /** How many of the jobs depend on a job directly, by its id. */
+    private static Map<String, Integer> countDependents(List<Job> jobs) {
+        Map<String, Integer> dependents = new HashMap<>();
+        for (Job job : jobs) {
+            for (String needed : job.spec().dependencies()) {
+                dependents.merge(needed, 1, Integer::sum);
+            }
+        }
+        return dependents;
+    }
+
     private List<Job> waitingJobs() {
         List<Job> waiting = new ArrayList<>();
         for (String id : clusterState.jobsAwaitingDependencies()) {
@@ -102,11 +110,12 @@
     }
 
     /** A waiting job has never run, so the time that it still takes is its owner's estimate. */
-    private static void passOn(Job later, Job needed, Map<String, Inherited> computed) {
-        Inherited of = computed.getOrDefault(later.id(), Inherited.own(later));
-        Instant due =
-                of.deadline() == null ? null : of.deadline().minus(later.spec().estimatedDuration());
+    private static void passOn(Job dependent, Job needed, Map<String, Inherited> computed) {
+        Inherited inheritable = computed.getOrDefault(dependent.id(), Inherited.own(dependent));
+        Instant deadline = inheritable.deadline() == null
+                ? null
+                : inheritable.deadline().minus(dependent.spec().estimatedDuration());
         Inherited before = computed.getOrDefault(needed.id(), Inherited.own(needed));
-        computed.put(needed.id(), before.with(of.priority(), due));
+        computed.put(needed.id(), before.with(inheritable.priority(), deadline));
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
@@ -13,13 +13,17 @@
 import org.havenford.storage.records.Keys;
 
 /**
- * One round of decisions on jobs and tasks: claims, ends, pipelines and shares of the teams' limits. Every write is guarded
- * by the stamps it was decided on. So an unanswered transaction needs no special care: whether it was applied, or comes
- * late, the next one on the same key either fails and is decided anew, or has ruled the late one out.
+ * One round of decisions on jobs and tasks: claims, releases, pipelines and shares of the teams' quotas. Every write is
+ * guarded by the mod revisions it was decided on. So an unanswered transaction needs no special care: whether it was
+ * applied, or comes late, the next one on the same key either fails and is decided again, or has ruled the late one out.
  */
 public final class Scheduler {
+    /** Longer rounds are recorded as this long, in microseconds. */
     private static final long MAX_RECORDED_MICROS = 60_000_000L;
 
+    private static final int HISTOGRAM_DIGITS = 2;
+    private static final long NANOS_PER_MICRO = 1000;
+
     private final CoordinationContext context;
     private final Planner planner;
     private final JobDependencies dependencies;
@@ -27,7 +31,7 @@
     private final TaskClaimer taskClaimer;
     private final TaskReleaser taskReleaser;
     private final JobCompletion jobCompletion;
-    private final Histogram roundMicros = new Histogram(MAX_RECORDED_MICROS, 2);
+    private final Histogram roundMicros = new Histogram(MAX_RECORDED_MICROS, HISTOGRAM_DIGITS);
 
     /** A scheduler that works on the given context. */
     public Scheduler(
@@ -51,7 +55,7 @@
         return roundMicros;
     }
 
-    /** Runs a round, if this controller is entitled to act. */
+    /** Runs a round, if this controller's lease allows it to act. */
     public void step() {
         if (!context.replica().loaded() || !context.membership().mayAnswerAgents()) {
             return;
@@ -68,7 +72,7 @@
         dependencies.step();
         jobCompletion.deleteTaskRangesWithoutJob();
         quotaAllocator.rebalance(start);
-        long micros = Duration.between(start, context.loop().now()).toNanos() / 1000;
+        long micros = Duration.between(start, context.loop().now()).toNanos() / NANOS_PER_MICRO;
         roundMicros.recordValue(Math.min(MAX_RECORDED_MICROS, micros));
     }
 
@@ -77,13 +81,13 @@
         taskClaimer.jobEnded(last);
     }
 
-    /** This process has stood still for a while. */
+    /** This process was paused for a while. */
     public void processPaused() {
         taskClaimer.processPaused();
         planner.allChanged();
     }
 
-    /** The machine, its claims or the ends on it have changed. */
+    /** The machine, its claims or the outcomes of attempts on it have changed. */
     public void machineChanged(String machine) {
         planner.machineChanged(machine);
     }
--- a/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
@@ -22,62 +22,68 @@
 import org.havenford.storage.records.TaskRange;
 
 /**
- * Writes the ends of attempts, gathered by record, so that tasks of a job that end one after the other do not cost a change
- * each.
+ * Releases the claims of attempts that have ended. Outcomes are batched by task range, so that tasks of a job that end one
+ * after the other do not cost a transaction each.
  */
 final class TaskReleaser {
-    private static final Duration GATHER = Duration.ofMillis(500);
-    private static final Duration GATHER_PRESSED = Duration.ofSeconds(4);
-    private static final Duration GATHER_SCARCE = Duration.ofSeconds(8);
-    /** Times as long that the ends of low work are gathered under pressure. */
-    private static final int LOW_WAITS = 2;
+    /** How long outcomes of a task range are batched. */
+    private static final Duration BATCH_DELAY = Duration.ofMillis(500);
+    /** The same while the store is under pressure. */
+    private static final Duration BATCH_DELAY_UNDER_PRESSURE = Duration.ofSeconds(4);
+    /** The same where the store allows few changes a second. */
+    private static final Duration BATCH_DELAY_SCARCE_CHANGES = Duration.ofSeconds(8);
+    /** Under pressure the outcomes of work of low priority are batched this many times as long. */
+    private static final int LOW_PRIORITY_FACTOR = 2;
 
     private final CoordinationContext context;
     private final AgentManager agentManager;
     private final JobCompletion jobCompletion;
-    private final Duration gatherPressed;
+    private final Duration delayUnderPressure;
 
     TaskReleaser(CoordinationContext context, AgentManager agentManager, JobCompletion jobCompletion) {
         this.context = context;
         this.agentManager = agentManager;
         this.jobCompletion = jobCompletion;
-        this.gatherPressed = context.settings().scarceChanges() ? GATHER_SCARCE : GATHER_PRESSED;
+        delayUnderPressure =
+                context.settings().scarceChanges() ? BATCH_DELAY_SCARCE_CHANGES : BATCH_DELAY_UNDER_PRESSURE;
     }
 
-    /** Writes the records that were gathered for long enough, or that somebody waits for. */
+    /** Releases what was batched for long enough, or what somebody waits for. */
     void step() {
-        boolean pressed = context.store().underPressure();
+        boolean underPressure = context.store().underPressure();
         Instant now = context.loop().now();
         for (TaskRangeOutcomes ended : agentManager.outcomes().records()) {
             if (!context.writer().isLocked(ended.key())) {
-                step(ended, pressed, now);
+                step(ended, underPressure, now);
             }
         }
     }
 
-    private void step(TaskRangeOutcomes ended, boolean pressed, Instant now) {
-        boolean due = now.isAfter(ended.gatheredSince(now).plus(gather(ended, pressed)));
-        boolean look = ended.lookedAt() == null || now.isAfter(ended.lookedAt().plus(GATHER));
-        if (!due && !look) {
+    private void step(TaskRangeOutcomes ended, boolean underPressure, Instant now) {
+        boolean due = now.isAfter(ended.gatheredSince(now).plus(batchDelay(ended, underPressure)));
+        boolean dueForCheck =
+                ended.lookedAt() == null || now.isAfter(ended.lookedAt().plus(BATCH_DELAY));
+        if (!due && !dueForCheck) {
             return;
         }
         agentManager.outcomes().remove(noLongerHeld(ended));
         if (!ended.ended().isEmpty() && (due || isAwaited(ended.ended()))) {
-            // Should it fail, it is decided anew as soon as the record is no longer locked.
+            // Should it fail, it is decided again as soon as the record is no longer locked.
             write(ended.key(), ended.ended());
         } else {
             ended.lookedAt(now);
         }
     }
 
-    private Duration gather(TaskRangeOutcomes ended, boolean pressed) {
-        if (!pressed) {
-            return GATHER;
+    private Duration batchDelay(TaskRangeOutcomes ended, boolean underPressure) {
+        if (!underPressure) {
+            return BATCH_DELAY;
         }
         boolean low = ended.job().spec().priority() == JobSpec.Priority.LOW;
-        return low ? gatherPressed.multipliedBy(LOW_WAITS) : gatherPressed;
+        return low ? delayUnderPressure.multipliedBy(LOW_PRIORITY_FACTOR) : delayUnderPressure;
     }
 
+    /** Claims that are no longer stored: somebody else has released them. */
     private List<Claim> noLongerHeld(TaskRangeOutcomes ended) {
         Job job = context.clusterState().job(ended.job().id());
         return ended.ended().keySet().stream()
@@ -91,7 +97,7 @@
                 .job(ended.keySet().iterator().next().task().job());
     }
 
-    /** Ends that somebody waits for: the last of a job's tasks, and those that have to start again. */
+    /** Whether somebody waits for the outcomes: the last of a job's tasks, and those that have to start again. */
     private boolean isAwaited(Map<Claim, AttemptOutcome> ended) {
         Job job = jobOf(ended);
         TaskRange taskRange = job.storedTaskRange(
@@ -129,14 +135,14 @@
         Transaction transaction = new Transaction()
                 .requireRevision(Keys.VIEW, context.membership().viewRevision())
                 .requireRevision(key, context.modRevision(key));
-        boolean ends = job.taskRangeCount() == 1 && next.complete() && !job.cancelled();
+        boolean completesJob = job.taskRangeCount() == 1 && next.complete() && !job.cancelled();
         List<String> locks = new ArrayList<>(List.of(key));
-        Runnable onEnd = () -> {};
-        if (ends) {
+        Runnable onCompletion = () -> {};
+        if (completesJob) {
             String header = Keys.job(job.id());
             transaction.requireRevision(header, context.modRevision(header));
             transaction.delete(key);
-            onEnd = jobCompletion.addCompletion(job, FinalState.Status.DONE, transaction, locks);
+            onCompletion = jobCompletion.addCompletion(job, FinalState.Status.DONE, transaction, locks);
         } else {
             JsonObject value = context.toJson(next);
             if (value == null) {
@@ -147,11 +153,11 @@
         }
         // Users and pipelines wait for the end of a job; it must not stand behind all claims.
         boolean last = job.pendingCount() == 0 && job.claimCount() == ended.size();
-        CallPriority urgency = last ? JobCompletion.commitPriority(job) : CallPriority.WORK;
-        Runnable afterEnd = onEnd;
+        CallPriority urgency = last ? JobCompletion.urgency(job) : CallPriority.WORK;
+        Runnable afterRelease = onCompletion;
         context.writer().commit(transaction, urgency, locks, () -> {
             agentManager.outcomes().remove(ended.keySet());
-            afterEnd.run();
+            afterRelease.run();
         });
     }
 }
