--- a/src/main/java/org/havenford/coordination/scheduling/Preemption.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Preemption.java
@@ -29,6 +29,16 @@
     private static final Comparator<Claim> YOUNGEST_FIRST =
             Comparator.comparing(Claim::claimedAt).reversed().thenComparing(Claim::task);
 
+    /**
+     * Claims on one machine that make capacity for a task.
+     *
+     * @param loss CPU-milliseconds of work that are lost with them
+     */
+    private record Victims(FreeCapacity capacity, List<Claim> claims, long loss) {}
+
+    private static final Comparator<Victims> LEAST_LOSS_FIRST = Comparator.comparingLong(Victims::loss)
+            .thenComparing(victims -> victims.capacity().machine.name());
+
     private final ClusterState clusterState;
     private final JobOrder order;
     private final CapacityIndex capacityIndex;
@@ -48,21 +58,11 @@
         return now.isAfter(latest.minus(PRESSING_BEFORE)) && now.isBefore(latest.plus(PRESSING_AFTER));
     }
 
-    /**
-     * Claims on one machine that make capacity for a task.
-     *
-     * @param loss CPU-milliseconds of work that are lost with them
-     */
-    private record Victims(FreeCapacity capacity, List<Claim> claims, long loss) {}
-
-    private static final Comparator<Victims> LEAST_LOSS_FIRST = Comparator.comparingLong(Victims::loss)
-            .thenComparing(victims -> victims.capacity().machine.name());
-
     /**
      * Finds work of lower priority to preempt, so that {@code tasks} more tasks of a pass can start: as little as possible of
-     * what has been done is lost, and only what can still be in time afterwards is taken. The order does not depend on who
-     * looks, and until the preemption is confirmed the same claims are found again; so controllers and rounds do not preempt
-     * more and more for the same need.
+     * what has been done is lost, and only what can still be in time afterwards is taken. The order does not depend on the
+     * controller that looks, and until the preemption is confirmed the same claims are found again; so controllers and
+     * rounds do not preempt more and more for the same need.
      */
     void preempt(JobPass pass, int tasks) {
         List<Victims> found = findVictims(pass);
--- a/src/main/java/org/havenford/coordination/scheduling/PriorityInheritance.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PriorityInheritance.java
@@ -29,8 +29,9 @@
     }
 
     private final ClusterState clusterState;
-    /** Count of pipeline changes that {@code inherited} was computed for; -1 before the first time. */
-    private long computedFor = -1;
+    private boolean computed;
+    /** Count of pipeline changes that {@code inherited} was computed for. */
+    private long computedFor;
 
     private Map<String, Inherited> inherited = Map.of();
 
@@ -50,7 +51,8 @@
 
     /** Computes everything again if a pipeline has changed since the last call. */
     void refresh() {
-        if (computedFor != clusterState.pipelineChanges()) {
+        if (!computed || computedFor != clusterState.pipelineChanges()) {
+            computed = true;
             computedFor = clusterState.pipelineChanges();
             inherited = compute();
         }
@@ -69,7 +71,7 @@
                 visitable.add(job);
             }
         }
-        Map<String, Inherited> computed = new HashMap<>();
+        Map<String, Inherited> computedByJob = new HashMap<>();
         while (!visitable.isEmpty()) {
             Job dependent = visitable.poll();
             for (String id : dependent.spec().dependencies()) {
@@ -78,13 +80,13 @@
                 if (needed == null) {
                     continue;
                 }
-                passOn(dependent, needed, computed);
+                passOn(dependent, needed, computedByJob);
                 if (last && needed.awaitsDependencies() && !needed.cancelled()) {
                     visitable.add(needed);
                 }
             }
         }
-        return computed;
+        return computedByJob;
     }
 
     /** How many of the jobs depend on a job directly, by its id. */
@@ -110,12 +112,12 @@
     }
 
     /** A waiting job has never run, so the time that it still takes is its owner's estimate. */
-    private static void passOn(Job dependent, Job needed, Map<String, Inherited> computed) {
-        Inherited inheritable = computed.getOrDefault(dependent.id(), Inherited.own(dependent));
+    private static void passOn(Job dependent, Job needed, Map<String, Inherited> computedByJob) {
+        Inherited inheritable = computedByJob.getOrDefault(dependent.id(), Inherited.own(dependent));
         Instant deadline = inheritable.deadline() == null
                 ? null
                 : inheritable.deadline().minus(dependent.spec().estimatedDuration());
-        Inherited before = computed.getOrDefault(needed.id(), Inherited.own(needed));
-        computed.put(needed.id(), before.with(inheritable.priority(), deadline));
+        Inherited before = computedByJob.getOrDefault(needed.id(), Inherited.own(needed));
+        computedByJob.put(needed.id(), before.with(inheritable.priority(), deadline));
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
@@ -153,9 +153,9 @@
         }
         // Users and pipelines wait for the end of a job; it must not stand behind all claims.
         boolean last = job.pendingCount() == 0 && job.claimCount() == ended.size();
-        CallPriority urgency = last ? JobCompletion.urgency(job) : CallPriority.WORK;
+        CallPriority priority = last ? JobCompletion.commitPriority(job) : CallPriority.WORK;
         Runnable afterRelease = onCompletion;
-        context.writer().commit(transaction, urgency, locks, () -> {
+        context.writer().commit(transaction, priority, locks, () -> {
             agentManager.outcomes().remove(ended.keySet());
             afterRelease.run();
         });
