--- a/src/main/java/org/havenford/ClassDataSharingWarmUp.java
+++ b/src/main/java/org/havenford/ClassDataSharingWarmUp.java
@@ -6,7 +6,7 @@
 import java.util.Enumeration;
 import java.util.jar.JarEntry;
 import java.util.jar.JarFile;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.settings.OperatorSettings;
 import org.havenford.settings.PlatformSettings;
 
@@ -32,7 +32,7 @@
             loadOwnClasses();
             Thread.sleep(1500);
             return 0;
-        } catch (IOException | Json.BadMessage | ReflectiveOperationException e) {
+        } catch (IOException | MalformedMessageException | ReflectiveOperationException e) {
             System.err.println("havenford: the rehearsal failed: " + e.getMessage());
             return 1;
         } catch (InterruptedException e) {
--- a/src/main/java/org/havenford/Main.java
+++ b/src/main/java/org/havenford/Main.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import org.havenford.controller.Controller;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.settings.OperatorSettings;
 import org.havenford.settings.PlatformSettings;
 import org.havenford.standby.WarmStandby;
@@ -115,7 +115,7 @@
             return fail("there is no file " + e.getMessage());
         } catch (IOException e) {
             return fail(e.getMessage());
-        } catch (Json.BadMessage e) {
+        } catch (MalformedMessageException e) {
             return fail(file + ": " + e.getMessage());
         } catch (OperatorSettings.InvalidSettingException e) {
             return fail("operators' settings: " + e.getMessage());
--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -110,8 +110,11 @@
         return new StoreClient(
                 loop,
                 calls,
-                settings.stateAddress(),
-                new StoreLimits(settings.stateRps(), settings.stateWriteRps(), settings.nextWriteRps()),
+                settings.storeAddress(),
+                new StoreLimits(
+                        settings.storeRequestsPerSecond(),
+                        settings.storeChangesPerSecond(),
+                        settings.nextStoreChangesPerSecond()),
                 settings.peers().size() + 1);
     }
 
@@ -156,7 +159,7 @@
      */
     private static Duration membershipLease(PlatformSettings settings, OperatorSettings operatorSettings) {
         Duration limit =
-                settings.cancellationLimit().minus(settings.workerLease()).minus(CANCEL_MARGIN);
+                settings.cancellationLimit().minus(settings.agentLease()).minus(CANCEL_MARGIN);
         Duration lease = operatorSettings.membershipLease();
         return lease.compareTo(limit) > 0 && limit.compareTo(MIN_LEASE_LIMIT) > 0 ? limit : lease;
     }
--- a/src/main/java/org/havenford/controller/HeartbeatEndpoint.java
+++ b/src/main/java/org/havenford/controller/HeartbeatEndpoint.java
@@ -8,6 +8,7 @@
 import org.havenford.coordination.monitoring.LinkMonitor;
 import org.havenford.protocol.Heartbeat;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.transport.EventLoop;
 import org.havenford.transport.HttpServer.Response;
 import org.slf4j.Logger;
@@ -36,18 +37,18 @@
         links.heartbeatArrived();
         try {
             if (body == null) {
-                throw new Json.BadMessage("too large or incomplete");
+                throw new MalformedMessageException("too large or incomplete");
             }
             Heartbeat heartbeat = Heartbeat.parse(Json.object(new String(body, StandardCharsets.UTF_8)));
             HeartbeatResponse response = agentManager.handleHeartbeat(heartbeat);
             return Response.of(response.status(), response.body());
-        } catch (Json.BadMessage e) {
+        } catch (MalformedMessageException e) {
             warn(e);
             return BAD_HEARTBEAT;
         }
     }
 
-    private void warn(Json.BadMessage cause) {
+    private void warn(MalformedMessageException cause) {
         if (loop.now().isAfter(lastWarning.plus(WARNING_INTERVAL))) {
             lastWarning = loop.now();
             LOG.warn("heartbeat cannot be parsed: cause=\"{}\"", cause.getMessage());
--- a/src/main/java/org/havenford/coordination/agents/AgentLeaseMonitor.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentLeaseMonitor.java
@@ -43,7 +43,7 @@
 
     private Instant leaseEnd(AgentState agent) {
         return agent.leaseRenewedAt()
-                .plusNanos((long) (context.settings().workerLease().toNanos() * CLOCK_DRIFT))
+                .plusNanos((long) (context.settings().agentLease().toNanos() * CLOCK_DRIFT))
                 .plus(MARGIN);
     }
 
--- a/src/main/java/org/havenford/coordination/agents/AgentManager.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentManager.java
@@ -52,7 +52,7 @@
                 new HeartbeatIntake(context, changedMachines, reconciler, new MachineAdoption(context), healthMonitor);
         CommandPlanner commandPlanner = new CommandPlanner(context, outcomes);
         redirectedAgents =
-                new RedirectedAgents(context.membership(), context.settings().workerLease());
+                new RedirectedAgents(context.membership(), context.settings().agentLease());
         heartbeatHandler = new HeartbeatHandler(context, registry, redirectedAgents, intake, commandPlanner, listener);
         commandSender = new DirectCommandSender(context, calls, registry, commandPlanner, intake, listener);
         leaseMonitor = new AgentLeaseMonitor(context, registry, outcomes);
--- a/src/main/java/org/havenford/coordination/agents/CommandPlanner.java
+++ b/src/main/java/org/havenford/coordination/agents/CommandPlanner.java
@@ -98,7 +98,7 @@
             attempt.stop(StopReason.CANCELLED);
         }
         boolean cancelled = attempt.isToStop(StopReason.CANCELLED);
-        if (!attempt.isToStop() || (status.state() == Heartbeat.State.SAVING && !cancelled)) {
+        if (!attempt.isToStop() || (status.state() == Heartbeat.State.CHECKPOINTING && !cancelled)) {
             return null;
         }
         Job job = clusterState.job(claim.task().job());
--- a/src/main/java/org/havenford/coordination/agents/DirectCommandSender.java
+++ b/src/main/java/org/havenford/coordination/agents/DirectCommandSender.java
@@ -6,6 +6,7 @@
 import org.havenford.protocol.Command;
 import org.havenford.protocol.Heartbeat;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.transport.HttpCalls;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -108,7 +109,7 @@
             Heartbeat heartbeat = Heartbeat.parse(Json.object(reply.body()));
             agent.countCallReply();
             return heartbeat;
-        } catch (Json.BadMessage e) {
+        } catch (MalformedMessageException e) {
             LOG.warn("reply to direct commands is malformed: machine={} error={}", agent.machine(), e.getMessage());
             return null;
         }
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
@@ -85,7 +85,7 @@
     private void reconcilePresent(AgentState agent, Claim claim, AttemptState attempt, Heartbeat.AttemptStatus status) {
         attempt.show();
         switch (status.state()) {
-            case FETCHING -> attempt.pullSeen(loop, claim);
+            case PULLING_IMAGE -> attempt.pullSeen(loop, claim);
             case RUNNING -> {
                 attempt.runSeen(loop, claim, fresh);
                 imageCache.used(agent, clusterState.job(claim.task().job()));
--- a/src/main/java/org/havenford/coordination/agents/TaskStopper.java
+++ b/src/main/java/org/havenford/coordination/agents/TaskStopper.java
@@ -68,7 +68,7 @@
         int task = claim.task().index();
         return pulls
                 && job != null
-                && job.doneCount() >= operatorSettings.lateMinimumDone()
+                && job.doneCount() >= operatorSettings.stragglerMinimumDone()
                 && !job.storedTaskRange(job.taskRangeIndex(task)).wasLate(task);
     }
 
@@ -81,7 +81,7 @@
         Duration elapsed = attempt.pullElapsed(now);
         Duration estimate = StragglerDetector.estimatePulling(elapsed, medianPull, medianRun);
         double coefficient = StragglerDetector.coefficient(estimate, medianPull.plus(medianRun));
-        if (coefficient > operatorSettings.lateThreshold()) {
+        if (coefficient > operatorSettings.stragglerThreshold()) {
             stragglerStops++;
             LOG.info(
                     "stopping straggler: task={} machine={} pulling={} medianPull={} medianRun={} coefficient={}",
--- a/src/main/java/org/havenford/coordination/jobs/CoordinationContext.java
+++ b/src/main/java/org/havenford/coordination/jobs/CoordinationContext.java
@@ -54,7 +54,7 @@
 
     /** The most conditions that the store accepts in one transaction. */
     int maxConditions() {
-        return settings.txnOps() * CONDITIONS_PER_OPERATION;
+        return settings.maxTransactionOperations() * CONDITIONS_PER_OPERATION;
     }
 
     /** Whether this controller is the one member that is responsible for a job. */
--- a/src/main/java/org/havenford/coordination/jobs/FinalStateCache.java
+++ b/src/main/java/org/havenford/coordination/jobs/FinalStateCache.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.storage.CallPriority;
 import org.havenford.storage.StoreClient;
 import org.havenford.storage.StoreResult;
@@ -62,7 +62,7 @@
             FinalState state = FinalState.parse(result.value());
             cache.put(jobId, state);
             return Optional.of(state);
-        } catch (Json.BadMessage e) {
+        } catch (MalformedMessageException e) {
             LOG.error("final state cannot be parsed: job={} cause=\"{}\"", jobId, e.getMessage());
             return Optional.empty();
         }
--- a/src/main/java/org/havenford/coordination/jobs/JobApi.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobApi.java
@@ -4,6 +4,7 @@
 import java.util.function.Consumer;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.storage.CallPriority;
 import org.havenford.storage.StoreOutcome;
 import org.havenford.storage.StoreResult;
@@ -48,7 +49,7 @@
         JobSpec spec;
         try {
             spec = JobSpec.parse(Json.object(new String(body, StandardCharsets.UTF_8)));
-        } catch (Json.BadMessage e) {
+        } catch (MalformedMessageException e) {
             answer.accept(JobApiResponses.error(JobApiResponses.BAD_REQUEST, e.getMessage()));
             return;
         }
@@ -108,7 +109,7 @@
             } else {
                 commitCancellation(job, header.modRevision(), attempts, answer);
             }
-        } catch (Json.BadMessage e) {
+        } catch (MalformedMessageException e) {
             answer.accept(JobApiResponses.retryLater());
         }
     }
--- a/src/main/java/org/havenford/coordination/jobs/JobCompletion.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobCompletion.java
@@ -60,7 +60,7 @@
     private void end(Job job, FinalState.Status status) {
         boolean done = status == FinalState.Status.DONE;
         List<Integer> stored = storedTaskRanges(job);
-        int maxTaskRanges = context.settings().txnOps() - OPERATIONS_OF_END;
+        int maxTaskRanges = context.settings().maxTransactionOperations() - OPERATIONS_OF_END;
         boolean last = stored.size() <= Math.min(MAX_FINAL_TASK_RANGES, maxTaskRanges);
         String header = Keys.job(job.id());
         Transaction transaction = new Transaction().requireRevision(header, context.modRevision(header));
@@ -105,7 +105,8 @@
     private void releaseDependents(
             String endedJob, Set<String> dependents, Instant now, Transaction transaction, List<String> locks) {
         for (String dependent : dependents) {
-            if (transaction.operationCount() < context.settings().txnOps() && waitsOnlyFor(dependent, endedJob)) {
+            if (transaction.operationCount() < context.settings().maxTransactionOperations()
+                    && waitsOnlyFor(dependent, endedJob)) {
                 String key = Keys.job(dependent);
                 transaction
                         .requireRevision(key, context.modRevision(key))
@@ -156,7 +157,7 @@
         }
         Transaction transaction = new Transaction();
         for (String path : context.clusterState().taskRangesWithoutJob()) {
-            if (transaction.operationCount() < context.settings().txnOps() - OPERATIONS_OF_END) {
+            if (transaction.operationCount() < context.settings().maxTransactionOperations() - OPERATIONS_OF_END) {
                 String header = Keys.job(path.substring(0, path.indexOf('/')));
                 transaction.requireRevision(header, 0).delete(Keys.TASKS + path);
             }
--- a/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
@@ -135,7 +135,8 @@
                 release(job);
             }
         }
-        int jobsPerTransaction = Math.max(1, context.settings().txnOps() / OPERATIONS_PER_CANCELLATION);
+        int jobsPerTransaction =
+                Math.max(1, context.settings().maxTransactionOperations() / OPERATIONS_PER_CANCELLATION);
         for (List<Job> jobs : Lists.partition(toCancel, jobsPerTransaction)) {
             if (cancellationsUnderWay < MAX_CANCELLATIONS_UNDER_WAY) {
                 cancelDependents(jobs);
--- a/src/main/java/org/havenford/coordination/jobs/JobQueries.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobQueries.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.storage.CallPriority;
 import org.havenford.storage.StoreOutcome;
 import org.havenford.storage.StoreResult;
@@ -150,7 +150,7 @@
     private Response unfinished(StoreResult header) {
         try {
             return unfinished(StoreResponses.header(header));
-        } catch (Json.BadMessage e) {
+        } catch (MalformedMessageException e) {
             return JobApiResponses.retryLater();
         }
     }
--- a/src/main/java/org/havenford/coordination/jobs/StoreResponses.java
+++ b/src/main/java/org/havenford/coordination/jobs/StoreResponses.java
@@ -1,7 +1,7 @@
 package org.havenford.coordination.jobs;
 
 import java.util.List;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.storage.StoreResult;
 import org.havenford.storage.records.Job;
 
@@ -10,7 +10,7 @@
     private StoreResponses() {}
 
     /** The header of a job that was read. */
-    static Job header(StoreResult result) throws Json.BadMessage {
+    static Job header(StoreResult result) throws MalformedMessageException {
         return Job.parse(result.value());
     }
 
@@ -18,7 +18,7 @@
     static List<String> conflictingKeys(StoreResult result) {
         try {
             return result.conflictingKeys();
-        } catch (Json.BadMessage e) {
+        } catch (MalformedMessageException e) {
             return List.of();
         }
     }
--- a/src/main/java/org/havenford/coordination/membership/MembershipLease.java
+++ b/src/main/java/org/havenford/coordination/membership/MembershipLease.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.storage.CallPriority;
 import org.havenford.storage.StoreClient;
 import org.havenford.storage.StoreOutcome;
@@ -90,18 +90,14 @@
                 return;
             }
             try {
-                acquired(leaseId(result), sentAt);
-            } catch (Json.BadMessage e) {
+                acquired(result.leaseId(), sentAt);
+            } catch (MalformedMessageException e) {
                 LOG.warn("created lease cannot be read: error={}", e.getMessage());
                 loop.after(RETRY_AFTER_BAD_RESPONSE, this::acquire);
             }
         });
     }
 
-    private static long leaseId(StoreResult result) throws Json.BadMessage {
-        return result.leaseId();
-    }
-
     private void acquired(long newId, Instant sentAt) {
         id = newId;
         certainUntil = LeaseClock.certainUntil(sentAt, duration);
--- a/src/main/java/org/havenford/coordination/monitoring/LinkMonitor.java
+++ b/src/main/java/org/havenford/coordination/monitoring/LinkMonitor.java
@@ -88,7 +88,7 @@
     /** A monitor of the links to the addresses in the settings. */
     public LinkMonitor(PlatformSettings settings, EventLoop loop) {
         this.loop = loop;
-        this.storeAddress = settings.stateAddress();
+        this.storeAddress = settings.storeAddress();
         this.cloudAddress = settings.cloudAddress();
         this.agentsLostAfter = settings.heartbeatInterval().multipliedBy(MISSED_HEARTBEATS);
         for (Link link : Link.values()) {
--- a/src/main/java/org/havenford/coordination/provisioning/CloudClient.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudClient.java
@@ -23,7 +23,7 @@
         this.loop = loop;
         this.calls = calls;
         this.address = settings.cloudAddress();
-        this.rateLimit = new TokenBucket(settings.cloudRps() * USED_SHARE_OF_LIMIT, 1, loop.now());
+        this.rateLimit = new TokenBucket(settings.cloudRequestsPerSecond() * USED_SHARE_OF_LIMIT, 1, loop.now());
     }
 
     /** Sends a request if the limit allows one now; returns whether it was sent. {@code body} is null where there is none. */
--- a/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.havenford.protocol.CloudMessages;
 import org.havenford.protocol.CloudMessages.ListedMachine;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.transport.HttpCalls;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -76,7 +76,7 @@
      */
     boolean isNoLongerListed(String machine, Instant silentSince) {
         Instant seen = lastListed.get(machine);
-        Instant settled = silentSince.plus(context.settings().listLag().multipliedBy(2));
+        Instant settled = silentSince.plus(context.settings().cloudListLag().multipliedBy(2));
         return seen != null
                 && seen.isBefore(settled)
                 && lastFullList != null
@@ -98,7 +98,7 @@
             return;
         }
         try {
-            CloudMessages.Page page = CloudMessages.page(reply.body());
+            CloudMessages.Page page = CloudMessages.machinePage(reply.body());
             String last = after;
             for (ListedMachine machine : page.machines()) {
                 all.put(machine.machine(), machine);
@@ -110,7 +110,7 @@
                 listing = false;
                 onFullList(askedAt, all);
             }
-        } catch (Json.BadMessage e) {
+        } catch (MalformedMessageException e) {
             listing = false;
             LOG.warn("unreadable machine list from the cloud: error=\"{}\"", e.getMessage());
         }
--- a/src/main/java/org/havenford/coordination/provisioning/MachineTypeRefresher.java
+++ b/src/main/java/org/havenford/coordination/provisioning/MachineTypeRefresher.java
@@ -5,6 +5,7 @@
 import java.time.Instant;
 import org.havenford.protocol.Json;
 import org.havenford.protocol.MachineType;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.storage.Transaction;
 import org.havenford.storage.records.Keys;
 import org.havenford.transport.HttpCalls;
@@ -44,7 +45,7 @@
         }
         try {
             store(MachineType.toJson(MachineType.parseAll(Json.object(reply.body()))));
-        } catch (Json.BadMessage e) {
+        } catch (MalformedMessageException e) {
             LOG.warn("unreadable machine types from the cloud: error=\"{}\"", e.getMessage());
         }
     }
--- a/src/main/java/org/havenford/coordination/provisioning/ScaleIn.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ScaleIn.java
@@ -76,7 +76,8 @@
     }
 
     private MachineBatchChange newChange() {
-        return new MachineBatchChange(context.clusterState(), context.settings().txnOps(), batchesInFlight::contains);
+        return new MachineBatchChange(
+                context.clusterState(), context.settings().maxTransactionOperations(), batchesInFlight::contains);
     }
 
     private void write(MachineBatchChange change) {
@@ -189,7 +190,7 @@
 
     private void requestReturn(List<MachineRecord> machines) {
         List<String> names = machines.stream().map(MachineRecord::name).toList();
-        String body = CloudMessages.giveBack(names);
+        String body = CloudMessages.returnRequestBody(names);
         if (context.cloud().tryCall("POST", "/machines/return", body, reply -> onReturnReply(machines, names, reply))) {
             inFlight.addAll(names);
         }
--- a/src/main/java/org/havenford/coordination/provisioning/ScaleOut.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ScaleOut.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.havenford.coordination.provisioning.InstanceRequestPlanner.PlannedRequest;
 import org.havenford.protocol.CloudMessages;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.storage.Transaction;
 import org.havenford.storage.records.InstanceRequest;
 import org.havenford.storage.records.Keys;
@@ -74,8 +74,8 @@
             if (inFlight.contains(request.name())) {
                 continue;
             }
-            String body =
-                    CloudMessages.rent(request.name(), request.type(), request.zone(), request.spot(), request.count());
+            String body = CloudMessages.instanceRequestBody(
+                    request.name(), request.type(), request.zone(), request.spot(), request.count());
             if (context.cloud().tryCall("POST", "/machines", body, reply -> onReply(request, reply))) {
                 inFlight.add(request.name());
             }
@@ -85,9 +85,9 @@
     private void onReply(InstanceRequest request, HttpCalls.Reply reply) {
         if (reply.ok()) {
             try {
-                onLaunched(request, CloudMessages.rented(reply.body()));
+                onLaunched(request, CloudMessages.launchedMachines(reply.body()));
                 return;
-            } catch (Json.BadMessage e) {
+            } catch (MalformedMessageException e) {
                 LOG.warn("unreadable reply of the cloud to an instance request: error=\"{}\"", e.getMessage());
             }
         } else if (reply.status() == STATUS_NO_CAPACITY || reply.status() == STATUS_BAD_REQUEST) {
--- a/src/main/java/org/havenford/coordination/provisioning/UnfitMachineDetector.java
+++ b/src/main/java/org/havenford/coordination/provisioning/UnfitMachineDetector.java
@@ -81,7 +81,7 @@
         int factor = silentZones.contains(machine.zone()) ? SILENT_ZONE_FACTOR : 1;
         Duration patience = context.operator().silentBeforeReturn().multipliedBy(factor);
         Duration silentFor = context.timeInCondition(machine);
-        if (silentFor.compareTo(context.settings().workerLease().plus(patience)) > 0) {
+        if (silentFor.compareTo(context.settings().agentLease().plus(patience)) > 0) {
             return Optional.of(ReturnReason.SILENT_TOO_LONG);
         }
         return inventory.isNoLongerListed(machine.name(), now.minus(silentFor))
--- a/src/main/java/org/havenford/coordination/provisioning/UnrecordedMachineAdoption.java
+++ b/src/main/java/org/havenford/coordination/provisioning/UnrecordedMachineAdoption.java
@@ -51,7 +51,7 @@
         }
         Transaction transaction = new Transaction();
         unrecorded.forEach((offer, machines) -> {
-            if (transaction.operationCount() < context.settings().txnOps()) {
+            if (transaction.operationCount() < context.settings().maxTransactionOperations()) {
                 addBatch(offer, machines, transaction);
             }
         });
--- a/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
@@ -102,7 +102,7 @@
 
     private void addClaims(ClaimDraft draft, List<Placement> placements, String account) {
         Set<String> batches = new HashSet<>();
-        int maxBatches = context.settings().txnOps() * CONDITIONS_PER_OPERATION - OTHER_CONDITIONS;
+        int maxBatches = context.settings().maxTransactionOperations() * CONDITIONS_PER_OPERATION - OTHER_CONDITIONS;
         for (Placement placement : placements) {
             String machine = placement.machine();
             AgentState agent = agentManager.agent(machine);
--- a/src/main/java/org/havenford/protocol/CloudMessages.java
+++ b/src/main/java/org/havenford/protocol/CloudMessages.java
@@ -25,7 +25,7 @@
     private CloudMessages() {}
 
     /** Body of a rental request. */
-    public static String rent(String booking, String type, String zone, boolean spot, int count) {
+    public static String instanceRequestBody(String booking, String type, String zone, boolean spot, int count) {
         JsonObject json = new JsonObject();
         json.addProperty("booking", booking);
         json.addProperty("rig", type);
@@ -36,12 +36,12 @@
     }
 
     /** Names of the machines that a rental has brought. */
-    public static List<String> rented(String body) throws Json.BadMessage {
+    public static List<String> launchedMachines(String body) throws MalformedMessageException {
         return Json.texts(Json.object(body), "boxes");
     }
 
     /** Body of a request to return machines. */
-    public static String giveBack(List<String> machines) {
+    public static String returnRequestBody(List<String> machines) {
         JsonArray names = new JsonArray();
         machines.forEach(names::add);
         JsonObject json = new JsonObject();
@@ -50,7 +50,7 @@
     }
 
     /** Reads a page of the machine list. */
-    public static Page page(String body) throws Json.BadMessage {
+    public static Page machinePage(String body) throws MalformedMessageException {
         JsonObject json = Json.object(body);
         List<ListedMachine> machines = new ArrayList<>();
         for (JsonObject machine : Json.objects(json, "boxes")) {
@@ -59,7 +59,7 @@
         return new Page(machines, Json.flagOr(json, "truncated", false));
     }
 
-    private static ListedMachine machine(JsonObject json) throws Json.BadMessage {
+    private static ListedMachine machine(JsonObject json) throws MalformedMessageException {
         Status status = status(Json.text(json, "status"));
         return new ListedMachine(
                 Json.text(json, "nameId"),
@@ -71,12 +71,12 @@
                 Json.seconds(json, "heldS"));
     }
 
-    private static Status status(String text) throws Json.BadMessage {
+    private static Status status(String text) throws MalformedMessageException {
         return switch (text) {
             case "starting" -> Status.STARTING;
             case "running" -> Status.RUNNING;
             case "failed" -> Status.FAILED;
-            default -> throw new Json.BadMessage("status of a machine is unknown");
+            default -> throw new MalformedMessageException("status of a machine is unknown");
         };
     }
 }
--- a/src/main/java/org/havenford/protocol/Heartbeat.java
+++ b/src/main/java/org/havenford/protocol/Heartbeat.java
@@ -21,9 +21,9 @@
 
     /** State of one attempt of a task on its machine. */
     public enum State {
-        FETCHING,
+        PULLING_IMAGE,
         RUNNING,
-        SAVING,
+        CHECKPOINTING,
         EXITED
     }
 
@@ -31,7 +31,7 @@
     public record AttemptStatus(TaskId task, long attempt, State state, String exitCause) {}
 
     /** Reads an agent's heartbeat. */
-    public static Heartbeat parse(JsonObject json) throws Json.BadMessage {
+    public static Heartbeat parse(JsonObject json) throws MalformedMessageException {
         return HeartbeatCodec.read(json);
     }
 
--- a/src/main/java/org/havenford/protocol/HeartbeatCodec.java
+++ b/src/main/java/org/havenford/protocol/HeartbeatCodec.java
@@ -12,7 +12,7 @@
 
     private HeartbeatCodec() {}
 
-    static Heartbeat read(JsonObject json) throws Json.BadMessage {
+    static Heartbeat read(JsonObject json) throws MalformedMessageException {
         List<AttemptStatus> attempts = new ArrayList<>();
         for (JsonObject attempt : Json.objects(json, "shots")) {
             attempts.add(attempt(attempt));
@@ -30,28 +30,28 @@
                 attempts);
     }
 
-    private static AttemptStatus attempt(JsonObject json) throws Json.BadMessage {
+    private static AttemptStatus attempt(JsonObject json) throws MalformedMessageException {
         State state = state(Json.text(json, "status"));
         TaskId task = TaskId.parse(Json.text(json, "shot"));
         return new AttemptStatus(task, Json.count(json, "take"), state, Json.textOr(json, "cause", ""));
     }
 
-    private static State state(String text) throws Json.BadMessage {
+    private static State state(String text) throws MalformedMessageException {
         return switch (text) {
-            case "pulling" -> State.FETCHING;
+            case "pulling" -> State.PULLING_IMAGE;
             case "running" -> State.RUNNING;
-            case "flushing" -> State.SAVING;
+            case "flushing" -> State.CHECKPOINTING;
             case "exited" -> State.EXITED;
-            default -> throw new Json.BadMessage("status of a task is unknown");
+            default -> throw new MalformedMessageException("status of a task is unknown");
         };
     }
 
     /** Machine names become parts of keys, hence printable ASCII without a slash. */
-    private static String machine(JsonObject json) throws Json.BadMessage {
+    private static String machine(JsonObject json) throws MalformedMessageException {
         String machine = Json.text(json, "box");
         boolean isPrintable = machine.chars().allMatch(c -> c > ' ' && c <= '~' && c != '/');
         if (machine.isEmpty() || machine.length() > MAX_MACHINE_NAME || !isPrintable) {
-            throw new Json.BadMessage("box is not a name");
+            throw new MalformedMessageException("box is not a name");
         }
         return machine;
     }
--- a/src/main/java/org/havenford/protocol/JobSpec.java
+++ b/src/main/java/org/havenford/protocol/JobSpec.java
@@ -44,7 +44,7 @@
     }
 
     /** Reads a submission, or the description in a stored header. */
-    public static JobSpec parse(JsonObject json) throws Json.BadMessage {
+    public static JobSpec parse(JsonObject json) throws MalformedMessageException {
         return JobSpecCodec.read(json);
     }
 
--- a/src/main/java/org/havenford/protocol/JobSpecCodec.java
+++ b/src/main/java/org/havenford/protocol/JobSpecCodec.java
@@ -43,7 +43,7 @@
 
     private JobSpecCodec() {}
 
-    static JobSpec read(JsonObject json) throws Json.BadMessage {
+    static JobSpec read(JsonObject json) throws MalformedMessageException {
         String id = id(json);
         int taskCount = taskCount(json);
         Set<String> types = Json.has(json, MACHINE_TYPES) ? new TreeSet<>(Json.texts(json, MACHINE_TYPES)) : null;
@@ -70,32 +70,32 @@
                 dependencies(json, id));
     }
 
-    private static String id(JsonObject json) throws Json.BadMessage {
+    private static String id(JsonObject json) throws MalformedMessageException {
         String id = Json.text(json, ID);
         if (!JobSpec.validId(id)) {
-            throw new Json.BadMessage("nameId is not of the form j-000412");
+            throw new MalformedMessageException("nameId is not of the form j-000412");
         }
         if (!Json.text(json, SHAPE).equals(BATCH)) {
-            throw new Json.BadMessage("shape is unknown");
+            throw new MalformedMessageException("shape is unknown");
         }
         return id;
     }
 
-    private static int taskCount(JsonObject json) throws Json.BadMessage {
+    private static int taskCount(JsonObject json) throws MalformedMessageException {
         long count = Json.count(json, TASK_COUNT);
         if (count < 1 || count > MAX_TASKS) {
-            throw new Json.BadMessage("shots is out of range");
+            throw new MalformedMessageException("shots is out of range");
         }
         return (int) count;
     }
 
-    private static Priority priority(String text) throws Json.BadMessage {
+    private static Priority priority(String text) throws MalformedMessageException {
         for (Priority priority : Priority.values()) {
             if (text(priority).equals(text)) {
                 return priority;
             }
         }
-        throw new Json.BadMessage("urgency is unknown");
+        throw new MalformedMessageException("urgency is unknown");
     }
 
     private static String text(Priority priority) {
@@ -103,30 +103,30 @@
     }
 
     /** The jobs that must be done before any task starts; a name that comes twice counts once. */
-    private static Set<String> dependencies(JsonObject json, String id) throws Json.BadMessage {
+    private static Set<String> dependencies(JsonObject json, String id) throws MalformedMessageException {
         if (!Json.has(json, DEPENDENCIES)) {
             return Set.of();
         }
         Set<String> dependencies = new TreeSet<>(Json.texts(json, DEPENDENCIES));
         for (String dependency : dependencies) {
             if (!JobSpec.validId(dependency) || dependency.equals(id)) {
-                throw new Json.BadMessage("awaits must name other jobs");
+                throw new MalformedMessageException("awaits must name other jobs");
             }
         }
         return Collections.unmodifiableSet(dependencies);
     }
 
-    private static boolean flag(JsonObject json, String field) throws Json.BadMessage {
+    private static boolean flag(JsonObject json, String field) throws MalformedMessageException {
         if (!Json.has(json, field)) {
-            throw new Json.BadMessage(field + " is missing");
+            throw new MalformedMessageException(field + " is missing");
         }
         return Json.flagOr(json, field, false);
     }
 
-    private static String name(JsonObject json, String field) throws Json.BadMessage {
+    private static String name(JsonObject json, String field) throws MalformedMessageException {
         String name = Json.text(json, field);
         if (name.length() > MAX_NAME) {
-            throw new Json.BadMessage(field + " is too long");
+            throw new MalformedMessageException(field + " is too long");
         }
         return name;
     }
--- a/src/main/java/org/havenford/protocol/Json.java
+++ b/src/main/java/org/havenford/protocol/Json.java
@@ -16,18 +16,8 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Checked access to JSON. Whatever is missing or of the wrong form throws {@link BadMessage}. */
+/** Checked access to JSON. Whatever is missing or of the wrong form throws {@link MalformedMessageException}. */
 public final class Json {
-    /** A message that can't be understood; its text names the field. */
-    public static final class BadMessage extends Exception {
-        private static final long serialVersionUID = 1L;
-
-        /** {@code message} says what is wrong with which field. */
-        public BadMessage(String message) {
-            super(message);
-        }
-    }
-
     /** Larger than any number in a valid message. */
     private static final double MAX_AMOUNT = 1e9;
     /** Digits that certainly fit a long. */
@@ -40,16 +30,16 @@
     private Json() {}
 
     /** Parses a text that must be one JSON object. */
-    public static JsonObject object(String text) throws BadMessage {
+    public static JsonObject object(String text) throws MalformedMessageException {
         try {
             JsonReader reader = new JsonReader(new StringReader(text));
             reader.setStrictness(Strictness.STRICT);
             JsonElement e = JsonParser.parseReader(reader);
             if (!e.isJsonObject()) {
-                throw new BadMessage("not an object");
+                throw new MalformedMessageException("not an object");
             }
             if (reader.peek() != JsonToken.END_DOCUMENT) {
-                throw new BadMessage("text after the object");
+                throw new MalformedMessageException("text after the object");
             }
             return e.getAsJsonObject();
         } catch (JsonParseException
@@ -57,7 +47,7 @@
                 | IllegalStateException
                 | NumberFormatException
                 | StackOverflowError e) {
-            throw new BadMessage("not JSON");
+            throw new MalformedMessageException("not JSON");
         }
     }
 
@@ -71,80 +61,80 @@
         return present(json, field) != null;
     }
 
-    private static JsonPrimitive primitive(JsonObject json, String field) throws BadMessage {
+    private static JsonPrimitive primitive(JsonObject json, String field) throws MalformedMessageException {
         JsonElement element = present(json, field);
         if (element == null) {
-            throw new BadMessage(field + " is missing");
+            throw new MalformedMessageException(field + " is missing");
         }
         if (!element.isJsonPrimitive()) {
-            throw new BadMessage(field + " is not a plain value");
+            throw new MalformedMessageException(field + " is not a plain value");
         }
         return element.getAsJsonPrimitive();
     }
 
     /** A text that must be present. */
-    public static String text(JsonObject json, String field) throws BadMessage {
+    public static String text(JsonObject json, String field) throws MalformedMessageException {
         JsonPrimitive value = primitive(json, field);
         if (!value.isString()) {
-            throw new BadMessage(field + " is not text");
+            throw new MalformedMessageException(field + " is not text");
         }
         return value.getAsString();
     }
 
     /** A text, or {@code otherwise} where it is absent. */
-    public static String textOr(JsonObject json, String field, String otherwise) throws BadMessage {
+    public static String textOr(JsonObject json, String field, String otherwise) throws MalformedMessageException {
         return has(json, field) ? text(json, field) : otherwise;
     }
 
     /** A boolean, or {@code otherwise} where it is absent. */
-    public static boolean flagOr(JsonObject json, String field, boolean otherwise) throws BadMessage {
+    public static boolean flagOr(JsonObject json, String field, boolean otherwise) throws MalformedMessageException {
         if (!has(json, field)) {
             return otherwise;
         }
         JsonPrimitive value = primitive(json, field);
         if (!value.isBoolean()) {
-            throw new BadMessage(field + " is not true or false");
+            throw new MalformedMessageException(field + " is not true or false");
         }
         return value.getAsBoolean();
     }
 
     /** A number from 0 on that must be present. */
-    public static double amount(JsonObject json, String field) throws BadMessage {
+    public static double amount(JsonObject json, String field) throws MalformedMessageException {
         JsonPrimitive value = primitive(json, field);
         if (!value.isNumber()) {
-            throw new BadMessage(field + " is not a number");
+            throw new MalformedMessageException(field + " is not a number");
         }
         double number = value.getAsDouble();
         if (!Double.isFinite(number) || number < 0 || number > MAX_AMOUNT) {
-            throw new BadMessage(field + " is out of range");
+            throw new MalformedMessageException(field + " is out of range");
         }
         return number;
     }
 
     /** A number from 0 on, or {@code otherwise} where it is absent. */
-    public static double amountOr(JsonObject json, String field, double otherwise) throws BadMessage {
+    public static double amountOr(JsonObject json, String field, double otherwise) throws MalformedMessageException {
         return has(json, field) ? amount(json, field) : otherwise;
     }
 
     /** A number above 0 that must be present. */
-    public static double positive(JsonObject json, String field) throws BadMessage {
+    public static double positive(JsonObject json, String field) throws MalformedMessageException {
         double value = amount(json, field);
         if (value <= 0) {
-            throw new BadMessage(field + " must be more than 0");
+            throw new MalformedMessageException(field + " must be more than 0");
         }
         return value;
     }
 
     /** A duration in seconds that must be present. */
-    public static Duration seconds(JsonObject json, String field) throws BadMessage {
+    public static Duration seconds(JsonObject json, String field) throws MalformedMessageException {
         return Duration.ofNanos((long) (amount(json, field) * 1e9));
     }
 
     /** A whole number from 0 on that must be present. */
-    public static long count(JsonObject json, String field) throws BadMessage {
+    public static long count(JsonObject json, String field) throws MalformedMessageException {
         JsonPrimitive value = primitive(json, field);
         if (!value.isNumber()) {
-            throw new BadMessage(field + " is not a number");
+            throw new MalformedMessageException(field + " is not a number");
         }
         String digits = value.getAsString();
         if (isPlain(digits)) {
@@ -153,11 +143,11 @@
         try {
             BigDecimal number = new BigDecimal(digits);
             if (number.scale() < MIN_SCALE || number.signum() < 0 || number.precision() - number.scale() > MAX_DIGITS) {
-                throw new BadMessage(field + " is out of range");
+                throw new MalformedMessageException(field + " is out of range");
             }
             return number.longValueExact();
         } catch (NumberFormatException | ArithmeticException e) {
-            throw new BadMessage(field + " is not a whole number");
+            throw new MalformedMessageException(field + " is not a whole number");
         }
     }
 
@@ -172,37 +162,37 @@
     }
 
     /** A whole number from 0 on, or {@code otherwise} where it is absent. */
-    public static long countOr(JsonObject json, String field, long otherwise) throws BadMessage {
+    public static long countOr(JsonObject json, String field, long otherwise) throws MalformedMessageException {
         return has(json, field) ? count(json, field) : otherwise;
     }
 
     /** An object that must be present. */
-    public static JsonObject child(JsonObject json, String field) throws BadMessage {
+    public static JsonObject child(JsonObject json, String field) throws MalformedMessageException {
         JsonElement element = present(json, field);
         if (element == null || !element.isJsonObject()) {
-            throw new BadMessage(field + " is not an object");
+            throw new MalformedMessageException(field + " is not an object");
         }
         return element.getAsJsonObject();
     }
 
     /** An array; an empty one where it is absent. */
-    public static JsonArray array(JsonObject json, String field) throws BadMessage {
+    public static JsonArray array(JsonObject json, String field) throws MalformedMessageException {
         JsonElement element = present(json, field);
         if (element == null) {
             return new JsonArray();
         }
         if (!element.isJsonArray()) {
-            throw new BadMessage(field + " is not an array");
+            throw new MalformedMessageException(field + " is not an array");
         }
         return element.getAsJsonArray();
     }
 
     /** An array of objects; an empty one where it is absent. */
-    public static List<JsonObject> objects(JsonObject json, String field) throws BadMessage {
+    public static List<JsonObject> objects(JsonObject json, String field) throws MalformedMessageException {
         List<JsonObject> out = new ArrayList<>();
         for (JsonElement e : array(json, field)) {
             if (!e.isJsonObject()) {
-                throw new BadMessage(field + " holds something that is not an object");
+                throw new MalformedMessageException(field + " holds something that is not an object");
             }
             out.add(e.getAsJsonObject());
         }
@@ -210,11 +200,11 @@
     }
 
     /** An array of texts; an empty one where it is absent. */
-    public static List<String> texts(JsonObject json, String field) throws BadMessage {
+    public static List<String> texts(JsonObject json, String field) throws MalformedMessageException {
         List<String> out = new ArrayList<>();
         for (JsonElement e : array(json, field)) {
             if (!e.isJsonPrimitive() || !e.getAsJsonPrimitive().isString()) {
-                throw new BadMessage(field + " holds something that is not text");
+                throw new MalformedMessageException(field + " holds something that is not text");
             }
             out.add(e.getAsString());
         }
--- a/src/main/java/org/havenford/protocol/MachineType.java
+++ b/src/main/java/org/havenford/protocol/MachineType.java
@@ -25,7 +25,7 @@
     private static final Duration DEFAULT_BOOT_TIME = Duration.ofSeconds(60);
 
     /** Reads the cloud's answer, or its stored copy. */
-    public static List<MachineType> parseAll(JsonObject json) throws Json.BadMessage {
+    public static List<MachineType> parseAll(JsonObject json) throws MalformedMessageException {
         List<MachineType> types = new ArrayList<>();
         for (JsonObject type : Json.objects(json, "rigs")) {
             types.add(parse(type));
@@ -33,7 +33,7 @@
         return types;
     }
 
-    private static MachineType parse(JsonObject json) throws Json.BadMessage {
+    private static MachineType parse(JsonObject json) throws MalformedMessageException {
         return new MachineType(
                 Json.text(json, "name"),
                 Json.amount(json, "vcpus"),
--- a/src/main/java/org/havenford/protocol/TaskId.java
+++ b/src/main/java/org/havenford/protocol/TaskId.java
@@ -3,19 +3,19 @@
 /** Task 3 of job j-000412 is {@code j-000412/3}. */
 public record TaskId(String job, int index) implements Comparable<TaskId> {
     /** Reads an id of the form j-000412/3. */
-    public static TaskId parse(String text) throws Json.BadMessage {
+    public static TaskId parse(String text) throws MalformedMessageException {
         int slash = text.indexOf('/');
         if (slash < 1 || !JobSpec.validId(text.substring(0, slash))) {
-            throw new Json.BadMessage("shot is not of the form j-000412/3");
+            throw new MalformedMessageException("shot is not of the form j-000412/3");
         }
         try {
             int index = Integer.parseInt(text.substring(slash + 1));
             if (index < 0) {
-                throw new Json.BadMessage("shot has a negative number");
+                throw new MalformedMessageException("shot has a negative number");
             }
             return new TaskId(text.substring(0, slash), index);
         } catch (NumberFormatException e) {
-            throw new Json.BadMessage("shot is not of the form j-000412/3");
+            throw new MalformedMessageException("shot is not of the form j-000412/3");
         }
     }
 
--- a/src/main/java/org/havenford/settings/OperatorSettings.java
+++ b/src/main/java/org/havenford/settings/OperatorSettings.java
@@ -12,8 +12,8 @@
 
 /** What operators may set beyond the platform's file, in XML. See docs/operations.md. */
 public record OperatorSettings(
-        double lateThreshold,
-        int lateMinimumDone,
+        double stragglerThreshold,
+        int stragglerMinimumDone,
         Duration membershipLease,
         Duration roundBudget,
         Duration idleBeforeReturn,
--- a/src/main/java/org/havenford/settings/PlatformSettings.java
+++ b/src/main/java/org/havenford/settings/PlatformSettings.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 
 /**
  * The file that the platform hands over. Unknown fields are ignored. The state service's limits may be lowered to those of
@@ -19,19 +20,19 @@
         String peerListen,
         List<Peer> peers,
         String cloudAddress,
-        String stateAddress,
+        String storeAddress,
         Map<String, Team> teams,
         Duration heartbeatInterval,
-        Duration workerLease,
+        Duration agentLease,
         Duration cancellationLimit,
-        double stateRps,
-        double stateWriteRps,
-        double nextWriteRps,
+        double storeRequestsPerSecond,
+        double storeChangesPerSecond,
+        double nextStoreChangesPerSecond,
         int valueBytes,
         int presentValueBytes,
-        int txnOps,
-        double cloudRps,
-        Duration listLag,
+        int maxTransactionOperations,
+        double cloudRequestsPerSecond,
+        Duration cloudListLag,
         int maxConnections,
         List<ServiceObjective> objectives) {
 
@@ -54,16 +55,16 @@
 
     /** Whether each controller's part of the changes that the state service takes, now or later, is so small that each must do much. */
     public boolean scarceChanges() {
-        return nextWriteRps / (peers.size() + 1) < SCARCE;
+        return nextStoreChangesPerSecond / (peers.size() + 1) < SCARCE;
     }
 
     /** Reads and checks a settings file. */
-    public static PlatformSettings read(Path file) throws IOException, Json.BadMessage {
+    public static PlatformSettings read(Path file) throws IOException, MalformedMessageException {
         return parse(Files.readString(file));
     }
 
     /** Reads and checks settings. */
-    public static PlatformSettings parse(String text) throws Json.BadMessage {
+    public static PlatformSettings parse(String text) throws MalformedMessageException {
         return new PlatformSettingsReader(Json.object(text)).read();
     }
 }
--- a/src/main/java/org/havenford/settings/PlatformSettingsReader.java
+++ b/src/main/java/org/havenford/settings/PlatformSettingsReader.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.settings.PlatformSettings.Peer;
 import org.havenford.settings.PlatformSettings.ServiceObjective;
 import org.havenford.settings.PlatformSettings.Team;
@@ -30,7 +31,7 @@
     private final JsonObject cloud;
     private final JsonObject resources;
 
-    PlatformSettingsReader(JsonObject root) throws Json.BadMessage {
+    PlatformSettingsReader(JsonObject root) throws MalformedMessageException {
         this.root = root;
         endpoints = Json.child(root, "endpoints");
         deployment = Json.child(root, "deployment");
@@ -41,7 +42,7 @@
         resources = Json.has(deployment, "resources") ? Json.child(deployment, "resources") : new JsonObject();
     }
 
-    PlatformSettings read() throws Json.BadMessage {
+    PlatformSettings read() throws MalformedMessageException {
         List<Peer> peers = peers();
         Map<String, Team> teams = teams();
         List<ServiceObjective> objectives = objectives();
@@ -69,7 +70,7 @@
                 objectives);
     }
 
-    private List<Peer> peers() throws Json.BadMessage {
+    private List<Peer> peers() throws MalformedMessageException {
         List<Peer> peers = new ArrayList<>();
         for (JsonObject peer : Json.objects(root, "others")) {
             String zone = Json.textOr(peer, "location", "");
@@ -78,7 +79,7 @@
         return List.copyOf(peers);
     }
 
-    private Map<String, Team> teams() throws Json.BadMessage {
+    private Map<String, Team> teams() throws MalformedMessageException {
         Map<String, Team> teams = new LinkedHashMap<>();
         for (JsonObject json : Json.objects(deployment, "teams")) {
             Team team = new Team(
@@ -92,7 +93,7 @@
         return teams;
     }
 
-    private List<ServiceObjective> objectives() throws Json.BadMessage {
+    private List<ServiceObjective> objectives() throws MalformedMessageException {
         List<ServiceObjective> objectives = new ArrayList<>();
         for (JsonObject objective : Json.objects(deployment, "objectives")) {
             objectives.add(new ServiceObjective(
@@ -104,16 +105,16 @@
     }
 
     /** The smaller of a limit in force and the one to come. */
-    private double smallerLimit(String field) throws Json.BadMessage {
+    private double smallerLimit(String field) throws MalformedMessageException {
         double present = Json.positive(state, field);
         return Json.has(nextState, field) ? Math.min(present, Json.positive(nextState, field)) : present;
     }
 
-    private static String address(JsonObject json, String field) throws Json.BadMessage {
+    private static String address(JsonObject json, String field) throws MalformedMessageException {
         String address = Json.text(json, field);
         int colon = address.lastIndexOf(':');
         if (colon < 1 || !isPort(address.substring(colon + 1))) {
-            throw new Json.BadMessage(field + " is not host:port");
+            throw new MalformedMessageException(field + " is not host:port");
         }
         return address;
     }
--- a/src/main/java/org/havenford/storage/ClusterState.java
+++ b/src/main/java/org/havenford/storage/ClusterState.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.havenford.protocol.Json;
 import org.havenford.protocol.MachineType;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.protocol.TaskId;
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.ClusterView;
@@ -58,7 +58,7 @@
     /** Takes up the changes of the keys with one prefix. */
     private interface ValueHandler {
         /** {@code name} is the key without its prefix; {@code value} is null when the key is gone. */
-        void changed(String name, JsonObject value, long modRevision) throws Json.BadMessage;
+        void changed(String name, JsonObject value, long modRevision) throws MalformedMessageException;
     }
 
     private record KeyKind(String prefix, ValueHandler handler) {}
@@ -200,12 +200,12 @@
     public void changed(String key, JsonElement value, long modRevision) {
         try {
             apply(key, value == null ? null : value.getAsJsonObject(), modRevision);
-        } catch (Json.BadMessage | IllegalStateException | IllegalArgumentException e) {
+        } catch (MalformedMessageException | IllegalStateException | IllegalArgumentException e) {
             LOG.error("the value of {} can't be read: {}", key, e.getMessage());
         }
     }
 
-    private void apply(String key, JsonObject value, long modRevision) throws Json.BadMessage {
+    private void apply(String key, JsonObject value, long modRevision) throws MalformedMessageException {
         for (KeyKind kind : keyKinds) {
             if (key.startsWith(kind.prefix)) {
                 kind.handler.changed(key.substring(kind.prefix.length()), value, modRevision);
@@ -219,17 +219,18 @@
         }
     }
 
-    private void batchChanged(String name, JsonObject value, long modRevision) throws Json.BadMessage {
+    private void batchChanged(String name, JsonObject value, long modRevision) throws MalformedMessageException {
         machineTable.batchChanged(name, value == null ? null : MachineBatch.parse(name, value));
     }
 
-    private void statusesChanged(String part, JsonObject value, long modRevision) throws Json.BadMessage {
+    private void statusesChanged(String part, JsonObject value, long modRevision) throws MalformedMessageException {
         if (value != null) {
             machineTable.statusesChanged(MachineStatuses.parse(value));
         }
     }
 
-    private void instanceRequestChanged(String name, JsonObject value, long modRevision) throws Json.BadMessage {
+    private void instanceRequestChanged(String name, JsonObject value, long modRevision)
+            throws MalformedMessageException {
         if (value == null) {
             instanceRequests.remove(name);
         } else {
@@ -237,7 +238,7 @@
         }
     }
 
-    private void quotaChanged(String name, JsonObject value, long modRevision) throws Json.BadMessage {
+    private void quotaChanged(String name, JsonObject value, long modRevision) throws MalformedMessageException {
         String key = Keys.TEAMS + name;
         if (value == null) {
             quotas.remove(key);
@@ -246,7 +247,7 @@
         }
     }
 
-    private void memberChanged(String node, JsonObject value, long modRevision) throws Json.BadMessage {
+    private void memberChanged(String node, JsonObject value, long modRevision) throws MalformedMessageException {
         observer.memberChanged(node, value == null ? null : MemberRegistration.parse(value), modRevision);
     }
 
@@ -254,7 +255,7 @@
         observer.livenessProbeChanged(node, value == null ? null : LivenessProbe.parse(value), modRevision);
     }
 
-    private void typesChanged(JsonObject value) throws Json.BadMessage {
+    private void typesChanged(JsonObject value) throws MalformedMessageException {
         types.clear();
         for (MachineType type : MachineType.parseAll(value)) {
             types.put(type.name(), type);
--- a/src/main/java/org/havenford/storage/ConditionalWriter.java
+++ b/src/main/java/org/havenford/storage/ConditionalWriter.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.storage.records.Keys;
 import org.havenford.transport.EventLoop;
 import org.slf4j.Logger;
@@ -156,7 +156,7 @@
         Set<String> keys = new HashSet<>(locks);
         try {
             keys.addAll(result.conflictingKeys());
-        } catch (Json.BadMessage e) {
+        } catch (MalformedMessageException e) {
             LOG.warn("cannot read conflicting keys: error={}", e.getMessage());
         }
         keys.removeIf(key -> !locks.contains(key) && locked.contains(key));
--- a/src/main/java/org/havenford/storage/JobTable.java
+++ b/src/main/java/org/havenford/storage/JobTable.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.TaskRange;
@@ -56,7 +56,7 @@
     }
 
     /** Takes up the header of a job; null if it is gone, which ends the job. */
-    void headerChanged(String id, JsonObject value) throws Json.BadMessage {
+    void headerChanged(String id, JsonObject value) throws MalformedMessageException {
         Job before = jobsById.get(id);
         if (value == null) {
             remove(id, before);
@@ -99,7 +99,7 @@
         before.claims().forEach(claim -> observer.machineChanged(claim.machine()));
     }
 
-    private void takeUpWaitingTaskRanges(String id) throws Json.BadMessage {
+    private void takeUpWaitingTaskRanges(String id) throws MalformedMessageException {
         if (taskRangesWithoutJob.isEmpty()) {
             return;
         }
@@ -111,7 +111,7 @@
     }
 
     /** Takes up the value of a task range; {@code path} is ID/INDEX, and the value null if the key is gone. */
-    void taskRangeChanged(String path, JsonObject value) throws Json.BadMessage {
+    void taskRangeChanged(String path, JsonObject value) throws MalformedMessageException {
         int slash = path.indexOf('/');
         Job job = jobsById.get(path.substring(0, slash));
         if (job == null) {
--- a/src/main/java/org/havenford/storage/StoreReplica.java
+++ b/src/main/java/org/havenford/storage/StoreReplica.java
@@ -6,7 +6,7 @@
 import it.unimi.dsi.fastutil.objects.ObjectIterator;
 import java.time.Duration;
 import java.util.List;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.transport.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -118,14 +118,14 @@
                 }
                 try {
                     applyPage(after, page);
-                } catch (Json.BadMessage e) {
+                } catch (MalformedMessageException e) {
                     LOG.warn("cannot read a page of keys, retrying: prefix={} error={}", prefix, e.getMessage());
                     loop.after(MALFORMED_RESPONSE_RETRY, () -> readPage(after));
                 }
             });
         }
 
-        private void applyPage(String after, StoreResult page) throws Json.BadMessage {
+        private void applyPage(String after, StoreResult page) throws MalformedMessageException {
             if (after == null) {
                 firstPageRevision = page.revision();
             }
@@ -172,14 +172,14 @@
             try {
                 applyEvents(result);
                 loop.after(watchInterval(), this::watch);
-            } catch (Json.BadMessage e) {
+            } catch (MalformedMessageException e) {
                 LOG.warn("cannot read watch events, retrying: prefix={} error={}", prefix, e.getMessage());
                 loop.after(MALFORMED_RESPONSE_RETRY, this::watch);
             }
         });
     }
 
-    private void applyEvents(StoreResult result) throws Json.BadMessage {
+    private void applyEvents(StoreResult result) throws MalformedMessageException {
         boolean anyChange = result.visitEvents(this::apply) > 0;
         revision = Math.max(revision, result.revision());
         forgetTombstones();
--- a/src/main/java/org/havenford/storage/StoreResponseReader.java
+++ b/src/main/java/org/havenford/storage/StoreResponseReader.java
@@ -2,6 +2,7 @@
 
 import com.google.gson.JsonObject;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.transport.HttpCalls;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -28,7 +29,7 @@
         }
         try {
             return result(reply, request, Json.object(reply.body()));
-        } catch (Json.BadMessage e) {
+        } catch (MalformedMessageException e) {
             LOG.warn(
                     "malformed response from the store: method={} path={} status={} error={}",
                     request.method(),
--- a/src/main/java/org/havenford/storage/StoreResult.java
+++ b/src/main/java/org/havenford/storage/StoreResult.java
@@ -2,7 +2,7 @@
 
 import com.google.gson.JsonObject;
 import java.util.List;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 
 /** Outcome of a call, and what the store's response says where there was one. */
 public final class StoreResult {
@@ -34,7 +34,7 @@
     public long revision() {
         try {
             return body == null ? 0 : StoreWireCodec.revision(body);
-        } catch (Json.BadMessage e) {
+        } catch (MalformedMessageException e) {
             return 0;
         }
     }
@@ -42,46 +42,46 @@
     /**
      * Id of the lease that was created.
      *
-     * @throws Json.BadMessage if the response does not name it
+     * @throws MalformedMessageException if the response does not name it
      */
-    public long leaseId() throws Json.BadMessage {
+    public long leaseId() throws MalformedMessageException {
         return StoreWireCodec.leaseId(body);
     }
 
     /**
      * Value of the key that was read.
      *
-     * @throws Json.BadMessage if the response does not hold it
+     * @throws MalformedMessageException if the response does not hold it
      */
-    public JsonObject value() throws Json.BadMessage {
+    public JsonObject value() throws MalformedMessageException {
         return StoreWireCodec.value(body);
     }
 
     /**
      * Mod revision of the key that was read.
      *
-     * @throws Json.BadMessage if the response does not name it
+     * @throws MalformedMessageException if the response does not name it
      */
-    public long modRevision() throws Json.BadMessage {
+    public long modRevision() throws MalformedMessageException {
         return StoreWireCodec.modRevision(body);
     }
 
     /**
      * After a conflict, the keys whose conditions did not hold; empty if the response names none.
      *
-     * @throws Json.BadMessage if the list can't be read
+     * @throws MalformedMessageException if the list can't be read
      */
-    public List<String> conflictingKeys() throws Json.BadMessage {
+    public List<String> conflictingKeys() throws MalformedMessageException {
         return StoreWireCodec.conflictingKeys(body);
     }
 
     /** Visits the keys of a page in their order. What comes before a malformed one has then been visited. */
-    void visitEntries(StoreWireCodec.KeyVisitor visitor) throws Json.BadMessage {
+    void visitEntries(StoreWireCodec.KeyVisitor visitor) throws MalformedMessageException {
         StoreWireCodec.visitEntries(body, visitor);
     }
 
     /** Whether more keys follow those of this page. */
-    boolean hasMorePages() throws Json.BadMessage {
+    boolean hasMorePages() throws MalformedMessageException {
         return StoreWireCodec.hasMorePages(body);
     }
 
@@ -89,7 +89,7 @@
      * Visits the changes that a watch returned in their order, and returns their number. What comes before a malformed one
      * has then been visited.
      */
-    int visitEvents(StoreWireCodec.KeyVisitor visitor) throws Json.BadMessage {
+    int visitEvents(StoreWireCodec.KeyVisitor visitor) throws MalformedMessageException {
         return StoreWireCodec.visitEvents(body, visitor);
     }
 }
--- a/src/main/java/org/havenford/storage/StoreStatistics.java
+++ b/src/main/java/org/havenford/storage/StoreStatistics.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.Locale;
 import java.util.TreeMap;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -47,7 +47,7 @@
             for (String key : result.conflictingKeys()) {
                 conflictingKeyKinds.merge(kind(key), 1, Integer::sum);
             }
-        } catch (Json.BadMessage e) {
+        } catch (MalformedMessageException e) {
             LOG.warn("cannot read conflicting keys: error={}", e.getMessage());
         }
     }
--- a/src/main/java/org/havenford/storage/StoreWireCodec.java
+++ b/src/main/java/org/havenford/storage/StoreWireCodec.java
@@ -6,6 +6,7 @@
 import java.time.Duration;
 import java.util.List;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 
 /**
  * The store's protocol: paths and bodies of requests, fields of responses. The only place that knows the words which the
@@ -101,37 +102,37 @@
     // ---- responses
 
     /** Revision of the store that a response names, or 0 where it names none. */
-    static long revision(JsonObject body) throws Json.BadMessage {
+    static long revision(JsonObject body) throws MalformedMessageException {
         return Json.countOr(body, REVISION, 0);
     }
 
     /** Id of the lease that was created. */
-    static long leaseId(JsonObject body) throws Json.BadMessage {
+    static long leaseId(JsonObject body) throws MalformedMessageException {
         return Json.count(body, LEASE_ID);
     }
 
     /** Value of the key that was read. */
-    static JsonObject value(JsonObject body) throws Json.BadMessage {
+    static JsonObject value(JsonObject body) throws MalformedMessageException {
         return Json.child(body, VALUE);
     }
 
     /** Mod revision of the key that was read. */
-    static long modRevision(JsonObject body) throws Json.BadMessage {
+    static long modRevision(JsonObject body) throws MalformedMessageException {
         return Json.count(body, MOD_REVISION);
     }
 
     /** Keys whose conditions did not hold. */
-    static List<String> conflictingKeys(JsonObject body) throws Json.BadMessage {
+    static List<String> conflictingKeys(JsonObject body) throws MalformedMessageException {
         return Json.texts(body, FAILED_CONDITIONS);
     }
 
     /** Whether more keys follow those of this page. */
-    static boolean hasMorePages(JsonObject body) throws Json.BadMessage {
+    static boolean hasMorePages(JsonObject body) throws MalformedMessageException {
         return Json.flagOr(body, MORE_PAGES, false);
     }
 
     /** Visits the keys of a page in their order, up to the first that can't be read. */
-    static void visitEntries(JsonObject body, KeyVisitor visitor) throws Json.BadMessage {
+    static void visitEntries(JsonObject body, KeyVisitor visitor) throws MalformedMessageException {
         for (JsonObject entry : Json.objects(body, ENTRIES)) {
             String key = Json.text(entry, KEY);
             visitor.visit(key, entry.get(VALUE), Json.count(entry, MOD_REVISION));
@@ -139,7 +140,7 @@
     }
 
     /** Visits the changes that a watch returned in their order, up to the first that can't be read; returns their number. */
-    static int visitEvents(JsonObject body, KeyVisitor visitor) throws Json.BadMessage {
+    static int visitEvents(JsonObject body, KeyVisitor visitor) throws MalformedMessageException {
         List<JsonObject> events = Json.objects(body, EVENTS);
         for (JsonObject event : events) {
             long modRevision = Json.count(event, MOD_REVISION);
--- a/src/main/java/org/havenford/storage/records/ClusterView.java
+++ b/src/main/java/org/havenford/storage/records/ClusterView.java
@@ -13,6 +13,7 @@
 import java.util.TreeSet;
 import java.util.function.Function;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 
 /**
  * Who takes part, as one key of the store says: node and incarnation (the lease it joined with). Each change raises the
@@ -46,25 +47,25 @@
     }
 
     /** Reads the stored view. */
-    public static ClusterView parse(JsonObject json) throws Json.BadMessage {
+    public static ClusterView parse(JsonObject json) throws MalformedMessageException {
         TreeMap<String, String> reassigned = entries(json, REASSIGNED, JsonElement::getAsString);
         TreeMap<String, Long> evicted = Json.has(json, EVICTED) ? incarnations(json, EVICTED) : new TreeMap<>();
         TreeSet<String> cordoned = new TreeSet<>(Json.texts(json, CORDONED));
         return new ClusterView(Json.count(json, EPOCH), incarnations(json, MEMBERS), reassigned, cordoned, evicted);
     }
 
-    private static TreeMap<String, Long> incarnations(JsonObject json, String field) throws Json.BadMessage {
+    private static TreeMap<String, Long> incarnations(JsonObject json, String field) throws MalformedMessageException {
         return entries(json, field, JsonElement::getAsLong);
     }
 
     private static <T> TreeMap<String, T> entries(JsonObject json, String field, Function<JsonElement, T> value)
-            throws Json.BadMessage {
+            throws MalformedMessageException {
         TreeMap<String, T> entries = new TreeMap<>();
         for (Map.Entry<String, JsonElement> entry : Json.child(json, field).entrySet()) {
             try {
                 entries.put(entry.getKey(), value.apply(entry.getValue()));
             } catch (IllegalStateException | NumberFormatException | UnsupportedOperationException e) {
-                throw new Json.BadMessage(field + " of " + entry.getKey() + " is of the wrong form");
+                throw new MalformedMessageException(field + " of " + entry.getKey() + " is of the wrong form");
             }
         }
         return entries;
--- a/src/main/java/org/havenford/storage/records/CompactClaimsCodec.java
+++ b/src/main/java/org/havenford/storage/records/CompactClaimsCodec.java
@@ -8,6 +8,7 @@
 import java.util.Collection;
 import java.util.List;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.protocol.TaskId;
 
 /**
@@ -66,7 +67,7 @@
     }
 
     /** Reads the claims of a job's range; parts of a wrong form throw what their conversion throws. */
-    static List<Claim> decode(JsonObject json, String job, int firstTask) throws Json.BadMessage {
+    static List<Claim> decode(JsonObject json, String job, int firstTask) throws MalformedMessageException {
         String machinePrefix = Json.text(json, MACHINE_PREFIX);
         long earliest = Json.count(json, EARLIEST_CLAIM);
         List<String> quotaHolders = Json.texts(json, QUOTA_HOLDERS);
--- a/src/main/java/org/havenford/storage/records/FinalState.java
+++ b/src/main/java/org/havenford/storage/records/FinalState.java
@@ -3,6 +3,7 @@
 import com.google.gson.JsonObject;
 import java.time.Instant;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 
 /**
  * How a job ended. It is stored once, under {@link Keys#finalState}, and never changes.
@@ -56,7 +57,7 @@
     }
 
     /** Reads a stored value of this version or of an earlier one. */
-    public static FinalState parse(JsonObject value) throws Json.BadMessage {
+    public static FinalState parse(JsonObject value) throws MalformedMessageException {
         Status status = Json.text(value, STATUS).equals(Status.DONE.text()) ? Status.DONE : Status.CANCELLED;
         Instant endedAt = Json.has(value, ENDED_AT) ? Instant.ofEpochMilli(Json.count(value, ENDED_AT)) : null;
         return new FinalState(status, (int) Json.countOr(value, TASKS, 0), endedAt);
--- a/src/main/java/org/havenford/storage/records/InstanceRequest.java
+++ b/src/main/java/org/havenford/storage/records/InstanceRequest.java
@@ -3,6 +3,7 @@
 import com.google.gson.JsonObject;
 import java.time.Instant;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 
 /**
  * An intent to rent instances, stored under {@link Keys#instanceRequest} before the cloud is asked.
@@ -32,7 +33,7 @@
     }
 
     /** Reads the stored value of the request with the given name. */
-    public static InstanceRequest parse(String name, JsonObject value) throws Json.BadMessage {
+    public static InstanceRequest parse(String name, JsonObject value) throws MalformedMessageException {
         return new InstanceRequest(
                 name,
                 Json.text(value, TYPE),
--- a/src/main/java/org/havenford/storage/records/Job.java
+++ b/src/main/java/org/havenford/storage/records/Job.java
@@ -9,6 +9,7 @@
 import java.util.function.Function;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 
 /** An accepted job that is not over, with its tasks. */
 public final class Job {
@@ -237,7 +238,7 @@
     }
 
     /** Reads a stored header of this version or of an earlier one. */
-    public static Job parse(JsonObject json) throws Json.BadMessage {
+    public static Job parse(JsonObject json) throws MalformedMessageException {
         return new Job(
                 JobSpec.parse(json),
                 Instant.ofEpochMilli(Json.count(json, SUBMITTED_AT)),
--- a/src/main/java/org/havenford/storage/records/LivenessProbe.java
+++ b/src/main/java/org/havenford/storage/records/LivenessProbe.java
@@ -2,6 +2,7 @@
 
 import com.google.gson.JsonObject;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 
 /**
  * The question to a suspected member whether it is alive, stored under {@link Keys#livenessProbe}. The member answers by
@@ -34,7 +35,7 @@
         Long incarnation = incarnation(value);
         try {
             return new LivenessProbe(Json.textOr(value, REQUESTER, null), incarnation, null);
-        } catch (Json.BadMessage e) {
+        } catch (MalformedMessageException e) {
             return new LivenessProbe(null, incarnation, e.getMessage());
         }
     }
@@ -42,7 +43,7 @@
     private static Long incarnation(JsonObject value) {
         try {
             return Json.has(value, INCARNATION) ? Json.count(value, INCARNATION) : null;
-        } catch (Json.BadMessage e) {
+        } catch (MalformedMessageException e) {
             return null;
         }
     }
--- a/src/main/java/org/havenford/storage/records/MachineBatch.java
+++ b/src/main/java/org/havenford/storage/records/MachineBatch.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 
 /**
  * Machines that were rented or found together, under one key. It says no more than that they are there, and which of them
@@ -69,7 +70,7 @@
     }
 
     /** Reads a stored value. */
-    public static MachineBatch parse(String name, JsonObject json) throws Json.BadMessage {
+    public static MachineBatch parse(String name, JsonObject json) throws MalformedMessageException {
         TreeMap<String, ServiceState> all = new TreeMap<>();
         for (Map.Entry<String, JsonElement> entry : Json.child(json, MACHINES).entrySet()) {
             all.put(
--- a/src/main/java/org/havenford/storage/records/MachineStatuses.java
+++ b/src/main/java/org/havenford/storage/records/MachineStatuses.java
@@ -11,6 +11,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.storage.records.MachineRecord.Condition;
 
 /**
@@ -69,7 +70,7 @@
     }
 
     /** Reads a stored value. */
-    public static MachineStatuses parse(JsonObject json) throws Json.BadMessage {
+    public static MachineStatuses parse(JsonObject json) throws MalformedMessageException {
         List<String> names = Json.texts(json, IMAGES);
         TreeMap<String, Status> all = new TreeMap<>();
         try {
@@ -78,7 +79,7 @@
                 all.put(entry.getKey(), parseStatus(entry.getValue().getAsJsonArray(), names));
             }
         } catch (IllegalStateException | IllegalArgumentException | IndexOutOfBoundsException e) {
-            throw new Json.BadMessage(MACHINES + " is not a map of conditions and indices of images");
+            throw new MalformedMessageException(MACHINES + " is not a map of conditions and indices of images");
         }
         return new MachineStatuses(Instant.ofEpochMilli(Json.count(json, REPORTED_AT)), all);
     }
--- a/src/main/java/org/havenford/storage/records/MemberRegistration.java
+++ b/src/main/java/org/havenford/storage/records/MemberRegistration.java
@@ -2,6 +2,7 @@
 
 import com.google.gson.JsonObject;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 
 /**
  * The registration of a member, stored under {@link Keys#member} and attached to the member's lease.
@@ -26,7 +27,7 @@
     }
 
     /** Reads a stored value of this version or of an earlier one. */
-    public static MemberRegistration parse(JsonObject value) throws Json.BadMessage {
+    public static MemberRegistration parse(JsonObject value) throws MalformedMessageException {
         return new MemberRegistration(Json.count(value, INCARNATION), Json.countOr(value, FORMAT, FIRST_FORMAT));
     }
 }
--- a/src/main/java/org/havenford/storage/records/TaskRange.java
+++ b/src/main/java/org/havenford/storage/records/TaskRange.java
@@ -10,7 +10,7 @@
 import java.util.BitSet;
 import java.util.Collection;
 import java.util.List;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.protocol.TaskId;
 
 /**
@@ -172,7 +172,7 @@
     }
 
     /** Fills this range, in which no task was ever claimed, with what the store holds. */
-    public TaskRange read(JsonObject json) throws Json.BadMessage {
+    public TaskRange read(JsonObject json) throws MalformedMessageException {
         TaskRangeCodec.decode(json, this);
         return this;
     }
--- a/src/main/java/org/havenford/storage/records/TaskRangeCodec.java
+++ b/src/main/java/org/havenford/storage/records/TaskRangeCodec.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.protocol.TaskId;
 
 /** The stored forms of a task range: the usual one, and shorter ones where it would exceed the limit of values. */
@@ -31,7 +32,7 @@
 
     /** Reads one field; whatever it throws means that the field is of the wrong form. */
     private interface FieldReader {
-        void read() throws Json.BadMessage;
+        void read() throws MalformedMessageException;
     }
 
     private TaskRangeCodec() {}
@@ -169,7 +170,7 @@
     // ---- reading
 
     /** Fills a range in which no task was ever claimed with a stored value of any form. */
-    static void decode(JsonObject json, TaskRange range) throws Json.BadMessage {
+    static void decode(JsonObject json, TaskRange range) throws MalformedMessageException {
         readField(range, DONE, () -> decodeDone(Json.texts(json, DONE), range));
         readField(range, CLAIMS, () -> decodeClaims(Json.array(json, CLAIMS), range));
         if (Json.has(json, COMPACT_CLAIMS)) {
@@ -186,14 +187,14 @@
         range.setErrors((int) Json.countOr(json, ERRORS, 0));
     }
 
-    private static void readField(TaskRange range, String field, FieldReader reader) throws Json.BadMessage {
+    private static void readField(TaskRange range, String field, FieldReader reader) throws MalformedMessageException {
         try {
             reader.read();
         } catch (IllegalStateException
                 | NumberFormatException
                 | UnsupportedOperationException
                 | IndexOutOfBoundsException e) {
-            throw new Json.BadMessage(field + " of the tasks of " + range.job() + " is of the wrong form");
+            throw new MalformedMessageException(field + " of the tasks of " + range.job() + " is of the wrong form");
         }
     }
 
@@ -223,7 +224,7 @@
         }
     }
 
-    private static void decodeCompactClaims(JsonObject json, TaskRange range) throws Json.BadMessage {
+    private static void decodeCompactClaims(JsonObject json, TaskRange range) throws MalformedMessageException {
         for (Claim claim : CompactClaimsCodec.decode(json, range.job(), range.first())) {
             range.putClaim(claim);
             range.attempts().put(claim.task().index(), claim.attempt());
@@ -244,7 +245,8 @@
         }
     }
 
-    private static void decodeDurations(JsonObject json, String field, IntArrayList durations) throws Json.BadMessage {
+    private static void decodeDurations(JsonObject json, String field, IntArrayList durations)
+            throws MalformedMessageException {
         Json.array(json, field).forEach(duration -> durations.add(duration.getAsInt()));
     }
 }
--- a/src/main/java/org/havenford/storage/records/TeamQuota.java
+++ b/src/main/java/org/havenford/storage/records/TeamQuota.java
@@ -8,6 +8,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 
 /**
  * A team's limit, dealt out to the controllers: CPUs and GPUs that the claims charged to each may take. The shares never
@@ -131,7 +132,7 @@
     }
 
     /** Reads a stored value. */
-    public static TeamQuota parse(JsonObject json) throws Json.BadMessage {
+    public static TeamQuota parse(JsonObject json) throws MalformedMessageException {
         TeamQuota quota = new TeamQuota();
         try {
             for (Map.Entry<String, JsonElement> entry : Json.child(json, SHARES).entrySet()) {
@@ -141,7 +142,7 @@
                         new Resources(pair.get(0).getAsDouble(), pair.get(1).getAsDouble()));
             }
         } catch (IllegalStateException | NumberFormatException | IndexOutOfBoundsException e) {
-            throw new Json.BadMessage(SHARES + " is not a map of pairs of numbers");
+            throw new MalformedMessageException(SHARES + " is not a map of pairs of numbers");
         }
         quota.starvedHolders.addAll(Json.texts(json, STARVED_HOLDERS));
         return quota;
--- a/src/test/java/org/havenford/coordination/DecisionsTest.java
+++ b/src/test/java/org/havenford/coordination/DecisionsTest.java
@@ -67,8 +67,8 @@
     void operatorsSettingsAreChecked(@TempDir Path dir) throws Exception {
         OperatorSettings o = OperatorSettings.read(
                 write(dir, "<havenford><late-threshold>0.8</late-threshold><unknown>1</unknown></havenford>"));
-        assertEquals(0.8, o.lateThreshold());
-        assertEquals(OperatorSettings.DEFAULTS.lateMinimumDone(), o.lateMinimumDone());
+        assertEquals(0.8, o.stragglerThreshold());
+        assertEquals(OperatorSettings.DEFAULTS.stragglerMinimumDone(), o.stragglerMinimumDone());
         for (String bad : new String[] {
             "<havenford><late-threshold>2</late-threshold></havenford>",
             "<havenford><late-threshold>x</late-threshold></havenford>"
--- a/src/test/java/org/havenford/coordination/provisioning/BootTimeEstimatorTest.java
+++ b/src/test/java/org/havenford/coordination/provisioning/BootTimeEstimatorTest.java
@@ -15,7 +15,7 @@
 import org.havenford.storage.records.MachineBatch;
 import org.havenford.storage.records.MachineRecord.Condition;
 import org.havenford.storage.records.MachineStatuses;
-import org.havenford.testing.QuietObservertype;
+import org.havenford.testing.QuietObserver;
 import org.junit.jupiter.api.Test;
 
 /** Which rented machines are overdue, and which offers are in trouble. A boot takes 20 s by its type. */
@@ -32,7 +32,7 @@
     private int batches;
 
     BootTimeEstimatorTest() {
-        clusterState.setObserver(new QuietObservertype());
+        clusterState.setObserver(new QuietObserver());
         clusterState.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
     }
 
--- a/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
@@ -19,7 +19,7 @@
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.TaskRange;
 import org.havenford.testing.JobSamples;
-import org.havenford.testing.QuietObservertype;
+import org.havenford.testing.QuietObserver;
 import org.junit.jupiter.api.Test;
 
 /** Jobs that fail everywhere, jobs that fail by bad luck, and machines on which both fail. */
@@ -39,7 +39,7 @@
     private long stamp;
 
     FailingJobBackoffTest() {
-        clusterState.setObserver(new QuietObservertype());
+        clusterState.setObserver(new QuietObserver());
         clusterState.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
     }
 
--- a/src/test/java/org/havenford/coordination/scheduling/PipelineDecisionsTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/PipelineDecisionsTest.java
@@ -16,7 +16,7 @@
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
 import org.havenford.testing.JobSamples;
-import org.havenford.testing.QuietObservertype;
+import org.havenford.testing.QuietObserver;
 import org.junit.jupiter.api.Test;
 
 /** What the decisions make of jobs that await others. */
@@ -33,7 +33,7 @@
     private long stamp;
 
     PipelineDecisionsTest() {
-        clusterState.setObserver(new QuietObservertype());
+        clusterState.setObserver(new QuietObserver());
     }
 
     /** A stored header; {@code readyAgo} is negative for a job that was not released. */
--- a/src/test/java/org/havenford/coordination/scheduling/PlannerPlacementTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/PlannerPlacementTest.java
@@ -28,7 +28,7 @@
 import org.havenford.storage.records.MachineRecord;
 import org.havenford.storage.records.TaskRange;
 import org.havenford.testing.JobSamples;
-import org.havenford.testing.QuietObservertype;
+import org.havenford.testing.QuietObserver;
 import org.junit.jupiter.api.Test;
 
 /** One round of the planner, and whether what it places keeps to each job's constraints together with what is claimed. */
@@ -53,7 +53,7 @@
     private int machines;
 
     PlannerPlacementTest() {
-        clusterState.setObserver(new QuietObservertype());
+        clusterState.setObserver(new QuietObserver());
         clusterState.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
     }
 
--- a/src/test/java/org/havenford/coordination/GoldenCalls.java
+++ b/src/test/java/org/havenford/golden/GoldenCalls.java
@@ -1,4 +1,4 @@
-package org.havenford.coordination;
+package org.havenford.golden;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonNull;
@@ -15,7 +15,7 @@
 import org.havenford.coordination.membership.Membership;
 import org.havenford.coordination.membership.MembershipListener;
 import org.havenford.coordination.membership.MembershipSettings;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.storage.CallPriority;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.StoreClient;
@@ -27,7 +27,7 @@
 import org.havenford.storage.records.LivenessProbe;
 import org.havenford.storage.records.MemberRegistration;
 import org.havenford.testing.ManualLoop;
-import org.havenford.testing.QuietObservertype;
+import org.havenford.testing.QuietObserver;
 import org.havenford.transport.HttpCalls;
 
 /** Every kind of call to the state service, and the transactions by which a member is asked and evicted. */
@@ -51,7 +51,7 @@
     }
 
     /** Whether a member that is registered so reads pipelines, and evictions. */
-    public static String understoodBy(JsonElement stored) throws Json.BadMessage {
+    public static String understoodBy(JsonElement stored) throws MalformedMessageException {
         MemberRegistration registration = MemberRegistration.parse(stored.getAsJsonObject());
         GoldenCalls calls = new GoldenCalls();
         Membership membership = calls.membership(Set.of("node-0"));
@@ -63,7 +63,7 @@
 
     private Membership membership(Set<String> configured) {
         ClusterState clusterState = new ClusterState();
-        clusterState.setObserver(new QuietObservertype());
+        clusterState.setObserver(new QuietObserver());
         replica = new StoreReplica(loop, store, Keys.REPLICATED, clusterState);
         MembershipSettings settings = new MembershipSettings("node-0", configured, Duration.ofSeconds(5));
         return new Membership(loop, store, replica, settings, new MembershipListener() {
--- a/src/test/java/org/havenford/golden/GoldenConversation.java
+++ b/src/test/java/org/havenford/golden/GoldenConversation.java
@@ -20,8 +20,8 @@
 import java.util.function.Predicate;
 import org.havenford.controller.Controller;
 import org.havenford.protocol.JobSpec;
-import org.havenford.protocol.Json;
 import org.havenford.protocol.MachineType;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.settings.OperatorSettings;
 import org.havenford.settings.PlatformSettings;
 import org.havenford.storage.records.ClusterView;
@@ -75,7 +75,7 @@
     private long timerCount;
     private long edition = 100;
 
-    GoldenConversation() throws Json.BadMessage {
+    GoldenConversation() throws MalformedMessageException {
         store(
                 Keys.VIEW,
                 new ClusterView(
@@ -107,7 +107,7 @@
         controller = new Controller(this, this, settings(), OperatorSettings.DEFAULTS);
     }
 
-    private static PlatformSettings settings() throws Json.BadMessage {
+    private static PlatformSettings settings() throws MalformedMessageException {
         return PlatformSettings.parse("{\"node_name\":\"node-0\",\"location\":\"a\",\"bind\":\"node-0:1\","
                 + "\"cluster_listen\":\"node-0:2\",\"others\":[{\"node_name\":\"node-1\",\"location\":\"b\","
                 + "\"peer_addr\":\"node-1:2\"}],\"endpoints\":{\"cloud\":\"cloud:1\",\"state\":\"" + STATE_SERVICE
@@ -117,7 +117,7 @@
                 + "\"cloud\":{\"rps\":5,\"list_lag_s\":4}}}");
     }
 
-    private static Job job(String id) throws Json.BadMessage {
+    private static Job job(String id) throws MalformedMessageException {
         return new Job(JobSpec.parse(JobSamples.submission(id, 3, 1)), AT, 16, false);
     }
 
--- a/src/test/java/org/havenford/golden/GoldenFormsTest.java
+++ b/src/test/java/org/havenford/golden/GoldenFormsTest.java
@@ -10,8 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import org.havenford.coordination.GoldenCalls;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -29,7 +28,7 @@
 
     /** Reads an entry and writes it back; null for one that is not read, or not written. */
     private interface Rewriter {
-        JsonElement rewritten(String name, JsonObject value) throws Json.BadMessage;
+        JsonElement rewritten(String name, JsonObject value) throws MalformedMessageException;
     }
 
     private static void assertBuiltAlike(String file, Map<String, JsonElement> built) throws Exception {
--- a/src/test/java/org/havenford/golden/GoldenMessages.java
+++ b/src/test/java/org/havenford/golden/GoldenMessages.java
@@ -15,6 +15,7 @@
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.Json;
 import org.havenford.protocol.MachineType;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.protocol.TaskId;
 import org.havenford.testing.JobSamples;
 
@@ -32,7 +33,7 @@
     private GoldenMessages() {}
 
     /** Every form, from fixed inputs. */
-    static Map<String, JsonElement> built() throws Json.BadMessage {
+    static Map<String, JsonElement> built() throws MalformedMessageException {
         Map<String, JsonElement> messages = new LinkedHashMap<>();
         Map<String, String> inputs = new LinkedHashMap<>();
         inputs.put(REPORT + "#empty", report("null", false, ""));
@@ -77,11 +78,15 @@
         messages.put("checkin-answer#cues", JsonParser.parseString(Command.reply(17_179_869_185L, commands)));
         messages.put("do#empty", JsonParser.parseString(Command.direct(41, 3, List.of())));
         messages.put("do#cues", JsonParser.parseString(Command.direct(17_179_869_185L, 3, commands)));
-        messages.put("cloud-rent#spot", JsonParser.parseString(CloudMessages.rent("r-2-4-1", "g8", "a", true, 12)));
-        messages.put("cloud-rent#ordinary", JsonParser.parseString(CloudMessages.rent("r-2-4-2", "g8", "b", false, 1)));
+        messages.put(
+                "cloud-rent#spot",
+                JsonParser.parseString(CloudMessages.instanceRequestBody("r-2-4-1", "g8", "a", true, 12)));
+        messages.put(
+                "cloud-rent#ordinary",
+                JsonParser.parseString(CloudMessages.instanceRequestBody("r-2-4-2", "g8", "b", false, 1)));
         messages.put(
                 "cloud-return#two",
-                JsonParser.parseString(CloudMessages.giveBack(List.of("host-000001", "host-000002"))));
+                JsonParser.parseString(CloudMessages.returnRequestBody(List.of("host-000001", "host-000002"))));
     }
 
     private static String report(String notice, boolean spot, String shots) {
@@ -102,13 +107,15 @@
     }
 
     /** The message as it is understood, in the form of the protocol; null for what is only written. */
-    static JsonElement rewritten(String name, JsonObject message) throws Json.BadMessage {
+    static JsonElement rewritten(String name, JsonObject message) throws MalformedMessageException {
         return switch (name.substring(0, name.indexOf('#'))) {
             case REPORT -> report(Heartbeat.parse(message));
             case SUBMISSION -> JobSpec.parse(message).toJson();
             case MACHINE_TYPES -> MachineType.toJson(MachineType.parseAll(message));
-            case MACHINE_PAGE -> page(CloudMessages.page(message.toString()));
-            case RENTED -> JsonParser.parseString(CloudMessages.giveBack(CloudMessages.rented(message.toString())));
+            case MACHINE_PAGE -> page(CloudMessages.machinePage(message.toString()));
+            case RENTED ->
+                JsonParser.parseString(
+                        CloudMessages.returnRequestBody(CloudMessages.launchedMachines(message.toString())));
             default -> null;
         };
     }
@@ -145,9 +152,9 @@
 
     private static String status(Heartbeat.State state) {
         return switch (state) {
-            case FETCHING -> "pulling";
+            case PULLING_IMAGE -> "pulling";
             case RUNNING -> "running";
-            case SAVING -> "flushing";
+            case CHECKPOINTING -> "flushing";
             case EXITED -> "exited";
         };
     }
--- a/src/test/java/org/havenford/golden/GoldenStoredValues.java
+++ b/src/test/java/org/havenford/golden/GoldenStoredValues.java
@@ -16,8 +16,8 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import org.havenford.protocol.JobSpec;
-import org.havenford.protocol.Json;
 import org.havenford.protocol.MachineType;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.ClusterView;
 import org.havenford.storage.records.FinalState;
@@ -30,7 +30,7 @@
 import org.havenford.storage.records.TaskRange;
 import org.havenford.storage.records.TeamQuota;
 import org.havenford.testing.JobSamples;
-import org.havenford.testing.QuietObservertype;
+import org.havenford.testing.QuietObserver;
 
 /**
  * Builds a value of every stored form from fixed inputs, and writes values back after reading them. An entry is named by
@@ -48,7 +48,7 @@
     private GoldenStoredValues() {}
 
     /** Every stored form that the present code writes. */
-    static Map<String, JsonElement> built() throws Json.BadMessage {
+    static Map<String, JsonElement> built() throws MalformedMessageException {
         Map<String, JsonElement> values = new LinkedHashMap<>();
         addViews(values);
         addJobs(values);
@@ -85,7 +85,7 @@
         values.put("live/view#all", new ClusterView(6, members, moved, resting, evicted).toJson());
     }
 
-    private static void addJobs(Map<String, JsonElement> values) throws Json.BadMessage {
+    private static void addJobs(Map<String, JsonElement> values) throws MalformedMessageException {
         JsonObject plain = JobSamples.submission("j-1", 40, 1.5);
         JsonObject awaiting = plain.deepCopy();
         awaiting.add("awaits", JsonParser.parseString("[\"j-8\",\"j-7\"]"));
@@ -115,7 +115,7 @@
         }
     }
 
-    private static Job job(JsonObject submission) throws Json.BadMessage {
+    private static Job job(JsonObject submission) throws MalformedMessageException {
         return new Job(JobSpec.parse(submission), AT, CHUNK_SIZE, false);
     }
 
@@ -198,7 +198,7 @@
     }
 
     /** The value as the present code writes it after reading it; null for what it only writes, or only reads. */
-    static JsonElement rewritten(String name, JsonObject value) throws Json.BadMessage {
+    static JsonElement rewritten(String name, JsonObject value) throws MalformedMessageException {
         String key = name.substring(0, name.indexOf('#'));
         if (key.equals(Keys.VIEW)) {
             return ClusterView.parse(value).toJson();
@@ -227,7 +227,7 @@
     /** Bookings are read by the ledger alone. */
     private static JsonElement rewrittenBooking(String key, JsonObject value) {
         ClusterState clusterState = new ClusterState();
-        clusterState.setObserver(new QuietObservertype());
+        clusterState.setObserver(new QuietObserver());
         clusterState.changed(key, value, 1);
         JsonArray all = new JsonArray();
         List<InstanceRequest> bookings = new ArrayList<>(clusterState.instanceRequests());
--- a/src/test/java/org/havenford/protocol/MessagesTest.java
+++ b/src/test/java/org/havenford/protocol/MessagesTest.java
@@ -55,24 +55,25 @@
     void aBadFieldIsNamed(String field, String value) throws Exception {
         JsonObject json = Json.object(JOB);
         json.add(field, com.google.gson.JsonParser.parseString(value));
-        Json.BadMessage e = assertThrows(Json.BadMessage.class, () -> JobSpec.parse(json));
+        MalformedMessageException e = assertThrows(MalformedMessageException.class, () -> JobSpec.parse(json));
         assertTrue(e.getMessage().contains(field), e.getMessage());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "[]", "7", "{", "{} {}", "{\"a\":NaN}", "{a:1}", "\u0000"})
     void whatIsNotAnObjectIsRefused(String text) {
-        assertThrows(Json.BadMessage.class, () -> Json.object(text));
+        assertThrows(MalformedMessageException.class, () -> Json.object(text));
     }
 
     @Test
     void deepNestingDoesNotEndTheProcess() {
-        assertThrows(Json.BadMessage.class, () -> Json.object("{\"a\":" + "[".repeat(30_000)));
+        assertThrows(MalformedMessageException.class, () -> Json.object("{\"a\":" + "[".repeat(30_000)));
     }
 
     @Test
     void settingsNeedTheirFields() {
-        Json.BadMessage e = assertThrows(Json.BadMessage.class, () -> PlatformSettings.parse("{\"node_name\":\"a\"}"));
+        MalformedMessageException e =
+                assertThrows(MalformedMessageException.class, () -> PlatformSettings.parse("{\"node_name\":\"a\"}"));
         assertTrue(e.getMessage().contains("endpoints"), e.getMessage());
     }
 
@@ -84,7 +85,7 @@
         assertEquals(false, report(1, 90).newerThan(a));
     }
 
-    private static Heartbeat report(long session, long seq) throws Json.BadMessage {
+    private static Heartbeat report(long session, long seq) throws MalformedMessageException {
         return Heartbeat.parse(Json.object(
                 "{\"box\":\"host-1\",\"endpoint\":\"10.0.0.1:9\",\"rig\":\"g8\",\"hall\":\"a\",\"borrowed\":false,"
                         + "\"shift\":" + session + ",\"tally\":" + seq
--- a/src/test/java/org/havenford/simulator/ClusterSimulator.java
+++ b/src/test/java/org/havenford/simulator/ClusterSimulator.java
@@ -104,7 +104,7 @@
         this.random = new SplittableRandom(seed);
         this.template = template;
         this.store = new SimulatedStore(this);
-        servers.put(template.stateAddress(), store);
+        servers.put(template.storeAddress(), store);
         servers.put(template.cloudAddress(), cloud);
     }
 
@@ -243,7 +243,7 @@
             return;
         }
         boolean watch = path.startsWith("/changes");
-        boolean toStore = to.equals(template.stateAddress());
+        boolean toStore = to.equals(template.storeAddress());
         if (toStore && refused.containsKey(from) && !watch) {
             carry(to, from, () -> once.accept(new HttpCalls.Reply(503, "{\"error\":\"refused\"}")));
             return;
@@ -268,7 +268,7 @@
                 }
             });
         }
-        if (to.equals(template.stateAddress())
+        if (to.equals(template.storeAddress())
                 && slowCallsLeft.getOrDefault(from, 0) > 0
                 && !path.startsWith("/changes")) {
             slowCallsLeft.merge(from, -1, Integer::sum);
@@ -437,7 +437,7 @@
             public void call(
                     String address, String method, String path, String body, Duration timeout, Consumer<Reply> done) {
                 behaviour.request(ClusterSimulator.this.now, settings.node(), address, method, path, body);
-                boolean translated = isOld && address.equals(template.stateAddress());
+                boolean translated = isOld && address.equals(template.storeAddress());
                 String sent = translated && path.equals("/multi") ? FormatOneStandIn.written(body) : body;
                 Consumer<Reply> heard = r ->
                         done.accept(translated ? FormatOneStandIn.read(ClusterSimulator.this, settings.node(), r) : r);
--- a/src/test/java/org/havenford/simulator/LoopbackCluster.java
+++ b/src/test/java/org/havenford/simulator/LoopbackCluster.java
@@ -26,7 +26,7 @@
 import java.util.concurrent.Executors;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.settings.PlatformSettings;
 import org.havenford.transport.HttpCalls.Reply;
 
@@ -60,7 +60,8 @@
     private final long startNanos = System.nanoTime();
 
     /** Starts that many controllers, all with the same operators' settings, in zones a, b and c. */
-    LoopbackCluster(Path directory, int nodes, String teams, String operatorXml) throws IOException, Json.BadMessage {
+    LoopbackCluster(Path directory, int nodes, String teams, String operatorXml)
+            throws IOException, MalformedMessageException {
         List<String> binds = freeAddresses(nodes);
         List<String> peers = freeAddresses(nodes);
         String cloud = freeAddresses(1).get(0);
--- a/src/test/java/org/havenford/simulator/SimulatedAgent.java
+++ b/src/test/java/org/havenford/simulator/SimulatedAgent.java
@@ -136,7 +136,7 @@
 
     /** A hanging machine executes nothing, and what it held when its lease ran out is killed before it goes on. */
     boolean leaseOver() {
-        return world.now.isAfter(lease.plus(world.template.workerLease()));
+        return world.now.isAfter(lease.plus(world.template.agentLease()));
     }
 
     private void expireIfDue() {
--- a/src/test/java/org/havenford/simulator/SimulatedStore.java
+++ b/src/test/java/org/havenford/simulator/SimulatedStore.java
@@ -80,14 +80,14 @@
 
     void lower() {
         valueBytes = world.template.valueBytes();
-        txnOps = world.template.txnOps();
-        writeRps = world.template.nextWriteRps();
+        txnOps = world.template.maxTransactionOperations();
+        writeRps = world.template.nextStoreChangesPerSecond();
     }
 
     SimulatedStore(ClusterSimulator world) {
         this.world = world;
         this.valueBytes = world.template.presentValueBytes();
-        this.writeRps = world.template.stateWriteRps();
+        this.writeRps = world.template.storeChangesPerSecond();
     }
 
     /** Whether a text stands in any value of the keys with a prefix. */
@@ -159,7 +159,7 @@
     private boolean allowed(String path, String body) {
         if (refilled == null) {
             refilled = world.now;
-            requestTokens[0] = world.template.stateRps();
+            requestTokens[0] = world.template.storeRequestsPerSecond();
             changeTokens[0] = writeRps;
         }
         int writes = path.equals("/multi")
@@ -169,7 +169,8 @@
                         .size()
                 : 0;
         @SuppressWarnings("ShortCircuitBoolean") // Both buckets are charged.
-        boolean ok = within(requestTokens, world.template.stateRps(), 1) & within(changeTokens, writeRps, writes);
+        boolean ok = within(requestTokens, world.template.storeRequestsPerSecond(), 1)
+                & within(changeTokens, writeRps, writes);
         refilled = world.now;
         if (ok) {
             requests++;
--- a/src/test/java/org/havenford/simulator/SubmissionBurst.java
+++ b/src/test/java/org/havenford/simulator/SubmissionBurst.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.List;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 
 /** Two hundred queued renders on three controllers in real time: what tests and measurements of take-overs share. */
 final class SubmissionBurst {
@@ -24,7 +24,7 @@
 
     /** Three controllers and so many machines whose workers have all been answered. */
     static LoopbackCluster start(Path directory, String operatorXml, int machines)
-            throws IOException, Json.BadMessage, InterruptedException {
+            throws IOException, MalformedMessageException, InterruptedException {
         LoopbackCluster loopback = new LoopbackCluster(directory, 3, TEAM, operatorXml);
         loopback.world.cloud.perOffer = machines / ZONES.size();
         for (int i = 0; i < machines; i++) {
--- a/src/test/java/org/havenford/simulator/TracePlayer.java
+++ b/src/test/java/org/havenford/simulator/TracePlayer.java
@@ -6,7 +6,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.havenford.settings.PlatformSettings;
 
 /** A kept trace: one line an event, played in a {@link ClusterSimulator}. See src/test/resources/traces/README.md. */
@@ -42,7 +42,7 @@
                     + "],\"endpoints\":{\"cloud\":\"cloud:1\",\"state\":\"state:1\"},\"deployment\":{\"teams\":["
                     + teams
                     + "],\"workers\":" + workers + ",\"state\":" + state + ",\"cloud\":{\"rps\":5,\"list_lag_s\":4}}}");
-        } catch (Json.BadMessage e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/src/test/java/org/havenford/storage/StoreResultTest.java
+++ b/src/test/java/org/havenford/storage/StoreResultTest.java
@@ -8,16 +8,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.junit.jupiter.api.Test;
 
 /** What is read from the store's responses. */
 class StoreResultTest {
-    private static StoreResult result(StoreOutcome outcome, String body) throws Json.BadMessage {
+    private static StoreResult result(StoreOutcome outcome, String body) throws MalformedMessageException {
         return new StoreResult(outcome, Json.object(body));
     }
 
     @Test
-    void aKeyIsReadWithItsValueAndModRevision() throws Json.BadMessage {
+    void aKeyIsReadWithItsValueAndModRevision() throws MalformedMessageException {
         StoreResult read = result(StoreOutcome.OK, "{\"k\":\"a/b\",\"v\":{\"x\":1},\"stamp\":412,\"permit\":7}");
         JsonObject value = new JsonObject();
         value.addProperty("x", 1);
@@ -28,20 +29,20 @@
     }
 
     @Test
-    void aConflictNamesItsKeysAndTheRevision() throws Json.BadMessage {
+    void aConflictNamesItsKeysAndTheRevision() throws MalformedMessageException {
         StoreResult conflict = result(StoreOutcome.CONFLICT, "{\"failed\":[\"a/b\"],\"edition\":431}");
         assertEquals(List.of("a/b"), conflict.conflictingKeys());
         assertEquals(431, conflict.revision());
     }
 
     @Test
-    void eventsAreVisitedInOrderUpToTheFirstMalformedOne() throws Json.BadMessage {
+    void eventsAreVisitedInOrderUpToTheFirstMalformedOne() throws MalformedMessageException {
         StoreResult watch = result(
                 StoreOutcome.OK,
                 "{\"log\":[{\"set\":\"c/9\",\"v\":{},\"stamp\":433},{\"delete\":\"c/d\",\"stamp\":432},{\"stamp\":434}]}");
         List<String> visited = new ArrayList<>();
-        Json.BadMessage error = assertThrows(
-                Json.BadMessage.class,
+        MalformedMessageException error = assertThrows(
+                MalformedMessageException.class,
                 () -> watch.visitEvents(
                         (key, value, modRevision) -> visited.add(key + " " + value + " " + modRevision)));
         assertEquals(List.of("c/9 {} 433", "c/d null 432"), visited);
@@ -49,7 +50,7 @@
     }
 
     @Test
-    void aPageTellsWhetherMoreKeysFollow() throws Json.BadMessage {
+    void aPageTellsWhetherMoreKeysFollow() throws MalformedMessageException {
         StoreResult page =
                 result(StoreOutcome.OK, "{\"items\":[{\"k\":\"c/8\",\"v\":{},\"stamp\":5}],\"truncated\":true}");
         List<String> keys = new ArrayList<>();
--- a/src/test/java/org/havenford/storage/records/TaskRangeTest.java
+++ b/src/test/java/org/havenford/storage/records/TaskRangeTest.java
@@ -11,7 +11,7 @@
 import java.time.Instant;
 import java.util.List;
 import java.util.Set;
-import org.havenford.protocol.Json;
+import org.havenford.protocol.MalformedMessageException;
 import org.junit.jupiter.api.Test;
 
 class TaskRangeTest {
@@ -157,7 +157,8 @@
                 "\"x\":\"1\"")) {
             JsonObject stored = JsonParser.parseString("{" + field + "}").getAsJsonObject();
             TaskRange fresh = new TaskRange("j-1", 0, 2);
-            Json.BadMessage error = assertThrows(Json.BadMessage.class, () -> fresh.read(stored), field);
+            MalformedMessageException error =
+                    assertThrows(MalformedMessageException.class, () -> fresh.read(stored), field);
             assertEquals(field.substring(1, 2), error.getMessage().substring(0, 1));
         }
     }
--- a/src/test/java/org/havenford/testing/QuietObservertype.java
+++ b/src/test/java/org/havenford/testing/QuietObserver.java
@@ -7,7 +7,7 @@
 import org.havenford.storage.records.MemberRegistration;
 
 /** For tests that read the ledger and need not be told of its changes. */
-public final class QuietObservertype implements ClusterState.Observer {
+public final class QuietObserver implements ClusterState.Observer {
     @Override
     public void viewChanged(ClusterView view, long modRevision) {}
 
