--- a/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
@@ -92,7 +92,7 @@
     private boolean fitsSomeMachineType(JobSpec spec) {
         for (MachineType type : context.clusterState().types().values()) {
             for (String zone : type.zones()) {
-                if (PlacementRules.machine(spec, type, zone, false).allowed()) {
+                if (PlacementRules.checkMachine(spec, type, zone, false).allowed()) {
                     return true;
                 }
             }
--- a/src/main/java/org/havenford/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/havenford/coordination/placement/PlacementRules.java
@@ -33,7 +33,7 @@
     private PlacementRules() {}
 
     /** What the job says of machines, whatever its other tasks do. */
-    public static Verdict machine(JobSpec spec, MachineType type, String zone, boolean spot) {
+    public static Verdict checkMachine(JobSpec spec, MachineType type, String zone, boolean spot) {
         if (spec.types() != null && !spec.types().contains(type.name())) {
             return Verdict.WRONG_TYPE;
         }
@@ -47,7 +47,7 @@
     }
 
     /** What the job says of zones, given its other tasks. */
-    public static Verdict zone(JobSpec spec, String zone, TaskZones others) {
+    public static Verdict checkZone(JobSpec spec, String zone, TaskZones others) {
         if (spec.together() && !others.allIn(zone)) {
             return Verdict.NOT_TOGETHER;
         }
@@ -55,13 +55,13 @@
     }
 
     /** Whether one more task may start on a machine. */
-    public static Verdict task(JobSpec spec, MachineType type, String zone, boolean spot, TaskZones others) {
-        Verdict machine = machine(spec, type, zone, spot);
-        return machine.allowed() ? zone(spec, zone, others) : machine;
+    public static Verdict checkTask(JobSpec spec, MachineType type, String zone, boolean spot, TaskZones others) {
+        Verdict machine = checkMachine(spec, type, zone, spot);
+        return machine.allowed() ? checkZone(spec, zone, others) : machine;
     }
 
     /** Whether it matters to a job where its other tasks are. */
-    public static boolean dependOnOthers(JobSpec spec) {
+    public static boolean dependsOnOtherTasks(JobSpec spec) {
         return spec.together() || spec.apart();
     }
 
--- a/src/main/java/org/havenford/coordination/provisioning/CapacityDemand.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CapacityDemand.java
@@ -129,7 +129,7 @@
     }
 
     private static boolean isAllowed(JobSpec spec, MachineType type, boolean spot) {
-        return type.zones().stream()
-                .anyMatch(zone -> PlacementRules.machine(spec, type, zone, spot).allowed());
+        return type.zones().stream().anyMatch(zone -> PlacementRules.checkMachine(spec, type, zone, spot)
+                .allowed());
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/ZoneDemand.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ZoneDemand.java
@@ -39,7 +39,8 @@
         for (MachineType type : types.values()) {
             for (boolean spot : new boolean[] {true, false}) {
                 boolean allowed = type.zones().contains(spec.zone())
-                        && PlacementRules.machine(spec, type, spec.zone(), spot).allowed();
+                        && PlacementRules.checkMachine(spec, type, spec.zone(), spot)
+                                .allowed();
                 if (allowed) {
                     offers.add(new InstanceOffer(new InstanceKind(type.name(), spot), spec.zone()));
                 }
--- a/src/main/java/org/havenford/coordination/scheduling/CandidateFinder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/CandidateFinder.java
@@ -69,7 +69,7 @@
     private static boolean isEligible(FreeCapacity capacity, JobPass pass, double contendedCpusLimit) {
         JobSpec spec = pass.spec();
         MachineRecord machine = capacity.machine;
-        if (!PlacementRules.task(spec, capacity.type, machine.zone(), machine.spot(), pass.zones())
+        if (!PlacementRules.checkTask(spec, capacity.type, machine.zone(), machine.spot(), pass.zones())
                         .allowed()
                 || !pass.mayUseZone(machine.zone())
                 || capacity.isReservedAbove(pass.priority())) {
--- a/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
@@ -48,7 +48,7 @@
         PlatformSettings.Team team = context.settings().teams().get(job.spec().team());
         boolean limited = team != null && team.limited();
         int allowed = limited ? takeQuota(draft, team, planned.size()) : planned.size();
-        if (PlacementRules.dependOnOthers(job.spec())) {
+        if (PlacementRules.dependsOnOtherTasks(job.spec())) {
             writeHeader(draft);
         }
         if (draft.locks.stream().anyMatch(context.writer()::isLocked)) {
--- a/src/main/java/org/havenford/coordination/scheduling/FreeCapacity.java
+++ b/src/main/java/org/havenford/coordination/scheduling/FreeCapacity.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Predicate;
+import org.havenford.coordination.placement.ImagePullTime;
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.MachineType;
 import org.havenford.storage.records.Claim;
@@ -15,8 +16,6 @@
 final class FreeCapacity {
     /** Amounts are decimal numbers: what differs by less than this is equal. */
     static final double EPSILON = 1e-6;
-    /** Slower image pulls are taken to have this rate, in GB a second. */
-    static final double MIN_PULL_GB_PER_SECOND = 0.01;
     /** Part of a pull that is left, on average, when another task has begun it. */
     private static final double REMAINING_PULL_FRACTION = 0.6;
 
@@ -103,7 +102,7 @@
         if (images.contains(spec.image())) {
             return 0;
         }
-        double alone = spec.imageGb() / Math.max(MIN_PULL_GB_PER_SECOND, type.imagePullGbPerSecond());
+        double alone = ImagePullTime.seconds(spec, type);
         return pulling.contains(spec.image()) ? alone * REMAINING_PULL_FRACTION : alone * (1 + pulling.size());
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/JobPacing.java
+++ b/src/main/java/org/havenford/coordination/scheduling/JobPacing.java
@@ -2,8 +2,8 @@
 
 import java.time.Duration;
 import java.time.Instant;
+import org.havenford.coordination.placement.ImagePullTime;
 import org.havenford.protocol.JobSpec;
-import org.havenford.protocol.MachineType;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.Job;
 
@@ -19,8 +19,6 @@
     private static final Duration IDLE_MACHINE_PATIENCE = Duration.ofSeconds(60);
     /** Part of a run from which on a pull counts as long. */
     private static final double LONG_PULL_OF_RUN = 0.3;
-    /** Pull rate, in GB a second, where no machine type fits. */
-    private static final double DEFAULT_PULL_GB_PER_SECOND = 1;
     /** Runs may take longer than the median by this factor. */
     private static final double RUN_MARGIN = 1.15;
     /** Runs one after the other on each machine for a job that can't be in time any more. */
@@ -57,13 +55,7 @@
         return (int) Math.ceil((job.spec().taskCount() - job.doneCount()) / runsPerMachine);
     }
 
-    /** Seconds that a machine of the fastest type that fits needs to pull the job's image. */
     private double pullSeconds(JobSpec spec) {
-        double gbPerSecond = clusterState.types().values().stream()
-                .filter(spec::fits)
-                .mapToDouble(MachineType::imagePullGbPerSecond)
-                .max()
-                .orElse(DEFAULT_PULL_GB_PER_SECOND);
-        return spec.imageGb() / Math.max(FreeCapacity.MIN_PULL_GB_PER_SECOND, gbPerSecond);
+        return ImagePullTime.fastestSeconds(spec, clusterState.types().values());
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/JobPlacer.java
@@ -114,7 +114,7 @@
                 FreeCapacity capacity = candidate.capacity();
                 boolean usable = left > 0
                         && capacity.fits(spec)
-                        && PlacementRules.zone(spec, capacity.machine.zone(), pass.zones())
+                        && PlacementRules.checkZone(spec, capacity.machine.zone(), pass.zones())
                                 .allowed();
                 if (usable) {
                     any = true;
@@ -131,7 +131,7 @@
         Map<String, Integer> slotsByZone = new HashMap<>();
         for (FreeCapacity capacity : open) {
             String zone = capacity.machine.zone();
-            boolean allowed = PlacementRules.machine(spec, capacity.type, zone, capacity.machine.spot())
+            boolean allowed = PlacementRules.checkMachine(spec, capacity.type, zone, capacity.machine.spot())
                     .allowed();
             if (allowed && capacity.fits(spec)) {
                 int slots = (int) Math.min(pending, capacity.cpus / spec.cpus() + FreeCapacity.EPSILON);
--- a/src/main/java/org/havenford/coordination/scheduling/PlacementGuard.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PlacementGuard.java
@@ -22,8 +22,9 @@
 
     /** Those of the placements of one job that keep to its constraints, beside all its claims and each other. */
     static List<Placement> permitted(Job job, List<Placement> planned, ClusterState clusterState) {
-        TaskZones zones =
-                PlacementRules.dependOnOthers(job.spec()) ? TaskZones.ofClaims(job, clusterState) : new TaskZones();
+        TaskZones zones = PlacementRules.dependsOnOtherTasks(job.spec())
+                ? TaskZones.ofClaims(job, clusterState)
+                : new TaskZones();
         List<Placement> permitted = new ArrayList<>(planned.size());
         for (Placement placement : planned) {
             MachineRecord machine = clusterState.machine(placement.machine());
@@ -33,7 +34,7 @@
                 continue;
             }
             PlacementRules.Verdict verdict =
-                    PlacementRules.task(job.spec(), type, machine.zone(), machine.spot(), zones);
+                    PlacementRules.checkTask(job.spec(), type, machine.zone(), machine.spot(), zones);
             if (verdict.allowed()) {
                 zones.add(machine.zone());
                 permitted.add(placement);
--- a/src/main/java/org/havenford/coordination/scheduling/PlanningRound.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PlanningRound.java
@@ -74,7 +74,7 @@
      * from the claims alone, a later pass would place what the passes together must not. apart-in-one-round.trace
      */
     TaskZones zonesOf(Job job, ClusterState clusterState) {
-        return PlacementRules.dependOnOthers(job.spec())
+        return PlacementRules.dependsOnOtherTasks(job.spec())
                 ? zones.computeIfAbsent(job.id(), id -> TaskZones.ofClaims(job, clusterState))
                 : ANYWHERE;
     }
--- a/src/main/java/org/havenford/coordination/scheduling/Preemption.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Preemption.java
@@ -73,7 +73,7 @@
                 return;
             }
             String zone = victims.capacity().machine.zone();
-            if (!PlacementRules.zone(pass.spec(), zone, zonesWithMade).allowed()) {
+            if (!PlacementRules.checkZone(pass.spec(), zone, zonesWithMade).allowed()) {
                 continue;
             }
             release(victims, pass.round());
@@ -89,7 +89,8 @@
                 round.preemptible.computeIfAbsent(pass.priority(), priority -> preemptible(priority, round))) {
             FreeCapacity capacity = preemptible.capacity();
             MachineRecord machine = capacity.machine;
-            boolean allowed = PlacementRules.task(spec, capacity.type, machine.zone(), machine.spot(), pass.zones())
+            boolean allowed = PlacementRules.checkTask(
+                            spec, capacity.type, machine.zone(), machine.spot(), pass.zones())
                     .allowed();
             Victims victims = allowed && pass.mayUseZone(machine.zone()) ? victims(preemptible, spec, round.now) : null;
             if (victims != null) {
@@ -116,7 +117,7 @@
         int allocated = 0;
         while (allocated < most
                 && capacity.fits(spec)
-                && PlacementRules.zone(spec, zone, zones).allowed()) {
+                && PlacementRules.checkZone(spec, zone, zones).allowed()) {
             capacity.allocate(spec);
             zones.add(zone);
             allocated++;
--- a/src/main/java/org/havenford/coordination/scheduling/TaskRangePlacer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskRangePlacer.java
@@ -102,7 +102,7 @@
     private static boolean accepts(FreeCapacity capacity, TaskId task, TaskRange taskRange, JobPass pass) {
         String machine = capacity.machine.name();
         return capacity.fits(pass.spec())
-                && PlacementRules.zone(pass.spec(), capacity.machine.zone(), pass.zones())
+                && PlacementRules.checkZone(pass.spec(), capacity.machine.zone(), pass.zones())
                         .allowed()
                 && !machine.equals(taskRange.lateOn(task.index()))
                 && !pass.round().snapshot.isAvoided(task, machine);
@@ -114,7 +114,7 @@
         String machine = capacity.machine.name();
         capacity.allocate(spec);
         capacityIndex.invalidate(machine);
-        if (PlacementRules.dependOnOthers(spec)) {
+        if (PlacementRules.dependsOnOtherTasks(spec)) {
             pass.zones().add(capacity.machine.zone());
         }
         round.plan.placements().add(new Placement(task, machine));
--- a/src/main/java/org/havenford/standby/FailoverCoordinator.java
+++ b/src/main/java/org/havenford/standby/FailoverCoordinator.java
@@ -147,14 +147,14 @@
             return;
         }
         suspicion.phase = Phase.PROBING;
-        host.probe(node, suspicion.incarnation, stamp -> {
-            if (stamp == 0) {
+        host.probe(node, suspicion.incarnation, modRevision -> {
+            if (modRevision == 0) {
                 // Another member asks, the view has changed, or the state service is out of reach.
                 suspicions.remove(node, suspicion);
                 return;
             }
             suspicion.phase = Phase.WAITING;
-            suspicion.probeRevision = stamp;
+            suspicion.probeRevision = modRevision;
             suspicion.probedAt = host.loop().now();
             host.loop().after(probeWindow.plusMillis(2), this::step);
         });
--- a/src/main/java/org/havenford/standby/Follower.java
+++ b/src/main/java/org/havenford/standby/Follower.java
@@ -116,16 +116,16 @@
         return open.size() + unknown.size();
     }
 
-    /** Newest edition at which the peer has committed something, as far as it has told. */
+    /** Newest revision at which the peer has committed something, as far as it has told. */
     long highestRevision() {
         return highestRevision;
     }
 
     /**
      * Whether a replica holds all that the peer committed under a view that has been replaced: what was guarded by the view
-     * lies before the stamp of the next one, also where the stream was cut before it told of it.
+     * lies before the revision of the next one, also where the stream was cut before it told of it.
      */
-    boolean hasSeenAll(long replicaEdition, long nextViewStamp) {
-        return replicaEdition >= Math.max(nextViewStamp, highestRevision);
+    boolean hasSeenAll(long replicaRevision, long nextViewRevision) {
+        return replicaRevision >= Math.max(nextViewRevision, highestRevision);
     }
 }
--- a/src/main/java/org/havenford/standby/PeerLink.java
+++ b/src/main/java/org/havenford/standby/PeerLink.java
@@ -128,7 +128,7 @@
     }
 
     private void dialFailed(String reason) {
-        LOG.debug("{} can't be dialed: {}", peer.node(), reason);
+        LOG.debug("peer cannot be dialed: peer={} reason={}", peer.node(), reason);
         if (connection == null) {
             refused = true;
             changed.run();
@@ -205,13 +205,13 @@
     }
 
     private void fail(String reason) {
-        LOG.warn("the connection to {} is closed: {}", peer.node(), reason);
+        LOG.warn("peer connection closed: peer={} reason={}", peer.node(), reason);
         connection.close();
         disconnected(reason);
     }
 
     private void disconnected(String reason) {
-        LOG.debug("no connection to {} any more: {}", peer.node(), reason);
+        LOG.debug("peer connection lost: peer={} reason={}", peer.node(), reason);
         connection = null;
         previousFollower = follower;
         disconnectedAt = host.loop().now();
--- a/src/main/java/org/havenford/standby/PeerMessage.java
+++ b/src/main/java/org/havenford/standby/PeerMessage.java
@@ -23,7 +23,7 @@
     /** A transaction on these keys is about to be sent to the state service. */
     record Intent(long number, List<String> keys) implements PeerMessage {}
 
-    /** How a transaction ended; the edition is 0 unless it was committed. */
+    /** How a transaction ended; the revision is 0 unless it was committed. */
     record Outcome(long number, boolean known, long revision) implements PeerMessage {}
 
     /** Can the receiver reach this incarnation of a node? */
--- a/src/main/java/org/havenford/standby/WarmStandby.java
+++ b/src/main/java/org/havenford/standby/WarmStandby.java
@@ -141,12 +141,12 @@
         for (PeerLink link : links.values()) {
             bytes += link.takeBytesSent();
             Follower follower = link.follower();
-            states.add(link.name() + (link.connected() ? " connected" : " not connected")
-                    + ", machines " + follower.machines().size()
-                    + ", open decisions " + follower.openDecisions()
-                    + ", editions behind " + Math.max(0, follower.highestRevision() - host.replicaRevision()));
+            states.add("peer=" + link.name() + " connected=" + link.connected()
+                    + " machines=" + follower.machines().size()
+                    + " openDecisions=" + follower.openDecisions()
+                    + " revisionsBehind=" + Math.max(0, follower.highestRevision() - host.replicaRevision()));
         }
-        LOG.info("standby: {}; {} decisions and {} bytes sent", states, decisions.takeCount(), bytes);
+        LOG.info("standby: peers={} decisions={} bytesSent={}", states, decisions.takeCount(), bytes);
     }
 
     // ---- what the host tells
@@ -166,10 +166,10 @@
     }
 
     @Override
-    public void finished(long number, StoreOutcome outcome, long edition) {
+    public void finished(long number, StoreOutcome outcome, long revision) {
         decisions.end(number);
         boolean known = outcome != StoreOutcome.UNKNOWN;
-        links.values().forEach(link -> link.send(new Outcome(number, known, edition)));
+        links.values().forEach(link -> link.send(new Outcome(number, known, revision)));
     }
 
     @Override
--- a/src/main/java/org/havenford/storage/ClusterState.java
+++ b/src/main/java/org/havenford/storage/ClusterState.java
@@ -201,7 +201,7 @@
         try {
             apply(key, value == null ? null : value.getAsJsonObject(), modRevision);
         } catch (MalformedMessageException | IllegalStateException | IllegalArgumentException e) {
-            LOG.error("the value of {} can't be read: {}", key, e.getMessage());
+            LOG.error("stored value cannot be read: key={} error={}", key, e.getMessage());
         }
     }
 
--- a/src/main/java/org/havenford/transport/HttpClient.java
+++ b/src/main/java/org/havenford/transport/HttpClient.java
@@ -210,7 +210,7 @@
 
         private void fail(String why) {
             if (!finished) {
-                LOG.debug("{} {}{} failed: {}", method, address, path, why);
+                LOG.debug("request failed: method={} address={} path={} reason={}", method, address, path, why);
                 finish(new Reply(sent ? NO_ANSWER : NOT_SENT, ""), false);
             }
         }
@@ -232,7 +232,7 @@
             try {
                 done.accept(reply);
             } catch (RuntimeException e) {
-                LOG.error("handling the answer to {} {} failed", method, path, e);
+                LOG.error("response handler failed: method={} path={}", method, path, e);
             }
         }
     }
--- a/src/main/java/org/havenford/transport/HttpServer.java
+++ b/src/main/java/org/havenford/transport/HttpServer.java
@@ -102,7 +102,7 @@
         try {
             handler.handle(request, response -> answer(exchange, response));
         } catch (RuntimeException e) {
-            LOG.error("{} {} failed", request.method(), request.path(), e);
+            LOG.error("request handler failed: method={} path={}", request.method(), request.path(), e);
             answer(exchange, Response.comeBack(Duration.ofSeconds(1)));
         }
     }
--- a/src/main/java/org/havenford/transport/XnioLoop.java
+++ b/src/main/java/org/havenford/transport/XnioLoop.java
@@ -54,7 +54,7 @@
             try {
                 task.run();
             } catch (RuntimeException | StackOverflowError e) {
-                LOG.error("a task of the event loop failed", e);
+                LOG.error("event loop task failed", e);
             }
         };
     }
--- a/src/main/java/org/havenford/transport/XnioPeerNetwork.java
+++ b/src/main/java/org/havenford/transport/XnioPeerNetwork.java
@@ -47,7 +47,7 @@
                     accepted.accept(new XnioConnection(c));
                 }
             } catch (IOException e) {
-                LOG.debug("a connection of a peer could not be accepted: {}", e.getMessage());
+                LOG.debug("peer connection cannot be accepted: error={}", e.getMessage());
             }
         };
         try {
@@ -67,40 +67,56 @@
             loop.after(Duration.ZERO, () -> failed.accept("not an address: " + address));
             return;
         }
-        boolean[] over = {false};
-        IoFuture<StreamConnection> future = loop.thread()
-                .openStreamConnection(
-                        target,
-                        opened -> {
-                            if (over[0]) {
-                                IoUtils.safeClose(opened);
-                            } else {
-                                over[0] = true;
-                                connected.accept(new XnioConnection(opened));
-                            }
-                        },
-                        SOCKET_OPTIONS);
-        Consumer<String> failOnce = reason -> {
-            if (!over[0]) {
-                over[0] = true;
-                failed.accept(reason);
+        new ConnectionAttempt(connected, failed).start(target, timeout);
+    }
+
+    /** One attempt to connect, which tells its outcome once. */
+    private final class ConnectionAttempt {
+        private final Consumer<Connection> connected;
+        private final Consumer<String> failed;
+        private boolean over;
+
+        ConnectionAttempt(Consumer<Connection> connected, Consumer<String> failed) {
+            this.connected = connected;
+            this.failed = failed;
+        }
+
+        void start(InetSocketAddress target, Duration timeout) {
+            IoFuture<StreamConnection> future =
+                    loop.thread().openStreamConnection(target, this::opened, SOCKET_OPTIONS);
+            // A failure is told by the future, possibly before this line: only the loop's thread decides which came
+            // first.
+            future.addNotifier(
+                    (result, ignored) -> {
+                        if (result.getStatus() == IoFuture.Status.FAILED) {
+                            String reason = result.getException().getMessage();
+                            loop.after(Duration.ZERO, () -> fail(reason));
+                        }
+                    },
+                    null);
+            loop.after(timeout, () -> {
+                if (!over) {
+                    future.cancel();
+                    fail("no answer in time");
+                }
+            });
+        }
+
+        private void opened(StreamConnection stream) {
+            if (over) {
+                IoUtils.safeClose(stream);
+            } else {
+                over = true;
+                connected.accept(new XnioConnection(stream));
             }
-        };
-        // A failure is told by the future, possibly before this line: only the loop's thread decides which came first.
-        future.addNotifier(
-                (result, ignored) -> {
-                    if (result.getStatus() == IoFuture.Status.FAILED) {
-                        String reason = result.getException().getMessage();
-                        loop.after(Duration.ZERO, () -> failOnce.accept(reason));
-                    }
-                },
-                null);
-        loop.after(timeout, () -> {
-            if (!over[0]) {
-                future.cancel();
-                failOnce.accept("no answer in time");
+        }
+
+        private void fail(String reason) {
+            if (!over) {
+                over = true;
+                failed.accept(reason);
             }
-        });
+        }
     }
 
     /** Addresses are numbers: nothing is looked up. */
@@ -147,7 +163,7 @@
             } catch (IOException e) {
                 end(String.valueOf(e.getMessage()));
             } catch (RuntimeException e) {
-                LOG.error("what a peer sent could not be handled", e);
+                LOG.error("peer message handler failed", e);
                 end("an error");
             }
         }
--- a/src/test/java/org/havenford/coordination/placement/PlacementRulesTest.java
+++ b/src/test/java/org/havenford/coordination/placement/PlacementRulesTest.java
@@ -52,7 +52,7 @@
     }
 
     private static Verdict check(JobSpec spec, MachineType type, String zone, boolean spot, String... others) {
-        return PlacementRules.task(spec, type, zone, spot, in(others));
+        return PlacementRules.checkTask(spec, type, zone, spot, in(others));
     }
 
     @Test
--- a/src/test/java/org/havenford/standby/FailoverCoordinatorTest.java
+++ b/src/test/java/org/havenford/standby/FailoverCoordinatorTest.java
@@ -16,7 +16,7 @@
 import org.havenford.storage.records.ClusterView;
 import org.junit.jupiter.api.Test;
 
-/** From a attempt to a verdict: whom it takes, and what happens when the view changes on the way. */
+/** From a suspicion to a verdict: whom it takes, and what happens when the view changes on the way. */
 class FailoverCoordinatorTest {
     private static final long INCARNATION = 7;
     private static final Duration WINDOW = Duration.ofMillis(500);
