--- a/src/test/java/org/havenford/coordination/monitoring/LinkMonitorTest.java
+++ b/src/test/java/org/havenford/coordination/monitoring/LinkMonitorTest.java
@@ -38,7 +38,7 @@
 
     private void callForSeconds(String address, int seconds) {
         for (int i = 0; i < seconds; i++) {
-            loop.pass(1);
+            loop.advance(Duration.ofSeconds(1));
             call(address);
         }
     }
@@ -74,7 +74,7 @@
     void noAgentSendsHeartbeats() {
         links.heartbeatArrived();
         for (int i = 0; i < 40; i++) {
-            loop.pass(0.25);
+            loop.advance(Duration.ofMillis(250));
             links.step(true);
         }
         assertTrue(links.isLost(LinkMonitor.Link.AGENTS));
@@ -86,7 +86,7 @@
     @Test
     void noHeartbeatsAreExpected() {
         for (int i = 0; i < 40; i++) {
-            loop.pass(0.25);
+            loop.advance(Duration.ofMillis(250));
             links.step(false);
         }
         assertFalse(links.isLost(LinkMonitor.Link.AGENTS));
@@ -97,7 +97,7 @@
     void aPauseLosesNoLink() {
         links.heartbeatArrived();
         call("s:1");
-        loop.pass(40);
+        loop.advance(Duration.ofSeconds(40));
         links.processPaused(Duration.ofSeconds(40));
         links.step(true);
         status = HttpCalls.NO_ANSWER;
--- a/src/test/java/org/havenford/coordination/monitoring/ProcessPauseDetectorTest.java
+++ b/src/test/java/org/havenford/coordination/monitoring/ProcessPauseDetectorTest.java
@@ -15,7 +15,7 @@
     private final List<String> happened = new ArrayList<>();
     private final List<HttpCalls.Reply> replies = new ArrayList<>();
     private final HttpCalls calls = (address, method, path, body, timeout, done) ->
-            loop.timers.add(() -> done.accept(new HttpCalls.Reply(200, "")));
+            loop.after(Duration.ZERO, () -> done.accept(new HttpCalls.Reply(200, "")));
     private final ProcessPauseDetector detector =
             new ProcessPauseDetector(loop, calls, pause -> happened.add("pause " + pause.toMillis()));
 
@@ -23,8 +23,8 @@
     void aTimerAfterAPause() {
         detector.eventStarted();
         detector.after(Duration.ofMillis(250), () -> happened.add("timer"));
-        loop.pass(13);
-        loop.timers.get(0).run();
+        loop.advance(Duration.ofSeconds(13));
+        loop.runNextTimer();
         assertEquals(List.of("pause 13000", "timer"), happened);
     }
 
@@ -32,8 +32,8 @@
     void aReplyAfterAPause() {
         detector.eventStarted();
         detector.call("state:1", "GET", "/", null, Duration.ofSeconds(2), replies::add);
-        loop.pass(2);
-        loop.timers.get(0).run();
+        loop.advance(Duration.ofSeconds(2));
+        loop.runNextTimer();
         assertEquals(List.of("pause 2000"), happened);
         assertEquals(1, replies.size());
     }
@@ -42,7 +42,7 @@
     void aBusyLoopIsNoPause() {
         for (int i = 0; i < 20; i++) {
             detector.eventStarted();
-            loop.pass(1.9);
+            loop.advance(Duration.ofMillis(1900));
         }
         detector.eventStarted();
         assertEquals(List.of(), happened);
@@ -51,9 +51,9 @@
     @Test
     void twoPausesInARow() {
         detector.eventStarted();
-        loop.pass(40);
+        loop.advance(Duration.ofSeconds(40));
         detector.eventStarted();
-        loop.pass(5);
+        loop.advance(Duration.ofSeconds(5));
         detector.eventStarted();
         assertEquals(List.of("pause 40000", "pause 5000"), happened);
     }
--- a/src/test/java/org/havenford/standby/FailoverCoordinatorTest.java
+++ b/src/test/java/org/havenford/standby/FailoverCoordinatorTest.java
@@ -86,7 +86,7 @@
     }
 
     private void windowPasses() {
-        host.pass(WINDOW.plusMillis(10));
+        host.loop.advance(WINDOW.plusMillis(10));
         failoverCoordinator.step();
     }
 
--- a/src/test/java/org/havenford/standby/FakeHost.java
+++ b/src/test/java/org/havenford/standby/FakeHost.java
@@ -1,6 +1,5 @@
 package org.havenford.standby;
 
-import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
 import java.util.function.Consumer;
@@ -8,32 +7,16 @@
 import org.havenford.coordination.agents.AgentContact;
 import org.havenford.coordination.failover.StandbyHost;
 import org.havenford.storage.records.ClusterView;
+import org.havenford.testing.ManualLoop;
 import org.havenford.transport.EventLoop;
 
-/** A controller that stands still in time until told otherwise, and forgets timers. */
-class FakeHost implements StandbyHost, EventLoop {
-    private Instant now = Instant.EPOCH;
-
-    void pass(Duration time) {
-        now = now.plus(time);
-    }
-
-    @Override
-    public Instant now() {
-        return now;
-    }
-
-    @Override
-    public Instant timeOfDay() {
-        return now;
-    }
-
-    @Override
-    public void after(Duration delay, Runnable task) {}
+/** A controller whose clock stands still until a test moves it, and none of whose timers ever run. */
+class FakeHost implements StandbyHost {
+    final ManualLoop loop = new ManualLoop(Instant.EPOCH);
 
     @Override
     public EventLoop loop() {
-        return this;
+        return loop;
     }
 
     @Override
--- a/src/test/java/org/havenford/standby/PeerLinkTest.java
+++ b/src/test/java/org/havenford/standby/PeerLinkTest.java
@@ -121,7 +121,7 @@
     void silenceIsSuspectedAndForgivenAfterAPauseOfOurOwn() {
         connected();
         assertFalse(link.suspects(5));
-        host.pass(Duration.ofMillis(900));
+        host.loop.advance(Duration.ofMillis(900));
         assertTrue(link.suspects(5));
         link.forgiveSilence();
         assertFalse(link.suspects(5));
@@ -149,7 +149,7 @@
     void aPeerThatDoesNotTakeWhatItIsSentLosesTheConnection() {
         FakeConnection connection = connected();
         connection.pending = StandbySettings.OFF.bufferBytes() + 1;
-        host.pass(Duration.ofMillis(200));
+        host.loop.advance(Duration.ofMillis(200));
         link.heartbeat();
         assertTrue(connection.closed);
     }
--- a/src/test/java/org/havenford/storage/StoreClientTest.java
+++ b/src/test/java/org/havenford/storage/StoreClientTest.java
@@ -6,49 +6,15 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.List;
-import java.util.PriorityQueue;
 import java.util.function.Consumer;
-import org.havenford.transport.EventLoop;
+import org.havenford.testing.ManualLoop;
 import org.havenford.transport.HttpCalls;
 import org.junit.jupiter.api.Test;
 
 /** How calls wait for their turn at the state service. */
 class StoreClientTest {
-    private record Timer(Instant at, Runnable task) {}
-
-    private static final class Loop implements EventLoop {
-        private Instant now = Instant.EPOCH;
-        private final PriorityQueue<Timer> timers = new PriorityQueue<>(Comparator.comparing(Timer::at));
-
-        @Override
-        public Instant now() {
-            return now;
-        }
-
-        @Override
-        public Instant timeOfDay() {
-            return now;
-        }
-
-        @Override
-        public void after(Duration delay, Runnable task) {
-            timers.add(new Timer(now.plus(delay), task));
-        }
-
-        void run(Duration time) {
-            Instant end = now.plus(time);
-            while (!timers.isEmpty() && !timers.peek().at().isAfter(end)) {
-                Timer t = timers.poll();
-                now = t.at();
-                t.task().run();
-            }
-            now = end;
-        }
-    }
-
-    private final Loop loop = new Loop();
+    private final ManualLoop loop = new ManualLoop(Instant.EPOCH);
     private final List<String> sent = new ArrayList<>();
     /** Answers every call at once. */
     private final HttpCalls calls = new HttpCalls() {
@@ -81,7 +47,7 @@
         store.commit(changes(1), CallPriority.CLAIM, result -> outcomes.add(result.outcome()));
         assertEquals(List.of(StoreOutcome.OK), outcomes, "the others wait for the limit");
         current[0] = false;
-        loop.run(Duration.ofSeconds(3));
+        loop.runFor(Duration.ofSeconds(3));
         assertEquals(List.of(StoreOutcome.OK, StoreOutcome.STALE, StoreOutcome.OK), outcomes);
         assertEquals(2, sent.size());
     }
--- a/src/test/java/org/havenford/testing/ManualLoop.java
+++ b/src/test/java/org/havenford/testing/ManualLoop.java
@@ -2,14 +2,29 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import java.util.ArrayList;
-import java.util.List;
+import java.util.Comparator;
+import java.util.PriorityQueue;
 import org.havenford.transport.EventLoop;
 
-/** A loop whose clock a test moves, and whose timers it runs. */
+/** An event loop whose clock stands still until a test moves it, and whose timers run only when the test says so. */
 public final class ManualLoop implements EventLoop {
-    Instant now = Instant.ofEpochSecond(1_700_000_000L);
-    public final List<Runnable> timers = new ArrayList<>();
+    private static final Instant DEFAULT_START = Instant.ofEpochSecond(1_700_000_000L);
+
+    /** A task and when it is due. Tasks that are due at the same time run in the order in which they were scheduled. */
+    private record Timer(Instant due, long sequence, Runnable task) {}
+
+    private final PriorityQueue<Timer> timers =
+            new PriorityQueue<>(Comparator.comparing(Timer::due).thenComparingLong(Timer::sequence));
+    private Instant now;
+    private long timersScheduled;
+
+    public ManualLoop() {
+        this(DEFAULT_START);
+    }
+
+    public ManualLoop(Instant start) {
+        now = start;
+    }
 
     @Override
     public Instant now() {
@@ -23,11 +38,27 @@
 
     @Override
     public void after(Duration delay, Runnable task) {
-        timers.add(task);
+        timers.add(new Timer(now.plus(delay), timersScheduled++, task));
+    }
+
+    /** Moves the clock without running any timer, as when the process is paused. */
+    public void advance(Duration time) {
+        now = now.plus(time);
+    }
+
+    /** Moves the clock and runs each timer that becomes due meanwhile, at the time when it is due. */
+    public void runFor(Duration time) {
+        Instant end = now.plus(time);
+        while (!timers.isEmpty() && !timers.peek().due().isAfter(end)) {
+            Timer timer = timers.remove();
+            now = timer.due();
+            timer.task().run();
+        }
+        now = end;
     }
 
-    /** Lets time pass and runs what is due meanwhile. */
-    public void pass(double seconds) {
-        now = now.plusMillis((long) (seconds * 1000));
+    /** Runs the timer that is due first, without moving the clock. */
+    public void runNextTimer() {
+        timers.remove().task().run();
     }
 }
