--- a/src/test/java/org/havenford/testing/ManualLoop.java
+++ b/src/test/java/org/havenford/testing/ManualLoop.java
@@ -18,10 +18,12 @@
     private Instant now;
     private long timersScheduled;
 
+    /** Starts the clock at a fixed moment of the year 2023. */
     public ManualLoop() {
         this(DEFAULT_START);
     }
 
+    /** Starts the clock at {@code start}. */
     public ManualLoop(Instant start) {
         now = start;
     }
