--- a/src/test/java/org/havenford/simulator/FailoverMeasurement.java
+++ b/src/test/java/org/havenford/simulator/FailoverMeasurement.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Not part of the build, since times depend on the machine: {@code mvn test -Dtest=TakeoverMeasurement}. */
+/** Not part of the build, since times depend on the machine: {@code mvn test -Dtest=FailoverMeasurement}. */
 class FailoverMeasurement {
     private static final int KILLS_OF_A_WORLD = 3;
 
