--- a/src/test/java/org/havenford/simulator/SimulatedStore.java
+++ b/src/test/java/org/havenford/simulator/SimulatedStore.java
@@ -5,60 +5,56 @@
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.time.Duration;
-import java.time.Instant;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalLong;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.havenford.transport.HttpCalls.Reply;
 
-/** A stand-in for the state service. */
+/** A stand-in for the state service: a key-value store with transactions, leases, watches and limits. */
 final class SimulatedStore implements ClusterSimulator.Server {
-    private record Value(JsonElement v, long stamp, long permit) {}
+    private static final String CHANGES_PATH = "/changes";
+    private static final String TRANSACTION_PATH = "/multi";
+    private static final String LEASES_PATH = "/holds";
+    private static final String VALUE_PATH = "/store/";
+    private static final String BATCH_PREFIX = "live/machine/";
+    private static final String MEMBER_PREFIX = "live/member/";
+    /** Small, so that even a small cluster has pages. */
+    private static final int DEFAULT_PAGE_SIZE = 7;
 
-    private record Change(long stamp, String key, JsonElement v) {}
+    private static final int DEFAULT_MAX_OPERATIONS = 12;
 
-    private record Watcher(String prefix, long since, Consumer<Reply> answer) {}
+    /** A stored value, the revision at which it was written and the lease that it is bound to, if any. */
+    record StoredValue(JsonElement json, long revision, OptionalLong lease) {}
 
-    private static final class Lease {
-        Duration life;
-        Instant until;
-    }
-
-    private final ClusterSimulator world;
-    final TreeMap<String, Value> values = new TreeMap<>();
-    private final List<Change> changes = new ArrayList<>();
-    /** How many changes the service keeps: a watch that begins before them is answered 410. */
-    int keptChanges = 10_000;
-
-    private long forgottenUpTo;
-    private final Map<Long, Lease> leases = new HashMap<>();
-    private final List<Watcher> watchers = new ArrayList<>();
-    private long edition = 1;
-    private Instant refilled;
-    private final double[] requestTokens = new double[1];
-    private final double[] changeTokens = new double[1];
-    /** What the service has been asked, and what it refused for its limits. */
+    private final ClusterSimulator simulator;
+    private final StoreLeases leases;
+    private final StoreRateLimiter rateLimiter;
+    final StoreWatches watches;
+    final TreeMap<String, StoredValue> values = new TreeMap<>();
+    private long revision = 1;
+    /** Requests that the service has accepted, and the writes in them. */
     int requests;
 
     int written;
+    /** Requests that the service refused for its rate limits. */
+    int refused;
+    /** Transactions of which a condition failed. */
     int conflicts;
     /** Members that were taken out of the view before their lease had ended. */
     int evictions;
-
-    int refused;
     /** Changes made, and keys of conditions that failed, by the first two parts of the key. */
     final TreeMap<String, Integer> changesOf = new TreeMap<>();
 
     final TreeMap<String, Integer> conflictsOf = new TreeMap<>();
-    private long lastLease;
+    /** Whether the service answers nothing but 503. */
     boolean outage;
-    /** Small, so that even a small world has pages. */
-    int pageSize = 7;
+
+    int pageSize = DEFAULT_PAGE_SIZE;
     /** Transactions that are answered with nothing, and applied this much later. */
     Duration lateTxn;
 
@@ -67,344 +63,269 @@
     int lostAnswers;
 
     /** Limits, which may be lowered without notice. */
-    int valueBytes;
+    private int valueBytes;
 
-    int txnOps = 12;
-    double writeRps;
+    private int maxOperations = DEFAULT_MAX_OPERATIONS;
+    private double changesPerSecond;
     /** Whether a value beyond the limit is answered with 400 and counted; else it fails the test. */
     boolean refusesTooLarge;
 
     int tooLarge;
-    /** Watches that were answered 410. */
-    int tooOld;
 
-    void lower() {
-        valueBytes = world.template.valueBytes();
-        txnOps = world.template.maxTransactionOperations();
-        writeRps = world.template.nextStoreChangesPerSecond();
+    SimulatedStore(ClusterSimulator simulator) {
+        this.simulator = simulator;
+        this.leases = new StoreLeases(simulator, () -> outage, this::deleteValuesOf);
+        this.rateLimiter = new StoreRateLimiter(simulator);
+        this.watches = new StoreWatches(simulator, () -> outage, () -> revision);
+        this.valueBytes = simulator.template.presentValueBytes();
+        this.changesPerSecond = simulator.template.storeChangesPerSecond();
     }
 
-    SimulatedStore(ClusterSimulator world) {
-        this.world = world;
-        this.valueBytes = world.template.presentValueBytes();
-        this.writeRps = world.template.storeChangesPerSecond();
+    /** Lowers the limits to those that the deployment announces as the next ones. */
+    void lower() {
+        valueBytes = simulator.template.valueBytes();
+        maxOperations = simulator.template.maxTransactionOperations();
+        changesPerSecond = simulator.template.nextStoreChangesPerSecond();
     }
 
-    /** Whether a text stands in any value of the keys with a prefix. */
+    /** Whether any value whose key has a prefix contains a text. */
     boolean holds(String prefix, String text) {
         return values.entrySet().stream()
-                .anyMatch(e -> e.getKey().startsWith(prefix)
-                        && value(e.getKey()).toString().contains(text));
+                .anyMatch(entry -> entry.getKey().startsWith(prefix)
+                        && entry.getValue().json.toString().contains(text));
     }
 
+    /** The value of a key, or null. */
     JsonElement value(String key) {
-        Value v = values.get(key);
-        return v == null ? null : v.v;
+        StoredValue value = values.get(key);
+        return value == null ? null : value.json;
     }
 
-    /** The record of the batch that a machine is in says another zone from now on: not a trouble but a fault of whoever wrote it. */
+    /** The record of the batch that a machine is in names another zone from now on: not a fault of the network, but of the writer. */
     void forgeZone(String machine, String zone) {
-        for (Map.Entry<String, Value> e : List.copyOf(values.entrySet())) {
-            if (e.getKey().startsWith("live/machine/")
-                    && e.getValue().v.getAsJsonObject().getAsJsonObject("m").has(machine)) {
-                JsonObject batch = e.getValue().v.getAsJsonObject().deepCopy();
+        for (Map.Entry<String, StoredValue> entry : List.copyOf(values.entrySet())) {
+            if (entry.getKey().startsWith(BATCH_PREFIX)
+                    && entry.getValue()
+                            .json
+                            .getAsJsonObject()
+                            .getAsJsonObject("m")
+                            .has(machine)) {
+                JsonObject batch = entry.getValue().json.getAsJsonObject().deepCopy();
                 batch.addProperty("z", zone);
-                edition++;
-                values.put(e.getKey(), new Value(batch, edition, 0));
-                changes.add(new Change(edition, e.getKey(), batch));
+                revision++;
+                set(entry.getKey(), batch, OptionalLong.empty());
             }
         }
-        notifyWatchers();
+        watches.notifyWatches();
     }
 
+    /** The service is available again; all leases start anew. */
     void endOutage() {
         outage = false;
-        leases.values().forEach(l -> l.until = world.now.plus(l.life));
-        leases.keySet().forEach(this::expireLater);
-        notifyWatchers();
+        leases.renewAll();
+        watches.notifyWatches();
     }
 
-    private void expireLater(long id) {
-        Lease l = leases.get(id);
-        world.after(Duration.between(world.now, l.until).plusMillis(20), () -> {
-            if (leases.get(id) == l && !outage && !world.now.isBefore(l.until)) {
-                leases.remove(id);
-                List<String> gone = values.entrySet().stream()
-                        .filter(e -> e.getValue().permit == id)
-                        .map(Map.Entry::getKey)
-                        .toList();
-                if (!gone.isEmpty()) {
-                    edition++;
-                    gone.forEach(k -> {
-                        values.remove(k);
-                        changes.add(new Change(edition, k, null));
-                    });
-                    notifyWatchers();
-                }
-            }
-        });
+    private void set(String key, JsonElement value, OptionalLong lease) {
+        values.put(key, new StoredValue(value, revision, lease));
+        watches.recordSet(key, value);
     }
 
-    /** Takes from a limit that allows bursts of one second's worth. */
-    private boolean within(double[] bucket, double rate, double n) {
-        bucket[0] = Math.min(
-                rate, bucket[0] + rate * Duration.between(refilled, world.now).toNanos() / 1e9);
-        if (bucket[0] < n) {
-            return false;
-        }
-        bucket[0] -= n;
-        return true;
+    private void delete(String key) {
+        values.remove(key);
+        watches.recordDelete(key);
     }
 
-    private boolean allowed(String path, String body) {
-        if (refilled == null) {
-            refilled = world.now;
-            requestTokens[0] = world.template.storeRequestsPerSecond();
-            changeTokens[0] = writeRps;
+    /** Deletes all keys that are bound to a lease. */
+    private void deleteValuesOf(long lease) {
+        OptionalLong expired = OptionalLong.of(lease);
+        List<String> keys = values.entrySet().stream()
+                .filter(entry -> entry.getValue().lease.equals(expired))
+                .map(Map.Entry::getKey)
+                .toList();
+        if (!keys.isEmpty()) {
+            revision++;
+            keys.forEach(this::delete);
+            watches.notifyWatches();
         }
-        int writes = path.equals("/multi")
-                ? JsonParser.parseString(body)
-                        .getAsJsonObject()
-                        .getAsJsonArray("writes")
-                        .size()
-                : 0;
-        @SuppressWarnings("ShortCircuitBoolean") // Both buckets are charged.
-        boolean ok = within(requestTokens, world.template.storeRequestsPerSecond(), 1)
-                & within(changeTokens, writeRps, writes);
-        refilled = world.now;
-        if (ok) {
+    }
+
+    private boolean admits(String path, String body) {
+        int writes = path.equals(TRANSACTION_PATH) ? StoreTransaction.countWrites(body) : 0;
+        boolean admitted = rateLimiter.admits(simulator.template.storeRequestsPerSecond(), changesPerSecond, writes);
+        if (admitted) {
             requests++;
             written += writes;
         } else {
             refused++;
         }
-        return ok;
+        return admitted;
     }
 
     @Override
     public void request(String method, String path, String body, Consumer<Reply> answer) {
-        if (!outage && !allowed(path, body)) {
+        if (!outage && !admits(path, body)) {
             answer.accept(new Reply(429, "{\"error\":\"too many\"}"));
-            return;
+        } else if (path.startsWith(CHANGES_PATH)) {
+            Map<String, String> query = query(path);
+            watches.open(
+                    new StoreWatches.Watch(query.get("prefix"), Long.parseLong(query.get("since")), answer),
+                    Long.parseLong(query.getOrDefault("blockMs", "0")));
+        } else if (outage) {
+            answer.accept(new Reply(503, "{\"error\":\"trouble\"}"));
+        } else if (path.equals(TRANSACTION_PATH)) {
+            transaction(body, answer);
+        } else if (path.startsWith(LEASES_PATH)) {
+            answer.accept(leaseRequest(method, path, body));
+        } else if (path.startsWith(VALUE_PATH)) {
+            answer.accept(read(path.substring(VALUE_PATH.length())));
+        } else {
+            answer.accept(list(query(path)));
         }
-        if (path.startsWith("/changes")) {
-            Map<String, String> q = query(path);
-            Watcher w = new Watcher(q.get("prefix"), Long.parseLong(q.get("since")), answer);
-            long block = Long.parseLong(q.getOrDefault("blockMs", "0"));
-            if (!tell(w, block == 0 && !outage)) {
-                watchers.add(w);
-                world.after(Duration.ofMillis(Math.max(1, block)), () -> {
-                    if (!outage && watchers.remove(w)) {
-                        tell(w, true);
-                    }
-                });
-            }
-            return;
+    }
+
+    private void transaction(String body, Consumer<Reply> answer) {
+        if (lostAnswers > 0) {
+            lostAnswers--;
+            apply(StoreTransaction.parse(body));
+        } else if (lateTxns > 0) {
+            // Given up on by its sender, applied all the same.
+            lateTxns--;
+            simulator.after(lateTxn, () -> apply(StoreTransaction.parse(body)));
+        } else {
+            answer.accept(apply(StoreTransaction.parse(body)));
         }
-        if (outage) {
-            answer.accept(new Reply(503, "{\"error\":\"trouble\"}"));
-        } else if (path.equals("/multi")) {
-            if (lostAnswers > 0) {
-                lostAnswers--;
-                txn(body);
-            } else if (lateTxns > 0) {
-                // Given up on by its sender, applied all the same.
-                lateTxns--;
-                world.after(lateTxn, () -> txn(body));
-            } else {
-                answer.accept(txn(body));
-            }
-        } else if (path.equals("/holds")) {
-            Lease l = new Lease();
-            l.life = Duration.ofMillis(
-                    JsonParser.parseString(body).getAsJsonObject().get("lifeMs").getAsLong());
-            l.until = world.now.plus(l.life);
-            leases.put(++lastLease, l);
-            expireLater(lastLease);
-            answer.accept(new Reply(200, "{\"permit\":" + lastLease + "}"));
-        } else if (path.endsWith("/touch")) {
-            long id = Long.parseLong(path.split("/")[2]);
-            Lease l = leases.get(id);
-            if (l == null) {
-                answer.accept(new Reply(404, "{}"));
-            } else {
-                l.until = world.now.plus(l.life);
-                expireLater(id);
-                answer.accept(new Reply(200, "{}"));
-            }
-        } else if (method.equals("DELETE") && path.startsWith("/holds/")) {
-            Lease l = leases.get(Long.parseLong(path.split("/")[2]));
-            if (l != null) {
-                l.until = world.now;
-                expireLater(Long.parseLong(path.split("/")[2]));
-            }
-            answer.accept(new Reply(l == null ? 404 : 200, "{}"));
-        } else if (path.startsWith("/store/")) {
-            String key = path.substring("/store/".length());
-            Value v = values.get(key);
-            answer.accept(
-                    v == null
-                            ? new Reply(404, "{\"edition\":" + edition + "}")
-                            : new Reply(200, item(key, v).toString()));
+    }
+
+    private Reply leaseRequest(String method, String path, String body) {
+        if (path.equals(LEASES_PATH)) {
+            JsonObject json = JsonParser.parseString(body).getAsJsonObject();
+            long id = leases.grant(Duration.ofMillis(json.get("lifeMs").getAsLong()));
+            return new Reply(200, "{\"permit\":" + id + "}");
+        }
+        long id = Long.parseLong(path.split("/")[2]);
+        boolean known;
+        if (path.endsWith("/touch")) {
+            known = leases.renew(id);
+        } else if (method.equals("DELETE")) {
+            known = leases.release(id);
         } else {
-            Map<String, String> q = query(path);
-            JsonArray items = new JsonArray();
-            boolean more = false;
-            for (Map.Entry<String, Value> e :
-                    values.tailMap(q.getOrDefault("since", ""), false).entrySet()) {
-                if (e.getKey().startsWith(q.get("prefix"))) {
-                    if (items.size() >= pageSize) {
-                        more = true;
-                        break;
-                    }
-                    items.add(item(e.getKey(), e.getValue()));
-                }
-            }
-            JsonObject json = new JsonObject();
-            json.add("items", items);
-            json.addProperty("truncated", more);
-            json.addProperty("edition", edition);
-            answer.accept(new Reply(200, json.toString()));
+            throw new AssertionError("a request that the protocol does not have: " + method + " " + path);
         }
+        return new Reply(known ? 200 : 404, "{}");
     }
 
-    private static String kind(String key) {
-        String[] parts = key.split("/");
-        return key.startsWith("live/") && parts.length > 1 ? parts[0] + "/" + parts[1] : parts[0];
+    private Reply read(String key) {
+        StoredValue value = values.get(key);
+        return value == null
+                ? new Reply(404, "{\"edition\":" + revision + "}")
+                : new Reply(200, item(key, value).toString());
+    }
+
+    /** A page of the keys with a prefix, in their order. */
+    private Reply list(Map<String, String> query) {
+        String prefix = query.get("prefix");
+        JsonArray items = new JsonArray();
+        boolean truncated = false;
+        for (Map.Entry<String, StoredValue> entry :
+                values.tailMap(query.getOrDefault("since", ""), false).entrySet()) {
+            if (!entry.getKey().startsWith(prefix)) {
+                continue;
+            }
+            if (items.size() >= pageSize) {
+                truncated = true;
+                break;
+            }
+            items.add(item(entry.getKey(), entry.getValue()));
+        }
+        JsonObject json = new JsonObject();
+        json.add("items", items);
+        json.addProperty("truncated", truncated);
+        json.addProperty("edition", revision);
+        return new Reply(200, json.toString());
     }
 
-    private static JsonObject item(String key, Value v) {
+    private static JsonObject item(String key, StoredValue value) {
         JsonObject json = new JsonObject();
         json.addProperty("k", key);
-        json.add("v", v.v);
-        json.addProperty("stamp", v.stamp);
+        json.add("v", value.json);
+        json.addProperty("stamp", value.revision);
         return json;
     }
 
     private static Map<String, String> query(String path) {
-        Map<String, String> q = new HashMap<>();
-        for (String part : path.substring(path.indexOf('?') + 1).split("&")) {
-            String[] kv = part.split("=", 2);
-            q.put(kv[0], kv[1]);
+        Map<String, String> query = new HashMap<>();
+        for (String parameter : path.substring(path.indexOf('?') + 1).split("&")) {
+            String[] nameAndValue = parameter.split("=", 2);
+            query.put(nameAndValue[0], nameAndValue[1]);
         }
-        return q;
+        return query;
     }
 
-    private Reply txn(String body) {
-        JsonObject json = JsonParser.parseString(body).getAsJsonObject();
-        JsonArray writes = json.getAsJsonArray("writes");
-        if (writes.size() > txnOps || json.getAsJsonArray("guards").size() > 4 * txnOps || body.length() > 65536) {
-            throw new AssertionError("a transaction beyond the limits: " + body);
+    private Reply apply(StoreTransaction transaction) {
+        if (transaction.exceeds(maxOperations)) {
+            throw new AssertionError("a transaction beyond the limits: " + transaction);
         }
-        Set<String> failed = new HashSet<>();
-        for (JsonElement e : json.getAsJsonArray("guards")) {
-            String k = e.getAsJsonObject().get("k").getAsString();
-            Value v = values.get(k);
-            if ((v == null ? 0 : v.stamp) != e.getAsJsonObject().get("stamp").getAsLong()) {
-                failed.add(k);
-            }
+        Set<String> failed = failedConditions(transaction);
+        if (!transaction.writes().stream().allMatch(write -> leases.permits(write.lease()))) {
+            return new Reply(400, "{\"error\":\"no such lease\"}");
         }
-        for (JsonElement e : writes) {
-            JsonObject w = e.getAsJsonObject();
-            if (w.has("permit") && !leases.containsKey(w.get("permit").getAsLong())) {
-                return new Reply(400, "{\"error\":\"no such lease\"}");
-            }
-        }
-        if (refusesTooLarge && largest(writes) > valueBytes) {
+        if (refusesTooLarge && transaction.longestValue() > valueBytes) {
             tooLarge++;
             return new Reply(400, "{\"error\":\"too large\"}");
         }
         if (!failed.isEmpty()) {
-            conflicts++;
-            JsonObject refused = new JsonObject();
-            JsonArray keys = new JsonArray();
-            failed.forEach(keys::add);
-            failed.forEach(k -> conflictsOf.merge(kind(k), 1, Integer::sum));
-            refused.add("failed", keys);
-            refused.addProperty("edition", edition);
-            return new Reply(409, refused.toString());
-        }
-        if (writes.size() > 0) {
-            edition++;
+            return conflict(failed);
         }
-        for (JsonElement e : writes) {
-            JsonObject w = e.getAsJsonObject();
-            changesOf.merge(
-                    (w.has("set") ? "set " : "delete ")
-                            + kind(w.get(w.has("set") ? "set" : "delete").getAsString()),
-                    1,
-                    Integer::sum);
-            if (w.has("set")) {
-                if (w.get("v").toString().length() > valueBytes) {
-                    throw new AssertionError("a value beyond the limit: " + w);
-                }
-                values.put(
-                        w.get("set").getAsString(),
-                        new Value(
-                                w.get("v"),
-                                edition,
-                                w.has("permit") ? w.get("permit").getAsLong() : 0));
-                changes.add(new Change(edition, w.get("set").getAsString(), w.get("v")));
-            } else {
-                if (w.get("delete").getAsString().startsWith("live/member/")) {
-                    evictions++;
-                }
-                values.remove(w.get("delete").getAsString());
-                changes.add(new Change(edition, w.get("delete").getAsString(), null));
-            }
+        if (!transaction.writes().isEmpty()) {
+            revision++;
         }
-        notifyWatchers();
-        return new Reply(200, "{\"edition\":" + edition + "}");
+        transaction.writes().forEach(this::apply);
+        watches.notifyWatches();
+        return new Reply(200, "{\"edition\":" + revision + "}");
     }
 
-    private static int largest(JsonArray writes) {
-        int largest = 0;
-        for (JsonElement e : writes) {
-            JsonObject w = e.getAsJsonObject();
-            largest = Math.max(largest, w.has("v") ? w.get("v").toString().length() : 0);
+    private Set<String> failedConditions(StoreTransaction transaction) {
+        Set<String> failed = new HashSet<>();
+        for (StoreTransaction.Condition condition : transaction.conditions()) {
+            StoredValue value = values.get(condition.key());
+            if ((value == null ? 0 : value.revision) != condition.revision()) {
+                failed.add(condition.key());
+            }
         }
-        return largest;
+        return failed;
     }
 
-    private void notifyWatchers() {
-        watchers.removeIf(w -> tell(w, false));
+    private Reply conflict(Set<String> failed) {
+        conflicts++;
+        JsonArray keys = new JsonArray();
+        failed.forEach(keys::add);
+        failed.forEach(key -> conflictsOf.merge(kind(key), 1, Integer::sum));
+        JsonObject json = new JsonObject();
+        json.add("failed", keys);
+        json.addProperty("edition", revision);
+        return new Reply(409, json.toString());
     }
 
-    private boolean tell(Watcher w, boolean even) {
-        if (outage) {
-            return false;
-        }
-        while (changes.size() > keptChanges) {
-            forgottenUpTo = changes.remove(0).stamp;
-        }
-        if (w.since < forgottenUpTo) {
-            tooOld++;
-            w.answer.accept(new Reply(410, "{\"error\":\"too old\"}"));
-            return true;
-        }
-        JsonArray log = new JsonArray();
-        int from = changes.size();
-        while (from > 0 && changes.get(from - 1).stamp > w.since) {
-            from--;
-        }
-        for (Change c : changes.subList(from, changes.size())) {
-            if (c.key.startsWith(w.prefix)) {
-                JsonObject json = new JsonObject();
-                json.addProperty(c.v == null ? "delete" : "set", c.key);
-                if (c.v != null) {
-                    json.add("v", c.v);
-                }
-                json.addProperty("stamp", c.stamp);
-                log.add(json);
+    private void apply(StoreTransaction.Write write) {
+        String key = write.key();
+        changesOf.merge((write.deletes() ? "delete " : "set ") + kind(key), 1, Integer::sum);
+        if (write.deletes()) {
+            if (key.startsWith(MEMBER_PREFIX)) {
+                evictions++;
             }
+            delete(key);
+            return;
         }
-        if (log.isEmpty() && !even) {
-            return false;
+        if (write.valueLength() > valueBytes) {
+            throw new AssertionError("a value beyond the limit: " + write);
         }
-        JsonObject json = new JsonObject();
-        json.addProperty("edition", edition);
-        json.add("log", log);
-        w.answer.accept(new Reply(200, json.toString()));
-        return true;
+        set(key, write.value(), write.lease());
+    }
+
+    /** The first part of a key, or the first two of a key of the running cluster. */
+    private static String kind(String key) {
+        String[] parts = key.split("/");
+        return key.startsWith("live/") && parts.length > 1 ? parts[0] + "/" + parts[1] : parts[0];
     }
 }
--- a/src/test/java/org/havenford/simulator/TracePlayer.java
+++ b/src/test/java/org/havenford/simulator/TracePlayer.java
@@ -94,7 +94,7 @@
         String teamText = String.join(",", teams);
         ClusterSimulator world = new ClusterSimulator(seed, settings(0, nodes, teamText, WORKERS, state));
         out[0] = world;
-        world.store.keptChanges = keptChanges;
+        world.store.watches.keptChanges = keptChanges;
         world.withStandby = standby;
         world.withoutStandby.addAll(withoutStandby);
         world.cloud.perOffer = perOffer > 0 ? perOffer : world.cloud.perOffer;
@@ -157,7 +157,7 @@
                                     .firstRented
                                     .getOrDefault(e[2], Instant.MAX)
                                     .isBefore(Instant.EPOCH.plusSeconds(Long.parseLong(e[3])));
-                        case "read-again" -> world.store.tooOld >= Integer.parseInt(e[2]);
+                        case "read-again" -> world.store.watches.tooOld >= Integer.parseInt(e[2]);
                         case "too-large" -> world.store.tooLarge <= Integer.parseInt(e[2]);
                         case "resting" ->
                             world.store
