--- /dev/null
+++ b/src/test/java/org/havenford/simulator/JobAnswerChecker.java
@@ -0,0 +1,117 @@
+package org.havenford.simulator;
+
+import com.google.gson.JsonParser;
+import java.time.Duration;
+import java.time.Instant;
+import org.havenford.transport.HttpCalls.Reply;
+
+/** Checks what users are told about their jobs against what they were told before and what the machines have done. */
+final class JobAnswerChecker {
+    /** The status of a cancelled job, as the protocol has it. */
+    static final String CANCELLED = "withdrawn";
+
+    private static final String DONE = "done";
+
+    /** What a user knew when asking: an answer may be overtaken on its way, but not be older than that. */
+    record Question(SimulatedUsers.Job job, String knownStatus, Instant asked) {}
+
+    private final ClusterSimulator simulator;
+    private final SimulatedUsers users;
+
+    JobAnswerChecker(ClusterSimulator simulator, SimulatedUsers users) {
+        this.simulator = simulator;
+        this.users = users;
+    }
+
+    /** A question that is asked now. */
+    Question question(SimulatedUsers.Job job) {
+        return new Question(job, job.last, simulator.now);
+    }
+
+    /** The status in an answer that describes a job. */
+    static String statusIn(Reply reply) {
+        return JsonParser.parseString(reply.body())
+                .getAsJsonObject()
+                .get("status")
+                .getAsString();
+    }
+
+    /** Checks the answer to a question, and keeps what the user knows now. */
+    void check(Question question, Reply reply) {
+        SimulatedUsers.Job job = question.job;
+        if (reply.status() == 404) {
+            simulator.rules.broken("forgotten", job.id + " is answered 404");
+        }
+        if (reply.status() != 200) {
+            simulator.rules.unanswered(job);
+            return;
+        }
+        job.answered = simulator.now;
+        String status = statusIn(reply);
+        checkFinality(question, status);
+        if (status.equals(CANCELLED)) {
+            checkCancellation(job);
+        } else {
+            checkPrerequisites(question, status);
+        }
+        if (status.equals(DONE) && job.doneTold == null) {
+            toldDone(job);
+        }
+        if (!isFinal(job.last)) {
+            job.last = status;
+        }
+    }
+
+    private static boolean isFinal(String status) {
+        return status.equals(DONE) || status.equals(CANCELLED);
+    }
+
+    private void checkFinality(Question question, String status) {
+        if (isFinal(question.knownStatus) && !status.equals(question.knownStatus)) {
+            simulator.rules.broken("went_back", question.job.id + " was " + question.knownStatus + " and is " + status);
+        }
+    }
+
+    private void checkCancellation(SimulatedUsers.Job job) {
+        if (job.cancelTold == null && !users.mayBeWithdrawn(job)) {
+            simulator.rules.broken("went_back", job.id + " is cancelled by nobody");
+        } else if (job.takenAlong == null) {
+            job.takenAlong = simulator.now;
+        }
+    }
+
+    /** A job that needs a cancelled one must be cancelled as well within the time allowed. */
+    private void checkPrerequisites(Question question, String status) {
+        Instant cancelled = prerequisiteCancelled(question.job);
+        if (cancelled != null
+                && Duration.between(cancelled, question.asked).compareTo(simulator.template.cancellationLimit()) > 0) {
+            simulator.rules.broken(
+                    "orphaned",
+                    question.job.id + " is " + status + ", though a job before it was cancelled at "
+                            + Duration.between(Instant.EPOCH, cancelled).toMillis() / 1e3);
+        }
+    }
+
+    /** When a user was first told that a job which this one needs is cancelled, or null. */
+    private Instant prerequisiteCancelled(SimulatedUsers.Job job) {
+        Instant first = null;
+        for (String id : job.awaits) {
+            SimulatedUsers.Job prerequisite = users.jobs.get(id);
+            Instant at =
+                    prerequisite.cancelTold != null ? prerequisite.cancelTold : prerequisiteCancelled(prerequisite);
+            first = first == null || (at != null && at.isBefore(first)) ? at : first;
+        }
+        return first == null || job.submitted.isBefore(first) ? first : job.submitted;
+    }
+
+    private void toldDone(SimulatedUsers.Job job) {
+        job.doneTold = simulator.now;
+        for (int task = 0; task < job.tasks; task++) {
+            if (!users.finished.contains(job.id + "/" + task)) {
+                simulator.rules.broken("not_done", job.id + "/" + task + " is not done");
+            }
+        }
+        simulator.note(job.id + " done");
+        users.lookClosely(job);
+    }
+}
--- a/src/test/java/org/havenford/simulator/SimulatedAgent.java
+++ b/src/test/java/org/havenford/simulator/SimulatedAgent.java
@@ -7,41 +7,63 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.function.Consumer;
 import org.havenford.transport.HttpCalls.Reply;
 
-/** A stand-in for a worker: reports, obeys commands, keeps its lease, as the protocol says. */
+/** A stand-in for the agent of a machine: sends heartbeats, obeys commands and keeps its lease, as the protocol says. */
 final class SimulatedAgent implements ClusterSimulator.Server {
+    private static final Duration TICK = Duration.ofMillis(500);
+    private static final Duration LEASE_CHECK_INTERVAL = Duration.ofMillis(200);
+    /** Answers to heartbeats that come later than this are ignored. */
+    private static final Duration HEARTBEAT_TIMEOUT = Duration.ofSeconds(4);
+    /** How long after a heartbeat without an answer the next one is sent. */
+    private static final Duration HEARTBEAT_RETRY_DELAY = Duration.ofSeconds(1);
+
+    /** One attempt of a task. */
     static final class Task {
         String shot;
         long take;
         String status;
         String cause;
-        long generation;
 
         /** The task has its image and has not ended. */
         boolean on() {
             return status.equals("running") || status.equals("flushing");
         }
+
+        boolean isExited() {
+            return "exited".equals(status);
+        }
+
+        private JsonObject json() {
+            JsonObject json = new JsonObject();
+            json.addProperty("shot", shot);
+            json.addProperty("take", take);
+            json.addProperty("status", status);
+            if (cause != null) {
+                json.addProperty("cause", cause);
+            }
+            return json;
+        }
     }
 
-    final ClusterSimulator world;
+    final ClusterSimulator simulator;
     final String name;
     final String type;
     final String zone;
     final boolean spot;
     long session = 1;
-    private long seq;
+    private long reportNumber;
     long token;
     private final List<Instant> tokenRaisedAt = new ArrayList<>();
     final Map<String, Task> tasks = new LinkedHashMap<>();
-    private final Set<String> images = new HashSet<>();
+    private final SimulatedTaskExecutor executor;
+    /** When the heartbeat was sent whose answer renewed the lease last. */
     private Instant lease;
+
     private boolean up;
     boolean hung;
     Double notice;
@@ -51,42 +73,56 @@
     double slowFetch = 1;
 
     private final List<Runnable> whileHung = new ArrayList<>();
+    /** Index of the controller that the heartbeats go to. */
     private int target;
+
     private boolean inFlight;
+    /** Whether the next heartbeat is due at once. */
     private boolean changed;
+
     private Instant lastReport = Instant.EPOCH;
-    private long generation;
 
-    SimulatedAgent(ClusterSimulator world, String name, String type, String zone, boolean spot) {
-        this.world = world;
+    SimulatedAgent(ClusterSimulator simulator, String name, String type, String zone, boolean spot) {
+        this.simulator = simulator;
         this.name = name;
         this.type = type;
         this.zone = zone;
         this.spot = spot;
+        this.executor = new SimulatedTaskExecutor(simulator, this);
     }
 
     private String address() {
-        return world.endpoints.apply(name);
+        return simulator.endpoints.apply(name);
     }
 
     void start() {
         up = true;
-        lease = world.now;
-        target = world.random.nextInt(world.nodes.size());
-        world.servers.put(address(), this);
+        lease = simulator.now;
+        target = simulator.random.nextInt(simulator.nodes.size());
+        simulator.servers.put(address(), this);
         tick();
         checkLease();
     }
 
+    /** The machine is gone with all its tasks. */
     void vanish() {
         up = false;
-        world.servers.remove(address());
+        simulator.servers.remove(address());
         tasks.clear();
-        world.rules.touched();
+        simulator.rules.touched();
     }
 
+    /** Whether heartbeats go to this controller at the moment. */
     boolean reportsTo(String node) {
-        return up && List.copyOf(world.nodes.keySet()).get(target).equals(node);
+        return up && targetNode().equals(node);
+    }
+
+    private String targetNode() {
+        return nodeNames().get(target);
+    }
+
+    private List<String> nodeNames() {
+        return List.copyOf(simulator.nodes.keySet());
     }
 
     /** When the worker first saw a higher token after a second of the day. */
@@ -102,9 +138,10 @@
         return up;
     }
 
-    void hang(boolean on) {
-        hung = on;
-        if (!on) {
+    /** Stops the machine for a while, or lets it go on. */
+    void hang(boolean hangs) {
+        hung = hangs;
+        if (!hangs) {
             expireIfDue();
             List.copyOf(whileHung).forEach(Runnable::run);
             whileHung.clear();
@@ -112,19 +149,19 @@
     }
 
     /** What a hanging machine does is done when it goes on. */
-    private void act(Runnable r) {
+    void act(Runnable action) {
         if (!up) {
             return;
         }
         if (hung) {
-            whileHung.add(r);
+            whileHung.add(action);
         } else {
-            r.run();
+            action.run();
         }
     }
 
     private void checkLease() {
-        world.after(Duration.ofMillis(200), () -> {
+        simulator.after(LEASE_CHECK_INTERVAL, () -> {
             if (up) {
                 if (!hung) {
                     expireIfDue();
@@ -136,7 +173,7 @@
 
     /** A hanging machine executes nothing, and what it held when its lease ran out is killed before it goes on. */
     boolean leaseOver() {
-        return world.now.isAfter(lease.plus(world.template.agentLease()));
+        return simulator.now.isAfter(lease.plus(simulator.template.agentLease()));
     }
 
     private void expireIfDue() {
@@ -153,19 +190,19 @@
     private void newSession(String why) {
         tasks.clear();
         session++;
-        lease = world.now;
+        lease = simulator.now;
         changed = true;
-        world.rules.touched();
-        world.note(name + " " + why + ", session " + session);
+        simulator.rules.touched();
+        simulator.note(name + " " + why + ", session " + session);
     }
 
     private void tick() {
         if (!up) {
             return;
         }
-        world.after(Duration.ofMillis(500), this::tick);
-        Duration since = Duration.between(lastReport, world.now);
-        if (!hung && !inFlight && (changed || since.compareTo(world.template.heartbeatInterval()) >= 0)) {
+        simulator.after(TICK, this::tick);
+        Duration since = Duration.between(lastReport, simulator.now);
+        if (!hung && !inFlight && (changed || since.compareTo(simulator.template.heartbeatInterval()) >= 0)) {
             report();
         }
     }
@@ -173,47 +210,53 @@
     private void report() {
         inFlight = true;
         changed = false;
-        lastReport = world.now;
-        Instant sent = world.now;
+        lastReport = simulator.now;
+        Instant sent = simulator.now;
         long sentSession = session;
-        String node = List.copyOf(world.nodes.keySet()).get(target);
-        world.call(
+        simulator.call(
                 address(),
-                world.nodes.get(node).settings.bind(),
+                simulator.nodes.get(targetNode()).settings.bind(),
                 "POST",
                 "/checkin",
                 reportBody(),
-                Duration.ofSeconds(4),
-                r -> act(() -> answered(r, sent, sentSession)));
+                HEARTBEAT_TIMEOUT,
+                reply -> act(() -> answered(reply, sent, sentSession)));
     }
 
-    private void answered(Reply r, Instant sent, long sentSession) {
+    private void answered(Reply reply, Instant sent, long sentSession) {
         inFlight = false;
-        if (r.status() == 200) {
-            JsonObject json = JsonParser.parseString(r.body()).getAsJsonObject();
-            if (sentSession != session
-                    || json.get("baton").getAsLong() < token
-                    || Duration.between(sent, world.now).compareTo(Duration.ofSeconds(4)) > 0) {
-                return;
-            }
-            lease = sent;
-            obey(json);
+        if (reply.status() == 200) {
+            accepted(JsonParser.parseString(reply.body()).getAsJsonObject(), sent, sentSession);
+        } else if (reply.status() != 421 || !redirected(reply)) {
+            lastReport =
+                    simulator.now.minus(simulator.template.heartbeatInterval()).plus(HEARTBEAT_RETRY_DELAY);
+            target = (target + 1) % simulator.nodes.size();
+        }
+    }
+
+    private void accepted(JsonObject commands, Instant sent, long sentSession) {
+        if (sentSession != session
+                || commands.get("baton").getAsLong() < token
+                || Duration.between(sent, simulator.now).compareTo(HEARTBEAT_TIMEOUT) > 0) {
             return;
         }
-        if (r.status() == 421) {
-            JsonObject json = JsonParser.parseString(r.body()).getAsJsonObject();
-            int next = json.has("director")
-                    ? List.copyOf(world.nodes.keySet())
-                            .indexOf(json.get("director").getAsString())
-                    : -1;
-            if (next >= 0 && next != target) {
-                target = next;
-                changed = true;
-                return;
-            }
+        lease = sent;
+        obey(commands);
+    }
+
+    /** Turns to the controller that an answer names, if it names another one. */
+    private boolean redirected(Reply reply) {
+        JsonObject json = JsonParser.parseString(reply.body()).getAsJsonObject();
+        if (!json.has("director")) {
+            return false;
+        }
+        int next = nodeNames().indexOf(json.get("director").getAsString());
+        if (next < 0 || next == target) {
+            return false;
         }
-        lastReport = world.now.minus(world.template.heartbeatInterval()).plusSeconds(1);
-        target = (target + 1) % world.nodes.size();
+        target = next;
+        changed = true;
+        return true;
     }
 
     private String reportBody() {
@@ -224,23 +267,14 @@
         json.addProperty("hall", zone);
         json.addProperty("borrowed", spot);
         json.addProperty("shift", session);
-        json.addProperty("tally", ++seq);
+        json.addProperty("tally", ++reportNumber);
         json.addProperty("baton", token);
         if (notice != null) {
             json.addProperty("warningS", notice);
         }
-        JsonArray a = new JsonArray();
-        for (Task t : tasks.values()) {
-            JsonObject e = new JsonObject();
-            e.addProperty("shot", t.shot);
-            e.addProperty("take", t.take);
-            e.addProperty("status", t.status);
-            if (t.cause != null) {
-                e.addProperty("cause", t.cause);
-            }
-            a.add(e);
-        }
-        json.add("shots", a);
+        JsonArray reports = new JsonArray();
+        tasks.values().forEach(task -> reports.add(task.json()));
+        json.add("shots", reports);
         return json.toString();
     }
 
@@ -261,91 +295,24 @@
 
     private void obey(JsonObject json) {
         if (json.get("baton").getAsLong() > token) {
-            tokenRaisedAt.add(world.now);
+            tokenRaisedAt.add(simulator.now);
             token = json.get("baton").getAsLong();
             changed = true;
         }
-        for (JsonElement e : json.getAsJsonArray("cues")) {
-            JsonObject c = e.getAsJsonObject();
-            String shot = c.get("shot").getAsString();
-            long take = c.get("take").getAsLong();
-            Task t = tasks.get(shot + "#" + take);
-            switch (c.get("cue").getAsString()) {
-                case "run" -> run(shot, take, t);
-                case "stop" -> {
-                    if (t != null && !t.status.equals("exited")) {
-                        exit(t, "stopped");
-                    }
-                }
-                default -> {
-                    if (t != null && t.status.equals("exited")) {
-                        tasks.remove(shot + "#" + take);
-                    }
-                }
+        for (JsonElement element : json.getAsJsonArray("cues")) {
+            JsonObject command = element.getAsJsonObject();
+            String shot = command.get("shot").getAsString();
+            long take = command.get("take").getAsLong();
+            switch (command.get("cue").getAsString()) {
+                case "run" -> executor.run(shot, take);
+                case "stop" -> executor.stop(shot, take);
+                default -> executor.forget(shot, take);
             }
         }
     }
 
-    private void run(String shot, long take, Task known) {
-        if (known != null) {
-            return;
-        }
-        changed = true;
-        Task t = new Task();
-        t.shot = shot;
-        t.take = take;
-        t.generation = ++generation;
-        boolean busy = tasks.values().stream().anyMatch(x -> x.shot.equals(shot) && !x.status.equals("exited"));
-        tasks.put(shot + "#" + take, t);
-        SimulatedUsers.Job job = world.users.jobs.get(shot.substring(0, shot.indexOf('/')));
-        if (busy || job == null) {
-            t.status = "exited";
-            t.cause = busy ? "busy" : "unknown";
-            return;
-        }
-        double cpus = job.cpus
-                + tasks.values().stream()
-                        .filter(x -> x != t && !"exited".equals(x.status))
-                        .mapToDouble(x -> world.users.jobs.get(x.shot.substring(0, x.shot.indexOf('/'))).cpus)
-                        .sum();
-        if (cpus > SimulatedCloud.TYPES.get(type)[0] + 1e-6) {
-            t.status = "exited";
-            t.cause = "no_room";
-            return;
-        }
-        t.status = "pulling";
-        Duration fetch = images.contains(job.image)
-                ? Duration.ofMillis(1)
-                : Duration.ofMillis((long) (1000 / SimulatedCloud.FETCH_GB_PER_S * job.imageGb * slowFetch));
-        world.after(
-                fetch,
-                () -> act(() -> {
-                    if (tasks.get(shot + "#" + take) == t && t.status.equals("pulling")) {
-                        images.add(job.image);
-                        t.status = "running";
-                        changed = true;
-                        world.rules.started(this, t);
-                        Duration length =
-                                world.users.finished.contains(shot) ? Duration.ofMillis(1) : job.run(world.random);
-                        boolean fails = faulty || job.broken;
-                        world.after(
-                                fails ? Duration.ofSeconds(1) : length,
-                                () -> act(() -> {
-                                    if (tasks.get(shot + "#" + take) == t && t.status.equals("running")) {
-                                        if (!fails) {
-                                            world.users.finished.add(shot);
-                                        }
-                                        exit(t, fails ? "error" : "done");
-                                    }
-                                }));
-                    }
-                }));
-    }
-
-    private void exit(Task t, String cause) {
-        t.status = "exited";
-        t.cause = cause;
+    /** The state of a task has changed: the next heartbeat is due at once. */
+    void reportSoon() {
         changed = true;
-        world.rules.touched();
     }
 }
--- a/src/test/java/org/havenford/simulator/SimulatedUsers.java
+++ b/src/test/java/org/havenford/simulator/SimulatedUsers.java
@@ -2,7 +2,6 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import com.google.gson.JsonParser;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -12,10 +11,25 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
+import java.util.function.Consumer;
 import org.havenford.transport.HttpCalls.Reply;
 
-/** Users behind a load balancer that tries the nodes at random. */
+/** Users behind a load balancer that tries the controllers at random: they submit, ask about, repeat and cancel jobs. */
 final class SimulatedUsers {
+    /** What the network calls the end that all users share. */
+    private static final String ADDRESS = "users";
+
+    private static final String SUBMISSIONS_PATH = "/submissions";
+    private static final Duration CHANGE_TIMEOUT = Duration.ofSeconds(5);
+    private static final Duration QUERY_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
+    private static final int MIN_POLL_MILLIS = 4000;
+    private static final int POLL_JITTER_MILLIS = 2000;
+    /** How long after an event users ask all controllers about the job, if they look closely. */
+    private static final int[] CLOSE_LOOK_MILLIS = {0, 3, 12, 40};
+
+    private static final int IMAGES = 3;
+
     static final class Job {
         String id;
         String team;
@@ -51,12 +65,52 @@
 
         final List<String> awaits = new ArrayList<>();
 
+        /** How long a task of the job runs: the expected time, give or take a fifth. */
         Duration run(SplittableRandom random) {
             return Duration.ofMillis((long) (runS * 1000 * (0.8 + 0.4 * random.nextDouble())));
         }
+
+        /** Whether the user has been told that the job is over, one way or the other. */
+        boolean isKnownToBeOver() {
+            return doneTold != null || cancelTold != null || takenAlong != null;
+        }
+
+        /** Applies an option of the {@code submit} line of a trace, see src/test/resources/traces/README.md. */
+        private void apply(String option) {
+            int separator = option.indexOf('=');
+            if (separator < 0) {
+                applyFlag(option);
+            } else {
+                applyValue(option.substring(0, separator), option.substring(separator + 1));
+            }
+        }
+
+        private void applyFlag(String flag) {
+            switch (flag) {
+                case "broken" -> broken = true;
+                case "apart" -> apart = true;
+                case "together" -> together = true;
+                case "ordinary" -> spot = false;
+                case "urgent", "low" -> urgency = flag;
+                default -> throw new IllegalArgumentException("unknown option of a job: " + flag);
+            }
+        }
+
+        private void applyValue(String name, String value) {
+            switch (name) {
+                case "class" -> lineup = value;
+                case "zone" -> zone = value;
+                case "types" -> types = Set.of(value.split(","));
+                case "image-gb" -> imageGb = Double.parseDouble(value);
+                case "awaits" -> awaits.addAll(List.of(value.split(",")));
+                case "due" -> due = Double.parseDouble(value);
+                default -> throw new IllegalArgumentException("unknown option of a job: " + name + "=" + value);
+            }
+        }
     }
 
-    private final ClusterSimulator world;
+    private final ClusterSimulator simulator;
+    private final JobAnswerChecker answers;
     /** Jobs that were asked to be cancelled, whatever the answer. */
     final Set<String> cancelAsked = new HashSet<>();
 
@@ -70,17 +124,19 @@
     /** Whether users ask and repeat at all controllers within milliseconds of an acceptance, an end or a cancellation. */
     boolean closeLooks;
 
-    SimulatedUsers(ClusterSimulator world) {
-        this.world = world;
+    SimulatedUsers(ClusterSimulator simulator) {
+        this.simulator = simulator;
+        this.answers = new JobAnswerChecker(simulator, this);
     }
 
-    private void look(Job job) {
+    /** Asks about and repeats a job at all controllers, if users look closely. */
+    void lookClosely(Job job) {
         if (!closeLooks) {
             return;
         }
-        for (ClusterSimulator.Node node : world.nodes.values()) {
-            for (int millis : new int[] {0, 3, 12, 40}) {
-                world.after(Duration.ofMillis(millis), () -> {
+        for (ClusterSimulator.Node node : simulator.nodes.values()) {
+            for (int millis : CLOSE_LOOK_MILLIS) {
+                simulator.after(Duration.ofMillis(millis), () -> {
                     ask(job.id, node.settings.bind());
                     repeat(job.id, node.settings.bind());
                 });
@@ -88,6 +144,7 @@
         }
     }
 
+    /** Submits a job and repeats the submission until it is answered; the options are those of a trace's line. */
     Job submit(String id, String team, int tasks, double cpus, double runS, List<String> options) {
         Job job = new Job();
         job.id = id;
@@ -95,29 +152,16 @@
         job.tasks = tasks;
         job.cpus = cpus;
         job.runS = runS;
-        job.image = "img-" + (Integer.parseInt(id.substring(2)) % 3);
+        job.image = "img-" + (Integer.parseInt(id.substring(2)) % IMAGES);
         job.spot = true;
-        for (String o : options) {
-            job.broken |= o.equals("broken");
-            job.apart |= o.equals("apart");
-            job.together |= o.equals("together");
-            job.spot &= !o.equals("ordinary");
-            job.lineup = o.startsWith("class=") ? o.substring(6) : job.lineup;
-            job.zone = o.startsWith("zone=") ? o.substring(5) : job.zone;
-            job.types = o.startsWith("types=") ? Set.of(o.substring(6).split(",")) : job.types;
-            job.imageGb = o.startsWith("image-gb=") ? Double.parseDouble(o.substring(9)) : job.imageGb;
-            job.urgency = o.equals("urgent") || o.equals("low") ? o : job.urgency;
-            if (o.startsWith("awaits=")) {
-                job.awaits.addAll(List.of(o.substring(7).split(",")));
-            }
-            job.due = o.startsWith("due=") ? Double.parseDouble(o.substring(4)) : job.due;
-        }
-        job.submitted = world.now;
+        options.forEach(job::apply);
+        job.submitted = simulator.now;
         jobs.put(id, job);
         send(job);
         return job;
     }
 
+    /** The submission of a job, as the protocol has it. */
     static JsonObject body(Job job) {
         JsonObject json = new JsonObject();
         json.addProperty("nameId", job.id);
@@ -129,11 +173,28 @@
             json.addProperty("airtimeS", job.due);
         }
         json.addProperty("shots", job.tasks);
+        addResources(json, job);
+        addPlacement(json, job);
+        json.addProperty("guessS", job.runS);
+        json.addProperty("keyframeS", 0.0);
+        json.addProperty("flushS", 0.0);
+        if (!job.awaits.isEmpty()) {
+            JsonArray prerequisites = new JsonArray();
+            job.awaits.forEach(prerequisites::add);
+            json.add("awaits", prerequisites);
+        }
+        return json;
+    }
+
+    private static void addResources(JsonObject json, Job job) {
         json.addProperty("vcpus", job.cpus);
         json.addProperty("cards", 0.0);
         json.addProperty("memGb", 1.0);
         json.addProperty("reel", job.image);
         json.addProperty("imageGb", job.imageGb);
+    }
+
+    private static void addPlacement(JsonObject json, Job job) {
         json.addProperty("together", job.together);
         json.addProperty("apart", job.apart);
         json.addProperty("borrowed", job.spot);
@@ -141,124 +202,72 @@
             json.addProperty("hall", job.zone);
         }
         if (!job.types.isEmpty()) {
-            JsonArray rigs = new JsonArray();
-            job.types.stream().sorted().forEach(rigs::add);
-            json.add("rigs", rigs);
-        }
-        json.addProperty("guessS", job.runS);
-        json.addProperty("keyframeS", 0.0);
-        json.addProperty("flushS", 0.0);
-        if (!job.awaits.isEmpty()) {
-            JsonArray a = new JsonArray();
-            job.awaits.forEach(a::add);
-            json.add("awaits", a);
+            JsonArray types = new JsonArray();
+            job.types.stream().sorted().forEach(types::add);
+            json.add("rigs", types);
         }
-        return json;
     }
 
     private String someNode() {
-        List<ClusterSimulator.Node> all = List.copyOf(world.nodes.values());
-        return all.get(world.random.nextInt(all.size())).settings.bind();
+        List<ClusterSimulator.Node> all = List.copyOf(simulator.nodes.values());
+        return all.get(simulator.random.nextInt(all.size())).settings.bind();
     }
 
     private void send(Job job) {
-        boolean known = job.awaits.stream().allMatch(a -> jobs.get(a).accepted);
-        world.call("users", someNode(), "POST", "/submissions", body(job).toString(), Duration.ofSeconds(5), r -> {
-            if (r.status() == 201 || r.status() == 200) {
-                if (!job.accepted) {
-                    world.note(job.id + " accepted");
-                }
-                boolean first = !job.accepted;
-                job.accepted = true;
-                job.answered = world.now;
-                poll(job);
-                if (first) {
-                    look(job);
-                }
-            } else if (r.status() == 422 && !known) {
-                world.after(Duration.ofSeconds(1), () -> send(job));
-            } else if (r.status() == 400 || r.status() == 422) {
-                world.rules.broken("forgotten", job.id + " refused with " + r.status());
-            } else {
-                world.after(Duration.ofSeconds(1), () -> send(job));
-            }
-        });
+        boolean prerequisitesAccepted = job.awaits.stream().allMatch(id -> jobs.get(id).accepted);
+        post(someNode(), SUBMISSIONS_PATH, body(job).toString(), reply -> submitted(job, prerequisitesAccepted, reply));
+    }
+
+    private void submitted(Job job, boolean prerequisitesAccepted, Reply reply) {
+        int status = reply.status();
+        boolean prerequisiteUnknown = status == 422 && !prerequisitesAccepted;
+        if (status == 201 || status == 200) {
+            accepted(job);
+        } else if ((status == 400 || status == 422) && !prerequisiteUnknown) {
+            simulator.rules.broken("forgotten", job.id + " refused with " + status);
+        } else {
+            simulator.after(RETRY_DELAY, () -> send(job));
+        }
+    }
+
+    private void accepted(Job job) {
+        boolean first = !job.accepted;
+        if (first) {
+            simulator.note(job.id + " accepted");
+        }
+        job.accepted = true;
+        job.answered = simulator.now;
+        poll(job);
+        if (first) {
+            lookClosely(job);
+        }
     }
 
     private void poll(Job job) {
         int often = Math.max(1, pollsAsOften);
-        world.after(Duration.ofMillis((4000 + world.random.nextInt(2000)) / often), () -> {
-            String knew = job.last;
-            Instant asked = world.now;
-            world.call("users", someNode(), "GET", "/submissions/" + job.id, null, Duration.ofSeconds(2), r -> {
-                told(job, knew, asked, r);
-                if ((job.doneTold == null && job.cancelTold == null && job.takenAlong == null)
-                        || world.random.nextInt(3) > 0) {
+        int millis = (MIN_POLL_MILLIS + simulator.random.nextInt(POLL_JITTER_MILLIS)) / often;
+        simulator.after(Duration.ofMillis(millis), () -> {
+            JobAnswerChecker.Question question = answers.question(job);
+            get(someNode(), job, reply -> {
+                answers.check(question, reply);
+                if (!job.isKnownToBeOver() || simulator.random.nextInt(3) > 0) {
                     poll(job);
                 }
             });
         });
     }
 
-    /** Whether the job, or one that it needs, was asked to be cancelled. */
-    boolean mayBeWithdrawn(Job job) {
-        return cancelAsked.contains(job.id) || job.awaits.stream().anyMatch(a -> mayBeWithdrawn(jobs.get(a)));
+    private void post(String address, String path, String body, Consumer<Reply> done) {
+        simulator.call(ADDRESS, address, "POST", path, body, CHANGE_TIMEOUT, done);
     }
 
-    /** When a user was first told that a job which this one needs is cancelled. */
-    private Instant cancelledBefore(Job job) {
-        Instant first = null;
-        for (String a : job.awaits) {
-            Job b = jobs.get(a);
-            Instant at = b.cancelTold != null ? b.cancelTold : cancelledBefore(b);
-            first = first == null || (at != null && at.isBefore(first)) ? at : first;
-        }
-        return first == null || job.submitted.isBefore(first) ? first : job.submitted;
+    private void get(String address, Job job, Consumer<Reply> done) {
+        simulator.call(ADDRESS, address, "GET", SUBMISSIONS_PATH + "/" + job.id, null, QUERY_TIMEOUT, done);
     }
 
-    /** {@code knew} is what the user had been told when asking: an answer may be overtaken on its way, but not be older. */
-    private void told(Job job, String knew, Instant asked, Reply r) {
-        if (r.status() == 404) {
-            world.rules.broken("forgotten", job.id + " is answered 404");
-        }
-        if (r.status() != 200) {
-            world.rules.unanswered(job);
-            return;
-        }
-        job.answered = world.now;
-        String status =
-                JsonParser.parseString(r.body()).getAsJsonObject().get("status").getAsString();
-        boolean was = knew.equals("done") || knew.equals("withdrawn");
-        if (was && !status.equals(knew)) {
-            world.rules.broken("went_back", job.id + " was " + knew + " and is " + status);
-        }
-        if (status.equals("withdrawn") && job.cancelTold == null && !mayBeWithdrawn(job)) {
-            world.rules.broken("went_back", job.id + " is cancelled by nobody");
-        } else if (status.equals("withdrawn") && job.takenAlong == null) {
-            job.takenAlong = world.now;
-        }
-        Instant before = cancelledBefore(job);
-        if (before != null
-                && !status.equals("withdrawn")
-                && Duration.between(before, asked).compareTo(world.template.cancellationLimit()) > 0) {
-            world.rules.broken(
-                    "orphaned",
-                    job.id + " is " + status + ", though a job before it was cancelled at "
-                            + Duration.between(Instant.EPOCH, before).toMillis() / 1e3);
-        }
-        if (status.equals("done") && job.doneTold == null) {
-            job.doneTold = world.now;
-            for (int i = 0; i < job.tasks; i++) {
-                if (!finished.contains(job.id + "/" + i)) {
-                    world.rules.broken("not_done", job.id + "/" + i + " is not done");
-                }
-            }
-            world.note(job.id + " done");
-            look(job);
-        }
-        if (!job.last.equals("withdrawn") && !job.last.equals("done")) {
-            job.last = status;
-        }
+    /** Whether the job, or one that it needs, was asked to be cancelled. */
+    boolean mayBeWithdrawn(Job job) {
+        return cancelAsked.contains(job.id) || job.awaits.stream().anyMatch(needed -> mayBeWithdrawn(jobs.get(needed)));
     }
 
     /** A single question. */
@@ -266,15 +275,13 @@
         ask(id, someNode());
     }
 
-    private void ask(String id, String at) {
+    private void ask(String id, String address) {
         Job job = jobs.get(id);
         if (job == null || !job.accepted) {
             return;
         }
-        String knew = job.last;
-        Instant asked = world.now;
-        world.call(
-                "users", at, "GET", "/submissions/" + id, null, Duration.ofSeconds(2), r -> told(job, knew, asked, r));
+        JobAnswerChecker.Question question = answers.question(job);
+        get(address, job, reply -> answers.check(question, reply));
     }
 
     /** The submission once more, whatever has become of the job: an accepted one is known for good. */
@@ -282,46 +289,48 @@
         repeat(id, someNode());
     }
 
-    private void repeat(String id, String at) {
+    private void repeat(String id, String address) {
         Job job = jobs.get(id);
         if (job == null) {
             return;
         }
-        String knew = job.last;
-        boolean was = job.accepted;
-        Instant asked = world.now;
-        world.call("users", at, "POST", "/submissions", body(job).toString(), Duration.ofSeconds(5), r -> {
-            if (was && r.status() >= 201 && r.status() < 500 && r.status() != 429) {
-                world.rules.broken("forgotten", id + " sent again is answered " + r.status());
-            } else if (was && r.status() == 200) {
-                told(job, knew, asked, r);
+        boolean wasAccepted = job.accepted;
+        JobAnswerChecker.Question question = answers.question(job);
+        post(address, SUBMISSIONS_PATH, body(job).toString(), reply -> {
+            int status = reply.status();
+            if (wasAccepted && status >= 201 && status < 500 && status != 429) {
+                simulator.rules.broken("forgotten", id + " sent again is answered " + status);
+            } else if (wasAccepted && status == 200) {
+                answers.check(question, reply);
             }
         });
     }
 
+    /** Cancels a job at a controller, or at any if {@code node} is null, until the cancellation is answered. */
     void cancel(String id, String node) {
         Job job = jobs.get(id);
         if (job == null) {
             return;
         }
         cancelAsked.add(id);
-        String at = node == null ? someNode() : world.nodes.get(node).settings.bind();
-        world.call("users", at, "POST", "/submissions/" + id + "/abort", null, Duration.ofSeconds(5), r -> {
-            if (r.status() == 200) {
-                String status = JsonParser.parseString(r.body())
-                        .getAsJsonObject()
-                        .get("status")
-                        .getAsString();
-                world.note(id + " cancel answered " + status);
-                if (status.equals("withdrawn")) {
-                    job.cancelTold = world.now;
-                    world.rules.touched();
-                    job.last = "withdrawn";
-                    look(job);
-                }
+        String address =
+                node == null ? someNode() : simulator.nodes.get(node).settings.bind();
+        post(address, SUBMISSIONS_PATH + "/" + id + "/abort", null, reply -> {
+            if (reply.status() == 200) {
+                cancelAnswered(job, JobAnswerChecker.statusIn(reply));
             } else {
-                world.after(Duration.ofSeconds(1), () -> cancel(id, null));
+                simulator.after(RETRY_DELAY, () -> cancel(id, null));
             }
         });
     }
+
+    private void cancelAnswered(Job job, String status) {
+        simulator.note(job.id + " cancel answered " + status);
+        if (status.equals(JobAnswerChecker.CANCELLED)) {
+            job.cancelTold = simulator.now;
+            simulator.rules.touched();
+            job.last = JobAnswerChecker.CANCELLED;
+            lookClosely(job);
+        }
+    }
 }
