--- a/src/test/java/org/havenford/simulator/GuestWorkTest.java
+++ b/src/test/java/org/havenford/simulator/GuestWorkTest.java
@@ -20,7 +20,7 @@
             "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0},{\"name\":\"guest\",\"cpus\":0,\"cpus_max\":0}";
 
     private static PlatformSettings settings(int node) {
-        return TracePlayer.settings(
+        return SimulatorSettings.of(
                 node,
                 NODES,
                 TEAMS,
--- a/src/test/java/org/havenford/simulator/InterfaceTest.java
+++ b/src/test/java/org/havenford/simulator/InterfaceTest.java
@@ -17,7 +17,7 @@
 /** What users are answered, over the real routes of a controller. */
 class InterfaceTest {
     private final ClusterSimulator world =
-            new ClusterSimulator(7, TracePlayer.settings(0, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":8}"));
+            new ClusterSimulator(7, SimulatorSettings.of(0, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":8}"));
 
     private Reply ask(String method, String path, String body) {
         Reply[] out = new Reply[1];
@@ -27,7 +27,7 @@
     }
 
     private void start() {
-        world.addNode(TracePlayer.settings(0, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":8}"));
+        world.addNode(SimulatorSettings.of(0, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":8}"));
         world.runUntil(3);
     }
 
@@ -211,7 +211,7 @@
     void aRepeatIsAnsweredWithTheStateAlsoWhenTheJobIsOver() {
         start();
         world.cloud.boot("small", "a", false, Duration.ofMillis(10));
-        TracePlayer.event(world, new String[] {"at", "3", "submit", "j-5", "red", "2", "1", "5"});
+        TraceCommands.run(world, "submit", new TraceArguments(List.of("j-5", "red", "2", "1", "5")));
         world.runUntil(world.seconds() + 60);
         assertEquals(List.of(), world.rules.broken);
         Reply again = ask("POST", "/submissions", job("j-5", "red", 2, 1));
--- a/src/test/java/org/havenford/simulator/LargeFleetFailoverTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetFailoverTest.java
@@ -20,11 +20,11 @@
 
     @Test
     void fourThousandMachinesAreTakenOverInRoundsUrgentWorkFirst() {
-        ClusterSimulator world = new ClusterSimulator(18, TracePlayer.settings(0, 3, TEAM, WORKERS, STATE));
+        ClusterSimulator world = new ClusterSimulator(18, SimulatorSettings.of(0, 3, TEAM, WORKERS, STATE));
         world.withStandby = true;
         world.store.pageSize = 500;
         for (int i = 0; i < 3; i++) {
-            world.addNode(TracePlayer.settings(i, 3, TEAM, WORKERS, STATE));
+            world.addNode(SimulatorSettings.of(i, 3, TEAM, WORKERS, STATE));
         }
         for (int i = 0; i < MACHINES; i++) {
             String zone = List.of("a", "b", "c").get(i % 3);
--- a/src/test/java/org/havenford/simulator/LargeFleetTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetTest.java
@@ -17,7 +17,7 @@
             "{\"name\":\"red\",\"cpus\":1000,\"cpus_max\":4000}," + "{\"name\":\"blue\",\"cpus\":400,\"cpus_max\":900}";
 
     private static PlatformSettings settings(int node) {
-        return TracePlayer.settings(
+        return SimulatorSettings.of(
                 node,
                 NODES,
                 TEAMS,
@@ -56,10 +56,10 @@
         String team = "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}";
         String workers = "{\"report_s\":4,\"lease_s\":26,\"cancel_s\":46}";
         String state = "{\"rps\":300,\"write_rps\":120,\"value_kb\":8,\"txn_ops\":12}";
-        ClusterSimulator world = new ClusterSimulator(15, TracePlayer.settings(0, 3, team, workers, state));
+        ClusterSimulator world = new ClusterSimulator(15, SimulatorSettings.of(0, 3, team, workers, state));
         world.cloud.zones = List.of("a", "b", "c", "d");
         for (int i = 0; i < 3; i++) {
-            world.addNode(TracePlayer.settings(i, 3, team, workers, state));
+            world.addNode(SimulatorSettings.of(i, 3, team, workers, state));
         }
         Counts counts = day(world, 1600, 90, 20, 60, List.of("red"));
         assertTrue(counts.waited < 10, counts::toString);
@@ -75,8 +75,8 @@
         String team = "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}";
         String workers = "{\"report_s\":4,\"lease_s\":60,\"cancel_s\":90}";
         String state = "{\"rps\":500,\"write_rps\":250,\"value_kb\":8,\"txn_ops\":12}";
-        ClusterSimulator world = new ClusterSimulator(17, TracePlayer.settings(0, 1, team, workers, state));
-        world.addNode(TracePlayer.settings(0, 1, team, workers, state));
+        ClusterSimulator world = new ClusterSimulator(17, SimulatorSettings.of(0, 1, team, workers, state));
+        world.addNode(SimulatorSettings.of(0, 1, team, workers, state));
         for (int i = 0; i < 4000; i++) {
             world.cloud.boot("small", List.of("a", "b", "c").get(i % 3), false, Duration.ofMillis(100 + i));
         }
@@ -93,9 +93,9 @@
         String team = "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}";
         String workers = "{\"report_s\":4,\"lease_s\":26,\"cancel_s\":46}";
         String state = "{\"rps\":500,\"write_rps\":250,\"value_kb\":8,\"txn_ops\":12}";
-        ClusterSimulator world = new ClusterSimulator(16, TracePlayer.settings(0, 3, team, workers, state));
+        ClusterSimulator world = new ClusterSimulator(16, SimulatorSettings.of(0, 3, team, workers, state));
         for (int i = 0; i < 3; i++) {
-            world.addNode(TracePlayer.settings(i, 3, team, workers, state));
+            world.addNode(SimulatorSettings.of(i, 3, team, workers, state));
         }
         Counts counts = day(world, 4000, 60, 40, 120, List.of("red"));
         assertTrue(counts.waited < 10, counts::toString);
@@ -178,9 +178,9 @@
         String team = "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":24}";
         String workers = "{\"report_s\":5,\"lease_s\":30,\"cancel_s\":60}";
         String state = "{\"rps\":25,\"write_rps\":10,\"value_kb\":8,\"txn_ops\":12}";
-        ClusterSimulator world = new ClusterSimulator(13, TracePlayer.settings(0, NODES, team, workers, state));
+        ClusterSimulator world = new ClusterSimulator(13, SimulatorSettings.of(0, NODES, team, workers, state));
         for (int i = 0; i < NODES; i++) {
-            world.addNode(TracePlayer.settings(i, NODES, team, workers, state));
+            world.addNode(SimulatorSettings.of(i, NODES, team, workers, state));
         }
         for (String zone : List.of("a", "b", "c")) {
             world.cloud.boot("large", zone, false, Duration.ofMillis(100));
@@ -205,9 +205,9 @@
     @Test
     void noKindOfWorkStarvesInABurst() {
         ClusterSimulator world =
-                new ClusterSimulator(12, TracePlayer.settings(0, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}"));
+                new ClusterSimulator(12, SimulatorSettings.of(0, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}"));
         for (int i = 0; i < 3; i++) {
-            world.addNode(TracePlayer.settings(i, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}"));
+            world.addNode(SimulatorSettings.of(i, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}"));
         }
         for (String zone : List.of("a", "b", "c")) {
             world.cloud.boot("large", zone, false, Duration.ofMillis(100));
--- a/src/test/java/org/havenford/simulator/PlacementTest.java
+++ b/src/test/java/org/havenford/simulator/PlacementTest.java
@@ -26,8 +26,7 @@
             lines.add("at 3 forge-start " + machines[i] + " j-1/" + i);
         }
         lines.add("until 3.1");
-        ClusterSimulator[] world = new ClusterSimulator[1];
-        return TracePlayer.play(lines, world).stream()
+        return TracePlayer.play(lines).violations().stream()
                 .filter(w -> w.contains("wrong_place"))
                 .toList();
     }
--- a/src/test/java/org/havenford/simulator/RandomizedScenarios.java
+++ b/src/test/java/org/havenford/simulator/RandomizedScenarios.java
@@ -32,14 +32,11 @@
                 .limit(seeds)
                 .map(seed -> DynamicTest.dynamicTest("seed " + seed, () -> {
                     List<String> lines = day.apply(seed);
-                    ClusterSimulator[] world = new ClusterSimulator[1];
-                    List<String> wrong = TracePlayer.play(lines, world);
+                    TracePlayer.Result result = TracePlayer.play(lines);
                     assertEquals(
-                            List.of(),
-                            wrong,
-                            () -> String.join("\n", lines) + "\n--\n" + String.join("\n", world[0].log));
+                            List.of(), result.violations(), () -> String.join("\n", lines) + "\n--\n" + result.log());
                     if (seed >= 1 && seed <= usually) {
-                        world[0].behaviour.assertKept(kind + "/" + seed);
+                        result.world().behaviour.assertKept(kind + "/" + seed);
                     }
                 }));
     }
--- a/src/test/java/org/havenford/simulator/TraceTest.java
+++ b/src/test/java/org/havenford/simulator/TraceTest.java
@@ -28,28 +28,29 @@
         assertFalse(files.isEmpty());
         return files.stream()
                 .map(f -> DynamicTest.dynamicTest(f.getFileName().toString(), () -> {
-                    ClusterSimulator[] world = new ClusterSimulator[1];
-                    List<String> wrong = TracePlayer.play(Files.readAllLines(f), world);
-                    assertEquals(List.of(), wrong, () -> String.join("\n", world[0].log));
-                    world[0].behaviour.assertKept(
-                            "trace/" + f.getFileName().toString().replace(".trace", ""));
+                    TracePlayer.Result result = TracePlayer.play(Files.readAllLines(f));
+                    assertEquals(List.of(), result.violations(), result::log);
+                    result.world()
+                            .behaviour
+                            .assertKept("trace/" + f.getFileName().toString().replace(".trace", ""));
                 }));
     }
 
+    private static List<String> violations(String... trace) {
+        return TracePlayer.play(List.of(trace)).violations();
+    }
+
     /** The checker would be worth nothing if it could not fail. */
     @Test
     void theCheckerSeesBrokenRules() {
-        ClusterSimulator[] world = new ClusterSimulator[1];
-        List<String> wrong = TracePlayer.play(
-                List.of(
-                        "team red 0 8",
-                        "machine large a ordinary",
-                        "machine large b ordinary",
-                        "at 3 submit j-1 red 1 8 30",
-                        "at 15 forge-start host-000000 j-1/0",
-                        "at 15 forge-start host-000001 j-1/0",
-                        "until 20"),
-                world);
+        List<String> wrong = violations(
+                "team red 0 8",
+                "machine large a ordinary",
+                "machine large b ordinary",
+                "at 3 submit j-1 red 1 8 30",
+                "at 15 forge-start host-000000 j-1/0",
+                "at 15 forge-start host-000001 j-1/0",
+                "until 20");
         assertTrue(wrong.stream().anyMatch(w -> w.contains("ran_twice")), wrong::toString);
         assertTrue(wrong.stream().anyMatch(w -> w.contains("quota")), wrong::toString);
     }
@@ -57,32 +58,26 @@
     /** A start before the needed job is over, by a controller that is broken. */
     @Test
     void theCheckerSeesAStartThatIsTooEarly() {
-        ClusterSimulator[] world = new ClusterSimulator[1];
-        List<String> wrong = TracePlayer.play(
-                List.of(
-                        "team red 0 0",
-                        "machine large a ordinary",
-                        "at 3 submit j-1 red 1 8 60",
-                        "at 5 submit j-2 red 1 1 5 awaits=j-1",
-                        "at 15 forge-start host-000000 j-2/0",
-                        "until 20"),
-                world);
+        List<String> wrong = violations(
+                "team red 0 0",
+                "machine large a ordinary",
+                "at 3 submit j-1 red 1 8 60",
+                "at 5 submit j-2 red 1 1 5 awaits=j-1",
+                "at 15 forge-start host-000000 j-2/0",
+                "until 20");
         assertTrue(wrong.stream().anyMatch(w -> w.contains("too_early")), wrong::toString);
     }
 
     /** A user is told of a cancellation that nobody has stored: what needs the job stays pending for too long. */
     @Test
     void theCheckerSeesAnOrphanedJob() {
-        ClusterSimulator[] world = new ClusterSimulator[1];
-        List<String> wrong = TracePlayer.play(
-                List.of(
-                        "team red 0 0",
-                        "machine small a ordinary",
-                        "at 3 submit j-1 red 1 4 200",
-                        "at 5 submit j-2 red 1 1 5 awaits=j-1",
-                        "at 10 forge-cancelled j-1",
-                        "until 70"),
-                world);
+        List<String> wrong = violations(
+                "team red 0 0",
+                "machine small a ordinary",
+                "at 3 submit j-1 red 1 4 200",
+                "at 5 submit j-2 red 1 1 5 awaits=j-1",
+                "at 10 forge-cancelled j-1",
+                "until 70");
         assertTrue(wrong.stream().anyMatch(w -> w.contains("orphaned")), wrong::toString);
     }
 
@@ -113,9 +108,9 @@
                 lines.add("expect done " + id);
             }
         }
-        ClusterSimulator[] world = new ClusterSimulator[1];
-        assertEquals(List.of(), TracePlayer.play(lines, world), () -> String.join("\n", world[0].log));
-        world[0].behaviour.assertKept("one-task-jobs");
+        TracePlayer.Result result = TracePlayer.play(lines);
+        assertEquals(List.of(), result.violations(), result::log);
+        result.world().behaviour.assertKept("one-task-jobs");
     }
 
     @TestFactory
