--- a/src/test/java/org/havenford/simulator/PlacementTest.java
+++ b/src/test/java/org/havenford/simulator/PlacementTest.java
@@ -68,11 +68,12 @@
 
     @TestFactory
     Stream<DynamicTest> constrainedJobsAmidTroubles() {
-        return RandomizedScenarios.play("placements", 12, RandomizedScenarios::placements);
+        return RandomizedScenarios.play("placements", 12, PlacementScenario::draw);
     }
 
     @TestFactory
     Stream<DynamicTest> constrainedJobsAmidAnUpgrade() {
-        return RandomizedScenarios.play("placements-amid-an-upgrade", 6, RandomizedScenarios::placementsAmidAnUpgrade);
+        return RandomizedScenarios.play(
+                "placements-amid-an-upgrade", 6, seed -> UpgradeScenario.draw(seed, PlacementScenario::draw));
     }
 }
--- /dev/null
+++ b/src/test/java/org/havenford/simulator/RandomDependencies.java
@@ -0,0 +1,54 @@
+package org.havenford.simulator;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+
+/** Draws which jobs a job depends on: users name only jobs that were accepted before. */
+final class RandomDependencies {
+    /** By then a submission has been accepted, if the controllers can be reached. */
+    private static final int ACCEPTED_WITHIN_SECONDS = 4;
+
+    private final SplittableRandom random;
+    private final int from;
+    private final Map<String, Integer> submittedAt = new TreeMap<>();
+    private final Map<String, List<String>> dependencies = new HashMap<>();
+
+    /** Creates the draws of one trace; jobs submitted until the second {@code from} depend on none. */
+    RandomDependencies(SplittableRandom random, int from) {
+        this.random = random;
+        this.from = from;
+    }
+
+    /** Draws the dependencies of a job, and returns them as an option of its submission: empty, or with a space in front. */
+    String drawOption(String job, int second) {
+        List<String> drawn = draw(second);
+        if (second <= from) {
+            drawn.clear();
+        }
+        submittedAt.put(job, second);
+        dependencies.put(job, drawn);
+        return drawn.isEmpty() ? "" : " awaits=" + String.join(",", drawn);
+    }
+
+    private List<String> draw(int second) {
+        List<String> earlier = submittedAt.entrySet().stream()
+                .filter(job -> job.getValue() + ACCEPTED_WITHIN_SECONDS < second)
+                .map(Map.Entry::getKey)
+                .toList();
+        List<String> drawn = new ArrayList<>();
+        int count = earlier.isEmpty() || random.nextInt(3) > 0 ? 0 : 1 + random.nextInt(2);
+        for (int i = 0; i < count; i++) {
+            drawn.add(earlier.get(random.nextInt(earlier.size())));
+        }
+        return drawn;
+    }
+
+    /** The jobs that each job depends on. */
+    Map<String, List<String>> byJob() {
+        return dependencies;
+    }
+}
--- a/src/test/java/org/havenford/simulator/TraceTest.java
+++ b/src/test/java/org/havenford/simulator/TraceTest.java
@@ -115,22 +115,22 @@
 
     @TestFactory
     Stream<DynamicTest> randomTroubles() {
-        return RandomizedScenarios.play("troubles", 12, RandomizedScenarios::troubles);
+        return RandomizedScenarios.play("troubles", 12, TroublesScenario::draw);
     }
 
     @TestFactory
     Stream<DynamicTest> randomTroublesWithStandby() {
-        return RandomizedScenarios.play("troubles-with-standby", 12, RandomizedScenarios::troublesWithStandby);
+        return RandomizedScenarios.play("troubles-with-standby", 12, StandbyScenario::draw);
     }
 
     @TestFactory
     Stream<DynamicTest> randomTroublesOfOperations() {
-        return RandomizedScenarios.play("operations", 12, RandomizedScenarios::operations);
+        return RandomizedScenarios.play("operations", 12, OperationsScenario::draw);
     }
 
     /** The same while the controllers come back one by one with this version, whereupon the store's limits fall. */
     @TestFactory
     Stream<DynamicTest> randomTroublesAmidAnUpgrade() {
-        return RandomizedScenarios.play("upgrade", 6, RandomizedScenarios::upgrade);
+        return RandomizedScenarios.play("upgrade", 6, seed -> UpgradeScenario.draw(seed, TroublesScenario::draw));
     }
 }
