--- a/src/test/java/org/havenford/simulator/InvariantChecker.java
+++ b/src/test/java/org/havenford/simulator/InvariantChecker.java
@@ -7,53 +7,53 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 import org.havenford.settings.PlatformSettings;
 
 /** The rules of the protocol, checked after every event against what is really on the machines. */
 final class InvariantChecker {
-    private static final Duration WAITS_AT_MOST = Duration.ofSeconds(90);
-    private static final Duration KNOWN_WITHIN = Duration.ofSeconds(75);
-    private static final Duration LARGE_BEGIN_WITHIN = Duration.ofMinutes(4);
-    /** Jobs of at least this part of the largest's tasks count as the largest. */
-    private static final double LARGE = 0.8;
+    /** Sums of CPUs may differ from a limit by this much through rounding. */
+    static final double CPU_TOLERANCE = 1e-6;
+
+    private static final Duration ANSWERED_WITHIN = Duration.ofSeconds(75);
+    private static final Duration WITHOUT_CHANGE_CHECKED_EVERY = Duration.ofMillis(500);
+    private static final Duration WAITING_CHECKED_EVERY = Duration.ofSeconds(5);
+    private static final int VIOLATIONS_KEPT = 20;
 
     private final ClusterSimulator world;
+    private final PlacementInvariant placement;
+    private final WaitingInvariant waiting;
+    private final TakeoverInvariant takeover;
+    /** The first violations, with their time and rule. */
     final List<String> broken = new ArrayList<>();
+
     int starts;
     /** Starts after their job's cancellation was confirmed: counted by users, broken only after the time allowed. */
     int startsAfterCancel;
 
     private final Map<String, Integer> startsOf = new HashMap<>();
     private final Map<String, Instant> lastStartOf = new HashMap<>();
-    private final Map<String, Instant> waiting = new HashMap<>();
-    private final List<SimulatedAgent> reportedToCrashed = new ArrayList<>();
     private boolean touched = true;
-    private Instant waitsChecked = Instant.MIN;
+    private Instant waitingChecked = Instant.MIN;
     private Instant checked = Instant.MIN;
-    /** When the last trouble of the day is over; from then on users expect answers. */
+    /** When the last fault of the run is over; from then on users expect answers. */
     Instant troublesOver = Instant.EPOCH;
-    /** Days played from a trace know when their troubles are over. */
+    /** Runs played from a trace know when their faults are over. */
     boolean checkWaits;
 
     InvariantChecker(ClusterSimulator world) {
         this.world = world;
+        placement = new PlacementInvariant(world, this);
+        waiting = new WaitingInvariant(world, this);
+        takeover = new TakeoverInvariant(world, this);
     }
 
-    void broken(String rule, String what) {
-        String line = String.format("%.3f %s: %s", world.seconds(), rule, what);
-        if (broken.size() < 20) {
+    /** Records a violation of a rule. */
+    void broken(String rule, String detail) {
+        String line = String.format("%.3f %s: %s", world.seconds(), rule, detail);
+        if (broken.size() < VIOLATIONS_KEPT) {
             broken.add(line);
         }
-        world.note("BROKEN " + rule + " " + what);
-    }
-
-    private static boolean on(SimulatedAgent w, SimulatedAgent.Task t) {
-        return t.on() && !(w.hung && w.leaseOver());
-    }
-
-    private static String jobOf(String shot) {
-        return shot.substring(0, shot.indexOf('/'));
+        world.note("BROKEN " + rule + " " + detail);
     }
 
     /** How many times tasks of a job have started. */
@@ -61,247 +61,139 @@
         return startsOf.getOrDefault(job, 0);
     }
 
-    /** A controller has ended: these workers reported to it. */
+    /** When a task of a job started last; {@link Instant#MIN} if none has. */
+    Instant lastStart(String job) {
+        return lastStartOf.getOrDefault(job, Instant.MIN);
+    }
+
+    /** A controller has ended. */
     void crashed(String node) {
-        reportedToCrashed.clear();
-        world.workers.values().stream().filter(w -> w.reportsTo(node)).forEach(reportedToCrashed::add);
+        takeover.controllerEnded(node);
     }
 
-    /** The workers of the controller that ended last have seen a token of the view in force: their new owners have turned to them. */
+    /** Checks that the agents of the controller that ended last have turned to new owners. */
     void tokensRenewed() {
-        long epoch =
-                world.store.value("live/view").getAsJsonObject().get("epoch").getAsLong();
-        if (reportedToCrashed.isEmpty()) {
-            broken("not taken over", "no worker reported to the controller that ended");
-        }
-        for (SimulatedAgent w : reportedToCrashed) {
-            if (w.up() && !w.hung && w.token >> 32 < epoch) {
-                broken("not taken over", w.name + " has seen no token of epoch " + epoch);
-            }
-        }
+        takeover.check();
     }
 
+    /** Something has changed on a machine: the next check is due at once. */
     void touched() {
         touched = true;
     }
 
-    void started(SimulatedAgent on, SimulatedAgent.Task t) {
+    /** A task has started on a machine. */
+    void started(SimulatedAgent agent, SimulatedAgent.Task task) {
+        String jobId = RunningTasks.jobOf(task.shot);
         starts++;
-        startsOf.merge(jobOf(t.shot), 1, Integer::sum);
-        lastStartOf.put(jobOf(t.shot), world.now);
+        startsOf.merge(jobId, 1, Integer::sum);
+        lastStartOf.put(jobId, world.now);
         touched = true;
-        world.note(t.shot + " take " + t.take + " starts on " + on.name);
-        SimulatedUsers.Job job = world.users.jobs.get(jobOf(t.shot));
+        world.note(task.shot + " take " + task.take + " starts on " + agent.name);
+        SimulatedUsers.Job job = world.users.jobs.get(jobId);
         if (job.begun == null) {
             job.begun = world.now;
         }
-        checkOnce(on, t);
-        checkPlace(on, t, job);
-        for (String a : job.awaits) {
-            JsonElement end = world.store.value("final/" + a);
-            if (end == null
-                    || !end.getAsJsonObject().get("status").getAsString().equals("done")) {
-                broken("too_early", t.shot + " starts before " + a + " is done");
-            }
-        }
-        if (job.cancelTold != null) {
-            startsAfterCancel++;
-            world.note(t.shot + " starts after its job was cancelled");
-        }
-        if (job.cancelTold != null
-                && Duration.between(job.cancelTold, world.now).compareTo(world.template.cancellationLimit()) > 0) {
-            broken("ran_cancelled", t.shot + " starts");
-        }
+        checkRunsOnce(agent, task);
+        placement.check(agent, task, job);
+        checkDependenciesDone(task, job);
+        checkNotCancelled(task, job);
     }
 
-    private void checkOnce(SimulatedAgent on, SimulatedAgent.Task t) {
-        for (SimulatedAgent w : world.workers.values()) {
-            for (SimulatedAgent.Task o : w.tasks.values()) {
-                if (o != t && on(w, o) && o.shot.equals(t.shot)) {
-                    broken("ran_twice", t.shot + " on " + w.name + " and " + on.name);
+    private void checkRunsOnce(SimulatedAgent agent, SimulatedAgent.Task task) {
+        for (SimulatedAgent other : world.workers.values()) {
+            for (SimulatedAgent.Task attempt : other.tasks.values()) {
+                if (attempt != task && RunningTasks.isRunning(other, attempt) && attempt.shot.equals(task.shot)) {
+                    broken("ran_twice", task.shot + " on " + other.name + " and " + agent.name);
                 }
             }
         }
     }
 
-    /** All five constraints of a job, given its other tasks that are on machines at this moment. */
-    private void checkPlace(SimulatedAgent on, SimulatedAgent.Task t, SimulatedUsers.Job job) {
-        if (!job.types.isEmpty() && !job.types.contains(on.type)) {
-            wrongPlace("type", t.shot + " on " + on.name + ", which is " + on.type + ", not of " + job.types);
-        }
-        if (job.zone != null && !job.zone.equals(on.zone)) {
-            wrongPlace("zone", t.shot + " in zone " + on.zone + ", not " + job.zone);
-        }
-        if (on.spot && !job.spot) {
-            wrongPlace("kind", t.shot + " on " + on.name + ", a spot machine");
-        }
-        Map<String, Integer> byZone = tasksByZone(job);
-        if (job.together && byZone.size() > 1) {
-            wrongPlace("together", t.shot + " on " + on.name + ", tasks by zone " + byZone);
-        }
-        if (job.apart && byZone.getOrDefault(on.zone, 0) > mostInOneZone(job)) {
-            wrongPlace("apart", t.shot + " on " + on.name + ", of " + job.tasks + " tasks by zone " + byZone);
-        }
-    }
-
-    private void wrongPlace(String constraint, String what) {
-        broken("wrong_place", constraint + ": " + what);
-    }
-
-    private static int mostInOneZone(SimulatedUsers.Job job) {
-        return (job.tasks + 1) / 2;
-    }
-
-    /** How many tasks of a job are on machines of each zone. */
-    private Map<String, Integer> tasksByZone(SimulatedUsers.Job job) {
-        Map<String, Integer> byZone = new TreeMap<>();
-        for (SimulatedAgent w : world.workers.values()) {
-            for (SimulatedAgent.Task o : w.tasks.values()) {
-                if (on(w, o) && jobOf(o.shot).equals(job.id)) {
-                    byZone.merge(w.zone, 1, Integer::sum);
-                }
+    private void checkDependenciesDone(SimulatedAgent.Task task, SimulatedUsers.Job job) {
+        for (String dependency : job.awaits) {
+            JsonElement end = world.store.value("final/" + dependency);
+            if (end == null
+                    || !end.getAsJsonObject().get("status").getAsString().equals("done")) {
+                broken("too_early", task.shot + " starts before " + dependency + " is done");
             }
         }
-        return byZone;
     }
 
-    /** Once all troubles are over no job may wait this long while a machine that fits has room and its team is under its limit. */
-    private void checkWaiting(Map<String, Double> used) {
-        if (world.now.isBefore(troublesOver)) {
-            waiting.clear();
-            return;
-        }
-        for (SimulatedUsers.Job job : world.users.jobs.values()) {
-            boolean open = job.accepted
-                    && job.doneTold == null
-                    && !world.users.mayBeWithdrawn(job)
-                    && job.awaits.stream().allMatch(a -> world.store.value("final/" + a) != null);
-            // Of a job that fails on every machine no task is ever done: it must be tried often enough.
-            Instant tried = lastStartOf.getOrDefault(job.id, Instant.MIN);
-            boolean triedLately = job.broken && tried.plus(WAITS_AT_MOST).isAfter(world.now);
-            boolean pending = open && unstarted(job) && !triedLately;
-            PlatformSettings.Team team = world.template.teams().get(job.team);
-            boolean allowed =
-                    team.cpusMax() <= 0 || used.getOrDefault(job.team, 0.0) + job.cpus <= team.cpusMax() + 1e-6;
-            Map<String, Integer> byZone = pending && allowed ? tasksByZone(job) : Map.of();
-            if (!pending
-                    || !allowed
-                    || world.workers.values().stream().noneMatch(w -> hasRoom(w, job) && mayJoin(w, job, byZone))) {
-                waiting.remove(job.id);
-            } else if (Duration.between(waiting.computeIfAbsent(job.id, k -> world.now), world.now)
-                            .compareTo(WAITS_AT_MOST)
-                    > 0) {
-                broken("waited", job.id + " has waited beside fitting room");
-                waiting.remove(job.id);
-            }
+    private void checkNotCancelled(SimulatedAgent.Task task, SimulatedUsers.Job job) {
+        if (job.cancelTold != null) {
+            startsAfterCancel++;
+            world.note(task.shot + " starts after its job was cancelled");
         }
-    }
-
-    private boolean unstarted(SimulatedUsers.Job job) {
-        for (int i = 0; i < job.tasks; i++) {
-            String shot = job.id + "/" + i;
-            if (!world.users.finished.contains(shot)
-                    && world.workers.values().stream()
-                            .noneMatch(w -> w.tasks.values().stream().anyMatch(t -> t.shot.equals(shot)))) {
-                return true;
-            }
+        if (isCancellationOverdue(job)) {
+            broken("ran_cancelled", task.shot + " starts");
         }
-        return false;
     }
 
-    /** Whether one more task may start in the machine's zone beside those that are on machines now. */
-    private static boolean mayJoin(SimulatedAgent w, SimulatedUsers.Job job, Map<String, Integer> byZone) {
-        return (!job.together || byZone.isEmpty() || byZone.containsKey(w.zone))
-                && (!job.apart || byZone.getOrDefault(w.zone, 0) < mostInOneZone(job));
-    }
-
-    private boolean hasRoom(SimulatedAgent w, SimulatedUsers.Job job) {
-        double taken = w.tasks.values().stream()
-                .filter(t -> !t.status.equals("exited"))
-                .mapToDouble(t -> world.users.jobs.get(jobOf(t.shot)).cpus)
-                .sum();
-        return w.up()
-                && !w.hung
-                && !w.faulty
-                && w.notice == null
-                && (job.spot || !w.spot)
-                && (job.types.isEmpty() || job.types.contains(w.type))
-                && (job.zone == null || job.zone.equals(w.zone))
-                && taken + job.cpus <= SimulatedCloud.TYPES.get(w.type)[0] + 1e-6;
+    /** Whether a job was confirmed as cancelled longer ago than its tasks may go on. */
+    private boolean isCancellationOverdue(SimulatedUsers.Job job) {
+        return job.cancelTold != null
+                && Duration.between(job.cancelTold, world.now).compareTo(world.template.cancellationLimit()) > 0;
     }
 
+    /** Checks all running tasks, if something has changed or the last check is long ago. */
     void check() {
-        if (!touched && world.now.isBefore(checked.plusMillis(500))) {
+        if (!touched && world.now.isBefore(checked.plus(WITHOUT_CHANGE_CHECKED_EVERY))) {
             return;
         }
         touched = false;
         checked = world.now;
-        Map<String, Double> used = new HashMap<>();
-        for (SimulatedAgent w : world.workers.values()) {
-            for (SimulatedAgent.Task t : w.tasks.values()) {
-                if (!on(w, t)) {
+        Map<String, Double> cpusByTeam = checkRunningTasks();
+        if (checkWaits && !world.now.isBefore(waitingChecked.plus(WAITING_CHECKED_EVERY))) {
+            waitingChecked = world.now;
+            checkWaiting(cpusByTeam);
+        }
+        cpusByTeam.forEach(this::checkQuota);
+    }
+
+    /** Checks that no task of a cancelled job goes on, and returns the CPUs that each team's running tasks have. */
+    private Map<String, Double> checkRunningTasks() {
+        Map<String, Double> cpusByTeam = new HashMap<>();
+        for (SimulatedAgent agent : world.workers.values()) {
+            for (SimulatedAgent.Task task : agent.tasks.values()) {
+                if (!RunningTasks.isRunning(agent, task)) {
                     continue;
                 }
-                SimulatedUsers.Job job = world.users.jobs.get(jobOf(t.shot));
-                used.merge(job.team, job.cpus, Double::sum);
-                if (job.cancelTold != null
-                        && Duration.between(job.cancelTold, world.now).compareTo(world.template.cancellationLimit())
-                                > 0) {
-                    broken("ran_cancelled", t.shot + " is still on " + w.name);
+                SimulatedUsers.Job job = world.users.jobs.get(RunningTasks.jobOf(task.shot));
+                cpusByTeam.merge(job.team, job.cpus, Double::sum);
+                if (isCancellationOverdue(job)) {
+                    broken("ran_cancelled", task.shot + " is still on " + agent.name);
                 }
             }
         }
-        if (checkWaits && !world.now.isBefore(waitsChecked.plusSeconds(5))) {
-            waitsChecked = world.now;
-            checkWaiting(used);
+        return cpusByTeam;
+    }
+
+    private void checkWaiting(Map<String, Double> cpusByTeam) {
+        if (world.now.isBefore(troublesOver)) {
+            waiting.reset();
+        } else {
+            waiting.check(cpusByTeam);
         }
-        used.forEach((team, cpus) -> {
-            PlatformSettings.Team limit = world.template.teams().get(team);
-            if (limit.cpusMax() > 0 && cpus > limit.cpusMax() + 1e-6) {
-                broken("quota", team + " uses " + cpus);
-            }
-        });
     }
 
-    /** A question about a job had no answer: after the troubles none may stay without one for longer than this. */
+    private void checkQuota(String team, double cpus) {
+        PlatformSettings.Team limit = world.template.teams().get(team);
+        if (limit.cpusMax() > 0 && cpus > limit.cpusMax() + CPU_TOLERANCE) {
+            broken("quota", team + " uses " + cpus);
+        }
+    }
+
+    /** A question about a job had no answer: after the faults none may stay without one for longer than this. */
     void unanswered(SimulatedUsers.Job job) {
         Instant since = job.answered.isAfter(troublesOver) ? job.answered : troublesOver;
-        if (Duration.between(since, world.now).compareTo(KNOWN_WITHIN) > 0) {
-            broken(
-                    "forgotten",
-                    job.id + " has had no answer since "
-                            + Duration.between(Instant.EPOCH, since).toMillis() / 1e3);
+        if (Duration.between(since, world.now).compareTo(ANSWERED_WITHIN) > 0) {
+            double second = Duration.between(Instant.EPOCH, since).toMillis() / 1e3;
+            broken("forgotten", job.id + " has had no answer since " + second);
         }
     }
 
-    /** What users look at when the day is over: no class, no team and no class's largest jobs may starve. */
+    /** Checks what users look at when a run is over: that no kind of work has starved. */
     void endOfDay() {
-        Map<String, List<SimulatedUsers.Job>> groups = new TreeMap<>();
-        Map<String, Integer> largest = new HashMap<>();
-        for (SimulatedUsers.Job job : world.users.jobs.values()) {
-            largest.merge(job.lineup, job.tasks, Math::max);
-        }
-        for (SimulatedUsers.Job job : world.users.jobs.values()) {
-            if (!job.accepted || job.broken || job.cancelTold != null || job.takenAlong != null) {
-                continue;
-            }
-            groups.computeIfAbsent("class " + job.lineup, k -> new ArrayList<>())
-                    .add(job);
-            groups.computeIfAbsent("team " + job.team, k -> new ArrayList<>()).add(job);
-            if (job.tasks >= largest.get(job.lineup) * LARGE) {
-                groups.computeIfAbsent("largest of class " + job.lineup, k -> new ArrayList<>())
-                        .add(job);
-                Instant by = job.submitted.plus(LARGE_BEGIN_WITHIN);
-                if (job.awaits.isEmpty() && by.isBefore(world.now) && (job.begun == null || job.begun.isAfter(by))) {
-                    broken("unserved", job.id + ", of the largest of its class, has not begun in time");
-                }
-            }
-        }
-        groups.forEach((group, jobs) -> {
-            long served = jobs.stream().filter(job -> job.doneTold != null).count();
-            if (served * 2 < jobs.size()) {
-                broken("unserved", group + ": " + served + " of " + jobs.size());
-            }
-        });
+        new FairnessInvariant(world, this).check();
     }
 }
