--- a/src/test/java/org/havenford/simulator/LargeFleetTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetTest.java
@@ -16,6 +16,10 @@
     private static final String TEAMS =
             "{\"name\":\"red\",\"cpus\":1000,\"cpus_max\":4000}," + "{\"name\":\"blue\",\"cpus\":400,\"cpus_max\":900}";
 
+    private static final String UNLIMITED_TEAM = "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}";
+    private static final String LARGE_STORE = "{\"rps\":500,\"write_rps\":250,\"value_kb\":8,\"txn_ops\":12}";
+    private static final int FIRST_JOB_SECOND = 40;
+
     private static PlatformSettings settings(int node) {
         return SimulatorSettings.of(
                 node,
@@ -32,37 +36,33 @@
         for (int i = 0; i < NODES; i++) {
             world.addNode(settings(i));
         }
-        Counts counts = day(world, 1000, 90, 5, 40, List.of("red", "red", "blue"));
-        assertTrue(counts.waited < 10, counts::toString);
+        assertCheapAndDone(world, new Workload(1000, 90, 5, 40, List.of("red", "red", "blue")));
         world.behaviour.assertKept("grown/a-thousand-machines");
     }
 
     /** Half as many machines again as the largest deployment, in four zones: what a task costs stays what it was. */
     @Test
-    void eighteenHundredMachinesOnSeven() {
+    void aTaskCostsNoMoreOnEighteenHundredMachinesOfSevenControllers() {
         ClusterSimulator world = new ClusterSimulator(14, settings(0));
         world.cloud.zones = List.of("a", "b", "c", "d");
         for (int i = 0; i < NODES; i++) {
             world.addNode(settings(i));
         }
-        Counts counts = day(world, 1850, 90, 5, 50, List.of("red", "red", "blue"));
-        assertTrue(counts.waited < 10, counts::toString);
+        assertCheapAndDone(world, new Workload(1850, 90, 5, 50, List.of("red", "red", "blue")));
         world.behaviour.assertKept("grown/eighteen-hundred-machines");
     }
 
     /** The same on three controllers with larger limits and no team's limit. */
     @Test
-    void sixteenHundredMachinesOnThree() {
-        String team = "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}";
-        String workers = "{\"report_s\":4,\"lease_s\":26,\"cancel_s\":46}";
-        String state = "{\"rps\":300,\"write_rps\":120,\"value_kb\":8,\"txn_ops\":12}";
-        ClusterSimulator world = new ClusterSimulator(15, SimulatorSettings.of(0, 3, team, workers, state));
+    void sixteenHundredMachinesOfThreeControllersWithinTheLimitsOfTheService() {
+        String agents = "{\"report_s\":4,\"lease_s\":26,\"cancel_s\":46}";
+        String store = "{\"rps\":300,\"write_rps\":120,\"value_kb\":8,\"txn_ops\":12}";
+        ClusterSimulator world = new ClusterSimulator(15, SimulatorSettings.of(0, 3, UNLIMITED_TEAM, agents, store));
         world.cloud.zones = List.of("a", "b", "c", "d");
         for (int i = 0; i < 3; i++) {
-            world.addNode(SimulatorSettings.of(i, 3, team, workers, state));
+            world.addNode(SimulatorSettings.of(i, 3, UNLIMITED_TEAM, agents, store));
         }
-        Counts counts = day(world, 1600, 90, 20, 60, List.of("red"));
-        assertTrue(counts.waited < 10, counts::toString);
+        assertCheapAndDone(world, new Workload(1600, 90, 20, 60, List.of("red")));
         world.behaviour.assertKept("grown/sixteen-hundred-machines");
     }
 
@@ -72,11 +72,10 @@
      */
     @Test
     void aLongListOfMachinesIsReadToItsEnd() {
-        String team = "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}";
-        String workers = "{\"report_s\":4,\"lease_s\":60,\"cancel_s\":90}";
-        String state = "{\"rps\":500,\"write_rps\":250,\"value_kb\":8,\"txn_ops\":12}";
-        ClusterSimulator world = new ClusterSimulator(17, SimulatorSettings.of(0, 1, team, workers, state));
-        world.addNode(SimulatorSettings.of(0, 1, team, workers, state));
+        String agents = "{\"report_s\":4,\"lease_s\":60,\"cancel_s\":90}";
+        ClusterSimulator world =
+                new ClusterSimulator(17, SimulatorSettings.of(0, 1, UNLIMITED_TEAM, agents, LARGE_STORE));
+        world.addNode(SimulatorSettings.of(0, 1, UNLIMITED_TEAM, agents, LARGE_STORE));
         for (int i = 0; i < 4000; i++) {
             world.cloud.boot("small", List.of("a", "b", "c").get(i % 3), false, Duration.ofMillis(100 + i));
         }
@@ -89,25 +88,54 @@
 
     /** The largest deployment, on three controllers: plain work and a burst. */
     @Test
-    void fourThousandMachinesOnThree() {
-        String team = "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}";
-        String workers = "{\"report_s\":4,\"lease_s\":26,\"cancel_s\":46}";
-        String state = "{\"rps\":500,\"write_rps\":250,\"value_kb\":8,\"txn_ops\":12}";
-        ClusterSimulator world = new ClusterSimulator(16, SimulatorSettings.of(0, 3, team, workers, state));
+    void fourThousandMachinesOfThreeControllersWithinTheLimitsOfTheService() {
+        String agents = "{\"report_s\":4,\"lease_s\":26,\"cancel_s\":46}";
+        ClusterSimulator world =
+                new ClusterSimulator(16, SimulatorSettings.of(0, 3, UNLIMITED_TEAM, agents, LARGE_STORE));
         for (int i = 0; i < 3; i++) {
-            world.addNode(SimulatorSettings.of(i, 3, team, workers, state));
+            world.addNode(SimulatorSettings.of(i, 3, UNLIMITED_TEAM, agents, LARGE_STORE));
         }
-        Counts counts = day(world, 4000, 60, 40, 120, List.of("red"));
-        assertTrue(counts.waited < 10, counts::toString);
+        assertCheapAndDone(world, new Workload(4000, 60, 40, 120, List.of("red")));
         world.behaviour.assertKept("grown/four-thousand-machines");
     }
 
-    /** What a day asked of the state service, and the longest wait for a first start. */
-    private record Counts(int tasks, int requests, int changes, int conflicts, int refused, double waited) {}
+    /**
+     * What runs on a fleet: so many machines from the start, and a job a second of {@code leastTasks} tasks and up to
+     * {@code moreTasks} more, of the teams in turn.
+     */
+    private record Workload(int machines, int jobs, int leastTasks, int moreTasks, List<String> teams) {}
+
+    /** What the state service was asked for. */
+    private record StoreCounts(int requests, int taskChanges, int conflicts, int refused) {
+        static StoreCounts of(ClusterSimulator world) {
+            return new StoreCounts(
+                    world.store.requests, changesOfTasks(world), world.store.conflicts, world.store.refused);
+        }
+
+        StoreCounts since(StoreCounts before) {
+            return new StoreCounts(
+                    requests - before.requests,
+                    taskChanges - before.taskChanges,
+                    conflicts - before.conflicts,
+                    refused - before.refused);
+        }
+    }
 
-    /** A day with so many machines from the start, and a job a second of {@code least} tasks and up to {@code more} more. */
-    private static Counts day(ClusterSimulator world, int machines, int jobs, int least, int more, List<String> teams) {
+    /** Plays the workload, and checks that all is done, each task started once, at a bounded cost for each task. */
+    private static void assertCheapAndDone(ClusterSimulator world, Workload workload) {
         world.store.pageSize = 500;
+        boot(world, workload.machines());
+        world.runUntil(FIRST_JOB_SECOND);
+        StoreCounts before = StoreCounts.of(world);
+        int tasks = submit(world, workload);
+        world.runUntil(100 + workload.jobs());
+        assertEquals(List.of(), world.rules.broken);
+        assertAllDone(world);
+        assertEquals(tasks, world.rules.starts, () -> String.join("\n", world.log));
+        assertWithinBudget(world, tasks, StoreCounts.of(world).since(before));
+    }
+
+    private static void boot(ClusterSimulator world, int machines) {
         List<String> zones = world.cloud.zones;
         for (int i = 0; i < machines; i++) {
             world.cloud.boot(
@@ -116,26 +144,26 @@
                     i % 2 == 0,
                     Duration.ofMillis(100 + world.random.nextInt(5000)));
         }
-        world.runUntil(40);
-        int requests = world.store.requests;
-        int refused = world.store.refused;
-        int conflicts = world.store.conflicts;
-        int before = taskChanges(world);
-        int total = 0;
-        // Drawn apart from the delays of messages: or each call more or less would make it another day, at times with
-        // more
-        // work than the teams' limits take.
-        SplittableRandom sizes = new SplittableRandom(jobs);
-        for (int i = 0; i < jobs; i++) {
-            int size = least + sizes.nextInt(more);
-            total += size;
+    }
+
+    /** Schedules the jobs and returns how many tasks they have. */
+    private static int submit(ClusterSimulator world, Workload workload) {
+        int tasks = 0;
+        // Drawn apart from the delays of messages: or each call more or less would make it another run, at times with
+        // more work than the teams' limits take.
+        SplittableRandom sizes = new SplittableRandom(workload.jobs());
+        for (int i = 0; i < workload.jobs(); i++) {
+            int size = workload.leastTasks() + sizes.nextInt(workload.moreTasks());
+            tasks += size;
             String id = "j-" + (1000 + i);
-            String team = teams.get(i % teams.size());
+            String team = workload.teams().get(i % workload.teams().size());
             String urgency = i % 4 == 0 ? "normal" : "urgent";
-            world.at(40 + i, () -> world.users.submit(id, team, size, 4, 20, List.of(urgency)));
+            world.at(FIRST_JOB_SECOND + i, () -> world.users.submit(id, team, size, 4, 20, List.of(urgency)));
         }
-        world.runUntil(100 + jobs);
-        assertEquals(List.of(), world.rules.broken);
+        return tasks;
+    }
+
+    private static void assertAllDone(ClusterSimulator world) {
         assertEquals(
                 List.of(),
                 world.users.jobs.values().stream()
@@ -143,29 +171,31 @@
                         .map(job -> job.id + " of " + job.tasks + " by " + job.team + ", begun " + job.begun)
                         .toList(),
                 () -> world.store.changesOf + " " + world.store.conflictsOf);
-        assertEquals(total, world.rules.starts, () -> String.join("\n", world.log));
-        Counts counts = new Counts(
-                total,
-                world.store.requests - requests,
-                taskChanges(world) - before,
-                world.store.conflicts - conflicts,
-                world.store.refused - refused,
-                world.users.jobs.values().stream()
-                                .mapToLong(job -> Duration.between(job.submitted, job.begun)
-                                        .toMillis())
-                                .max()
-                                .orElse(0)
-                        / 1e3);
-        String all = counts + "; changes " + world.store.changesOf + ", conflicts " + world.store.conflictsOf;
-        assertTrue(counts.changes < 1.6 * total, all);
-        assertTrue(counts.requests < 5 * total, all);
-        assertTrue(counts.conflicts < 0.1 * total, all);
+    }
+
+    private static void assertWithinBudget(ClusterSimulator world, int tasks, StoreCounts counts) {
+        double longestWait = longestWaitSeconds(world);
+        String all = "tasks " + tasks + ", longest wait " + longestWait + " s, " + counts + "; changes "
+                + world.store.changesOf + ", conflicts " + world.store.conflictsOf;
+        assertTrue(counts.taskChanges < 1.6 * tasks, all);
+        assertTrue(counts.requests < 5 * tasks, all);
+        assertTrue(counts.conflicts < 0.1 * tasks, all);
         assertTrue(counts.refused < 0.02 * counts.requests, all);
-        return counts;
+        assertTrue(longestWait < 10, all);
+    }
+
+    /** The longest time from a submission to the job's first start. */
+    private static double longestWaitSeconds(ClusterSimulator world) {
+        return world.users.jobs.values().stream()
+                        .mapToLong(job ->
+                                Duration.between(job.submitted, job.begun).toMillis())
+                        .max()
+                        .orElse(0)
+                / 1e3;
     }
 
     /** Renting and returning go their own way; what counts here is what a task costs. */
-    private static int taskChanges(ClusterSimulator world) {
+    private static int changesOfTasks(ClusterSimulator world) {
         return world.store.changesOf.entrySet().stream()
                 .filter(e -> !e.getKey().contains("live/machine"))
                 .mapToInt(Map.Entry::getValue)
@@ -174,13 +204,13 @@
 
     /** Limits a tenth as high make the service slow, not broken. */
     @Test
-    void aServiceWithATenthOfTheLimits() {
+    void aServiceWithATenthOfTheLimitsIsSlowButAllIsDone() {
         String team = "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":24}";
-        String workers = "{\"report_s\":5,\"lease_s\":30,\"cancel_s\":60}";
-        String state = "{\"rps\":25,\"write_rps\":10,\"value_kb\":8,\"txn_ops\":12}";
-        ClusterSimulator world = new ClusterSimulator(13, SimulatorSettings.of(0, NODES, team, workers, state));
+        String agents = "{\"report_s\":5,\"lease_s\":30,\"cancel_s\":60}";
+        String store = "{\"rps\":25,\"write_rps\":10,\"value_kb\":8,\"txn_ops\":12}";
+        ClusterSimulator world = new ClusterSimulator(13, SimulatorSettings.of(0, NODES, team, agents, store));
         for (int i = 0; i < NODES; i++) {
-            world.addNode(SimulatorSettings.of(i, NODES, team, workers, state));
+            world.addNode(SimulatorSettings.of(i, NODES, team, agents, store));
         }
         for (String zone : List.of("a", "b", "c")) {
             world.cloud.boot("large", zone, false, Duration.ofMillis(100));
@@ -204,10 +234,9 @@
     /** While urgent work asks for more than there is, the rest still gets its turn, the largest jobs within four minutes. */
     @Test
     void noKindOfWorkStarvesInABurst() {
-        ClusterSimulator world =
-                new ClusterSimulator(12, SimulatorSettings.of(0, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}"));
+        ClusterSimulator world = new ClusterSimulator(12, SimulatorSettings.of(0, UNLIMITED_TEAM));
         for (int i = 0; i < 3; i++) {
-            world.addNode(SimulatorSettings.of(i, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}"));
+            world.addNode(SimulatorSettings.of(i, UNLIMITED_TEAM));
         }
         for (String zone : List.of("a", "b", "c")) {
             world.cloud.boot("large", zone, false, Duration.ofMillis(100));
--- a/src/test/java/org/havenford/simulator/TraceTest.java
+++ b/src/test/java/org/havenford/simulator/TraceTest.java
@@ -27,12 +27,12 @@
         }
         assertFalse(files.isEmpty());
         return files.stream()
-                .map(f -> DynamicTest.dynamicTest(f.getFileName().toString(), () -> {
-                    TracePlayer.Result result = TracePlayer.play(Files.readAllLines(f));
+                .map(file -> DynamicTest.dynamicTest(file.getFileName().toString(), () -> {
+                    TracePlayer.Result result = TracePlayer.play(Files.readAllLines(file));
                     assertEquals(List.of(), result.violations(), result::log);
                     result.world()
                             .behaviour
-                            .assertKept("trace/" + f.getFileName().toString().replace(".trace", ""));
+                            .assertKept("trace/" + file.getFileName().toString().replace(".trace", ""));
                 }));
     }
 
@@ -42,7 +42,7 @@
 
     /** The checker would be worth nothing if it could not fail. */
     @Test
-    void theCheckerSeesBrokenRules() {
+    void theCheckerSeesATaskThatRunsTwiceAndAnExceededQuota() {
         List<String> wrong = violations(
                 "team red 0 8",
                 "machine large a ordinary",
@@ -83,7 +83,7 @@
 
     /** Jobs of one task, four a second for two minutes, a quarter of them cancelled, while a controller ends. */
     @Test
-    void oneTaskJobsFourASecondAQuarterCancelled() {
+    void oneTaskJobsAreDoneAlthoughAQuarterIsCancelledAndAControllerEnds() {
         List<String> lines = new ArrayList<>(List.of(
                 "team red 8 40",
                 "team blue 0 0",
@@ -96,14 +96,14 @@
                 "at 94 outage off",
                 "until 260",
                 "expect served"));
-        SplittableRandom r = new SplittableRandom(4);
+        SplittableRandom random = new SplittableRandom(4);
         for (int i = 0; i < 480; i++) {
             String id = "j-" + (1000 + i);
             double at = 8 + i * 0.25;
-            lines.add(
-                    "at " + at + " submit " + id + " " + (i % 2 == 0 ? "red" : "blue") + " 1 1 " + (2 + r.nextInt(5)));
+            lines.add("at " + at + " submit " + id + " " + (i % 2 == 0 ? "red" : "blue") + " 1 1 "
+                    + (2 + random.nextInt(5)));
             if (i % 4 == 3) {
-                lines.add("at " + (at + 0.1 + r.nextInt(60) / 10.0) + " cancel " + id);
+                lines.add("at " + (at + 0.1 + random.nextInt(60) / 10.0) + " cancel " + id);
             } else {
                 lines.add("expect done " + id);
             }
