--- a/src/test/java/org/havenford/coordination/scheduling/PlannerPlacementTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/PlannerPlacementTest.java
@@ -44,23 +44,26 @@
             + "{\"name\":\"small\",\"vcpus\":4,\"memGb\":32,\"fetchGbPerS\":0.5,\"halls\":[\"a\",\"b\",\"c\"]},"
             + "{\"name\":\"large\",\"vcpus\":16,\"memGb\":64,\"fetchGbPerS\":0.5,\"halls\":[\"a\",\"b\",\"c\"]}]}";
     /** Tasks in a record, so that larger jobs have several. */
-    private static final int CHUNK = 4;
+    private static final int TASKS_IN_RECORD = 4;
+
+    private static final int DRAWN_JOBS = 8;
+    private static final int DRAWN_SNAPSHOTS = 400;
 
     private final ClusterState clusterState = new ClusterState();
     private final Map<String, List<String>> images = new HashMap<>();
     private final List<String> owners = new ArrayList<>(List.of("n"));
-    private long stamp;
+    private long revision;
     private int machines;
 
     PlannerPlacementTest() {
         clusterState.setObserver(new QuietObserver());
-        clusterState.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
+        clusterState.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++revision);
     }
 
     private String machine(String type, String zone, boolean spot, String... cached) {
         String name = String.format("host-%06d", machines++);
         MachineBatch batch = MachineBatch.of("b-" + name, type, zone, spot, NOW.minusSeconds(300), List.of(name));
-        clusterState.changed(Keys.batch(batch.name()), batch.toJson(), ++stamp);
+        clusterState.changed(Keys.batch(batch.name()), batch.toJson(), ++revision);
         images.put(name, List.of(cached));
         return name;
     }
@@ -68,7 +71,7 @@
     private static JsonObject job(String id, int tasks, double cpus) {
         JsonObject json = JobSamples.submission(id, tasks, cpus);
         json.addProperty("_at", NOW.minusSeconds(1).toEpochMilli());
-        json.addProperty("_chunk", CHUNK);
+        json.addProperty("_chunk", TASKS_IN_RECORD);
         return json;
     }
 
@@ -80,7 +83,7 @@
     }
 
     private void submit(JsonObject job) {
-        clusterState.changed(Keys.job(job.get("nameId").getAsString()), job, ++stamp);
+        clusterState.changed(Keys.job(job.get("nameId").getAsString()), job, ++revision);
     }
 
     private void claim(String id, int task, String machine) {
@@ -88,7 +91,7 @@
         int index = job.taskRangeIndex(task);
         TaskRange taskRange = job.taskRange(index).copy();
         taskRange.claim(task, machine, 1, NOW.minusSeconds(60), "");
-        clusterState.changed(Keys.tasks(id, index), taskRange.toJson(), ++stamp);
+        clusterState.changed(Keys.tasks(id, index), taskRange.toJson(), ++revision);
     }
 
     private Plan plan() throws Exception {
@@ -184,9 +187,9 @@
             MachineRecord machine = clusterState.machine(claim.machine());
             zones.merge(machine == null ? "gone" : machine.zone(), 1, Integer::sum);
         }
-        for (Placement p : plan.placements()) {
-            if (p.task().job().equals(id)) {
-                zones.merge(clusterState.machine(p.machine()).zone(), 1, Integer::sum);
+        for (Placement placement : plan.placements()) {
+            if (placement.task().job().equals(id)) {
+                zones.merge(clusterState.machine(placement.machine()).zone(), 1, Integer::sum);
             }
         }
         return zones;
@@ -255,9 +258,9 @@
         submit(ordinaryInB);
         assertEquals(List.of(2), permitted("j-3", inA, inB, spotInA, "host-999999"));
         JsonObject onlyLarge = job("j-4", 4, 1);
-        JsonArray rigs = new JsonArray();
-        rigs.add("large");
-        onlyLarge.add("rigs", rigs);
+        JsonArray types = new JsonArray();
+        types.add("large");
+        onlyLarge.add("rigs", types);
         onlyLarge.addProperty("borrowed", false);
         submit(onlyLarge);
         assertEquals(List.of(1), permitted("j-4", inA, spotInA));
@@ -270,59 +273,72 @@
             placements.add(new Placement(new TaskId(id, i + 1), planned[i]));
         }
         return PlacementGuard.permitted(clusterState.job(id), placements, clusterState).stream()
-                .map(p -> p.task().index())
+                .map(placement -> placement.task().index())
                 .toList();
     }
 
     /** Snapshots drawn from seeds, all five constraints alone and together, some tasks claimed before. */
     @Test
-    void drawnSnapshots() throws Exception {
-        for (long seed = 1; seed <= 400; seed++) {
+    void placementsOfDrawnSnapshotsKeepToAllConstraints() throws Exception {
+        for (long seed = 1; seed <= DRAWN_SNAPSHOTS; seed++) {
             PlannerPlacementTest snapshot = new PlannerPlacementTest();
             snapshot.draw(new SplittableRandom(seed));
             snapshot.assertAllInPlace("seed " + seed, snapshot.plan());
         }
     }
 
-    private void draw(SplittableRandom r) {
-        if (r.nextBoolean()) {
+    private void draw(SplittableRandom random) {
+        if (random.nextBoolean()) {
             owners.add("o");
         }
-        for (int i = 6 + r.nextInt(20); i > 0; i--) {
-            machine(
-                    r.nextInt(3) == 0 ? "large" : "small",
-                    zone(r),
-                    r.nextBoolean(),
-                    r.nextInt(3) == 0 ? new String[] {"img-" + r.nextInt(3)} : new String[0]);
+        int drawnMachines = 6 + random.nextInt(20);
+        for (int i = 0; i < drawnMachines; i++) {
+            drawMachine(random);
         }
-        for (int i = 0; i < 8; i++) {
+        for (int i = 0; i < DRAWN_JOBS; i++) {
             String id = "j-" + i;
-            JsonObject json = job(id, 1 + r.nextInt(14), 1 + r.nextInt(4));
-            json.addProperty("reel", "img-" + r.nextInt(3));
-            json.addProperty("together", r.nextInt(3) == 0);
-            json.addProperty("apart", r.nextInt(3) == 0);
-            json.addProperty("borrowed", r.nextInt(4) > 0);
-            if (r.nextInt(4) == 0) {
-                json.addProperty("hall", zone(r));
-            }
-            if (r.nextInt(4) == 0) {
-                JsonArray rigs = new JsonArray();
-                rigs.add(r.nextBoolean() ? "small" : "large");
-                json.add("rigs", rigs);
-            }
-            if (r.nextInt(3) > 0) {
-                withTimeAndLongImage(json);
-            }
-            if (r.nextInt(4) == 0) {
-                json.addProperty("urgency", "urgent");
-            }
-            submit(json);
-            if (r.nextInt(3) == 0) {
-                claimSomewhere(clusterState.job(id).spec(), r);
+            submit(drawJob(id, random));
+            if (random.nextInt(3) == 0) {
+                claimSomewhere(clusterState.job(id).spec(), random);
             }
         }
     }
 
+    private void drawMachine(SplittableRandom random) {
+        String type = random.nextInt(3) == 0 ? "large" : "small";
+        String zone = drawZone(random);
+        boolean spot = random.nextBoolean();
+        String[] cached = random.nextInt(3) == 0 ? new String[] {"img-" + random.nextInt(3)} : new String[0];
+        machine(type, zone, spot, cached);
+    }
+
+    private static JsonObject drawJob(String id, SplittableRandom random) {
+        JsonObject json = job(id, 1 + random.nextInt(14), 1 + random.nextInt(4));
+        json.addProperty("reel", "img-" + random.nextInt(3));
+        drawConstraints(json, random);
+        if (random.nextInt(3) > 0) {
+            withTimeAndLongImage(json);
+        }
+        if (random.nextInt(4) == 0) {
+            json.addProperty("urgency", "urgent");
+        }
+        return json;
+    }
+
+    private static void drawConstraints(JsonObject json, SplittableRandom random) {
+        json.addProperty("together", random.nextInt(3) == 0);
+        json.addProperty("apart", random.nextInt(3) == 0);
+        json.addProperty("borrowed", random.nextInt(4) > 0);
+        if (random.nextInt(4) == 0) {
+            json.addProperty("hall", drawZone(random));
+        }
+        if (random.nextInt(4) == 0) {
+            JsonArray types = new JsonArray();
+            types.add(random.nextBoolean() ? "small" : "large");
+            json.add("rigs", types);
+        }
+    }
+
     /** What a job says of machines, worked out apart from the code that is tested. */
     private boolean allows(JobSpec spec, MachineRecord machine) {
         return (spec.types() == null || spec.types().contains(machine.type()))
@@ -331,12 +347,12 @@
                 && spec.cpus() <= clusterState.types().get(machine.type()).cpus();
     }
 
-    private static String zone(SplittableRandom r) {
-        return List.of("a", "b", "c").get(r.nextInt(3));
+    private static String drawZone(SplittableRandom random) {
+        return List.of("a", "b", "c").get(random.nextInt(3));
     }
 
     /** A first task, on a machine that the job allows. */
-    private void claimSomewhere(JobSpec spec, SplittableRandom r) {
+    private void claimSomewhere(JobSpec spec, SplittableRandom random) {
         List<MachineRecord> allowed = new ArrayList<>();
         for (MachineRecord machine : clusterState.machines()) {
             if (allows(spec, machine) && clusterState.claimsOn(machine.name()).isEmpty()) {
@@ -345,15 +361,15 @@
         }
         allowed.sort(Comparator.comparing(MachineRecord::name));
         if (!allowed.isEmpty()) {
-            claim(spec.id(), 0, allowed.get(r.nextInt(allowed.size())).name());
+            claim(spec.id(), 0, allowed.get(random.nextInt(allowed.size())).name());
         }
     }
 
     private void assertAllInPlace(String seed, Plan plan) {
-        for (Placement p : plan.placements()) {
-            MachineRecord machine = clusterState.machine(p.machine());
-            JobSpec spec = clusterState.job(p.task().job()).spec();
-            assertTrue(allows(spec, machine), () -> seed + ": " + p.task() + " on " + machine);
+        for (Placement placement : plan.placements()) {
+            MachineRecord machine = clusterState.machine(placement.machine());
+            JobSpec spec = clusterState.job(placement.task().job()).spec();
+            assertTrue(allows(spec, machine), () -> seed + ": " + placement.task() + " on " + machine);
         }
         for (Job job : clusterState.jobs()) {
             JobSpec spec = job.spec();
