--- a/src/test/java/org/havenford/simulator/GuestWorkTest.java
+++ b/src/test/java/org/havenford/simulator/GuestWorkTest.java
@@ -15,7 +15,7 @@
     private static final int MACHINES = 120;
     private static final int SINGLE_TASKS = 400;
     private static final int SINGLE_TASKS_A_SECOND = 25;
-    private static final int HUGE = 6000;
+    private static final int TASKS_OF_HUGE_JOB = 6000;
     private static final String TEAMS =
             "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0},{\"name\":\"guest\",\"cpus\":0,\"cpus_max\":0}";
 
@@ -40,7 +40,7 @@
         return world;
     }
 
-    private static double waited(SimulatedUsers.Job job) {
+    private static double waitSeconds(SimulatedUsers.Job job) {
         return Duration.between(job.submitted, job.begun).toMillis() / 1e3;
     }
 
@@ -54,7 +54,7 @@
             urgent.add(id);
             world.at(20 + i, () -> world.users.submit(id, "red", 12, 4, 15, List.of("urgent", "class=flash")));
         }
-        world.at(30, () -> world.users.submit("j-1", "guest", HUGE, 1, 6, List.of("low", "class=scan")));
+        world.at(30, () -> world.users.submit("j-1", "guest", TASKS_OF_HUGE_JOB, 1, 6, List.of("low", "class=scan")));
         for (int i = 0; i < SINGLE_TASKS; i++) {
             String id = "j-" + (1000 + i);
             double at = 40 + i / (double) SINGLE_TASKS_A_SECOND;
@@ -62,7 +62,7 @@
         }
         world.runUntil(200);
         List<Double> waits = urgent.stream()
-                .map(id -> waited(world.users.jobs.get(id)))
+                .map(id -> waitSeconds(world.users.jobs.get(id)))
                 .sorted()
                 .toList();
         world.runUntil(420);
--- a/src/test/java/org/havenford/simulator/LoopbackCluster.java
+++ b/src/test/java/org/havenford/simulator/LoopbackCluster.java
@@ -24,6 +24,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
+import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.havenford.protocol.MalformedMessageException;
@@ -36,6 +37,7 @@
  */
 final class LoopbackCluster implements AutoCloseable {
     private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(70);
+    private static final String STORE = "{\"rps\":600,\"write_rps\":300,\"value_kb\":8,\"txn_ops\":12}";
     private static final String HOST = "127.0.0.1";
     private static final int FIRST_PORT = 20_000;
     private static final int PORTS = 12_000;
@@ -62,18 +64,19 @@
     /** Starts that many controllers, all with the same operators' settings, in zones a, b and c. */
     LoopbackCluster(Path directory, int nodes, String teams, String operatorXml)
             throws IOException, MalformedMessageException {
-        List<String> binds = freeAddresses(nodes);
-        List<String> peers = freeAddresses(nodes);
-        String cloud = freeAddresses(1).get(0);
-        String state = freeAddresses(1).get(0);
+        SimulatorSettings.Addresses addresses = new SimulatorSettings.Addresses(
+                freeAddresses(nodes),
+                freeAddresses(nodes),
+                freeAddresses(1).get(0),
+                freeAddresses(1).get(0));
         List<String> settings = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
-            settings.add(settings(i, binds, peers, teams, cloud, state));
+            settings.add(SimulatorSettings.json(i, addresses, teams, SimulatorSettings.DEFAULT_AGENTS, STORE));
         }
         world = new ClusterSimulator(1, PlatformSettings.parse(settings.get(0)));
         world.endpoints = this::endpoint;
-        serve(state);
-        serve(cloud);
+        serve(addresses.state());
+        serve(addresses.cloud());
         for (int i = 0; i < nodes; i++) {
             PlatformSettings parsed = PlatformSettings.parse(settings.get(i));
             world.addRemoteNode(parsed);
@@ -85,26 +88,6 @@
         }
     }
 
-    private static String settings(
-            int node, List<String> binds, List<String> peers, String teams, String cloud, String state) {
-        StringBuilder others = new StringBuilder();
-        for (int i = 0; i < binds.size(); i++) {
-            if (i != node) {
-                others.append(others.isEmpty() ? "" : ",")
-                        .append(String.format(
-                                "{\"node_name\":\"node-%d\",\"location\":\"%c\",\"peer_addr\":\"%s\"}",
-                                i, 'a' + i % 3, peers.get(i)));
-            }
-        }
-        return String.format(
-                "{\"node_name\":\"node-%d\",\"location\":\"%c\",\"bind\":\"%s\",\"cluster_listen\":\"%s\",\"others\":[%s],"
-                        + "\"endpoints\":{\"cloud\":\"%s\",\"state\":\"%s\"},\"deployment\":{\"teams\":[%s],"
-                        + "\"workers\":{\"report_s\":3,\"lease_s\":20,\"cancel_s\":44},"
-                        + "\"state\":{\"rps\":600,\"write_rps\":300,\"value_kb\":8,\"txn_ops\":12},"
-                        + "\"cloud\":{\"rps\":5,\"list_lag_s\":4}}}",
-                node, 'a' + node % 3, binds.get(node), peers.get(node), others, cloud, state, teams);
-    }
-
     /** Ports below those that the system gives to outgoing connections, which could take one before it is listened on. */
     private static synchronized List<String> freeAddresses(int count) throws IOException {
         List<String> addresses = new ArrayList<>();
@@ -152,7 +135,7 @@
             }
         });
         try {
-            Reply answer = reply.orTimeout(ANSWER_TIMEOUT.toSeconds(), java.util.concurrent.TimeUnit.SECONDS)
+            Reply answer = reply.orTimeout(ANSWER_TIMEOUT.toSeconds(), TimeUnit.SECONDS)
                     .join();
             byte[] bytes = answer.body().getBytes(StandardCharsets.UTF_8);
             exchange.sendResponseHeaders(answer.status(), bytes.length == 0 ? -1 : bytes.length);
@@ -185,9 +168,9 @@
         return (System.nanoTime() - startNanos) / 1e9;
     }
 
-    /** Drives the world until something holds, for so many seconds at most; returns whether it held. */
-    boolean runUntil(BooleanSupplier holds, double most) throws InterruptedException {
-        double end = seconds() + most;
+    /** Drives the world until a condition holds, for so many seconds at most; returns whether it held. */
+    boolean runUntil(BooleanSupplier holds, double maximumSeconds) throws InterruptedException {
+        double end = seconds() + maximumSeconds;
         while (seconds() < end) {
             for (Runnable next = inbox.poll(); next != null; next = inbox.poll()) {
                 next.run();
--- a/src/test/java/org/havenford/simulator/PlacementTest.java
+++ b/src/test/java/org/havenford/simulator/PlacementTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Where tasks may run: the checker knows all five constraints, and days are drawn on which most jobs have some. */
+/** Where tasks may run: the checker knows all five constraints, and runs are drawn in which most jobs have some. */
 class PlacementTest {
     /** What the checker finds when a broken controller starts tasks of one job on the given machines. */
-    private static List<String> wrongPlaces(String job, String... machines) {
+    private static List<String> placementViolations(String job, String... machines) {
         List<String> lines = new ArrayList<>(List.of(
                 "team red 0 0",
                 // Nothing fits beside this job, so the machines start only what is forged.
@@ -27,43 +27,44 @@
         }
         lines.add("until 3.1");
         return TracePlayer.play(lines).violations().stream()
-                .filter(w -> w.contains("wrong_place"))
+                .filter(violation -> violation.contains("wrong_place"))
                 .toList();
     }
 
-    private static void assertSees(String constraint, List<String> wrong) {
-        assertEquals(1, wrong.size(), wrong::toString);
-        assertTrue(wrong.get(0).contains("wrong_place: " + constraint + ": "), wrong::toString);
+    private static void assertOneViolation(String constraint, List<String> violations) {
+        assertEquals(1, violations.size(), violations::toString);
+        assertTrue(violations.get(0).contains("wrong_place: " + constraint + ": "), violations::toString);
     }
 
     @Test
     void theCheckerSeesATypeThatIsNotAllowed() {
-        assertSees("type", wrongPlaces("1 1 30 types=large", "host-000000"));
-        assertEquals(List.of(), wrongPlaces("1 1 30 types=large", "host-000001"));
+        assertOneViolation("type", placementViolations("1 1 30 types=large", "host-000000"));
+        assertEquals(List.of(), placementViolations("1 1 30 types=large", "host-000001"));
     }
 
     @Test
     void theCheckerSeesAZoneThatIsNotAllowed() {
-        assertSees("zone", wrongPlaces("1 1 30 zone=b", "host-000000"));
-        assertEquals(List.of(), wrongPlaces("1 1 30 zone=b", "host-000001"));
+        assertOneViolation("zone", placementViolations("1 1 30 zone=b", "host-000000"));
+        assertEquals(List.of(), placementViolations("1 1 30 zone=b", "host-000001"));
     }
 
     @Test
     void theCheckerSeesASpotMachineThatIsNotAllowed() {
-        assertSees("kind", wrongPlaces("1 1 30 ordinary", "host-000002"));
-        assertEquals(List.of(), wrongPlaces("1 1 30 ordinary", "host-000000"));
+        assertOneViolation("kind", placementViolations("1 1 30 ordinary", "host-000002"));
+        assertEquals(List.of(), placementViolations("1 1 30 ordinary", "host-000000"));
     }
 
     @Test
     void theCheckerSeesTasksInTwoZonesThatMustStayTogether() {
-        assertSees("together", wrongPlaces("3 1 30 together", "host-000001", "host-000003", "host-000000"));
-        assertEquals(List.of(), wrongPlaces("3 1 30 together", "host-000001", "host-000003", "host-000003"));
+        assertOneViolation(
+                "together", placementViolations("3 1 30 together", "host-000001", "host-000003", "host-000000"));
+        assertEquals(List.of(), placementViolations("3 1 30 together", "host-000001", "host-000003", "host-000003"));
     }
 
     @Test
     void theCheckerSeesTooManyTasksInAZoneThatMustStayApart() {
-        assertSees("apart", wrongPlaces("3 1 30 apart", "host-000001", "host-000003", "host-000003"));
-        assertEquals(List.of(), wrongPlaces("3 1 30 apart", "host-000001", "host-000003", "host-000000"));
+        assertOneViolation("apart", placementViolations("3 1 30 apart", "host-000001", "host-000003", "host-000003"));
+        assertEquals(List.of(), placementViolations("3 1 30 apart", "host-000001", "host-000003", "host-000000"));
     }
 
     @TestFactory
--- a/src/test/java/org/havenford/simulator/SimulatorSettings.java
+++ b/src/test/java/org/havenford/simulator/SimulatorSettings.java
@@ -1,5 +1,8 @@
 package org.havenford.simulator;
 
+import java.util.List;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
 import org.havenford.protocol.MalformedMessageException;
 import org.havenford.settings.PlatformSettings;
 
@@ -25,30 +28,58 @@
      * @param store the limits of the state service, as a JSON object
      */
     static PlatformSettings of(int node, int nodes, String teams, String agents, String store) {
-        String json = String.format(
-                "{\"node_name\":\"node-%d\",\"location\":\"%c\",\"bind\":\"node-%d:1\",\"cluster_listen\":\"node-%d:2\","
-                        + "\"others\":[%s],\"endpoints\":{\"cloud\":\"cloud:1\",\"state\":\"state:1\"},"
-                        + "\"deployment\":{\"teams\":[%s],\"workers\":%s,\"state\":%s,"
-                        + "\"cloud\":{\"rps\":5,\"list_lag_s\":4}}}",
-                node, zone(node), node, node, others(node, nodes), teams, agents, store);
         try {
-            return PlatformSettings.parse(json);
+            return PlatformSettings.parse(json(node, Addresses.simulated(nodes), teams, agents, store));
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static String others(int node, int nodes) {
-        StringBuilder others = new StringBuilder();
-        for (int other = 0; other < nodes; other++) {
-            if (other != node) {
-                others.append(others.isEmpty() ? "" : ",")
-                        .append(String.format(
-                                "{\"node_name\":\"node-%d\",\"location\":\"%c\",\"peer_addr\":\"node-%d:2\"}",
-                                other, zone(other), other));
-            }
+    /**
+     * Where a cluster's controllers and the services are reached.
+     *
+     * @param binds where each controller serves requests
+     * @param peers where each controller accepts connections of its peers
+     */
+    record Addresses(List<String> binds, List<String> peers, String cloud, String state) {
+        /** The addresses in a simulator, which has no ports to run out of. */
+        private static Addresses simulated(int nodes) {
+            return new Addresses(numbered(nodes, ":1"), numbered(nodes, ":2"), "cloud:1", "state:1");
+        }
+
+        private static List<String> numbered(int nodes, String port) {
+            return IntStream.range(0, nodes)
+                    .mapToObj(node -> "node-" + node + port)
+                    .toList();
         }
-        return others.toString();
+    }
+
+    /** The text of a controller's settings file. */
+    static String json(int node, Addresses addresses, String teams, String agents, String store) {
+        return String.format(
+                "{\"node_name\":\"node-%d\",\"location\":\"%c\",\"bind\":\"%s\",\"cluster_listen\":\"%s\","
+                        + "\"others\":[%s],\"endpoints\":{\"cloud\":\"%s\",\"state\":\"%s\"},"
+                        + "\"deployment\":{\"teams\":[%s],\"workers\":%s,\"state\":%s,"
+                        + "\"cloud\":{\"rps\":5,\"list_lag_s\":4}}}",
+                node,
+                zone(node),
+                addresses.binds().get(node),
+                addresses.peers().get(node),
+                others(node, addresses.peers()),
+                addresses.cloud(),
+                addresses.state(),
+                teams,
+                agents,
+                store);
+    }
+
+    private static String others(int node, List<String> peers) {
+        return IntStream.range(0, peers.size())
+                .filter(other -> other != node)
+                .mapToObj(other -> String.format(
+                        "{\"node_name\":\"node-%d\",\"location\":\"%c\",\"peer_addr\":\"%s\"}",
+                        other, zone(other), peers.get(other)))
+                .collect(Collectors.joining(","));
     }
 
     private static char zone(int node) {
--- a/src/test/java/org/havenford/simulator/SubmissionBurst.java
+++ b/src/test/java/org/havenford/simulator/SubmissionBurst.java
@@ -33,7 +33,8 @@
         boolean ready = false;
         try {
             ready = loopback.runUntil(
-                    () -> loopback.world.workers.values().stream().allMatch(w -> w.token > 0), PATIENCE_SECONDS);
+                    () -> loopback.world.workers.values().stream().allMatch(agent -> agent.token > 0),
+                    PATIENCE_SECONDS);
             assertTrue(ready, "the controllers did not come up");
             return loopback;
         } finally {
--- a/src/test/java/org/havenford/simulator/TraceTest.java
+++ b/src/test/java/org/havenford/simulator/TraceTest.java
@@ -23,7 +23,7 @@
     Stream<DynamicTest> keptTraces() throws IOException {
         List<Path> files = new ArrayList<>();
         try (Stream<Path> list = Files.list(TRACES)) {
-            list.filter(p -> p.toString().endsWith(".trace")).sorted().forEach(files::add);
+            list.filter(path -> path.toString().endsWith(".trace")).sorted().forEach(files::add);
         }
         assertFalse(files.isEmpty());
         return files.stream()
@@ -51,8 +51,8 @@
                 "at 15 forge-start host-000000 j-1/0",
                 "at 15 forge-start host-000001 j-1/0",
                 "until 20");
-        assertTrue(wrong.stream().anyMatch(w -> w.contains("ran_twice")), wrong::toString);
-        assertTrue(wrong.stream().anyMatch(w -> w.contains("quota")), wrong::toString);
+        assertTrue(wrong.stream().anyMatch(violation -> violation.contains("ran_twice")), wrong::toString);
+        assertTrue(wrong.stream().anyMatch(violation -> violation.contains("quota")), wrong::toString);
     }
 
     /** A start before the needed job is over, by a controller that is broken. */
@@ -65,7 +65,7 @@
                 "at 5 submit j-2 red 1 1 5 awaits=j-1",
                 "at 15 forge-start host-000000 j-2/0",
                 "until 20");
-        assertTrue(wrong.stream().anyMatch(w -> w.contains("too_early")), wrong::toString);
+        assertTrue(wrong.stream().anyMatch(violation -> violation.contains("too_early")), wrong::toString);
     }
 
     /** A user is told of a cancellation that nobody has stored: what needs the job stays pending for too long. */
@@ -78,7 +78,7 @@
                 "at 5 submit j-2 red 1 1 5 awaits=j-1",
                 "at 10 forge-cancelled j-1",
                 "until 70");
-        assertTrue(wrong.stream().anyMatch(w -> w.contains("orphaned")), wrong::toString);
+        assertTrue(wrong.stream().anyMatch(violation -> violation.contains("orphaned")), wrong::toString);
     }
 
     /** Jobs of one task, four a second for two minutes, a quarter of them cancelled, while a controller ends. */
