--- a/src/test/java/org/havenford/simulator/LargeFleetTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetTest.java
@@ -157,8 +157,8 @@
             tasks += size;
             String id = "j-" + (1000 + i);
             String team = workload.teams().get(i % workload.teams().size());
-            String urgency = i % 4 == 0 ? "normal" : "urgent";
-            world.at(FIRST_JOB_SECOND + i, () -> world.users.submit(id, team, size, 4, 20, List.of(urgency)));
+            List<String> options = i % 4 == 0 ? List.of() : List.of("urgent");
+            world.at(FIRST_JOB_SECOND + i, () -> world.users.submit(id, team, size, 4, 20, options));
         }
         return tasks;
     }
