--- a/src/test/java/org/havenford/simulator/FormatOneStandIn.java
+++ b/src/test/java/org/havenford/simulator/FormatOneStandIn.java
@@ -38,7 +38,7 @@
     }
 
     /** An answer of the state service as that version understands it; what it can't read breaks the trace. */
-    static Reply read(ClusterSimulator world, String node, Reply reply) {
+    static Reply read(ClusterSimulator simulator, String node, Reply reply) {
         if (reply.status() != 200 || !reply.body().startsWith("{")) {
             return reply;
         }
@@ -46,23 +46,23 @@
         for (String list : new String[] {"items", "log"}) {
             JsonArray entries = body.has(list) ? body.getAsJsonArray(list) : new JsonArray();
             for (JsonElement e : entries) {
-                readEntry(world, node, e.getAsJsonObject());
+                readEntry(simulator, node, e.getAsJsonObject());
             }
         }
         if (body.has("k")) {
-            readEntry(world, node, body);
+            readEntry(simulator, node, body);
         }
         return new Reply(200, body.toString());
     }
 
-    private static void readEntry(ClusterSimulator world, String node, JsonObject entry) {
+    private static void readEntry(ClusterSimulator simulator, String node, JsonObject entry) {
         if (!entry.has("v")) {
             return;
         }
         String key = entry.get(entry.has("k") ? "k" : "set").getAsString();
         JsonElement value = entry.get("v").deepCopy();
         if (key.startsWith(TASKS) && value.getAsJsonObject().has(SHORT_FORM)) {
-            world.rules.broken("unreadable", key + " is in a form that " + node + " can't read");
+            simulator.rules.broken("unreadable", key + " is in a form that " + node + " can't read");
         }
         strip(key, value);
         entry.add("v", value);
--- a/src/test/java/org/havenford/simulator/InterfaceTest.java
+++ b/src/test/java/org/havenford/simulator/InterfaceTest.java
@@ -21,7 +21,8 @@
 
     private Reply ask(String method, String path, String body) {
         Reply[] out = new Reply[1];
-        world.call("users", "node-0:1", method, path, body, Duration.ofSeconds(5), r -> out[0] = r);
+        SimulatedNetwork.Request request = new SimulatedNetwork.Request(method, path, body, Duration.ofSeconds(5));
+        world.network.call("users", "node-0:1", request, r -> out[0] = r);
         world.runUntil(world.seconds() + 5.1);
         return out[0];
     }
@@ -226,14 +227,9 @@
         start();
         world.store.outage = true;
         Reply[] out = new Reply[1];
-        world.call(
-                "users",
-                "node-0:1",
-                "POST",
-                "/submissions",
-                job("j-9", "red", 1, 1),
-                Duration.ofSeconds(5),
-                r -> out[0] = r);
+        SimulatedNetwork.Request request =
+                new SimulatedNetwork.Request("POST", "/submissions", job("j-9", "red", 1, 1), Duration.ofSeconds(5));
+        world.network.call("users", "node-0:1", request, r -> out[0] = r);
         world.runUntil(world.seconds() + 0.2);
         assertEquals(503, out[0].status());
     }
--- a/src/test/java/org/havenford/simulator/LoopbackFailoverTest.java
+++ b/src/test/java/org/havenford/simulator/LoopbackFailoverTest.java
@@ -65,7 +65,7 @@
             {0x48, 0x46, 1, 3, 127, -1, -1, -1, 0, 0, 0, 0, 0, 0, 0, 0},
             {0x48, 0x46, 1, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 5}
         };
-        for (ClusterSimulator.Node node : loopback.world.nodes.values()) {
+        for (SimulatedController node : loopback.world.nodes.values()) {
             String address = node.settings.peerListen();
             int port = Integer.parseInt(address.substring(address.indexOf(':') + 1));
             for (byte[] bytes : garbage) {
--- a/src/test/java/org/havenford/simulator/SimulatedAgent.java
+++ b/src/test/java/org/havenford/simulator/SimulatedAgent.java
@@ -213,13 +213,10 @@
         lastReport = simulator.now;
         Instant sent = simulator.now;
         long sentSession = session;
-        simulator.call(
+        simulator.network.call(
                 address(),
                 simulator.nodes.get(targetNode()).settings.bind(),
-                "POST",
-                "/checkin",
-                reportBody(),
-                HEARTBEAT_TIMEOUT,
+                new SimulatedNetwork.Request("POST", "/checkin", reportBody(), HEARTBEAT_TIMEOUT),
                 reply -> act(() -> answered(reply, sent, sentSession)));
     }
 
--- a/src/test/java/org/havenford/simulator/SimulatedCloud.java
+++ b/src/test/java/org/havenford/simulator/SimulatedCloud.java
@@ -31,7 +31,7 @@
         return types;
     }
 
-    private final ClusterSimulator world;
+    private final ClusterSimulator simulator;
     private final Map<String, List<String>> bookings = new HashMap<>();
     private final TreeMap<String, JsonObject> listed = new TreeMap<>();
     final Set<String> gone = new HashSet<>();
@@ -54,30 +54,30 @@
     /** Machines that the cloud has of each type, zone and kind. */
     int perOffer = PER_OFFER;
 
-    SimulatedCloud(ClusterSimulator world) {
-        this.world = world;
+    SimulatedCloud(ClusterSimulator simulator) {
+        this.simulator = simulator;
     }
 
     SimulatedAgent boot(String type, String zone, boolean spot, Duration in) {
         String name = String.format("host-%06d", created++);
         JsonObject json = new JsonObject();
         json.addProperty("nameId", name);
-        json.addProperty("endpoint", world.endpoints.apply(name));
+        json.addProperty("endpoint", simulator.endpoints.apply(name));
         json.addProperty("rig", type);
         json.addProperty("hall", zone);
         json.addProperty("borrowed", spot);
         json.addProperty("status", "starting");
         json.addProperty("heldS", 60.0);
-        world.after(Duration.ofSeconds(4), () -> {
+        simulator.after(Duration.ofSeconds(4), () -> {
             if (!gone.contains(name)) {
                 listed.put(name, json);
             }
         });
-        SimulatedAgent w = new SimulatedAgent(world, name, type, zone, spot);
-        world.workers.put(name, w);
-        world.lies(world.endpoints.apply(name), zone);
+        SimulatedAgent w = new SimulatedAgent(simulator, name, type, zone, spot);
+        simulator.workers.put(name, w);
+        simulator.network.faults.assignZone(simulator.endpoints.apply(name), zone);
         if (!darkZones.contains(zone)) {
-            world.after(in, () -> {
+            simulator.after(in, () -> {
                 if (!gone.contains(name)) {
                     w.start();
                 }
@@ -89,8 +89,8 @@
     /** The machine is gone for good; the list shows it a while longer. */
     void take(String name) {
         gone.add(name);
-        world.workers.get(name).vanish();
-        world.after(Duration.ofSeconds(4), () -> listed.remove(name));
+        simulator.workers.get(name).vanish();
+        simulator.after(Duration.ofSeconds(4), () -> listed.remove(name));
     }
 
     @Override
@@ -122,8 +122,8 @@
             answer.accept(rent(JsonParser.parseString(body).getAsJsonObject()));
         } else if (path.equals("/machines/return")) {
             for (JsonElement e : JsonParser.parseString(body).getAsJsonObject().getAsJsonArray("boxes")) {
-                if (world.workers.containsKey(e.getAsString())) {
-                    returned.putIfAbsent(e.getAsString(), world.now);
+                if (simulator.workers.containsKey(e.getAsString())) {
+                    returned.putIfAbsent(e.getAsString(), simulator.now);
                     take(e.getAsString());
                 }
             }
@@ -160,7 +160,7 @@
             String type = json.get("rig").getAsString();
             String zone = json.get("hall").getAsString();
             boolean spot = json.get("borrowed").getAsBoolean();
-            long there = world.workers.values().stream()
+            long there = simulator.workers.values().stream()
                     .filter(w -> !gone.contains(w.name) && w.type.equals(type) && w.zone.equals(zone) && w.spot == spot)
                     .count();
             int n = (int) Math.min(json.get("count").getAsInt(), perOffer - there);
@@ -169,12 +169,12 @@
             }
             names = new ArrayList<>();
             for (int i = 0; i < n; i++) {
-                Duration usual = Duration.ofMillis(15_000 + world.random.nextInt(10_000));
+                Duration usual = Duration.ofMillis(15_000 + simulator.random.nextInt(10_000));
                 names.add(boot(type, zone, spot, bootTime == null ? usual : bootTime).name);
                 rented++;
             }
             bookings.put(booking, names);
-            firstRented.putIfAbsent(spot ? "spot" : "ordinary", world.now);
+            firstRented.putIfAbsent(spot ? "spot" : "ordinary", simulator.now);
         }
         JsonArray a = new JsonArray();
         names.forEach(a::add);
--- /dev/null
+++ b/src/test/java/org/havenford/simulator/SimulatedController.java
@@ -0,0 +1,193 @@
+package org.havenford.simulator;
+
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import org.havenford.controller.Controller;
+import org.havenford.settings.OperatorSettings;
+import org.havenford.settings.PlatformSettings;
+import org.havenford.settings.StandbySettings;
+import org.havenford.standby.WarmStandby;
+import org.havenford.transport.EventLoop;
+import org.havenford.transport.HttpCalls;
+import org.havenford.transport.HttpServer;
+import org.havenford.transport.PeerNetwork;
+
+/** A real controller in the simulation, whose process can be started, ended, frozen and upgraded. */
+final class SimulatedController implements ClusterSimulator.Server {
+    /** How long a process that freezes still acts, though what it sends no longer goes out. */
+    private static final Duration FREEZE_DELAY = Duration.ofMillis(300);
+    /** The most by which a controller's clock is fast or slow is half of this part. */
+    private static final double CLOCK_DRIFT_RANGE = 0.001;
+
+    private static final long TIME_OF_DAY_OFFSET_SECONDS = 1_700_000_000L;
+
+    private final ClusterSimulator simulator;
+    final PlatformSettings settings;
+    /** The settings of the version before format 2; null for a controller that never ran it. */
+    private final PlatformSettings formatOneSettings;
+    /** It runs the version before format 2, which knows nothing of limits to come. */
+    private boolean runsFormatOne;
+
+    private Run run;
+    /** Nothing that comes in or is due happens, and what it had queued has not gone out. */
+    private boolean frozen;
+    /** What it sends is queued. */
+    private boolean sendsQueued;
+
+    private final List<Runnable> unsent = new ArrayList<>();
+    private final List<Runnable> whileFrozen = new ArrayList<>();
+
+    /**
+     * Creates a controller that is not started.
+     *
+     * @param formatOneSettings if not null, it runs the version before format 2 with these settings until it is upgraded
+     */
+    SimulatedController(ClusterSimulator simulator, PlatformSettings settings, PlatformSettings formatOneSettings) {
+        this.simulator = simulator;
+        this.settings = settings;
+        this.formatOneSettings = formatOneSettings;
+        this.runsFormatOne = formatOneSettings != null;
+    }
+
+    /** Its process is ended, and comes back with this version when it is started again. */
+    void upgrade() {
+        crash();
+        runsFormatOne = false;
+    }
+
+    /** Starts the process if it does not run. */
+    void start() {
+        if (run != null) {
+            return;
+        }
+        run = new Run();
+        simulator.servers.put(settings.bind(), this);
+        run.startStandby();
+        run.controller.start();
+        simulator.note("start " + settings.node());
+    }
+
+    /** Ends the process without warning. */
+    void crash() {
+        if (run == null) {
+            return;
+        }
+        run.dead = true;
+        run = null;
+        simulator.peerNetwork.ended(settings.node());
+        sendsQueued = false;
+        frozen = false;
+        unsent.clear();
+        whileFrozen.clear();
+        simulator.servers.remove(settings.bind());
+        simulator.note("crash " + settings.node());
+    }
+
+    /** For a moment before it freezes what it sends is only queued, as when it stops in the middle of a round. */
+    void freeze() {
+        sendsQueued = true;
+        simulator.after(FREEZE_DELAY, () -> frozen = sendsQueued);
+    }
+
+    /** Its clocks have run on; all that it had queued, that is due and that came meanwhile happens now. */
+    void thaw() {
+        sendsQueued = false;
+        frozen = false;
+        List<Runnable> all = new ArrayList<>(unsent);
+        all.addAll(whileFrozen);
+        unsent.clear();
+        whileFrozen.clear();
+        all.forEach(Runnable::run);
+    }
+
+    /** Queues what it sends if it is frozen or about to freeze; false if it may go out. */
+    boolean queueIfFrozen(Runnable message) {
+        if (sendsQueued) {
+            unsent.add(message);
+        }
+        return sendsQueued;
+    }
+
+    private void act(Run actor, Runnable action) {
+        if (actor.dead) {
+            return;
+        }
+        if (frozen) {
+            whileFrozen.add(() -> act(actor, action));
+        } else {
+            action.run();
+        }
+    }
+
+    @Override
+    public void request(String method, String path, String body, Consumer<HttpCalls.Reply> answer) {
+        Run served = run;
+        if (served == null) {
+            return;
+        }
+        byte[] bytes = body == null ? new byte[0] : body.getBytes(StandardCharsets.UTF_8);
+        HttpServer.Request request = new HttpServer.Request(method, path, bytes);
+        act(
+                served,
+                () -> served.controller.handle(request, reply -> {
+                    if (!served.dead) {
+                        simulator.behaviour.answer(
+                                simulator.now, settings.node(), method, path, reply.status(), reply.body());
+                        answer.accept(new HttpCalls.Reply(reply.status(), reply.body()));
+                    }
+                }));
+    }
+
+    /** One run of the process; what it had scheduled ends with it, what it had sent does not. */
+    private final class Run implements EventLoop, HttpCalls {
+        private boolean dead;
+        private final double drift = 1 + (simulator.random.nextDouble() - 0.5) * CLOCK_DRIFT_RANGE;
+        private final Instant started = simulator.now;
+        private final boolean isFormatOne = runsFormatOne;
+        private final Controller controller =
+                new Controller(this, this, isFormatOne ? formatOneSettings : settings, OperatorSettings.DEFAULTS);
+
+        void startStandby() {
+            if (simulator.withStandby && !isFormatOne && !simulator.withoutStandby.contains(settings.node())) {
+                PeerNetwork network =
+                        simulator.peerNetwork.of(settings.node(), () -> !dead, action -> act(this, action));
+                new WarmStandby(controller.standbyHost(), network, settings, StandbySettings.OFF).start();
+            }
+        }
+
+        @Override
+        public Instant now() {
+            return Instant.EPOCH.plusNanos(
+                    (long) (Duration.between(started, simulator.now).toNanos() * drift));
+        }
+
+        @Override
+        public Instant timeOfDay() {
+            return simulator.now.plusSeconds(TIME_OF_DAY_OFFSET_SECONDS);
+        }
+
+        @Override
+        public void after(Duration delay, Runnable task) {
+            simulator.after(delay, () -> act(this, task));
+        }
+
+        @Override
+        public void call(
+                String address, String method, String path, String body, Duration timeout, Consumer<Reply> done) {
+            simulator.behaviour.request(simulator.now, settings.node(), address, method, path, body);
+            boolean translated = isFormatOne && address.equals(simulator.template.storeAddress());
+            String sent = translated && path.equals("/multi") ? FormatOneStandIn.written(body) : body;
+            Consumer<Reply> received =
+                    reply -> done.accept(translated ? FormatOneStandIn.read(simulator, settings.node(), reply) : reply);
+            simulator.network.call(
+                    settings.bind(),
+                    address,
+                    new SimulatedNetwork.Request(method, path, sent, timeout),
+                    reply -> act(this, () -> received.accept(reply)));
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/org/havenford/simulator/SimulatedNetwork.java
@@ -0,0 +1,166 @@
+package org.havenford.simulator;
+
+import java.time.Duration;
+import java.util.function.Consumer;
+import org.havenford.transport.HttpCalls;
+
+/** HTTP requests between the parties of the simulation: late by a few milliseconds, and subject to {@link NetworkFaults}. */
+final class SimulatedNetwork {
+    private static final int LATENCY_RANGE_MILLIS = 4;
+    private static final Duration REFUSAL_DELAY = Duration.ofMillis(1);
+    private static final HttpCalls.Reply NO_ANSWER = new HttpCalls.Reply(HttpCalls.NO_ANSWER, "");
+    private static final HttpCalls.Reply NOT_SENT = new HttpCalls.Reply(HttpCalls.NOT_SENT, "");
+    private static final HttpCalls.Reply REFUSED = new HttpCalls.Reply(503, "{\"error\":\"refused\"}");
+
+    /** A request; the body may be null. */
+    record Request(String method, String path, String body, Duration timeout) {
+        private boolean isWatch() {
+            return path.startsWith("/changes");
+        }
+
+        private boolean isCommand() {
+            return path.startsWith("/do");
+        }
+
+        private boolean isHeartbeat() {
+            return path.equals("/checkin");
+        }
+    }
+
+    private final ClusterSimulator simulator;
+    final NetworkFaults faults;
+
+    SimulatedNetwork(ClusterSimulator simulator) {
+        this.simulator = simulator;
+        this.faults = new NetworkFaults(simulator);
+    }
+
+    /** Sends a request; {@code done} is called once, with the answer or with what became of the request. */
+    void call(String from, String to, Request request, Consumer<HttpCalls.Reply> done) {
+        new Exchange(from, to, request, done).begin();
+    }
+
+    /** Carries a message, or holds it or drops it as the faults demand. */
+    private void carry(String from, String to, Runnable delivery) {
+        if (faults.deaf.contains(to)) {
+            return;
+        }
+        SimulatedController sender = simulator.controllerAt(from);
+        if (sender != null && sender.queueIfFrozen(() -> carry(from, to, delivery))) {
+            return;
+        }
+        if (faults.passes(from, to, delivery)) {
+            int millis = 1 + simulator.random.nextInt(LATENCY_RANGE_MILLIS + faults.slowLinks);
+            simulator.after(Duration.ofMillis(millis), delivery);
+        }
+    }
+
+    /** One request and its answer. */
+    private final class Exchange {
+        private final String from;
+        private final String to;
+        private final Request request;
+        private final Consumer<HttpCalls.Reply> done;
+        private final boolean toStore;
+        /** How much later the answer to a watch arrives; null for no delay. */
+        private Duration answerDelay;
+
+        private boolean over;
+
+        Exchange(String from, String to, Request request, Consumer<HttpCalls.Reply> done) {
+            this.from = from;
+            this.to = to;
+            this.request = request;
+            this.done = done;
+            this.toStore = to.equals(simulator.template.storeAddress());
+        }
+
+        /** Whether the state service is asked for anything but its changes. */
+        private boolean isStoreCall() {
+            return toStore && !request.isWatch();
+        }
+
+        void begin() {
+            simulator.after(request.timeout, () -> complete(NO_ANSWER));
+            if (faults.mute.contains(from)) {
+                return;
+            }
+            if (isStoreCall() && faults.refuses(from)) {
+                sendBack(REFUSED);
+                return;
+            }
+            Duration commandDelay = request.isCommand() ? faults.lateCommands.get(to) : null;
+            answerDelay = request.isWatch() ? faults.lateChanges.get(from) : null;
+            if (commandDelay != null) {
+                simulator.after(commandDelay, () -> deliver(this::sendBack));
+                return;
+            }
+            sendCopy();
+            Duration callDelay = isStoreCall() ? faults.takeSlowCall(from) : null;
+            if (callDelay != null) {
+                simulator.after(callDelay, () -> deliver(this::sendBack));
+                return;
+            }
+            send();
+        }
+
+        /** Lets the request arrive a second time, if it is to do so. */
+        private void sendCopy() {
+            Duration delay = copyDelay();
+            if (delay != null) {
+                simulator.after(delay, () -> deliver(reply -> {}));
+            }
+        }
+
+        /** How much later the request arrives a second time, or null. */
+        private Duration copyDelay() {
+            if (request.isHeartbeat()) {
+                return faults.copies.get(from);
+            }
+            return request.method.equals("POST") ? faults.repeats.get(from) : null;
+        }
+
+        private void send() {
+            if (faults.cutOfLink(from, to) == NetworkFaults.Cut.RESET) {
+                simulator.after(REFUSAL_DELAY, () -> complete(NOT_SENT));
+                return;
+            }
+            carry(from, to, () -> {
+                if (!deliver(this::answer)) {
+                    sendBack(NOT_SENT);
+                }
+            });
+        }
+
+        /** Hands the request to the server; false if none listens. */
+        private boolean deliver(Consumer<HttpCalls.Reply> answer) {
+            ClusterSimulator.Server server = simulator.servers.get(to);
+            if (server == null) {
+                return false;
+            }
+            server.request(request.method, request.path, request.body, answer);
+            return true;
+        }
+
+        private void answer(HttpCalls.Reply reply) {
+            Duration delay = answerDelay == null ? Duration.ZERO : answerDelay;
+            Runnable delivery = () -> simulator.after(delay, () -> sendBack(reply));
+            if (toStore && request.isWatch() && faults.refuses(from)) {
+                faults.holdForRefused(from, delivery);
+            } else {
+                delivery.run();
+            }
+        }
+
+        private void sendBack(HttpCalls.Reply reply) {
+            carry(to, from, () -> complete(reply));
+        }
+
+        private void complete(HttpCalls.Reply reply) {
+            if (!over) {
+                over = true;
+                done.accept(reply);
+            }
+        }
+    }
+}
--- a/src/test/java/org/havenford/simulator/SimulatedPeerNetwork.java
+++ b/src/test/java/org/havenford/simulator/SimulatedPeerNetwork.java
@@ -15,7 +15,7 @@
 
 /** Byte streams between controllers: in order, late by a few milliseconds, and silent for good once a part was lost. */
 final class SimulatedPeerNetwork {
-    private final ClusterSimulator world;
+    private final ClusterSimulator simulator;
     private final Map<String, Port> listening = new HashMap<>();
     private final List<Wire> wires = new ArrayList<>();
     /** Directions, as "from>to", in which nothing arrives. */
@@ -25,8 +25,8 @@
     record Port(
             String node, BooleanSupplier alive, Consumer<Runnable> act, Consumer<PeerNetwork.Connection> accepted) {}
 
-    SimulatedPeerNetwork(ClusterSimulator world) {
-        this.world = world;
+    SimulatedPeerNetwork(ClusterSimulator simulator) {
+        this.simulator = simulator;
     }
 
     /** The network as one life of a controller sees it. */
@@ -40,16 +40,15 @@
             @Override
             public void connect(
                     String address, Duration timeout, Consumer<Connection> connected, Consumer<String> failed) {
-                world.behaviour.peer(world.now, node, address, "connect", new byte[0]);
+                simulator.behaviour.peer(simulator.now, node, address, "connect", new byte[0]);
                 Port self = new Port(node, alive, act, null);
                 Port other = listening.get(address);
                 String target = address.substring(0, address.indexOf(':'));
-                ClusterSimulator.Cut cut = world.cutBetweenNodes(node, target);
-                if (cut == ClusterSimulator.Cut.RESET
-                        || (cut == null && (other == null || !other.alive.getAsBoolean()))) {
-                    world.after(Duration.ofMillis(1), () -> act.accept(() -> failed.accept("refused")));
+                NetworkFaults.Cut cut = cutBetweenNodes(node, target);
+                if (cut == NetworkFaults.Cut.RESET || (cut == null && (other == null || !other.alive.getAsBoolean()))) {
+                    simulator.after(Duration.ofMillis(1), () -> act.accept(() -> failed.accept("refused")));
                 } else if (cut != null || isLost(node, target)) {
-                    world.after(timeout, () -> act.accept(() -> failed.accept("no answer in time")));
+                    simulator.after(timeout, () -> act.accept(() -> failed.accept("no answer in time")));
                 } else {
                     open(self, other, connected);
                 }
@@ -69,6 +68,16 @@
         here.run(() -> connected.accept(here));
     }
 
+    /** The cut on the way between two controllers, or null. */
+    private NetworkFaults.Cut cutBetweenNodes(String node, String other) {
+        if (!simulator.nodes.containsKey(node) || !simulator.nodes.containsKey(other)) {
+            return null;
+        }
+        String address = simulator.nodes.get(node).settings.bind();
+        return simulator.network.faults.cutBetween(
+                address, simulator.nodes.get(other).settings.bind());
+    }
+
     private boolean isLost(String from, String to) {
         return oneWayCuts.contains(from + ">" + to) || oneWayCuts.contains(to + ">" + from);
     }
@@ -107,20 +116,20 @@
         public void send(ByteBuffer bytes) {
             byte[] copy = new byte[bytes.remaining()];
             bytes.get(copy);
-            world.behaviour.peer(world.now, port.node, peer.port.node, "send", copy);
+            simulator.behaviour.peer(simulator.now, port.node, peer.port.node, "send", copy);
             toPeer(() -> peer.arrived(copy));
         }
 
         /** Delivers in order; what a cut swallows is lost with all that follows on this connection. */
         private void toPeer(Runnable delivery) {
-            ClusterSimulator.Cut cut = world.cutBetweenNodes(port.node, peer.port.node);
+            NetworkFaults.Cut cut = cutBetweenNodes(port.node, peer.port.node);
             broken |= cut != null || oneWayCuts.contains(port.node + ">" + peer.port.node);
             if (broken) {
                 return;
             }
-            Instant at = world.now.plusMillis(1 + world.random.nextInt(3));
+            Instant at = simulator.now.plusMillis(1 + simulator.random.nextInt(3));
             lastArrival = at.isAfter(lastArrival) ? at : lastArrival;
-            world.after(Duration.between(world.now, lastArrival), () -> peer.run(delivery));
+            simulator.after(Duration.between(simulator.now, lastArrival), () -> peer.run(delivery));
         }
 
         private void run(Runnable what) {
@@ -150,7 +159,7 @@
             receiver = newReceiver;
             List<byte[]> waiting = List.copyOf(early);
             early.clear();
-            waiting.forEach(bytes -> world.after(Duration.ZERO, () -> run(() -> arrived(bytes))));
+            waiting.forEach(bytes -> simulator.after(Duration.ZERO, () -> run(() -> arrived(bytes))));
         }
 
         @Override
@@ -158,7 +167,7 @@
             if (wire.over) {
                 return;
             }
-            world.behaviour.peer(world.now, port.node, peer.port.node, "close", new byte[0]);
+            simulator.behaviour.peer(simulator.now, port.node, peer.port.node, "close", new byte[0]);
             toPeer(() -> {
                 if (!wire.over) {
                     wire.over = true;
--- a/src/test/java/org/havenford/simulator/SimulatedUsers.java
+++ b/src/test/java/org/havenford/simulator/SimulatedUsers.java
@@ -134,7 +134,7 @@
         if (!closeLooks) {
             return;
         }
-        for (ClusterSimulator.Node node : simulator.nodes.values()) {
+        for (SimulatedController node : simulator.nodes.values()) {
             for (int millis : CLOSE_LOOK_MILLIS) {
                 simulator.after(Duration.ofMillis(millis), () -> {
                     ask(job.id, node.settings.bind());
@@ -209,7 +209,7 @@
     }
 
     private String someNode() {
-        List<ClusterSimulator.Node> all = List.copyOf(simulator.nodes.values());
+        List<SimulatedController> all = List.copyOf(simulator.nodes.values());
         return all.get(simulator.random.nextInt(all.size())).settings.bind();
     }
 
@@ -258,11 +258,14 @@
     }
 
     private void post(String address, String path, String body, Consumer<Reply> done) {
-        simulator.call(ADDRESS, address, "POST", path, body, CHANGE_TIMEOUT, done);
+        SimulatedNetwork.Request request = new SimulatedNetwork.Request("POST", path, body, CHANGE_TIMEOUT);
+        simulator.network.call(ADDRESS, address, request, done);
     }
 
     private void get(String address, Job job, Consumer<Reply> done) {
-        simulator.call(ADDRESS, address, "GET", SUBMISSIONS_PATH + "/" + job.id, null, QUERY_TIMEOUT, done);
+        SimulatedNetwork.Request request =
+                new SimulatedNetwork.Request("GET", SUBMISSIONS_PATH + "/" + job.id, null, QUERY_TIMEOUT);
+        simulator.network.call(ADDRESS, address, request, done);
     }
 
     /** Whether the job, or one that it needs, was asked to be cancelled. */
--- a/src/test/java/org/havenford/simulator/TraceCommands.java
+++ b/src/test/java/org/havenford/simulator/TraceCommands.java
@@ -77,46 +77,59 @@
     }
 
     private static void addConnections(Map<String, Command> commands) {
-        commands.put("cut-peer", (world, words) -> world.wires.oneWayCuts.add(oneWay(words)));
-        commands.put("heal-peer", (world, words) -> world.wires.oneWayCuts.remove(oneWay(words)));
+        commands.put("cut-peer", (world, words) -> world.peerNetwork.oneWayCuts.add(oneWay(words)));
+        commands.put("heal-peer", (world, words) -> world.peerNetwork.oneWayCuts.remove(oneWay(words)));
         commands.put(
-                "cut", (world, words) -> world.cut(address(world, words, 0), address(world, words, 1), cut(words, 2)));
-        commands.put("heal", (world, words) -> world.heal(address(world, words, 0), address(world, words, 1)));
-        commands.put("cut-zone", (world, words) -> world.cutZone(words.word(0), cut(words, 1)));
-        commands.put("heal-zone", (world, words) -> world.healZone(words.word(0)));
-        commands.put("unreach", (world, words) -> cutFromAllAgents(world, words, ClusterSimulator.Cut.DROP));
-        commands.put("reset-workers", (world, words) -> cutFromAllAgents(world, words, ClusterSimulator.Cut.RESET));
+                "cut",
+                (world, words) ->
+                        world.network.faults.cut(address(world, words, 0), address(world, words, 1), cut(words, 2)));
+        commands.put(
+                "heal",
+                (world, words) -> world.network.faults.heal(address(world, words, 0), address(world, words, 1)));
+        commands.put("cut-zone", (world, words) -> world.network.faults.cutZone(words.word(0), cut(words, 1)));
+        commands.put("heal-zone", (world, words) -> world.network.faults.healZone(words.word(0)));
+        commands.put("unreach", (world, words) -> cutFromAllAgents(world, words, NetworkFaults.Cut.DROP));
+        commands.put("reset-workers", (world, words) -> cutFromAllAgents(world, words, NetworkFaults.Cut.RESET));
         commands.put("reach", (world, words) -> world.workers
                 .values()
-                .forEach(agent -> world.heal(address(world, words, 0), address(world, agent.name))));
-        commands.put("refuse", (world, words) -> world.refuse(address(world, words, 0)));
-        commands.put("serve", (world, words) -> world.serve(address(world, words, 0)));
+                .forEach(agent -> world.network.faults.heal(address(world, words, 0), address(world, agent.name))));
+        commands.put("refuse", (world, words) -> world.network.faults.refuse(address(world, words, 0)));
+        commands.put("serve", (world, words) -> world.network.faults.serve(address(world, words, 0)));
     }
 
-    private static void cutFromAllAgents(ClusterSimulator world, TraceArguments words, ClusterSimulator.Cut cut) {
-        world.workers.values().forEach(agent -> world.cut(address(world, words, 0), address(world, agent.name), cut));
+    private static void cutFromAllAgents(ClusterSimulator world, TraceArguments words, NetworkFaults.Cut cut) {
+        world.workers
+                .values()
+                .forEach(agent -> world.network.faults.cut(address(world, words, 0), address(world, agent.name), cut));
     }
 
     private static void addMessages(Map<String, Command> commands) {
-        commands.put("repeats", (world, words) -> world.repeats.put(address(world, words, 0), words.seconds(1)));
-        commands.put("no-repeats", (world, words) -> world.repeats.remove(address(world, words, 0)));
-        commands.put("copies", (world, words) -> world.copies.put(address(world, words, 0), words.seconds(1)));
-        commands.put("no-copies", (world, words) -> world.copies.remove(address(world, words, 0)));
-        commands.put("mute", (world, words) -> world.mute.add(address(world, words, 0)));
-        commands.put("speaks", (world, words) -> world.mute.remove(address(world, words, 0)));
-        commands.put("deaf", (world, words) -> world.deaf.add(address(world, words, 0)));
-        commands.put("hears", (world, words) -> world.deaf.remove(address(world, words, 0)));
+        commands.put(
+                "repeats",
+                (world, words) -> world.network.faults.repeats.put(address(world, words, 0), words.seconds(1)));
+        commands.put("no-repeats", (world, words) -> world.network.faults.repeats.remove(address(world, words, 0)));
+        commands.put(
+                "copies",
+                (world, words) -> world.network.faults.copies.put(address(world, words, 0), words.seconds(1)));
+        commands.put("no-copies", (world, words) -> world.network.faults.copies.remove(address(world, words, 0)));
+        commands.put("mute", (world, words) -> world.network.faults.mute.add(address(world, words, 0)));
+        commands.put("speaks", (world, words) -> world.network.faults.mute.remove(address(world, words, 0)));
+        commands.put("deaf", (world, words) -> world.network.faults.deaf.add(address(world, words, 0)));
+        commands.put("hears", (world, words) -> world.network.faults.deaf.remove(address(world, words, 0)));
         commands.put(
                 "slow-links",
-                (world, words) -> world.slowLinks = (int) words.seconds(0).toMillis());
+                (world, words) ->
+                        world.network.faults.slowLinks = (int) words.seconds(0).toMillis());
         commands.put("slow-calls", (world, words) -> {
-            world.slowCallsLeft.put(address(world, words, 0), words.integer(1));
-            world.slowCalls.put(address(world, words, 0), words.seconds(2));
+            world.network.faults.slowCallsLeft.put(address(world, words, 0), words.integer(1));
+            world.network.faults.slowCalls.put(address(world, words, 0), words.seconds(2));
         });
         commands.put(
-                "late-commands", (world, words) -> world.lateCommands.put(address(world, words, 0), words.seconds(1)));
+                "late-commands",
+                (world, words) -> world.network.faults.lateCommands.put(address(world, words, 0), words.seconds(1)));
         commands.put(
-                "late-changes", (world, words) -> world.lateChanges.put(address(world, words, 0), words.seconds(1)));
+                "late-changes",
+                (world, words) -> world.network.faults.lateChanges.put(address(world, words, 0), words.seconds(1)));
     }
 
     private static void addStore(Map<String, Command> commands) {
@@ -184,8 +197,8 @@
         return words.word(0) + ">" + words.word(1);
     }
 
-    private static ClusterSimulator.Cut cut(TraceArguments words, int index) {
-        return ClusterSimulator.Cut.valueOf(words.word(index).toUpperCase(Locale.ROOT));
+    private static NetworkFaults.Cut cut(TraceArguments words, int index) {
+        return NetworkFaults.Cut.valueOf(words.word(index).toUpperCase(Locale.ROOT));
     }
 
     private static String address(ClusterSimulator world, TraceArguments words, int index) {
