--- a/src/test/java/org/havenford/simulator/FormatOneStandIn.java
+++ b/src/test/java/org/havenford/simulator/FormatOneStandIn.java
@@ -20,14 +20,14 @@
 
     /** A transaction as that version would have written it. */
     static String written(String body) {
-        JsonObject txn = JsonParser.parseString(body).getAsJsonObject();
-        for (JsonElement write : txn.getAsJsonArray("writes")) {
+        JsonObject transaction = JsonParser.parseString(body).getAsJsonObject();
+        for (JsonElement write : transaction.getAsJsonArray("writes")) {
             JsonObject json = write.getAsJsonObject();
             if (json.has("set")) {
                 strip(json.get("set").getAsString(), json.get("v"));
             }
         }
-        return txn.toString();
+        return transaction.toString();
     }
 
     private static void strip(String key, JsonElement value) {
@@ -45,8 +45,8 @@
         JsonObject body = JsonParser.parseString(reply.body()).getAsJsonObject();
         for (String list : new String[] {"items", "log"}) {
             JsonArray entries = body.has(list) ? body.getAsJsonArray(list) : new JsonArray();
-            for (JsonElement e : entries) {
-                readEntry(simulator, node, e.getAsJsonObject());
+            for (JsonElement entry : entries) {
+                readEntry(simulator, node, entry.getAsJsonObject());
             }
         }
         if (body.has("k")) {
--- a/src/test/java/org/havenford/simulator/SimulatedPeerNetwork.java
+++ b/src/test/java/org/havenford/simulator/SimulatedPeerNetwork.java
@@ -15,9 +15,12 @@
 
 /** Byte streams between controllers: in order, late by a few milliseconds, and silent for good once a part was lost. */
 final class SimulatedPeerNetwork {
+    private static final Duration REFUSAL_DELAY = Duration.ofMillis(1);
+    private static final int LATENCY_RANGE_MILLIS = 3;
+
     private final ClusterSimulator simulator;
     private final Map<String, Port> listening = new HashMap<>();
-    private final List<Wire> wires = new ArrayList<>();
+    private final List<Link> connections = new ArrayList<>();
     /** Directions, as "from>to", in which nothing arrives. */
     final Set<String> oneWayCuts = new HashSet<>();
 
@@ -29,41 +32,53 @@
         this.simulator = simulator;
     }
 
-    /** The network as one life of a controller sees it. */
+    /** The network as one run of a controller's process sees it. */
     PeerNetwork of(String node, BooleanSupplier alive, Consumer<Runnable> act) {
-        return new PeerNetwork() {
-            @Override
-            public void listen(String address, Consumer<Connection> accepted) {
-                listening.put(address, new Port(node, alive, act, accepted));
-            }
+        return new ProcessNetwork(new Port(node, alive, act, null));
+    }
 
-            @Override
-            public void connect(
-                    String address, Duration timeout, Consumer<Connection> connected, Consumer<String> failed) {
-                simulator.behaviour.peer(simulator.now, node, address, "connect", new byte[0]);
-                Port self = new Port(node, alive, act, null);
-                Port other = listening.get(address);
-                String target = address.substring(0, address.indexOf(':'));
-                NetworkFaults.Cut cut = cutBetweenNodes(node, target);
-                if (cut == NetworkFaults.Cut.RESET || (cut == null && (other == null || !other.alive.getAsBoolean()))) {
-                    simulator.after(Duration.ofMillis(1), () -> act.accept(() -> failed.accept("refused")));
-                } else if (cut != null || isLost(node, target)) {
-                    simulator.after(timeout, () -> act.accept(() -> failed.accept("no answer in time")));
-                } else {
-                    open(self, other, connected);
-                }
+    /** The network as the process of one port uses it. */
+    private final class ProcessNetwork implements PeerNetwork {
+        private final Port self;
+
+        ProcessNetwork(Port self) {
+            this.self = self;
+        }
+
+        @Override
+        public void listen(String address, Consumer<Connection> accepted) {
+            listening.put(address, new Port(self.node, self.alive, self.act, accepted));
+        }
+
+        @Override
+        public void connect(String address, Duration timeout, Consumer<Connection> connected, Consumer<String> failed) {
+            simulator.behaviour.peer(simulator.now, self.node, address, "connect", new byte[0]);
+            Port other = listening.get(address);
+            String target = address.substring(0, address.indexOf(':'));
+            NetworkFaults.Cut cut = cutBetweenNodes(self.node, target);
+            boolean listens = other != null && other.alive.getAsBoolean();
+            if (cut == NetworkFaults.Cut.RESET || (cut == null && !listens)) {
+                fail(REFUSAL_DELAY, failed, "refused");
+            } else if (cut != null || isLost(self.node, target)) {
+                fail(timeout, failed, "no answer in time");
+            } else {
+                open(self, other, connected);
             }
-        };
+        }
+
+        private void fail(Duration delay, Consumer<String> failed, String reason) {
+            simulator.after(delay, () -> self.act.accept(() -> failed.accept(reason)));
+        }
     }
 
     private void open(Port dialer, Port acceptor, Consumer<PeerNetwork.Connection> connected) {
-        Wire wire = new Wire();
-        End here = new End(wire, dialer);
-        End there = new End(wire, acceptor);
+        Link link = new Link();
+        End here = new End(link, dialer);
+        End there = new End(link, acceptor);
         here.peer = there;
         there.peer = here;
-        wire.ends = List.of(here, there);
-        wires.add(wire);
+        link.ends = List.of(here, there);
+        connections.add(link);
         there.run(() -> acceptor.accepted.accept(there));
         here.run(() -> connected.accept(here));
     }
@@ -84,22 +99,24 @@
 
     /** A process has ended: its connections are closed by its system, unless a cut keeps that from the other end. */
     void ended(String node) {
-        for (Wire wire : List.copyOf(wires)) {
-            for (End end : wire.ends) {
-                if (end.port.node.equals(node) && !wire.over) {
+        for (Link link : List.copyOf(connections)) {
+            for (End end : link.ends) {
+                if (end.port.node.equals(node) && !link.over) {
                     end.close();
                 }
             }
         }
     }
 
-    private static final class Wire {
+    /** A connection; once it is over nothing arrives on it. */
+    private static final class Link {
         private boolean over;
         private List<End> ends;
     }
 
+    /** One end of a connection. */
     private final class End implements PeerNetwork.Connection {
-        private final Wire wire;
+        private final Link link;
         private final Port port;
         private End peer;
         private Instant lastArrival = Instant.EPOCH;
@@ -107,8 +124,8 @@
         private PeerNetwork.Receiver receiver;
         private final List<byte[]> early = new ArrayList<>();
 
-        End(Wire wire, Port port) {
-            this.wire = wire;
+        End(Link link, Port port) {
+            this.link = link;
             this.port = port;
         }
 
@@ -127,19 +144,19 @@
             if (broken) {
                 return;
             }
-            Instant at = simulator.now.plusMillis(1 + simulator.random.nextInt(3));
+            Instant at = simulator.now.plusMillis(1 + simulator.random.nextInt(LATENCY_RANGE_MILLIS));
             lastArrival = at.isAfter(lastArrival) ? at : lastArrival;
             simulator.after(Duration.between(simulator.now, lastArrival), () -> peer.run(delivery));
         }
 
-        private void run(Runnable what) {
+        private void run(Runnable action) {
             if (port.alive.getAsBoolean()) {
-                port.act.accept(what);
+                port.act.accept(action);
             }
         }
 
         private void arrived(byte[] bytes) {
-            if (wire.over) {
+            if (link.over) {
                 return;
             }
             if (receiver == null) {
@@ -164,14 +181,14 @@
 
         @Override
         public void close() {
-            if (wire.over) {
+            if (link.over) {
                 return;
             }
             simulator.behaviour.peer(simulator.now, port.node, peer.port.node, "close", new byte[0]);
             toPeer(() -> {
-                if (!wire.over) {
-                    wire.over = true;
-                    wires.remove(wire);
+                if (!link.over) {
+                    link.over = true;
+                    connections.remove(link);
                     if (peer.receiver != null) {
                         peer.receiver.closed("closed by the other end");
                     }
