--- a/src/test/java/org/havenford/simulator/InterfaceTest.java
+++ b/src/test/java/org/havenford/simulator/InterfaceTest.java
@@ -38,7 +38,7 @@
         job.team = team;
         job.tasks = tasks;
         job.cpus = cpus;
-        job.runS = 5;
+        job.runSeconds = 5;
         job.image = "img-1";
         job.spot = true;
         return SimulatedUsers.body(job).toString();
--- a/src/test/java/org/havenford/simulator/JobAnswerChecker.java
+++ b/src/test/java/org/havenford/simulator/JobAnswerChecker.java
@@ -25,7 +25,7 @@
 
     /** A question that is asked now. */
     Question question(SimulatedUsers.Job job) {
-        return new Question(job, job.last, simulator.now);
+        return new Question(job, job.lastStatus, simulator.now);
     }
 
     /** The status in an answer that describes a job. */
@@ -57,8 +57,8 @@
         if (status.equals(DONE) && job.doneTold == null) {
             toldDone(job);
         }
-        if (!isFinal(job.last)) {
-            job.last = status;
+        if (!isFinal(job.lastStatus)) {
+            job.lastStatus = status;
         }
     }
 
--- a/src/test/java/org/havenford/simulator/LargeFleetTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetTest.java
@@ -80,7 +80,7 @@
             world.cloud.boot("small", List.of("a", "b", "c").get(i % 3), false, Duration.ofMillis(100 + i));
         }
         world.runUntil(30);
-        world.cloud.take("host-003333");
+        world.cloud.terminate("host-003333");
         world.runUntil(75);
         assertTrue(!world.store.holds("live/machine/", "host-003333"), "the machine is off the record");
         world.behaviour.assertKept("grown/long-list");
--- a/src/test/java/org/havenford/simulator/SimulatedAgent.java
+++ b/src/test/java/org/havenford/simulator/SimulatedAgent.java
@@ -56,13 +56,13 @@
     final String zone;
     final boolean spot;
     long session = 1;
-    private long reportNumber;
+    private long heartbeatNumber;
     long token;
     private final List<Instant> tokenRaisedAt = new ArrayList<>();
     final Map<String, Task> tasks = new LinkedHashMap<>();
     private final SimulatedTaskExecutor executor;
     /** When the heartbeat was sent whose answer renewed the lease last. */
-    private Instant lease;
+    private Instant leaseRenewed;
 
     private boolean up;
     boolean hung;
@@ -76,11 +76,11 @@
     /** Index of the controller that the heartbeats go to. */
     private int target;
 
-    private boolean inFlight;
+    private boolean heartbeatInFlight;
     /** Whether the next heartbeat is due at once. */
-    private boolean changed;
+    private boolean heartbeatDue;
 
-    private Instant lastReport = Instant.EPOCH;
+    private Instant lastHeartbeat = Instant.EPOCH;
 
     SimulatedAgent(ClusterSimulator simulator, String name, String type, String zone, boolean spot) {
         this.simulator = simulator;
@@ -97,7 +97,7 @@
 
     void start() {
         up = true;
-        lease = simulator.now;
+        leaseRenewed = simulator.now;
         target = simulator.random.nextInt(simulator.nodes.size());
         simulator.servers.put(address(), this);
         tick();
@@ -173,7 +173,7 @@
 
     /** A hanging machine executes nothing, and what it held when its lease ran out is killed before it goes on. */
     boolean leaseOver() {
-        return simulator.now.isAfter(lease.plus(simulator.template.agentLease()));
+        return simulator.now.isAfter(leaseRenewed.plus(simulator.template.agentLease()));
     }
 
     private void expireIfDue() {
@@ -190,8 +190,8 @@
     private void newSession(String why) {
         tasks.clear();
         session++;
-        lease = simulator.now;
-        changed = true;
+        leaseRenewed = simulator.now;
+        heartbeatDue = true;
         simulator.rules.touched();
         simulator.note(name + " " + why + ", session " + session);
     }
@@ -201,31 +201,33 @@
             return;
         }
         simulator.after(TICK, this::tick);
-        Duration since = Duration.between(lastReport, simulator.now);
-        if (!hung && !inFlight && (changed || since.compareTo(simulator.template.heartbeatInterval()) >= 0)) {
-            report();
+        Duration since = Duration.between(lastHeartbeat, simulator.now);
+        if (!hung
+                && !heartbeatInFlight
+                && (heartbeatDue || since.compareTo(simulator.template.heartbeatInterval()) >= 0)) {
+            sendHeartbeat();
         }
     }
 
-    private void report() {
-        inFlight = true;
-        changed = false;
-        lastReport = simulator.now;
+    private void sendHeartbeat() {
+        heartbeatInFlight = true;
+        heartbeatDue = false;
+        lastHeartbeat = simulator.now;
         Instant sent = simulator.now;
         long sentSession = session;
         simulator.network.call(
                 address(),
                 simulator.nodes.get(targetNode()).settings.bind(),
-                new SimulatedNetwork.Request("POST", "/checkin", reportBody(), HEARTBEAT_TIMEOUT),
+                new SimulatedNetwork.Request("POST", "/checkin", heartbeatBody(), HEARTBEAT_TIMEOUT),
                 reply -> act(() -> answered(reply, sent, sentSession)));
     }
 
     private void answered(Reply reply, Instant sent, long sentSession) {
-        inFlight = false;
+        heartbeatInFlight = false;
         if (reply.status() == 200) {
             accepted(JsonParser.parseString(reply.body()).getAsJsonObject(), sent, sentSession);
         } else if (reply.status() != 421 || !redirected(reply)) {
-            lastReport =
+            lastHeartbeat =
                     simulator.now.minus(simulator.template.heartbeatInterval()).plus(HEARTBEAT_RETRY_DELAY);
             target = (target + 1) % simulator.nodes.size();
         }
@@ -237,7 +239,7 @@
                 || Duration.between(sent, simulator.now).compareTo(HEARTBEAT_TIMEOUT) > 0) {
             return;
         }
-        lease = sent;
+        leaseRenewed = sent;
         obey(commands);
     }
 
@@ -252,11 +254,11 @@
             return false;
         }
         target = next;
-        changed = true;
+        heartbeatDue = true;
         return true;
     }
 
-    private String reportBody() {
+    private String heartbeatBody() {
         JsonObject json = new JsonObject();
         json.addProperty("box", name);
         json.addProperty("endpoint", address());
@@ -264,7 +266,7 @@
         json.addProperty("hall", zone);
         json.addProperty("borrowed", spot);
         json.addProperty("shift", session);
-        json.addProperty("tally", ++reportNumber);
+        json.addProperty("tally", ++heartbeatNumber);
         json.addProperty("baton", token);
         if (notice != null) {
             json.addProperty("warningS", notice);
@@ -281,12 +283,12 @@
             if (path.equals("/do")) {
                 JsonObject json = JsonParser.parseString(body).getAsJsonObject();
                 if (json.get("baton").getAsLong() < token || json.get("shift").getAsLong() != session) {
-                    answer.accept(new Reply(409, reportBody()));
+                    answer.accept(new Reply(409, heartbeatBody()));
                     return;
                 }
                 obey(json);
             }
-            answer.accept(new Reply(200, reportBody()));
+            answer.accept(new Reply(200, heartbeatBody()));
         });
     }
 
@@ -294,7 +296,7 @@
         if (json.get("baton").getAsLong() > token) {
             tokenRaisedAt.add(simulator.now);
             token = json.get("baton").getAsLong();
-            changed = true;
+            heartbeatDue = true;
         }
         for (JsonElement element : json.getAsJsonArray("cues")) {
             JsonObject command = element.getAsJsonObject();
@@ -310,6 +312,6 @@
 
     /** The state of a task has changed: the next heartbeat is due at once. */
     void reportSoon() {
-        changed = true;
+        heartbeatDue = true;
     }
 }
--- a/src/test/java/org/havenford/simulator/SimulatedCloud.java
+++ b/src/test/java/org/havenford/simulator/SimulatedCloud.java
@@ -102,7 +102,7 @@
     }
 
     /** The machine is gone for good; the list shows it a while longer. */
-    void take(String name) {
+    void terminate(String name) {
         gone.add(name);
         simulator.workers.get(name).vanish();
         simulator.after(LIST_LAG, () -> listed.remove(name));
@@ -154,7 +154,7 @@
             String name = element.getAsString();
             if (simulator.workers.containsKey(name)) {
                 returned.putIfAbsent(name, simulator.now);
-                take(name);
+                terminate(name);
             }
         }
     }
--- a/src/test/java/org/havenford/simulator/SimulatedStore.java
+++ b/src/test/java/org/havenford/simulator/SimulatedStore.java
@@ -56,9 +56,9 @@
 
     int pageSize = DEFAULT_PAGE_SIZE;
     /** Transactions that are answered with nothing, and applied this much later. */
-    Duration lateTxn;
+    Duration lateTransactionDelay;
 
-    int lateTxns;
+    int lateTransactions;
     /** Transactions that are applied at once and left unanswered. */
     int lostAnswers;
 
@@ -68,9 +68,9 @@
     private int maxOperations = DEFAULT_MAX_OPERATIONS;
     private double changesPerSecond;
     /** Whether a value beyond the limit is answered with 400 and counted; else it fails the test. */
-    boolean refusesTooLarge;
+    boolean rejectsTooLarge;
 
-    int tooLarge;
+    int rejectedTooLarge;
 
     SimulatedStore(ClusterSimulator simulator) {
         this.simulator = simulator;
@@ -82,7 +82,7 @@
     }
 
     /** Lowers the limits to those that the deployment announces as the next ones. */
-    void lower() {
+    void lowerLimits() {
         valueBytes = simulator.template.valueBytes();
         maxOperations = simulator.template.maxTransactionOperations();
         changesPerSecond = simulator.template.nextStoreChangesPerSecond();
@@ -188,10 +188,10 @@
         if (lostAnswers > 0) {
             lostAnswers--;
             apply(StoreTransaction.parse(body));
-        } else if (lateTxns > 0) {
+        } else if (lateTransactions > 0) {
             // Given up on by its sender, applied all the same.
-            lateTxns--;
-            simulator.after(lateTxn, () -> apply(StoreTransaction.parse(body)));
+            lateTransactions--;
+            simulator.after(lateTransactionDelay, () -> apply(StoreTransaction.parse(body)));
         } else {
             answer.accept(apply(StoreTransaction.parse(body)));
         }
@@ -270,8 +270,8 @@
         if (!transaction.writes().stream().allMatch(write -> leases.permits(write.lease()))) {
             return new Reply(400, "{\"error\":\"no such lease\"}");
         }
-        if (refusesTooLarge && transaction.longestValue() > valueBytes) {
-            tooLarge++;
+        if (rejectsTooLarge && transaction.longestValue() > valueBytes) {
+            rejectedTooLarge++;
             return new Reply(400, "{\"error\":\"too large\"}");
         }
         if (!failed.isEmpty()) {
--- a/src/test/java/org/havenford/simulator/SimulatedUsers.java
+++ b/src/test/java/org/havenford/simulator/SimulatedUsers.java
@@ -35,7 +35,7 @@
         String team;
         double cpus;
         int tasks;
-        double runS;
+        double runSeconds;
         String image;
         boolean spot;
         boolean apart;
@@ -58,7 +58,7 @@
         /** When a question about the job was answered last. */
         Instant answered = Instant.EPOCH;
 
-        String last = "";
+        String lastStatus = "";
         Instant doneTold;
         /** Told to be withdrawn with a job that it needs, without having been asked for. */
         Instant takenAlong;
@@ -67,7 +67,7 @@
 
         /** How long a task of the job runs: the expected time, give or take a fifth. */
         Duration run(SplittableRandom random) {
-            return Duration.ofMillis((long) (runS * 1000 * (0.8 + 0.4 * random.nextDouble())));
+            return Duration.ofMillis((long) (runSeconds * 1000 * (0.8 + 0.4 * random.nextDouble())));
         }
 
         /** Whether the user has been told that the job is over, one way or the other. */
@@ -119,10 +119,10 @@
     final Set<String> finished = new HashSet<>();
 
     /** How many times as often as usual users ask about their jobs. */
-    int pollsAsOften = 1;
+    int pollRateFactor = 1;
 
     /** Whether users ask and repeat at all controllers within milliseconds of an acceptance, an end or a cancellation. */
-    boolean closeLooks;
+    boolean looksClosely;
 
     SimulatedUsers(ClusterSimulator simulator) {
         this.simulator = simulator;
@@ -131,7 +131,7 @@
 
     /** Asks about and repeats a job at all controllers, if users look closely. */
     void lookClosely(Job job) {
-        if (!closeLooks) {
+        if (!looksClosely) {
             return;
         }
         for (SimulatedController node : simulator.nodes.values()) {
@@ -151,7 +151,7 @@
         job.team = team;
         job.tasks = tasks;
         job.cpus = cpus;
-        job.runS = runS;
+        job.runSeconds = runS;
         job.image = "img-" + (Integer.parseInt(id.substring(2)) % IMAGES);
         job.spot = true;
         options.forEach(job::apply);
@@ -175,7 +175,7 @@
         json.addProperty("shots", job.tasks);
         addResources(json, job);
         addPlacement(json, job);
-        json.addProperty("guessS", job.runS);
+        json.addProperty("guessS", job.runSeconds);
         json.addProperty("keyframeS", 0.0);
         json.addProperty("flushS", 0.0);
         if (!job.awaits.isEmpty()) {
@@ -244,7 +244,7 @@
     }
 
     private void poll(Job job) {
-        int often = Math.max(1, pollsAsOften);
+        int often = Math.max(1, pollRateFactor);
         int millis = (MIN_POLL_MILLIS + simulator.random.nextInt(POLL_JITTER_MILLIS)) / often;
         simulator.after(Duration.ofMillis(millis), () -> {
             JobAnswerChecker.Question question = answers.question(job);
@@ -332,7 +332,7 @@
         if (status.equals(JobAnswerChecker.CANCELLED)) {
             job.cancelTold = simulator.now;
             simulator.rules.touched();
-            job.last = JobAnswerChecker.CANCELLED;
+            job.lastStatus = JobAnswerChecker.CANCELLED;
             lookClosely(job);
         }
     }
--- a/src/test/java/org/havenford/simulator/StoreWatches.java
+++ b/src/test/java/org/havenford/simulator/StoreWatches.java
@@ -41,7 +41,7 @@
     /** How many changes the service keeps: a watch that begins before them is answered 410. */
     int keptChanges = DEFAULT_KEPT_CHANGES;
     /** Watches that were answered 410. */
-    int tooOld;
+    int rejectedTooOld;
 
     /**
      * Creates an empty change log.
@@ -90,7 +90,7 @@
         }
         compact();
         if (watch.since < compactedRevision) {
-            tooOld++;
+            rejectedTooOld++;
             watch.answer.accept(new Reply(410, "{\"error\":\"too old\"}"));
             return true;
         }
--- a/src/test/java/org/havenford/simulator/TraceCommands.java
+++ b/src/test/java/org/havenford/simulator/TraceCommands.java
@@ -54,8 +54,8 @@
         commands.put("cancel", (world, words) -> world.users.cancel(words.word(0), words.optionalWord(1)));
         commands.put("ask", (world, words) -> world.users.ask(words.word(0)));
         commands.put("repeat", (world, words) -> world.users.repeat(words.word(0)));
-        commands.put("polls-as-often", (world, words) -> world.users.pollsAsOften = words.integer(0));
-        commands.put("close-looks", (world, words) -> world.users.closeLooks = words.isOn(0));
+        commands.put("polls-as-often", (world, words) -> world.users.pollRateFactor = words.integer(0));
+        commands.put("close-looks", (world, words) -> world.users.looksClosely = words.isOn(0));
     }
 
     /** Identifier, team, number of tasks, CPUs of a task, its seconds, options. */
@@ -140,15 +140,15 @@
                 world.store.endOutage();
             }
         });
-        commands.put("lower-limits", (world, words) -> world.store.lower());
+        commands.put("lower-limits", (world, words) -> world.store.lowerLimits());
         commands.put("lower-limits-refusing", (world, words) -> {
-            world.store.lower();
-            world.store.refusesTooLarge = true;
+            world.store.lowerLimits();
+            world.store.rejectsTooLarge = true;
         });
         commands.put("lost-answers", (world, words) -> world.store.lostAnswers = words.integer(0));
         commands.put("late-txns", (world, words) -> {
-            world.store.lateTxns = words.integer(0);
-            world.store.lateTxn = words.seconds(1);
+            world.store.lateTransactions = words.integer(0);
+            world.store.lateTransactionDelay = words.seconds(1);
         });
     }
 
@@ -158,7 +158,7 @@
         commands.put("boots", (world, words) -> world.cloud.bootTime = words.seconds(0));
         commands.put("boots-usually", (world, words) -> world.cloud.bootTime = null);
         commands.put("cloud-outage", (world, words) -> world.cloud.outage = words.isOn(0));
-        commands.put("take", (world, words) -> world.cloud.take(words.word(0)));
+        commands.put("take", (world, words) -> world.cloud.terminate(words.word(0)));
     }
 
     private static void addAgents(Map<String, Command> commands) {
--- a/src/test/java/org/havenford/simulator/TraceExpectations.java
+++ b/src/test/java/org/havenford/simulator/TraceExpectations.java
@@ -81,8 +81,8 @@
         rules.put(
                 "resting",
                 (world, words) -> view(world).getAsJsonArray("resting").size() == words.integer(0));
-        rules.put("read-again", (world, words) -> world.store.watches.tooOld >= words.integer(0));
-        rules.put("too-large", (world, words) -> world.store.tooLarge <= words.integer(0));
+        rules.put("read-again", (world, words) -> world.store.watches.rejectedTooOld >= words.integer(0));
+        rules.put("too-large", (world, words) -> world.store.rejectedTooLarge <= words.integer(0));
         rules.put("calls-at-most", (world, words) -> world.store.requests <= words.integer(0));
         rules.put("evictions", (world, words) -> world.store.evictions == words.integer(0));
         rules.put("evictions-at-least", (world, words) -> world.store.evictions >= words.integer(0));
