--- a/src/test/java/org/havenford/simulator/SimulatedUsers.java
+++ b/src/test/java/org/havenford/simulator/SimulatedUsers.java
@@ -91,7 +91,7 @@
                 case "apart" -> apart = true;
                 case "together" -> together = true;
                 case "ordinary" -> spot = false;
-                case "urgent", "low" -> urgency = flag;
+                case "urgent", "normal", "low" -> urgency = flag;
                 default -> throw new IllegalArgumentException("unknown option of a job: " + flag);
             }
         }
