--- a/src/main/java/org/havenford/coordination/failover/StandbyAccess.java
+++ b/src/main/java/org/havenford/coordination/failover/StandbyAccess.java
@@ -16,7 +16,7 @@
 import org.havenford.storage.records.Job;
 import org.havenford.transport.EventLoop;
 
-/** The controller's side of {@link StandbyHost}; it does nothing while nobody observes. */
+/** Implements {@link StandbyHost} on top of a controller. Events are dropped while no observer is registered. */
 public final class StandbyAccess implements StandbyHost {
     private final ProcessPauseDetector loop;
     private final StoreClient store;
@@ -24,10 +24,10 @@
     private final Membership membership;
     private final MemberEvictions evictions;
     private final AgentManager agentManager;
-    /** Null while nobody observes. */
+    /** Null until an observer is registered. */
     private Observer observer;
 
-    /** The access to the controller made of these parts. */
+    /** Creates the access to the controller with the given components. */
     public StandbyAccess(
             ProcessPauseDetector loop,
             StoreClient store,
@@ -43,14 +43,14 @@
         this.agentManager = agentManager;
     }
 
-    /** Tells the observer, if any, of a new view. */
+    /** Notifies the observer, if any, of a new view. */
     public void viewChanged() {
         if (observer != null) {
             observer.viewChanged();
         }
     }
 
-    /** Tells the observer, if any, of a pause of this process. */
+    /** Notifies the observer, if any, of a pause of this process. */
     public void processPaused() {
         if (observer != null) {
             observer.processPaused();
--- a/src/main/java/org/havenford/coordination/failover/StandbyHost.java
+++ b/src/main/java/org/havenford/coordination/failover/StandbyHost.java
@@ -8,66 +8,84 @@
 import org.havenford.storage.records.ClusterView;
 import org.havenford.transport.EventLoop;
 
-/** What a standby sees of the controller that it runs in, and may ask of it. All calls are made on the event loop. */
+/** The operations of a controller that its warm standby may use. All methods must be called on the event loop. */
 public interface StandbyHost {
-    /** Told of what a standby acts on. */
+    /** Receives the commits, view changes and process pauses of the controller. */
     interface Observer extends CommitObserver {
-        /** The view in force has changed. */
+        /** Called after the current view has changed. */
         void viewChanged();
 
-        /** This process was paused: that no peer was heard meanwhile says nothing of the peers. */
+        /** Called after a pause of this process. Silence of peers during the pause is no evidence of their failure. */
         void processPaused();
     }
 
-    /** The controller's loop. */
+    /** Returns the controller's event loop. */
     EventLoop loop();
 
-    /** An event that did not come through the loop begins. */
+    /**
+     * Must be called at the start of each event that is not dispatched by {@link #loop()}, to detect process pauses.
+     */
     void eventStarted();
 
-    /** Notifies the observer from now on, in place of the one before. */
+    /** Registers the observer, which replaces the previous one. */
     void observe(Observer observer);
 
-    /** The view in force. */
+    /** Returns the current view. */
     ClusterView view();
 
-    /** The incarnation of this node in the view, or 0. */
+    /** Returns the incarnation of this node, or 0 if it is not a member of the current view. */
     long incarnation();
 
-    /** Whether this node may decide: its lease holds, and its replica has passed the view in force. */
+    /**
+     * Returns whether this node may make decisions: its lease is valid, it is a member of the current view, and this
+     * view was verified recently.
+     */
     boolean mayDecide();
 
-    /** Store revision that the replica has reached. */
+    /** Returns the store revision that the replica has reached. */
     long replicaRevision();
 
-    /** Mod revision of the view in force; 0 if no view is stored. */
+    /** Returns the mod revision of the current view, or 0 if no view is stored. */
     long viewRevision();
 
-    /** Whether a member may be evicted now. */
+    /** Returns whether a member may be evicted now. */
     boolean mayEvict(String node);
 
     /**
-     * Asks a member through the store whether it is alive.
+     * Creates a liveness probe for a member in the store.
      *
-     * @param asked is given the mod revision of the liveness probe, 0 if it was not made
+     * @param asked receives the mod revision of the probe, or 0 if it was not created
      */
     void probe(String node, long incarnation, LongConsumer asked);
 
-    /** Whether a probe still stands, as far as the replica shows: nobody has answered, replaced or withdrawn it. */
+    /** Returns whether, according to the replica, a probe has been neither answered nor replaced nor withdrawn. */
     boolean probeIsUnanswered(String node, long probeRevision);
 
-    /** Withdraws a probe. */
+    /** Withdraws a probe by deleting its key, unless the key has changed since. */
     void withdrawProbe(String node, long probeRevision);
 
-    /** Evicts a member that did not answer a probe; tells whether the view without it was committed. */
+    /**
+     * Evicts a member that did not answer a probe.
+     *
+     * @param done receives whether the view without the member was committed
+     */
     void evict(String node, long incarnation, long probeRevision, Consumer<Boolean> done);
 
-    /** What is known of the agents of the machines that this node owns. */
+    /**
+     * Returns the endpoint, the latest heartbeat and the fencing token of each known agent on the machines that this
+     * node owns.
+     */
     List<AgentContact> agentContacts();
 
-    /** How urgent the claims on a machine are: 0 is the most urgent; without any claim, the largest. */
+    /**
+     * Returns the urgency of the most urgent claim on a machine; 0 is the highest, and the largest value means no
+     * claims.
+     */
     int urgency(String machine);
 
-    /** Sends this node's fencing token to the agent of a machine that was taken over, which answers with its status. */
+    /**
+     * Sends this node's fencing token to the agent of a machine that this node has taken over. The agent answers with
+     * its status.
+     */
     void contact(AgentContact contact);
 }
--- a/src/main/java/org/havenford/coordination/failover/package-info.java
+++ b/src/main/java/org/havenford/coordination/failover/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What a warm standby sees of its controller, and may ask of it.
+ * Interface through which a warm standby observes and uses its controller.
  *
- * <p>A port between {@code org.havenford.standby} and the controller; it keeps no state but the registered observer.
+ * <p>Decouples {@code org.havenford.standby} from the controller. The only state kept here is the registered observer.
  */
 package org.havenford.coordination.failover;
--- a/src/main/java/org/havenford/coordination/membership/CurrentView.java
+++ b/src/main/java/org/havenford/coordination/membership/CurrentView.java
@@ -2,12 +2,12 @@
 
 import org.havenford.storage.records.ClusterView;
 
-/** The cluster view in force with the mod revision of its key, shared by the parts of the membership. */
+/** The current cluster view and the mod revision of its key, shared by the classes of this package. */
 final class CurrentView {
     private ClusterView view = ClusterView.empty();
     private long modRevision;
 
-    /** Replaces the view; a mod revision of 0 means that the key does not exist. */
+    /** Replaces the view. A mod revision of 0 means that the key does not exist. */
     void replace(ClusterView newView, long newModRevision) {
         view = newView;
         modRevision = newModRevision;
@@ -21,12 +21,12 @@
         return modRevision;
     }
 
-    /** Whether the key of the view exists. */
+    /** Returns whether the key of the view exists in the store. */
     boolean isStored() {
         return modRevision > 0;
     }
 
-    /** Whether a node's incarnation is in the view. */
+    /** Returns whether this incarnation of the node is a member of the view. */
     boolean isMember(String node, long incarnation) {
         Long current = view.members().get(node);
         return current != null && current == incarnation;
--- a/src/main/java/org/havenford/coordination/membership/EvictionBackoff.java
+++ b/src/main/java/org/havenford/coordination/membership/EvictionBackoff.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 
 /**
- * Spares a node that was evicted: it may be evicted again after an interval that doubles with each eviction that comes
- * soon after the one before.
+ * Exponential backoff between evictions of the same node. After an eviction, the node cannot be evicted again until its
+ * backoff has elapsed. The backoff doubles with each eviction that follows the previous one within the maximum backoff.
  */
 final class EvictionBackoff {
     private static final Duration FIRST_INTERVAL = Duration.ofSeconds(30);
     private static final Duration MAX_INTERVAL = Duration.ofMinutes(10);
 
-    /** When a node was last evicted, and for how long it is spared. */
+    /** The time of the last eviction of a node and the backoff that followed it. */
     private record LastEviction(Instant at, Duration interval) {
         boolean isSparedAt(Instant now) {
             return now.isBefore(at.plus(interval));
@@ -21,10 +21,12 @@
     }
 
     private final Map<String, LastEviction> lastEvictions = new HashMap<>();
-    /** The evicted incarnations that were counted, so that a view that repeats one does not count it twice. */
+    /**
+     * The last counted incarnation by node: each view lists the evictions again, and they must not be counted twice.
+     */
     private final Map<String, Long> countedIncarnations = new HashMap<>();
 
-    /** Counts an eviction that a view names. */
+    /** Counts an eviction listed in a view, unless it has been counted before. */
     void evicted(String node, long incarnation, Instant now) {
         Long counted = countedIncarnations.put(node, incarnation);
         if (counted == null || counted != incarnation) {
@@ -40,7 +42,7 @@
         return doubled.compareTo(MAX_INTERVAL) > 0 ? MAX_INTERVAL : doubled;
     }
 
-    /** Whether a node was evicted so lately that it may not be evicted now. */
+    /** Returns whether the backoff of the node's last eviction has not elapsed yet. */
     boolean isSpared(String node, Instant now) {
         LastEviction last = lastEvictions.get(node);
         return last != null && last.isSparedAt(now);
--- a/src/main/java/org/havenford/coordination/membership/LeaseClock.java
+++ b/src/main/java/org/havenford/coordination/membership/LeaseClock.java
@@ -3,20 +3,21 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** Computes until when something that another process measures with its own clock is certain to hold. */
+/** Computes conservative local deadlines for durations that another process measures with its own clock. */
 final class LeaseClock {
-    /** Monotonic clocks drift apart by 0.05%; this is twice that. */
+    /** Bound on the relative clock drift between two processes: twice the 0.05% by which monotonic clocks drift. */
     private static final double MAX_DRIFT = 0.001;
 
-    /** Covers the time by which a timer of the event loop may be late. */
+    /** Allowance for timers of the event loop that fire late. */
     private static final Duration MARGIN = Duration.ofMillis(150);
 
     private LeaseClock() {}
 
     /**
-     * Returns the time until which a duration that began at the other process is certain not to have passed there.
+     * Returns the local time until which a duration started by a request is guaranteed not to have elapsed at the
+     * process that handles the request.
      *
-     * @param sentAt when the request was sent that made the duration begin
+     * @param sentAt local time at which the request was sent
      */
     static Instant certainUntil(Instant sentAt, Duration duration) {
         return sentAt.plusNanos((long) (duration.toNanos() * (1 - MAX_DRIFT))).minus(MARGIN);
--- a/src/main/java/org/havenford/coordination/membership/MemberEvictions.java
+++ b/src/main/java/org/havenford/coordination/membership/MemberEvictions.java
@@ -17,17 +17,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes a member out of the view before its lease has ended. The store is the witness: the member is asked by a liveness
- * probe, which is a key of the store, whether it is alive, and deletes the key if it is. The eviction is conditional on the
- * mod revision of the key, so it cannot be committed once the member has answered.
+ * Evicts members from the view before their lease expires. A suspected member is first sent a liveness probe through
+ * the store: a key that the member deletes if it is alive. The eviction is conditional on the mod revision of this key,
+ * so it cannot be committed after the member has answered.
  */
 public final class MemberEvictions {
     private static final Logger LOG = LoggerFactory.getLogger(MemberEvictions.class);
 
-    /** A probe older than this was left by a member that has ended, and may be replaced by another member's. */
+    /** A probe older than this was left behind by a member that is gone, and may be replaced by another member. */
     private static final Duration PROBE_TIMEOUT = Duration.ofSeconds(2);
 
-    /** What a probe that cannot be read names as its requester. */
+    /** Logged in place of the requester if a probe does not contain a readable one. */
     private static final String UNKNOWN_REQUESTER = "?";
 
     private final EventLoop loop;
@@ -36,10 +36,14 @@
     private final Membership membership;
     private final String node;
     private final EvictionBackoff backoff = new EvictionBackoff();
-    /** When the probes that stand were first seen here, by the node that is asked. */
+    /** When the latest unanswered probe of each member was observed in the replica, by member. */
     private final Map<String, Instant> unansweredProbes = new HashMap<>();
 
-    /** Evictions carried out by the given node. */
+    /**
+     * Creates an instance that probes and evicts members on behalf of one node.
+     *
+     * @param node the name of this node, which sends and answers probes
+     */
     public MemberEvictions(
             EventLoop loop, StoreClient store, StoreReplica replica, Membership membership, String node) {
         this.loop = loop;
@@ -49,26 +53,29 @@
         this.node = node;
     }
 
-    /** The view has changed: every member counts the evictions that it names. */
+    /** Counts the evictions listed in the new view. Every member does so, so the backoff holds for all of them. */
     public void viewChanged() {
         membership.view().evicted().forEach((name, incarnation) -> backoff.evicted(name, incarnation, loop.now()));
     }
 
-    /** Whether a member may be evicted now: it was not lately, and every member reads views that name evictions. */
+    /**
+     * Returns whether this node may evict a member now: the backoff after its last eviction has elapsed, this node may
+     * answer agents, and every member of the view supports evictions.
+     */
     public boolean mayEvict(String name) {
         return !backoff.isSpared(name, loop.now()) && membership.mayAnswerAgents() && membership.allSupportEvictions();
     }
 
     /**
-     * Asks a member through the store whether it is alive.
+     * Creates a liveness probe for a member in the store.
      *
-     * @param asked is given the mod revision of the probe, 0 if it was not made
+     * @param asked receives the mod revision of the probe, or 0 if it was not created
      */
     public void probe(String name, long incarnation, LongConsumer asked) {
         Instant probedAt = unansweredProbes.get(name);
         if (probedAt != null && loop.now().isBefore(probedAt.plus(PROBE_TIMEOUT))) {
-            // Another member's probe would be replaced, and its eviction would fail: two would only hinder each other.
-            // standby-two-conductors.trace
+            // Replacing another member's probe would make that member's eviction fail, so that concurrent evictions of
+            // the same node would only block each other. See standby-two-conductors.trace.
             asked.accept(0);
             return;
         }
@@ -85,21 +92,25 @@
         });
     }
 
-    /** Whether a probe still stands, as far as the replica shows: nobody has answered, replaced or withdrawn it. */
+    /** Returns whether, according to the replica, a probe has been neither answered nor replaced nor withdrawn. */
     public boolean probeIsUnanswered(String name, long probeRevision) {
         return replica.modRevision(Keys.livenessProbe(name)) == probeRevision;
     }
 
-    /** Withdraws a probe. */
+    /** Withdraws a probe by deleting its key, unless the key has changed since. */
     public void withdrawProbe(String name, long probeRevision) {
         deleteProbe(name, probeRevision);
     }
 
-    /** Evicts a member that did not answer a probe; tells whether the view without it was committed. */
+    /**
+     * Evicts a member that did not answer a probe.
+     *
+     * @param done receives whether the view without the member was committed
+     */
     public void evict(String name, long incarnation, long probeRevision, Consumer<Boolean> done) {
         membership.evict(name, incarnation, probeRevision, committed -> {
             if (committed) {
-                // A late copy of its registration then finds no lease to attach to.
+                // A delayed copy of its registration request then fails, because its lease no longer exists.
                 store.endLease(incarnation, result -> {});
             }
             done.accept(committed);
@@ -107,8 +118,8 @@
     }
 
     /**
-     * A probe was made, or is gone if {@code probe} is null. If it is for this node, deleting it is the answer, also when
-     * it asks for a former incarnation of the node.
+     * Handles a probe that was created, or deleted if {@code probe} is null. A probe for this node is answered by
+     * deleting it, even if it names a former incarnation of the node.
      */
     public void livenessProbeChanged(String name, LivenessProbe probe, long probeRevision) {
         if (probe == null) {
--- a/src/main/java/org/havenford/coordination/membership/MemberRegistry.java
+++ b/src/main/java/org/havenford/coordination/membership/MemberRegistry.java
@@ -8,27 +8,27 @@
 import org.havenford.storage.records.ClusterView;
 import org.havenford.storage.records.MemberRegistration;
 
-/** The registrations of the members as the replica shows them, and the formats of stored values that each supports. */
+/** The registrations of the members in the replica, and the formats of stored values that each member supports. */
 final class MemberRegistry {
     private static final int FORMAT_WITH_PIPELINES = 2;
-    /** From this format on, a view may name members that were evicted. */
+    /** First format in which a view lists evicted members. */
     private static final int FORMAT_WITH_EVICTIONS = 3;
-    /** What this program reads and writes. */
+    /** The newest format that this version reads and writes. */
     static final int CURRENT_FORMAT = 3;
 
-    /** A registration with the mod revision of its key. */
+    /** A registration and the mod revision of its key. */
     private record StoredRegistration(MemberRegistration value, long modRevision) {}
 
     private final Set<String> configuredNodes;
     private final TreeMap<String, StoredRegistration> registrations = new TreeMap<>();
-    /** Controllers that have been seen to read pipelines. */
+    /** Nodes that have been observed with a format that includes pipelines. */
     private final Set<String> nodesWithPipelines = new HashSet<>();
 
     MemberRegistry(Set<String> configuredNodes) {
         this.configuredNodes = configuredNodes;
     }
 
-    /** Takes in a changed registration; {@code registration} is null if it is gone. */
+    /** Handles a changed registration; {@code registration} is null if the key was deleted. */
     void registrationChanged(String node, MemberRegistration registration, long modRevision) {
         if (registration == null) {
             registrations.remove(node);
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Returns the incarnations of the registered nodes by name. */
+    /** Returns the incarnations of the registered nodes, by node name. */
     SortedMap<String, Long> incarnations() {
         SortedMap<String, Long> incarnations = new TreeMap<>();
         registrations.forEach((node, registration) ->
@@ -55,14 +55,17 @@
     }
 
     /**
-     * Whether every configured controller has been seen with a program that reads pipelines. None goes back to an older
-     * one: a process comes back with the version that it had, or a newer one.
+     * Returns whether every configured node has been observed with a format that includes pipelines. Nodes are never
+     * downgraded: a process restarts with the same version or a newer one.
      */
     boolean allConfiguredSupportPipelines() {
         return nodesWithPipelines.containsAll(configuredNodes);
     }
 
-    /** Whether all members of a view read evictions, without which they would release tasks too soon. */
+    /**
+     * Returns whether all members of a view support evictions. A member that does not would assume that the lease of an
+     * evicted member has expired, and would release that member's tasks too soon.
+     */
     boolean allSupportEvictions(ClusterView view) {
         for (Map.Entry<String, Long> member : view.members().entrySet()) {
             StoredRegistration registration = registrations.get(member.getKey());
--- a/src/main/java/org/havenford/coordination/membership/Membership.java
+++ b/src/main/java/org/havenford/coordination/membership/Membership.java
@@ -13,9 +13,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps this node's lease and its place in the cluster view, and answers what this node may do under them. The wanted view
- * holds exactly the nodes whose leased key exists; any member whose replica of the store shows a difference proposes it by
- * compare-and-swap.
+ * Maintains this node's lease and its membership in the cluster view, and decides what this node may do under them. The
+ * wanted view contains exactly the nodes whose leased key exists. Any member whose replica of the store shows a view
+ * that differs from it proposes the wanted view by compare-and-swap.
  */
 public final class Membership {
     private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
@@ -35,7 +35,7 @@
     private final WantedView wantedView;
     private final ViewProposer proposer;
 
-    /** The membership of a node; nothing happens before {@link #start}. */
+    /** Creates the membership of a node, which stays inactive until {@link #start} is called. */
     public Membership(
             EventLoop loop,
             StoreClient store,
@@ -56,60 +56,63 @@
         proposer = new ViewProposer(loop, store, replica, currentView, registry);
     }
 
-    /** Begins to acquire a lease and to register. */
+    /** Starts to acquire a lease and to register this node. */
     public void start() {
         lease.acquire();
     }
 
     /**
-     * Whether every controller has been seen with a program that reads the short form of records. None goes back to an
-     * older one: a process comes back with the version that it had, or a newer one.
+     * Returns whether every configured controller has been observed with a version that reads the short form of
+     * records. Controllers are never downgraded: a process restarts with the same version or a newer one.
      */
     public boolean allReadShortForm() {
         return registry.allConfiguredSupportPipelines();
     }
 
-    /** Whether all members of the view read evictions, without which they would release tasks too soon. */
+    /**
+     * Returns whether all members of the current view support evictions. A member that does not would assume that the
+     * lease of an evicted member has expired, and would release that member's tasks too soon.
+     */
     public boolean allSupportEvictions() {
         return registry.allSupportEvictions(currentView.view());
     }
 
-    /** The view in force, as the replica shows it. */
+    /** Returns the current view according to the replica. */
     public ClusterView view() {
         return currentView.view();
     }
 
-    /** Mod revision of the view in force; 0 if no view is stored. */
+    /** Returns the mod revision of the current view, or 0 if no view is stored. */
     public long viewRevision() {
         return currentView.modRevision();
     }
 
-    /** The owner of a machine in the view in force, or null while the view has no members. */
+    /** Returns the owner of a machine in the current view, or null if the view has no members. */
     public String owner(String machine) {
         return owners.owner(currentView.view(), machine);
     }
 
-    /** Store revision that the replica has reached. */
+    /** Returns the store revision that the replica has reached. */
     public long replicaRevision() {
         return replica.revision();
     }
 
-    /** Whether the replica holds all that was written before the view in force. */
+    /** Returns whether the replica contains everything that was written before the current view. */
     public boolean replicaCoversView() {
         return replica.revision() >= currentView.modRevision();
     }
 
-    /** Duration of the membership lease. */
+    /** Returns the duration of the membership lease. */
     public Duration leaseDuration() {
         return leaseDuration;
     }
 
-    /** Whether the membership lease is certain to hold. */
+    /** Returns whether the membership lease is guaranteed to be valid now. */
     public boolean holdsLease() {
         return lease.isCertainAt(loop.now());
     }
 
-    /** The incarnation of this node that is in the view, or 0. */
+    /** Returns the incarnation of this node, or 0 if it is not a member of the current view. */
     public long incarnation() {
         return isMember() ? lease.id() : 0;
     }
@@ -118,16 +121,17 @@
         return lease.isHeld() && currentView.isMember(node, lease.id());
     }
 
-    /** Whether a node's incarnation is in the view. */
+    /** Returns whether this incarnation of a node is a member of the current view. */
     public boolean isMember(String other, long incarnation) {
         return currentView.isMember(other, incarnation);
     }
 
     /**
-     * Whether this node may answer agents. Counted from the sending of the last good renewal, and from the sending of the
-     * last comparison that found the view as we hold it and whose store revision the replica has reached: a node whose
-     * watch is stuck must not go on under a view that others have replaced, nor keep agents at tasks that others have
-     * cancelled.
+     * Returns whether this node may answer agents: its lease is valid, it is a member of the current view, and this
+     * view was verified within the lease duration. Both periods start when the request was sent: the last successful
+     * renewal, and the last comparison that found the same view in the store and whose store revision the replica has
+     * reached. The verification stops a node whose watch is stuck from acting under a view that other members have
+     * replaced, and from keeping agents on tasks that other members have cancelled.
      */
     public boolean mayAnswerAgents() {
         Instant now = loop.now();
@@ -135,22 +139,23 @@
     }
 
     /**
-     * Whether this node may start tasks as well: its replica was compared so lately that what others have cancelled for
-     * longer than a moment is known here. In its staleness window, and in the first seconds afterwards, a node starts
-     * nothing.
+     * Returns whether this node may also start tasks. The view must have been verified within half the lease duration,
+     * so that the replica contains all but the most recent cancellations by other members. A node with a stale replica
+     * therefore starts no tasks until the replica has confirmed a recent comparison.
      */
     public boolean mayStartTasks() {
         return mayAnswerAgents() && replicaIsFresherThan(leaseDuration.dividedBy(2));
     }
 
-    /** Whether the replica of the store holds all that was committed until so long ago. */
+    /** Returns whether the replica is guaranteed to contain everything that was committed up to {@code age} ago. */
     public boolean replicaIsFresherThan(Duration age) {
         return verification.isFresherThan(age, loop.now());
     }
 
     /**
-     * This process was paused: it acts on nothing that it held before. It may act again once a comparison that was sent
-     * from now on agrees, and judges its peers once agents have had time to find their owners again.
+     * Discards what was known before a pause of this process. The node may act again after a comparison sent from now
+     * on has succeeded. It evaluates the reachability of other members only after agents have had time to find their
+     * owners again.
      */
     public void processPaused() {
         Instant now = loop.now();
@@ -166,12 +171,12 @@
         }
     }
 
-    /** A registration has changed; {@code registration} is null if it is gone. */
+    /** Handles a changed registration; {@code registration} is null if the key was deleted. */
     public void memberChanged(String member, MemberRegistration registration, long modRevision) {
         registry.registrationChanged(member, registration, modRevision);
     }
 
-    /** The stored view has changed; {@code stored} is null if it is gone. */
+    /** Handles a change of the stored view; {@code stored} is null if the key was deleted. */
     public void viewChanged(ClusterView stored, long modRevision) {
         try {
             ClusterView next = stored == null ? ClusterView.empty() : stored;
@@ -206,24 +211,27 @@
         }
     }
 
-    /** Asks to reassign to this node a machine that seems unable to reach its owner. */
+    /** Requests the reassignment to this node of a machine that apparently cannot reach its owner. */
     public void requestReassignment(String machine) {
         wantedView.requestReassignment(machine);
     }
 
-    /** A heartbeat of a machine came here although another member owns the machine. */
+    /** Records that this node received a heartbeat of a machine that another member owns. */
     public void recordMisdirectedHeartbeat(String machine, String owner) {
         unreachableMembers.recordMisdirectedHeartbeat(machine, owner, loop.now());
     }
 
-    /** This member is cordoned, and has found that it reaches agents again. */
+    /** Requests to uncordon this node, which can reach agents again. Has no effect if the node is not cordoned. */
     public void requestUncordon() {
         wantedView.requestUncordon();
     }
 
     /**
-     * Proposes a view without a member whose lease may still run, provided that the member has not removed the liveness
-     * probe of the given mod revision meanwhile; tells whether the view was committed.
+     * Proposes a view without a member whose lease may still be valid. The proposal fails if the member has deleted the
+     * liveness probe.
+     *
+     * @param probeRevision the mod revision of the unanswered probe
+     * @param done receives whether the view was committed
      */
     void evict(String member, long incarnation, long probeRevision, Consumer<Boolean> done) {
         if (!isMember(member, incarnation) || proposer.isProposing() || !allSupportEvictions()) {
@@ -233,7 +241,7 @@
         proposer.evict(member, incarnation, probeRevision, done);
     }
 
-    /** One turn of the loop: proposes the wanted view if it differs from the one in force. */
+    /** Proposes the wanted view if it differs from the current one. Called in each round of the controller. */
     public void step() {
         if (!replica.loaded() || !lease.isRegistered() || !holdsLease() || proposer.isProposing()) {
             return;
@@ -241,9 +249,8 @@
         SortedMap<String, Long> registered = registry.incarnations();
         Long ownIncarnation = registered.get(node);
         if (ownIncarnation == null || ownIncarnation != lease.id()) {
-            // The registration of a former incarnation, carried out again, has taken our key and goes with the lease of
-            // that incarnation.
-            // registered-by-a-former-life.trace
+            // A repeated registration request of a former incarnation has overwritten this node's key, which would be
+            // deleted when the lease of that incarnation expires. See registered-by-a-former-life.trace.
             lease.registerAgain();
             return;
         }
--- a/src/main/java/org/havenford/coordination/membership/MembershipLease.java
+++ b/src/main/java/org/havenford/coordination/membership/MembershipLease.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This node's lease in the store, and the registration that is attached to it. The id of the lease is the incarnation of
- * the node. An expired lease is replaced by a new one at once, that of an evicted node after a delay.
+ * This node's lease in the store and the registration attached to it. The lease id serves as the node's incarnation. An
+ * expired lease is replaced immediately; after an eviction, the node acquires a new lease after a delay.
  */
 final class MembershipLease {
     private static final Logger LOG = LoggerFactory.getLogger(MembershipLease.class);
@@ -25,9 +25,9 @@
     private static final long NO_LEASE = 0;
     private static final int RENEWALS_PER_LEASE = 4;
     private static final Duration RETRY_INTERVAL = Duration.ofMillis(300);
-    /** Time until the next attempt after a response that could not be read. */
+    /** Delay before the next attempt after a malformed response. */
     private static final Duration RETRY_AFTER_BAD_RESPONSE = Duration.ofSeconds(1);
-    /** After its first eviction a node joins again this much later; twice as long after each further one. */
+    /** Delay before the node rejoins after its first eviction; doubled with each further eviction, up to a maximum. */
     private static final Duration FIRST_REJOIN_DELAY = Duration.ofSeconds(2);
 
     private static final Duration MAX_REJOIN_DELAY = Duration.ofSeconds(32);
@@ -41,7 +41,7 @@
 
     private long id = NO_LEASE;
     private boolean registered;
-    /** Until when the lease is certain to hold; null if it may have ended. */
+    /** Time until which the lease is guaranteed to be valid; null if it may have expired. */
     private Instant certainUntil;
 
     private Duration rejoinDelay = FIRST_REJOIN_DELAY;
@@ -60,27 +60,27 @@
         this.duration = settings.leaseDuration();
     }
 
-    /** Whether this node has a lease; it may have ended in the store. */
+    /** Returns whether this node has a lease, which may already have expired in the store. */
     boolean isHeld() {
         return id != NO_LEASE;
     }
 
-    /** The id of the lease, and thereby this node's incarnation; meaningful only while it is held. */
+    /** Returns the lease id, which is this node's incarnation; meaningful only while a lease is held. */
     long id() {
         return id;
     }
 
-    /** Whether the registration of this lease has been committed. */
+    /** Returns whether the registration under this lease has been committed. */
     boolean isRegistered() {
         return registered;
     }
 
-    /** Whether the lease is certain to hold at a time. */
+    /** Returns whether the lease is guaranteed to be valid at {@code now}. */
     boolean isCertainAt(Instant now) {
         return certainUntil != null && now.isBefore(certainUntil);
     }
 
-    /** Creates a lease, and registers with it; tries until it succeeds. */
+    /** Creates a lease and registers this node under it; retries until it succeeds. */
     void acquire() {
         Instant sentAt = loop.now();
         registered = false;
@@ -138,7 +138,7 @@
         loop.after(result.ok() ? renewalInterval() : RETRY_INTERVAL, () -> renew(renewedId));
     }
 
-    /** Registers once more, after the registration of another incarnation has replaced ours. */
+    /** Registers this node again after the registration of another incarnation has replaced it. */
     void registerAgain() {
         registered = false;
         register();
@@ -146,7 +146,7 @@
 
     private void register() {
         if (!isHeld()) {
-            // A retry that was due after the lease had ended: a registration without a lease would stay for ever.
+            // This is a retry that fired after the lease had ended: a registration without a lease would never expire.
             return;
         }
         long registeredId = id;
@@ -172,9 +172,9 @@
     }
 
     /**
-     * Ends the lease of an evicted incarnation, and joins as another one later. The node may have been unresponsive for a
-     * while only; the delay grows with each eviction, so that a node that stalls again and again does not keep machines
-     * moving.
+     * Ends the lease of the evicted incarnation, and rejoins under a new one after a delay. The node may have been
+     * unresponsive only temporarily. The delay doubles with each eviction, so that a node that stalls repeatedly does
+     * not cause constant reassignment of machines.
      */
     void rejoinAfterEviction() {
         LOG.warn("evicted from the view: rejoinDelayS={}", rejoinDelay.toSeconds());
--- a/src/main/java/org/havenford/coordination/membership/MembershipListener.java
+++ b/src/main/java/org/havenford/coordination/membership/MembershipListener.java
@@ -1,10 +1,10 @@
 package org.havenford.coordination.membership;
 
-/** What the membership tells the controller that it belongs to, and needs to know from it. */
+/** Receives view changes from the membership, and supplies the machine counts that the membership needs. */
 public interface MembershipListener {
-    /** Called after another view has come into force. */
+    /** Called after the current view has changed. */
     void viewChanged();
 
-    /** Returns the number of machines that a node owns in the view in force. */
+    /** Returns the number of machines that a node owns in the current view. */
     int ownedMachines(String node);
 }
--- a/src/main/java/org/havenford/coordination/membership/UnreachableMemberDetector.java
+++ b/src/main/java/org/havenford/coordination/membership/UnreachableMemberDetector.java
@@ -8,25 +8,30 @@
 import org.havenford.storage.records.ClusterView;
 
 /**
- * Finds the one member that many of its agents cannot reach. Heartbeats that come here although another member owns the
- * machine are counted by owner. When agents of other members are misdirected as well, the fault is with the agents, and
- * cordoning a member would not help.
+ * Detects a member that many of its agents cannot reach, by counting per owner the machines whose heartbeats arrive at
+ * this node although another member owns them. If agents of several members are affected, the fault lies with the
+ * agents, and cordoning a member would not help.
  */
 final class UnreachableMemberDetector {
-    /** An agent that is redirected to its owner and comes back within this has not reached it. */
+    /** An agent that was redirected to its owner and returns within this time has failed to reach the owner. */
     private static final Duration MISDIRECTED_WITHIN = Duration.ofSeconds(8);
-    /** After a change of the view agents need time to find their owners. */
+    /**
+     * Time after a view change or a pause during which nothing is detected, because agents need time to find their
+     * owners.
+     */
     private static final Duration STABILIZATION_PERIOD = Duration.ofSeconds(12);
-    /** Part of a member's machines that must be misdirected before the member counts as unreachable. */
+    /**
+     * Minimum fraction of a member's machines with misdirected heartbeats for the member to be considered unreachable.
+     */
     private static final double MIN_MISDIRECTED_FRACTION = 0.125;
 
     private static final int MIN_MISDIRECTED = 2;
 
     private final String node;
     private final MembershipListener listener;
-    /** When machines were last redirected to their owner from here, by owner. */
+    /** Time of the last misdirected heartbeat of each machine, by owner and machine. */
     private final Map<String, Map<String, Instant>> misdirected = new HashMap<>();
-    /** Since when the counts go on; null before the first view. */
+    /** When the counts were last reset; null before the first view. */
     private Instant countingSince;
 
     UnreachableMemberDetector(String node, MembershipListener listener) {
@@ -34,18 +39,21 @@
         this.listener = listener;
     }
 
-    /** Forgets all counts, and waits for the stabilization period. */
+    /** Discards all counts and starts a new stabilization period. */
     void restart(Instant now) {
         misdirected.clear();
         countingSince = now;
     }
 
-    /** A heartbeat of a machine came here although another member owns the machine. */
+    /** Records that this node received a heartbeat of a machine that another member owns. */
     void recordMisdirectedHeartbeat(String machine, String owner, Instant now) {
         misdirected.computeIfAbsent(owner, newOwner -> new HashMap<>()).put(machine, now);
     }
 
-    /** Returns the member that is unreachable for its agents, if there is one besides this node. */
+    /**
+     * Returns the member that its agents cannot reach, if any. Its fraction of misdirected machines must be more than
+     * twice that of every other active member. This node itself is never returned.
+     */
     Optional<String> unreachableMember(ClusterView view, Instant now) {
         if (view.activeMembers().size() < 2 || isStabilizing(now) || misdirected.isEmpty()) {
             return Optional.empty();
--- a/src/main/java/org/havenford/coordination/membership/ViewChange.java
+++ b/src/main/java/org/havenford/coordination/membership/ViewChange.java
@@ -8,12 +8,12 @@
 import org.havenford.storage.records.ClusterView;
 
 /**
- * A change of the cluster view, without the effects of committing it.
+ * A change to the cluster view, computed without side effects.
  *
- * @param members the wanted members with their incarnations
- * @param reassignments the wanted owners of machines that are reassigned
- * @param cordoned the member to cordon
- * @param uncordoned the member to uncordon
+ * @param members the members of the new view and their incarnations
+ * @param reassignments the owners of reassigned machines, by machine
+ * @param cordoned the member to cordon, if any
+ * @param uncordoned the member to uncordon, if any
  */
 record ViewChange(
         SortedMap<String, Long> members,
@@ -21,10 +21,10 @@
         Optional<String> cordoned,
         Optional<String> uncordoned) {
 
-    /** Returns the view after the change. */
+    /** Returns the view that results from applying this change to {@code current}. */
     ClusterView applyTo(ClusterView current) {
         TreeSet<String> nextCordoned = new TreeSet<>(current.cordoned());
-        // Another incarnation of a node starts afresh.
+        // A new incarnation of a cordoned node is not cordoned.
         nextCordoned.removeIf(
                 node -> !Objects.equals(members.get(node), current.members().get(node)));
         uncordoned.ifPresent(nextCordoned::remove);
@@ -35,7 +35,7 @@
                 current.epoch() + 1, new TreeMap<>(members), new TreeMap<>(reassignments), nextCordoned, nextEvicted);
     }
 
-    /** Returns the view after a member was evicted: nothing stays reassigned. */
+    /** Returns the view without an evicted member. All reassignments are dropped. */
     static ClusterView evict(ClusterView current, String node, long incarnation) {
         TreeMap<String, Long> remaining = new TreeMap<>(current.members());
         remaining.remove(node);
--- a/src/main/java/org/havenford/coordination/membership/ViewProposer.java
+++ b/src/main/java/org/havenford/coordination/membership/ViewProposer.java
@@ -12,9 +12,9 @@
 import org.havenford.storage.records.Keys;
 import org.havenford.transport.EventLoop;
 
-/** Proposes views to the store by compare-and-swap, one at a time. */
+/** Proposes new views to the store by compare-and-swap, one proposal at a time. */
 final class ViewProposer {
-    /** Time between proposals that leave the members as they are. */
+    /** Minimum time between a proposal and a following one that does not change the members. */
     private static final Duration MIN_INTERVAL = Duration.ofSeconds(2);
 
     private final EventLoop loop;
@@ -23,7 +23,7 @@
     private final CurrentView currentView;
     private final MemberRegistry registry;
     private boolean proposing;
-    /** When the last proposal was sent; null if there was none. */
+    /** When the last proposal was sent; null before the first. */
     private Instant lastProposal;
 
     ViewProposer(
@@ -35,21 +35,22 @@
         this.registry = registry;
     }
 
-    /** Whether the outcome of a proposal is not known yet. */
+    /** Returns whether a proposal is in flight. */
     boolean isProposing() {
         return proposing;
     }
 
-    /** Whether enough time has passed since the last proposal for one that leaves the members as they are. */
+    /** Returns whether the minimum interval before a proposal that does not change the members has elapsed. */
     boolean intervalHasPassed(Instant now) {
         return lastProposal == null || !now.isBefore(lastProposal.plus(MIN_INTERVAL));
     }
 
-    /** Proposes a view in place of the one in force. */
+    /** Proposes a view that replaces the current one. */
     void propose(ClusterView next) {
         Transaction transaction = replacingCurrentView();
-        // A member leaves only while its leased key is certainly gone (or a later incarnation of the node has replaced
-        // it), so it can no longer hold itself entitled to act.
+        // The conditions on the registrations ensure that a member is removed only if its leased key no longer exists
+        // or belongs to a later incarnation of the node. The removed incarnation then no longer considers its lease
+        // valid.
         TreeMap<String, Long> allMembers = new TreeMap<>(next.members());
         allMembers.putAll(currentView.view().members());
         allMembers.keySet().forEach(member -> requireRegistration(transaction, member));
@@ -58,8 +59,10 @@
     }
 
     /**
-     * Proposes the view without a member whose lease may still run, provided that the member has not answered the liveness
-     * probe meanwhile. Its registration is deleted in the same transaction.
+     * Proposes the current view without a member whose lease may still be valid. The transaction requires that the
+     * member has not answered the liveness probe, and also deletes the member's registration and the probe.
+     *
+     * @param done receives whether the view was committed
      */
     void evict(String node, long incarnation, long probeRevision, Consumer<Boolean> done) {
         Transaction transaction = replacingCurrentView();
--- a/src/main/java/org/havenford/coordination/membership/ViewVerification.java
+++ b/src/main/java/org/havenford/coordination/membership/ViewVerification.java
@@ -11,11 +11,17 @@
 import org.havenford.transport.EventLoop;
 
 /**
- * Proves how recent the replica is: compares the mod revision of the view in the store with the one held here, and counts
- * a comparison that agrees once the replica has reached the store revision at which it was made.
+ * Establishes how recent the replica is. Compares the mod revision of the view in the store with that of the current
+ * view. A comparison that finds them equal takes effect once the replica has reached the store revision of the
+ * comparison.
  */
 final class ViewVerification {
-    /** A comparison, sent at this time, that found our view in the store at this store revision. */
+    /**
+     * A comparison that found the current view in the store.
+     *
+     * @param sentAt when the comparison was sent
+     * @param storeRevision the store revision at which the comparison was executed
+     */
     private record Comparison(Instant sentAt, long storeRevision) {}
 
     private final EventLoop loop;
@@ -23,12 +29,12 @@
     private final StoreReplica replica;
     private final CurrentView currentView;
 
-    /** Comparisons that agreed, and whose store revision the replica has yet to reach; the oldest first. */
+    /** Successful comparisons whose store revision the replica has not reached yet, oldest first. */
     private final ArrayDeque<Comparison> pendingComparisons = new ArrayDeque<>();
 
-    /** When the latest comparison was sent that the replica has reached; null if there is none. */
+    /** When the latest comparison that has taken effect was sent; null if there is none. */
     private Instant verifiedAt;
-    /** When this process last went on after a pause, null if it never paused; no older comparison counts. */
+    /** End of the last pause of this process, or null; comparisons sent before it are ignored. */
     private Instant lastPauseEnd;
 
     ViewVerification(EventLoop loop, StoreClient store, StoreReplica replica, CurrentView currentView) {
@@ -38,12 +44,12 @@
         this.currentView = currentView;
     }
 
-    /** Forgets the comparisons of the view before; the view in force has to be compared anew. */
+    /** Discards the comparisons of the previous view; the new view has not been verified yet. */
     void viewChanged() {
         forgetComparisons();
     }
 
-    /** This process was paused: only comparisons that are sent from now on count. */
+    /** Discards all comparisons sent before the end of a pause of this process. */
     void processPaused(Instant pauseEnd) {
         forgetComparisons();
         lastPauseEnd = pauseEnd;
@@ -54,7 +60,7 @@
         verifiedAt = null;
     }
 
-    /** Compares the view with the store, unless no view is stored. */
+    /** Compares the current view with the store. Does nothing if no view is stored. */
     void compareWithStore() {
         if (!currentView.isStored()) {
             return;
@@ -69,7 +75,10 @@
         });
     }
 
-    /** Answers may overtake each other; of an older comparison nothing is learnt then. */
+    /**
+     * Returns whether a comparison was sent after the last pause and after every other successful comparison. Responses
+     * may arrive out of order, and an older comparison proves nothing more than a later one.
+     */
     private boolean isLatest(Instant sentAt) {
         boolean sentSincePause = lastPauseEnd == null || !sentAt.isBefore(lastPauseEnd);
         boolean laterThanPending = pendingComparisons.isEmpty()
@@ -78,7 +87,9 @@
         return sentSincePause && laterThanPending && laterThanVerified;
     }
 
-    /** Whether the replica is certain at a time to hold all that was committed up to {@code age} before it. */
+    /**
+     * Returns whether the replica is guaranteed to contain everything committed up to {@code age} before {@code now}.
+     */
     boolean isFresherThan(Duration age, Instant now) {
         while (!pendingComparisons.isEmpty() && pendingComparisons.peek().storeRevision() <= replica.revision()) {
             verifiedAt = pendingComparisons.poll().sentAt();
--- a/src/main/java/org/havenford/coordination/membership/WantedView.java
+++ b/src/main/java/org/havenford/coordination/membership/WantedView.java
@@ -9,13 +9,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides which view is wanted: exactly the registered nodes are members, machines that do not reach their owner are
- * reassigned, and a member that its agents do not reach is cordoned.
+ * Computes the wanted view: exactly the registered nodes are members, machines that cannot reach their owner are
+ * reassigned, and a member that its agents cannot reach is cordoned.
  */
 final class WantedView {
     private static final Logger LOG = LoggerFactory.getLogger(WantedView.class);
 
-    /** Keeps the view's value within 2 KiB. */
+    /** Limits the size of the stored view to 2 KiB. */
     private static final int MAX_REASSIGNMENTS = 40;
 
     private final String node;
@@ -31,8 +31,8 @@
     }
 
     /**
-     * Asks to reassign to this node a machine that seems unable to reach its owner; a machine is reassigned once for each
-     * set of members, or it would be handed round.
+     * Requests the reassignment to this node of a machine that apparently cannot reach its owner. A machine is
+     * reassigned only once until the members change; otherwise it could be passed between members repeatedly.
      */
     void requestReassignment(String machine) {
         ClusterView view = currentView.view();
@@ -42,12 +42,14 @@
         }
     }
 
-    /** This member is cordoned, and has found that it reaches agents again. */
+    /** Requests to uncordon this node, which can reach agents again. Has no effect if the node is not cordoned. */
     void requestUncordon() {
         uncordonRequested = currentView.view().cordoned().contains(node);
     }
 
-    /** Drops requests that the view in force has met, or that have to be decided anew among other members. */
+    /**
+     * Drops the requests that are obsolete in the current view: fulfilled ones, and those for machines it reassigns.
+     */
     void viewChanged() {
         ClusterView view = currentView.view();
         uncordonRequested &= view.cordoned().contains(node);
@@ -63,10 +65,10 @@
     }
 
     /**
-     * Returns the wanted view if it differs from the one in force.
+     * Returns the wanted view if it differs from the current one.
      *
-     * @param members the registered nodes with their incarnations
-     * @param mayChangeOwners whether the view may change although its members stay the same
+     * @param members the registered nodes and their incarnations
+     * @param mayChangeOwners whether requests and cordons are applied; if false, only the members may change
      */
     Optional<ClusterView> next(SortedMap<String, Long> members, boolean mayChangeOwners, Instant now) {
         ClusterView view = currentView.view();
@@ -94,8 +96,8 @@
     private SortedMap<String, String> reassignments(ClusterView view) {
         TreeMap<String, String> reassignments = new TreeMap<>(view.reassigned());
         reassignments.putAll(requestedReassignments);
-        // The version before allowed more, which a smaller limit of values may not: a machine goes back to its
-        // hash's owner.
+        // The previous version allowed more entries, which may exceed a lower value size limit. Dropped machines return
+        // to the owner given by their hash.
         while (reassignments.size() > MAX_REASSIGNMENTS) {
             reassignments.pollLastEntry();
         }
--- a/src/main/java/org/havenford/coordination/membership/package-info.java
+++ b/src/main/java/org/havenford/coordination/membership/package-info.java
@@ -1,7 +1,8 @@
 /**
  * Membership lease, cluster view and eviction of members.
  *
- * <p>It owns the lease of this process, the view in force, and which machines and members it wants changed. It answers
- * whether this controller may act, and who owns a machine. Called by all packages of coordination above it.
+ * <p>This package maintains the lease of this process, the current view, and the pending requests to reassign machines
+ * or to change the view. It determines whether this controller may act and which member owns a machine. It is used by
+ * the higher-level packages of {@code org.havenford.coordination}.
  */
 package org.havenford.coordination.membership;
--- a/src/main/java/org/havenford/coordination/monitoring/LinkMonitor.java
+++ b/src/main/java/org/havenford/coordination/monitoring/LinkMonitor.java
@@ -16,27 +16,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Watches which of the parties that this controller depends on it still reaches, so that its log and {@code /healthz} can
- * name the link that is lost, and since when. No decision depends on it.
+ * Monitors whether this controller can reach the state service, the cloud and the agents, so that the log and
+ * {@code /healthz} can report lost links and how long they have been lost. No decision depends on it.
  */
 public final class LinkMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(LinkMonitor.class);
-    /** A link is lost when nothing came over it for this long although it was tried. */
+    /** Minimum time without success after which the link to the state service or the cloud counts as lost. */
     private static final Duration LOST_AFTER = Duration.ofSeconds(3);
 
+    /** Minimum number of consecutive failures before a link counts as lost. */
     private static final int MIN_FAILURES = 2;
-    /** Heartbeat intervals without any heartbeat after which the agents are out of reach. */
+    /** Number of heartbeat intervals without any heartbeat after which the link to the agents counts as lost. */
     private static final int MISSED_HEARTBEATS = 3;
 
     private static final int UNAVAILABLE = 503;
 
-    /** A party that this controller depends on. */
+    /** A link to a service, or to the agents, that this controller depends on. */
     enum Link {
         STATE_SERVICE("state_service"),
         CLOUD("cloud"),
         AGENTS("workers");
 
-        /** Name in the answer to a health check. */
+        /** The name of the link in the health check response. */
         private final String healthName;
 
         Link(String healthName) {
@@ -48,13 +49,13 @@
         }
     }
 
-    /** Why a link does not serve. */
+    /** Why a link does not work. */
     private enum Failure {
         REFUSED("it refuses this controller"),
         UNREACHABLE("no connection or no answer"),
         SILENT("no reports");
 
-        /** Text in the answer to a health check. */
+        /** The text of the failure in the health check response. */
         private final String healthText;
 
         Failure(String healthText) {
@@ -69,7 +70,7 @@
     private static final class LinkState {
         private Instant lastSuccess;
         private int failures;
-        /** The latest failure since the last success; null if there is none. */
+        /** The kind of the latest failure since the last success; null if there was none. */
         private Failure failure;
 
         private boolean lost;
@@ -85,7 +86,7 @@
     private final Map<Link, LinkState> states = new EnumMap<>(Link.class);
     private final Duration agentsLostAfter;
 
-    /** A monitor of the links to the addresses in the settings. */
+    /** Creates a monitor of the links to the addresses in the settings. */
     public LinkMonitor(PlatformSettings settings, EventLoop loop) {
         this.loop = loop;
         this.storeAddress = settings.storeAddress();
@@ -96,7 +97,7 @@
         }
     }
 
-    /** The same calls, with their outcomes noted here. */
+    /** Returns a wrapper of {@code calls} that records the outcome of each call. */
     public HttpCalls watching(HttpCalls calls) {
         return (address, method, path, body, timeout, done) ->
                 calls.call(address, method, path, body, timeout, reply -> {
@@ -120,12 +121,17 @@
         }
     }
 
-    /** An agent has sent a heartbeat. */
+    /** Records a heartbeat received from an agent. */
     public void heartbeatArrived() {
         recordSuccess(Link.AGENTS);
     }
 
-    /** Time has passed; {@code heartbeatsExpected} says whether agents should have sent heartbeats by now. */
+    /**
+     * Checks whether the link to the agents is lost. Called periodically. The link never counts as lost while no
+     * heartbeats are expected.
+     *
+     * @param heartbeatsExpected whether agents should be sending heartbeats to this controller
+     */
     public void step(boolean heartbeatsExpected) {
         if (!heartbeatsExpected) {
             recordSuccess(Link.AGENTS);
@@ -157,7 +163,9 @@
         }
     }
 
-    /** The process was paused: that it heard nobody meanwhile says nothing of its links. */
+    /**
+     * Excludes a pause of this process from the time without success, as nothing could be received during the pause.
+     */
     public void processPaused(Duration pause) {
         for (LinkState state : states.values()) {
             state.failures = 0;
@@ -165,12 +173,12 @@
         }
     }
 
-    /** Whether a link is lost. */
+    /** Returns whether a link is lost. */
     boolean isLost(Link link) {
         return states.get(link).lost;
     }
 
-    /** The lost links for operators, as part of the answer to a health check. */
+    /** Returns the lost links for the health check response. */
     public JsonArray toJson() {
         JsonArray lostLinks = new JsonArray();
         states.forEach((link, state) -> {
@@ -185,7 +193,7 @@
         return lostLinks;
     }
 
-    /** The lost links as text for the log's line of each minute. */
+    /** Returns the lost links as text for the periodic statistics in the log. */
     public String summary() {
         List<String> lostLinks = new ArrayList<>();
         states.forEach((link, state) -> {
--- a/src/main/java/org/havenford/coordination/monitoring/ProcessPauseDetector.java
+++ b/src/main/java/org/havenford/coordination/monitoring/ProcessPauseDetector.java
@@ -7,28 +7,35 @@
 import org.havenford.transport.HttpCalls;
 
 /**
- * Detects that this process was paused while its clocks went on: between two events of the loop, of which a timer brings
- * several a second, far more time has passed than any of them takes. Every event of the controller passes through here,
- * so the pause is known before the first of those that were due or came in meanwhile is handled.
+ * Detects pauses of this process during which its clocks kept running. A timer triggers several events per second, so a
+ * much longer gap between two events indicates a pause. All events of the controller pass through this class, so a
+ * pause is reported before the first event that became due or arrived during the pause is handled.
  */
 public final class ProcessPauseDetector implements EventLoop, HttpCalls {
-    /** The loop's timer comes several times a second; a busy processor delays it, but not for this long. */
+    /**
+     * Shortest gap reported as a pause. The timer fires several times per second, and CPU load delays it for less than
+     * this.
+     */
     static final Duration MIN_PAUSE = Duration.ofSeconds(2);
 
     private final EventLoop loop;
     private final HttpCalls calls;
     private final Consumer<Duration> pauseListener;
-    /** When the last event began; null before the first. */
+    /** When the last event started; null before the first event. */
     private Instant lastEvent;
 
-    /** {@code pauseListener} is told of each pause and its length, before the event that ends it is handled. */
+    /**
+     * Creates a detector in front of an event loop and its HTTP calls.
+     *
+     * @param pauseListener receives the duration of each pause before the event that ends the pause is handled
+     */
     public ProcessPauseDetector(EventLoop loop, HttpCalls calls, Consumer<Duration> pauseListener) {
         this.loop = loop;
         this.calls = calls;
         this.pauseListener = pauseListener;
     }
 
-    /** An event of the loop begins. */
+    /** Must be called at the start of each event that is not dispatched by this object. Reports a preceding pause. */
     public void eventStarted() {
         Instant now = loop.now();
         Duration sinceLastEvent = lastEvent == null ? Duration.ZERO : Duration.between(lastEvent, now);
--- a/src/main/java/org/havenford/coordination/monitoring/package-info.java
+++ b/src/main/java/org/havenford/coordination/monitoring/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Detection of process pauses and of lost links.
+ * Detection of process pauses and lost links.
  *
- * <p>It owns when events and answers were last seen. Called by the controller, which wires it between the event loop and all
- * other parts.
+ * <p>This package keeps the times of the last event and of the last success on each link. The controller places it
+ * between the event loop and all other components.
  */
 package org.havenford.coordination.monitoring;
--- a/src/main/java/org/havenford/coordination/quota/QuotaAllocator.java
+++ b/src/main/java/org/havenford/coordination/quota/QuotaAllocator.java
@@ -18,27 +18,29 @@
 import org.havenford.storage.records.TeamQuota.Resources;
 
 /**
- * This controller's shares of the teams' quotas. Each claim is conditional on the mod revision of the team's quota record,
- * and charged to the share of the controller that makes it. Only that controller adds to what is charged to it, so it knows
- * the sum, or an upper bound of it. All claims of a team are then within the shares, and the shares within the quota.
+ * Manages this controller's shares of the teams' quotas. Each claim is conditional on the mod revision of the team's
+ * quota record, and is charged to the share of the controller that makes it. Only that controller adds charges to its
+ * share, so it always knows their sum or an upper bound. Hence the claims of a team never exceed the shares, and the
+ * shares never exceed the quota.
  */
 public final class QuotaAllocator {
     private static final Duration REBALANCE_INTERVAL = Duration.ofSeconds(1);
-    /** An even share of a team's quota is allocated in this many increments. */
+    /** Number of increments that make up an even share of a team's quota. */
     private static final int INCREMENTS_PER_EVEN_SHARE = 4;
-    /** Fraction of its unused share that a controller returns while another one is starved. */
+    /** Fraction of its unused share that a controller returns while another controller is starved. */
     private static final double RETURNED_FRACTION = 0.5;
-    /** Stands for a resource without a limit; sums of a few of these do not overflow. */
+    /** Limit of a resource that has none; small enough that the sum of a few such values does not overflow. */
     private static final double UNLIMITED = Double.MAX_VALUE / 4;
 
     /**
-     * What a claim takes of a quota share, from its sending until its outcome is certain.
+     * The resources that a claim takes from a quota share, counted from when the claim is sent until its outcome is
+     * known.
      *
-     * @param team the team whose quota is used
-     * @param amount resources of all tasks that the transaction claims
+     * @param team the team whose quota is charged
+     * @param amount the total resources of the tasks that the transaction claims
      * @param jobId the job of the tasks
-     * @param taskRangeKey key of the task range record that the claim changes
-     * @param modRevision the mod revision of that key that the claim requires
+     * @param taskRangeKey the key of the task range record that the claim changes
+     * @param modRevision the mod revision of the task range key that the claim requires
      * @param viewRevision the mod revision of the cluster view that the claim requires
      */
     public record Charge(
@@ -50,13 +52,13 @@
     private final Membership membership;
     private final ConditionalWriter writer;
     private final List<Charge> pendingCharges = new ArrayList<>();
-    /** Teams for which a claim was cut short since the last rebalancing. */
+    /** Teams for which this controller could not claim all wanted tasks since the last rebalancing. */
     private final Set<String> starvedTeams = new HashSet<>();
 
-    /** The first rebalancing is due at once. */
+    /** The initial value makes the first rebalancing due immediately. */
     private Instant nextRebalance = Instant.MIN;
 
-    /** Creates the allocator of the controller that the settings name. */
+    /** Creates the allocator for the controller whose node name is in the settings. */
     public QuotaAllocator(
             PlatformSettings settings,
             ClusterState clusterState,
@@ -70,24 +72,28 @@
         this.writer = writer;
     }
 
-    /** Counts a charge from the moment its claim is sent. */
+    /** Adds the charge of a claim that is being sent. */
     public void add(Charge charge) {
         pendingCharges.add(charge);
     }
 
-    /** Stops counting a charge whose claim is known to have failed. */
+    /**
+     * Removes a charge after the outcome of its claim has become known. The resources of a committed claim are then
+     * counted from the replica.
+     */
     public void remove(Charge charge) {
         pendingCharges.remove(charge);
     }
 
-    /** Stops counting the charges whose claims the replica shows, or that can no longer be applied. */
+    /** Removes the charges whose claims are in the replica or can no longer be applied. */
     public void removeResolvedCharges() {
         pendingCharges.removeIf(this::isResolved);
     }
 
     /**
-     * A transaction without an answer can't be applied any more once its task range or the view has another mod revision, or
-     * its job is gone; if it was applied before that, its claims are in our replica by now.
+     * Returns whether the outcome of a claim is settled although its transaction got no answer. The transaction can no
+     * longer be applied once its task range or the view has another mod revision, or its job is gone. If it was applied
+     * before that, its claims are in the replica by now.
      */
     private boolean isResolved(Charge charge) {
         if (writer.isLocked(charge.taskRangeKey())) {
@@ -98,7 +104,7 @@
                 || (membership.viewRevision() != charge.viewRevision() && membership.replicaCoversView());
     }
 
-    /** What the claims of a team hold that are charged to this controller, pending ones included. */
+    /** Returns the resources of a team's claims that are charged to this controller, including pending claims. */
     private Resources held(String team) {
         Resources sum = clusterState.charged(team, settings.node());
         for (Charge charge : pendingCharges) {
@@ -110,17 +116,17 @@
     }
 
     /**
-     * Allocates quota for claims of a team's tasks. The condition on the quota record, and where needed a larger share taken
-     * from what no controller holds, become part of the claim's transaction.
+     * Allocates quota for claims on a team's tasks. Adds the condition on the quota record to the claim's transaction
+     * and, if this controller's share is too small, an update that extends the share from unallocated quota.
      *
-     * @param perTask resources of one task
-     * @param wanted number of tasks to claim
-     * @return how many of the wanted tasks this controller's share allows
+     * @param perTask the resources of one task
+     * @param wanted the number of tasks to claim
+     * @return the number of tasks, up to {@code wanted}, that fit into this controller's share
      */
     public int allocate(PlatformSettings.Team team, Resources perTask, int wanted, Transaction transaction) {
         String key = Keys.team(team.name());
         if (writer.isLocked(key) || !membership.replicaCoversView()) {
-            // A former incarnation of this controller may have made claims that our replica does not show yet.
+            // A former incarnation of this controller may have made claims that are not in the replica yet.
             return 0;
         }
         transaction.requireRevision(key, replica.modRevision(key));
@@ -150,7 +156,10 @@
         return held.plus(perTask.times(tasks)).within(share);
     }
 
-    /** This controller's share, extended towards what it needs as far as unallocated quota allows. */
+    /**
+     * Returns this controller's share, extended as far as unallocated quota allows. The target is the larger of an even
+     * share and the needed resources plus one increment.
+     */
     private Resources extendedShare(PlatformSettings.Team team, TeamQuota quota, Resources needed) {
         Resources unallocated = limit(team).minus(quota.allocated()).max(Resources.NONE);
         Resources increment = increment(team);
@@ -164,7 +173,10 @@
                 team.cpusMax() > 0 ? team.cpusMax() : UNLIMITED, team.gpusMax() > 0 ? team.gpusMax() : UNLIMITED);
     }
 
-    /** What a controller allocates beyond its need, so that not every claim has to write the quota record. */
+    /**
+     * Returns the amount that a controller allocates beyond its need, so that not every claim has to update the quota
+     * record.
+     */
     private Resources increment(PlatformSettings.Team team) {
         int members = Math.max(1, membership.view().members().size());
         double fraction = 1.0 / (INCREMENTS_PER_EVEN_SHARE * members);
@@ -172,8 +184,9 @@
     }
 
     /**
-     * Returns unused quota while another controller is starved, and, on the provisioning leader, what controllers held that
-     * have left. Each change of a quota record fails the team's claims that are under way, so none is made without need.
+     * Returns unused quota while another controller is starved. On the provisioning leader, also reclaims the shares of
+     * controllers that have left the view. Each update of a quota record fails the team's claims in flight, so a record
+     * is written only if it changes.
      */
     public void rebalance(Instant now) {
         if (now.isBefore(nextRebalance) || !membership.replicaCoversView()) {
@@ -204,7 +217,10 @@
         }
     }
 
-    /** The quota record with this controller's starvation and the share it keeps; the same object if nothing changes. */
+    /**
+     * Returns the quota record with this controller's starvation flag and reduced share, or the same object if nothing
+     * changes.
+     */
     private TeamQuota withOwnShare(PlatformSettings.Team team, TeamQuota quota) {
         String self = settings.node();
         TeamQuota changed = quota;
@@ -217,14 +233,14 @@
         boolean othersStarved = quota.starvedHolders().stream().anyMatch(node -> !node.equals(self));
         Resources unused = share.minus(held).max(Resources.NONE);
         if (othersStarved && !starved && !unused.within(Resources.NONE)) {
-            // Only a fraction unless little is unused: tasks of this controller's own come in as well.
+            // Returns only a fraction unless little is unused, since this controller also receives new tasks.
             boolean little = unused.within(increment(team));
             changed = changed.with(self, little ? held.min(share) : share.minus(unused.times(RETURNED_FRACTION)));
         }
         return changed;
     }
 
-    /** Reduces the shares of controllers that have left the view to what their remaining claims hold. */
+    /** Reduces the shares of controllers that have left the view to the resources of their remaining claims. */
     private TeamQuota withoutFormerMembers(PlatformSettings.Team team, TeamQuota quota, TeamQuota changed) {
         TeamQuota next = changed;
         for (String holder : quota.holders()) {
--- a/src/main/java/org/havenford/coordination/quota/package-info.java
+++ b/src/main/java/org/havenford/coordination/quota/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Team quotas, divided into shares among the controllers.
+ * Team quotas and their division into shares for the controllers.
  *
- * <p>It owns the charges of this controller's claims that the replica does not show yet. Called by scheduling.
+ * <p>This package keeps the charges of this controller's claims that are not in the replica yet. It is used by the
+ * scheduling package.
  */
 package org.havenford.coordination.quota;
