--- a/src/main/java/org/havenford/coordination/failover/StandbyAccess.java
+++ b/src/main/java/org/havenford/coordination/failover/StandbyAccess.java
@@ -18,7 +18,7 @@
 
 /** Implements {@link StandbyHost} on top of a controller. Events are dropped while no observer is registered. */
 public final class StandbyAccess implements StandbyHost {
-    private final ProcessPauseDetector loop;
+    private final ProcessPauseDetector pauseDetector;
     private final StoreClient store;
     private final ClusterState clusterState;
     private final Membership membership;
@@ -29,13 +29,13 @@
 
     /** Creates the access to the controller with the given components. */
     public StandbyAccess(
-            ProcessPauseDetector loop,
+            ProcessPauseDetector pauseDetector,
             StoreClient store,
             ClusterState clusterState,
             Membership membership,
             MemberEvictions evictions,
             AgentManager agentManager) {
-        this.loop = loop;
+        this.pauseDetector = pauseDetector;
         this.store = store;
         this.clusterState = clusterState;
         this.membership = membership;
@@ -59,12 +59,12 @@
 
     @Override
     public EventLoop loop() {
-        return loop;
+        return pauseDetector;
     }
 
     @Override
     public void eventStarted() {
-        loop.eventStarted();
+        pauseDetector.eventStarted();
     }
 
     @Override
@@ -104,8 +104,8 @@
     }
 
     @Override
-    public void probe(String node, long incarnation, LongConsumer asked) {
-        evictions.probe(node, incarnation, asked);
+    public void probe(String node, long incarnation, LongConsumer callback) {
+        evictions.probe(node, incarnation, callback);
     }
 
     @Override
@@ -119,8 +119,8 @@
     }
 
     @Override
-    public void evict(String node, long incarnation, long probeRevision, Consumer<Boolean> done) {
-        evictions.evict(node, incarnation, probeRevision, done);
+    public void evict(String node, long incarnation, long probeRevision, Consumer<Boolean> callback) {
+        evictions.evict(node, incarnation, probeRevision, callback);
     }
 
     @Override
--- a/src/main/java/org/havenford/coordination/failover/StandbyHost.java
+++ b/src/main/java/org/havenford/coordination/failover/StandbyHost.java
@@ -54,9 +54,9 @@
     /**
      * Creates a liveness probe for a member in the store.
      *
-     * @param asked receives the mod revision of the probe, or 0 if it was not created
+     * @param callback receives the mod revision of the probe, or 0 if it was not created
      */
-    void probe(String node, long incarnation, LongConsumer asked);
+    void probe(String node, long incarnation, LongConsumer callback);
 
     /** Returns whether, according to the replica, a probe has been neither answered nor replaced nor withdrawn. */
     boolean probeIsUnanswered(String node, long probeRevision);
@@ -67,9 +67,9 @@
     /**
      * Evicts a member that did not answer a probe.
      *
-     * @param done receives whether the view without the member was committed
+     * @param callback receives whether the view without the member was committed
      */
-    void evict(String node, long incarnation, long probeRevision, Consumer<Boolean> done);
+    void evict(String node, long incarnation, long probeRevision, Consumer<Boolean> callback);
 
     /**
      * Returns the endpoint, the latest heartbeat and the fencing token of each known agent on the machines that this
--- a/src/main/java/org/havenford/coordination/membership/EvictionBackoff.java
+++ b/src/main/java/org/havenford/coordination/membership/EvictionBackoff.java
@@ -10,13 +10,13 @@
  * backoff has elapsed. The backoff doubles with each eviction that follows the previous one within the maximum backoff.
  */
 final class EvictionBackoff {
-    private static final Duration FIRST_INTERVAL = Duration.ofSeconds(30);
-    private static final Duration MAX_INTERVAL = Duration.ofMinutes(10);
+    private static final Duration INITIAL_BACKOFF = Duration.ofSeconds(30);
+    private static final Duration MAX_BACKOFF = Duration.ofMinutes(10);
 
     /** The time of the last eviction of a node and the backoff that followed it. */
-    private record LastEviction(Instant at, Duration interval) {
-        boolean isSparedAt(Instant now) {
-            return now.isBefore(at.plus(interval));
+    private record LastEviction(Instant at, Duration backoff) {
+        boolean isInBackoffAt(Instant now) {
+            return now.isBefore(at.plus(backoff));
         }
     }
 
@@ -27,24 +27,24 @@
     private final Map<String, Long> countedIncarnations = new HashMap<>();
 
     /** Counts an eviction listed in a view, unless it has been counted before. */
-    void evicted(String node, long incarnation, Instant now) {
+    void recordEviction(String node, long incarnation, Instant now) {
         Long counted = countedIncarnations.put(node, incarnation);
         if (counted == null || counted != incarnation) {
-            lastEvictions.put(node, new LastEviction(now, nextInterval(lastEvictions.get(node), now)));
+            lastEvictions.put(node, new LastEviction(now, nextBackoff(lastEvictions.get(node), now)));
         }
     }
 
-    private static Duration nextInterval(LastEviction last, Instant now) {
-        if (last == null || !now.isBefore(last.at().plus(MAX_INTERVAL))) {
-            return FIRST_INTERVAL;
+    private static Duration nextBackoff(LastEviction last, Instant now) {
+        if (last == null || !now.isBefore(last.at().plus(MAX_BACKOFF))) {
+            return INITIAL_BACKOFF;
         }
-        Duration doubled = last.interval().multipliedBy(2);
-        return doubled.compareTo(MAX_INTERVAL) > 0 ? MAX_INTERVAL : doubled;
+        Duration doubled = last.backoff().multipliedBy(2);
+        return doubled.compareTo(MAX_BACKOFF) > 0 ? MAX_BACKOFF : doubled;
     }
 
     /** Returns whether the backoff of the node's last eviction has not elapsed yet. */
-    boolean isSpared(String node, Instant now) {
+    boolean isInBackoff(String node, Instant now) {
         LastEviction last = lastEvictions.get(node);
-        return last != null && last.isSparedAt(now);
+        return last != null && last.isInBackoffAt(now);
     }
 }
--- a/src/main/java/org/havenford/coordination/membership/LeaseClock.java
+++ b/src/main/java/org/havenford/coordination/membership/LeaseClock.java
@@ -6,10 +6,10 @@
 /** Computes conservative local deadlines for durations that another process measures with its own clock. */
 final class LeaseClock {
     /** Bound on the relative clock drift between two processes: twice the 0.05% by which monotonic clocks drift. */
-    private static final double MAX_DRIFT = 0.001;
+    private static final double MAX_CLOCK_DRIFT = 0.001;
 
     /** Allowance for timers of the event loop that fire late. */
-    private static final Duration MARGIN = Duration.ofMillis(150);
+    private static final Duration TIMER_DELAY_MARGIN = Duration.ofMillis(150);
 
     private LeaseClock() {}
 
@@ -19,7 +19,8 @@
      *
      * @param sentAt local time at which the request was sent
      */
-    static Instant certainUntil(Instant sentAt, Duration duration) {
-        return sentAt.plusNanos((long) (duration.toNanos() * (1 - MAX_DRIFT))).minus(MARGIN);
+    static Instant earliestExpiry(Instant sentAt, Duration duration) {
+        return sentAt.plusNanos((long) (duration.toNanos() * (1 - MAX_CLOCK_DRIFT)))
+                .minus(TIMER_DELAY_MARGIN);
     }
 }
--- a/src/main/java/org/havenford/coordination/membership/MemberEvictions.java
+++ b/src/main/java/org/havenford/coordination/membership/MemberEvictions.java
@@ -37,7 +37,7 @@
     private final String node;
     private final EvictionBackoff backoff = new EvictionBackoff();
     /** When the latest unanswered probe of each member was observed in the replica, by member. */
-    private final Map<String, Instant> unansweredProbes = new HashMap<>();
+    private final Map<String, Instant> unansweredProbeTimes = new HashMap<>();
 
     /**
      * Creates an instance that probes and evicts members on behalf of one node.
@@ -55,31 +55,36 @@
 
     /** Counts the evictions listed in the new view. Every member does so, so the backoff holds for all of them. */
     public void viewChanged() {
-        membership.view().evicted().forEach((name, incarnation) -> backoff.evicted(name, incarnation, loop.now()));
+        membership
+                .view()
+                .evicted()
+                .forEach((member, incarnation) -> backoff.recordEviction(member, incarnation, loop.now()));
     }
 
     /**
      * Returns whether this node may evict a member now: the backoff after its last eviction has elapsed, this node may
      * answer agents, and every member of the view supports evictions.
      */
-    public boolean mayEvict(String name) {
-        return !backoff.isSpared(name, loop.now()) && membership.mayAnswerAgents() && membership.allSupportEvictions();
+    public boolean mayEvict(String member) {
+        return !backoff.isInBackoff(member, loop.now())
+                && membership.mayAnswerAgents()
+                && membership.allSupportEvictions();
     }
 
     /**
      * Creates a liveness probe for a member in the store.
      *
-     * @param asked receives the mod revision of the probe, or 0 if it was not created
+     * @param callback receives the mod revision of the probe, or 0 if it was not created
      */
-    public void probe(String name, long incarnation, LongConsumer asked) {
-        Instant probedAt = unansweredProbes.get(name);
-        if (probedAt != null && loop.now().isBefore(probedAt.plus(PROBE_TIMEOUT))) {
+    public void probe(String member, long incarnation, LongConsumer callback) {
+        Instant observedAt = unansweredProbeTimes.get(member);
+        if (observedAt != null && loop.now().isBefore(observedAt.plus(PROBE_TIMEOUT))) {
             // Replacing another member's probe would make that member's eviction fail, so that concurrent evictions of
             // the same node would only block each other. See standby-two-conductors.trace.
-            asked.accept(0);
+            callback.accept(0);
             return;
         }
-        String key = Keys.livenessProbe(name);
+        String key = Keys.livenessProbe(member);
         Transaction transaction = new Transaction()
                 .requireRevision(Keys.VIEW, membership.viewRevision())
                 .requireRevision(key, replica.modRevision(key))
@@ -88,32 +93,32 @@
             if (result.ok()) {
                 replica.applyCommitted(transaction, result.revision());
             }
-            asked.accept(result.ok() ? result.revision() : 0);
+            callback.accept(result.ok() ? result.revision() : 0);
         });
     }
 
     /** Returns whether, according to the replica, a probe has been neither answered nor replaced nor withdrawn. */
-    public boolean probeIsUnanswered(String name, long probeRevision) {
-        return replica.modRevision(Keys.livenessProbe(name)) == probeRevision;
+    public boolean probeIsUnanswered(String member, long probeRevision) {
+        return replica.modRevision(Keys.livenessProbe(member)) == probeRevision;
     }
 
     /** Withdraws a probe by deleting its key, unless the key has changed since. */
-    public void withdrawProbe(String name, long probeRevision) {
-        deleteProbe(name, probeRevision);
+    public void withdrawProbe(String member, long probeRevision) {
+        deleteProbe(member, probeRevision);
     }
 
     /**
      * Evicts a member that did not answer a probe.
      *
-     * @param done receives whether the view without the member was committed
+     * @param callback receives whether the view without the member was committed
      */
-    public void evict(String name, long incarnation, long probeRevision, Consumer<Boolean> done) {
-        membership.evict(name, incarnation, probeRevision, committed -> {
+    public void evict(String member, long incarnation, long probeRevision, Consumer<Boolean> callback) {
+        membership.evict(member, incarnation, probeRevision, committed -> {
             if (committed) {
                 // A delayed copy of its registration request then fails, because its lease no longer exists.
                 store.endLease(incarnation, result -> {});
             }
-            done.accept(committed);
+            callback.accept(committed);
         });
     }
 
@@ -121,15 +126,15 @@
      * Handles a probe that was created, or deleted if {@code probe} is null. A probe for this node is answered by
      * deleting it, even if it names a former incarnation of the node.
      */
-    public void livenessProbeChanged(String name, LivenessProbe probe, long probeRevision) {
+    public void livenessProbeChanged(String member, LivenessProbe probe, long probeRevision) {
         if (probe == null) {
-            unansweredProbes.remove(name);
+            unansweredProbeTimes.remove(member);
             return;
         }
-        unansweredProbes.put(name, loop.now());
-        if (name.equals(node)) {
+        unansweredProbeTimes.put(member, loop.now());
+        if (member.equals(node)) {
             LOG.info("answering a liveness probe: suspectedBy={}", requesterOf(probe));
-            deleteProbe(name, probeRevision);
+            deleteProbe(member, probeRevision);
         }
     }
 
@@ -140,8 +145,8 @@
         return probe.requester() == null ? UNKNOWN_REQUESTER : probe.requester();
     }
 
-    private void deleteProbe(String name, long probeRevision) {
-        String key = Keys.livenessProbe(name);
+    private void deleteProbe(String member, long probeRevision) {
+        String key = Keys.livenessProbe(member);
         Transaction transaction =
                 new Transaction().requireRevision(key, probeRevision).delete(key);
         store.commit(transaction, CallPriority.LEASE, result -> {
--- a/src/main/java/org/havenford/coordination/membership/MemberRegistry.java
+++ b/src/main/java/org/havenford/coordination/membership/MemberRegistry.java
@@ -22,7 +22,7 @@
     private final Set<String> configuredNodes;
     private final TreeMap<String, StoredRegistration> registrations = new TreeMap<>();
     /** Nodes that have been observed with a format that includes pipelines. */
-    private final Set<String> nodesWithPipelines = new HashSet<>();
+    private final Set<String> nodesSupportingPipelines = new HashSet<>();
 
     MemberRegistry(Set<String> configuredNodes) {
         this.configuredNodes = configuredNodes;
@@ -36,7 +36,7 @@
         }
         registrations.put(node, new StoredRegistration(registration, modRevision));
         if (registration.format() >= FORMAT_WITH_PIPELINES) {
-            nodesWithPipelines.add(node);
+            nodesSupportingPipelines.add(node);
         }
     }
 
@@ -59,7 +59,7 @@
      * downgraded: a process restarts with the same version or a newer one.
      */
     boolean allConfiguredSupportPipelines() {
-        return nodesWithPipelines.containsAll(configuredNodes);
+        return nodesSupportingPipelines.containsAll(configuredNodes);
     }
 
     /**
--- a/src/main/java/org/havenford/coordination/membership/Membership.java
+++ b/src/main/java/org/havenford/coordination/membership/Membership.java
@@ -27,7 +27,7 @@
     private final Duration leaseDuration;
     private final MembershipListener listener;
     private final CurrentView currentView = new CurrentView();
-    private final OwnerCache owners = new OwnerCache();
+    private final OwnerCache ownerCache = new OwnerCache();
     private final MemberRegistry registry;
     private final ViewVerification verification;
     private final MembershipLease lease;
@@ -89,7 +89,7 @@
 
     /** Returns the owner of a machine in the current view, or null if the view has no members. */
     public String owner(String machine) {
-        return owners.owner(currentView.view(), machine);
+        return ownerCache.owner(currentView.view(), machine);
     }
 
     /** Returns the store revision that the replica has reached. */
@@ -109,7 +109,7 @@
 
     /** Returns whether the membership lease is guaranteed to be valid now. */
     public boolean holdsLease() {
-        return lease.isCertainAt(loop.now());
+        return lease.isValidAt(loop.now());
     }
 
     /** Returns the incarnation of this node, or 0 if it is not a member of the current view. */
@@ -122,8 +122,8 @@
     }
 
     /** Returns whether this incarnation of a node is a member of the current view. */
-    public boolean isMember(String other, long incarnation) {
-        return currentView.isMember(other, incarnation);
+    public boolean isMember(String member, long incarnation) {
+        return currentView.isMember(member, incarnation);
     }
 
     /**
@@ -135,7 +135,7 @@
      */
     public boolean mayAnswerAgents() {
         Instant now = loop.now();
-        return lease.isCertainAt(now) && verification.isFresherThan(leaseDuration, now) && isMember();
+        return lease.isValidAt(now) && verification.isReplicaFresherThan(leaseDuration, now) && isMember();
     }
 
     /**
@@ -149,7 +149,7 @@
 
     /** Returns whether the replica is guaranteed to contain everything that was committed up to {@code age} ago. */
     public boolean replicaIsFresherThan(Duration age) {
-        return verification.isFresherThan(age, loop.now());
+        return verification.isReplicaFresherThan(age, loop.now());
     }
 
     /**
@@ -160,7 +160,7 @@
     public void processPaused() {
         Instant now = loop.now();
         verification.processPaused(now);
-        unreachableMembers.restart(now);
+        unreachableMembers.reset(now);
         wantedView.clearRequests();
         compareView();
     }
@@ -185,17 +185,17 @@
                 LOG.error("the stored view has an older epoch: epoch={} currentEpoch={}", next.epoch(), currentEpoch);
                 return;
             }
-            install(next, stored == null ? 0 : modRevision);
+            installView(next, stored == null ? 0 : modRevision);
             listener.viewChanged();
         } catch (RuntimeException e) {
             LOG.error("the stored view cannot be applied", e);
         }
     }
 
-    private void install(ClusterView view, long modRevision) {
+    private void installView(ClusterView view, long modRevision) {
         currentView.replace(view, modRevision);
-        owners.clear();
-        unreachableMembers.restart(loop.now());
+        ownerCache.clear();
+        unreachableMembers.reset(loop.now());
         verification.viewChanged();
         LOG.info(
                 "view changed: epoch={} members={} reassignedMachines={} cordoned={}",
@@ -231,14 +231,14 @@
      * liveness probe.
      *
      * @param probeRevision the mod revision of the unanswered probe
-     * @param done receives whether the view was committed
+     * @param callback receives whether the view was committed
      */
-    void evict(String member, long incarnation, long probeRevision, Consumer<Boolean> done) {
+    void evict(String member, long incarnation, long probeRevision, Consumer<Boolean> callback) {
         if (!isMember(member, incarnation) || proposer.isProposing() || !allSupportEvictions()) {
-            done.accept(false);
+            callback.accept(false);
             return;
         }
-        proposer.evict(member, incarnation, probeRevision, done);
+        proposer.evict(member, incarnation, probeRevision, callback);
     }
 
     /** Proposes the wanted view if it differs from the current one. Called in each round of the controller. */
@@ -246,8 +246,8 @@
         if (!replica.loaded() || !lease.isRegistered() || !holdsLease() || proposer.isProposing()) {
             return;
         }
-        SortedMap<String, Long> registered = registry.incarnations();
-        Long ownIncarnation = registered.get(node);
+        SortedMap<String, Long> registeredIncarnations = registry.incarnations();
+        Long ownIncarnation = registeredIncarnations.get(node);
         if (ownIncarnation == null || ownIncarnation != lease.id()) {
             // A repeated registration request of a former incarnation has overwritten this node's key, which would be
             // deleted when the lease of that incarnation expires. See registered-by-a-former-life.trace.
@@ -255,6 +255,8 @@
             return;
         }
         Instant now = loop.now();
-        wantedView.next(registered, proposer.intervalHasPassed(now), now).ifPresent(proposer::propose);
+        wantedView
+                .nextView(registeredIncarnations, proposer.minIntervalElapsed(now), now)
+                .ifPresent(proposer::propose);
     }
 }
--- a/src/main/java/org/havenford/coordination/membership/MembershipLease.java
+++ b/src/main/java/org/havenford/coordination/membership/MembershipLease.java
@@ -26,9 +26,9 @@
     private static final int RENEWALS_PER_LEASE = 4;
     private static final Duration RETRY_INTERVAL = Duration.ofMillis(300);
     /** Delay before the next attempt after a malformed response. */
-    private static final Duration RETRY_AFTER_BAD_RESPONSE = Duration.ofSeconds(1);
+    private static final Duration MALFORMED_RESPONSE_RETRY_INTERVAL = Duration.ofSeconds(1);
     /** Delay before the node rejoins after its first eviction; doubled with each further eviction, up to a maximum. */
-    private static final Duration FIRST_REJOIN_DELAY = Duration.ofSeconds(2);
+    private static final Duration INITIAL_REJOIN_DELAY = Duration.ofSeconds(2);
 
     private static final Duration MAX_REJOIN_DELAY = Duration.ofSeconds(32);
 
@@ -37,14 +37,14 @@
     private final StoreReplica replica;
     private final ViewVerification verification;
     private final String node;
-    private final Duration duration;
+    private final Duration leaseDuration;
 
     private long id = NO_LEASE;
     private boolean registered;
     /** Time until which the lease is guaranteed to be valid; null if it may have expired. */
-    private Instant certainUntil;
+    private Instant validUntil;
 
-    private Duration rejoinDelay = FIRST_REJOIN_DELAY;
+    private Duration rejoinDelay = INITIAL_REJOIN_DELAY;
 
     MembershipLease(
             EventLoop loop,
@@ -57,7 +57,7 @@
         this.replica = replica;
         this.verification = verification;
         this.node = settings.node();
-        this.duration = settings.leaseDuration();
+        this.leaseDuration = settings.leaseDuration();
     }
 
     /** Returns whether this node has a lease, which may already have expired in the store. */
@@ -76,37 +76,37 @@
     }
 
     /** Returns whether the lease is guaranteed to be valid at {@code now}. */
-    boolean isCertainAt(Instant now) {
-        return certainUntil != null && now.isBefore(certainUntil);
+    boolean isValidAt(Instant now) {
+        return validUntil != null && now.isBefore(validUntil);
     }
 
     /** Creates a lease and registers this node under it; retries until it succeeds. */
     void acquire() {
         Instant sentAt = loop.now();
         registered = false;
-        store.createLease(duration, result -> {
+        store.createLease(leaseDuration, result -> {
             if (!result.ok()) {
                 loop.after(RETRY_INTERVAL, this::acquire);
                 return;
             }
             try {
-                acquired(result.leaseId(), sentAt);
+                handleLeaseCreated(result.leaseId(), sentAt);
             } catch (MalformedMessageException e) {
                 LOG.warn("created lease cannot be read: error={}", e.getMessage());
-                loop.after(RETRY_AFTER_BAD_RESPONSE, this::acquire);
+                loop.after(MALFORMED_RESPONSE_RETRY_INTERVAL, this::acquire);
             }
         });
     }
 
-    private void acquired(long newId, Instant sentAt) {
+    private void handleLeaseCreated(long newId, Instant sentAt) {
         id = newId;
-        certainUntil = LeaseClock.certainUntil(sentAt, duration);
+        validUntil = LeaseClock.earliestExpiry(sentAt, leaseDuration);
         register();
         loop.after(renewalInterval(), () -> renew(newId));
     }
 
     private Duration renewalInterval() {
-        return duration.dividedBy(RENEWALS_PER_LEASE);
+        return leaseDuration.dividedBy(RENEWALS_PER_LEASE);
     }
 
     private void renew(long renewedId) {
@@ -116,7 +116,7 @@
         Instant sentAt = loop.now();
         store.renewLease(renewedId, result -> {
             if (renewedId == id) {
-                renewalAnswered(renewedId, sentAt, result);
+                handleRenewalResult(renewedId, sentAt, result);
             }
         });
         if (registered) {
@@ -124,16 +124,16 @@
         }
     }
 
-    private void renewalAnswered(long renewedId, Instant sentAt, StoreResult result) {
+    private void handleRenewalResult(long renewedId, Instant sentAt, StoreResult result) {
         if (result.outcome() == StoreOutcome.ABSENT) {
             LOG.info("membership lease expired: lease={}", renewedId);
-            certainUntil = null;
+            validUntil = null;
             id = NO_LEASE;
             acquire();
             return;
         }
         if (result.ok()) {
-            certainUntil = LeaseClock.certainUntil(sentAt, duration);
+            validUntil = LeaseClock.earliestExpiry(sentAt, leaseDuration);
         }
         loop.after(result.ok() ? renewalInterval() : RETRY_INTERVAL, () -> renew(renewedId));
     }
@@ -154,12 +154,12 @@
         Transaction transaction = new Transaction().put(Keys.member(node), registration.toJson(), registeredId);
         store.commit(transaction, CallPriority.LEASE, result -> {
             if (registeredId == id) {
-                registrationAnswered(transaction, result);
+                handleRegistrationResult(transaction, result);
             }
         });
     }
 
-    private void registrationAnswered(Transaction transaction, StoreResult result) {
+    private void handleRegistrationResult(Transaction transaction, StoreResult result) {
         if (result.outcome() == StoreOutcome.REJECTED) {
             id = NO_LEASE;
             loop.after(RETRY_INTERVAL, this::acquire);
@@ -181,7 +181,7 @@
         long evictedId = id;
         id = NO_LEASE;
         registered = false;
-        certainUntil = null;
+        validUntil = null;
         store.endLease(evictedId, result -> {});
         loop.after(rejoinDelay, this::acquire);
         Duration doubled = rejoinDelay.multipliedBy(2);
--- a/src/main/java/org/havenford/coordination/membership/UnreachableMemberDetector.java
+++ b/src/main/java/org/havenford/coordination/membership/UnreachableMemberDetector.java
@@ -14,7 +14,7 @@
  */
 final class UnreachableMemberDetector {
     /** An agent that was redirected to its owner and returns within this time has failed to reach the owner. */
-    private static final Duration MISDIRECTED_WITHIN = Duration.ofSeconds(8);
+    private static final Duration MISDIRECTION_WINDOW = Duration.ofSeconds(8);
     /**
      * Time after a view change or a pause during which nothing is detected, because agents need time to find their
      * owners.
@@ -25,14 +25,14 @@
      */
     private static final double MIN_MISDIRECTED_FRACTION = 0.125;
 
-    private static final int MIN_MISDIRECTED = 2;
+    private static final int MIN_MISDIRECTED_MACHINES = 2;
 
     private final String node;
     private final MembershipListener listener;
     /** Time of the last misdirected heartbeat of each machine, by owner and machine. */
-    private final Map<String, Map<String, Instant>> misdirected = new HashMap<>();
+    private final Map<String, Map<String, Instant>> misdirectedHeartbeats = new HashMap<>();
     /** When the counts were last reset; null before the first view. */
-    private Instant countingSince;
+    private Instant countingStartedAt;
 
     UnreachableMemberDetector(String node, MembershipListener listener) {
         this.node = node;
@@ -40,14 +40,16 @@
     }
 
     /** Discards all counts and starts a new stabilization period. */
-    void restart(Instant now) {
-        misdirected.clear();
-        countingSince = now;
+    void reset(Instant now) {
+        misdirectedHeartbeats.clear();
+        countingStartedAt = now;
     }
 
     /** Records that this node received a heartbeat of a machine that another member owns. */
     void recordMisdirectedHeartbeat(String machine, String owner, Instant now) {
-        misdirected.computeIfAbsent(owner, newOwner -> new HashMap<>()).put(machine, now);
+        misdirectedHeartbeats
+                .computeIfAbsent(owner, newOwner -> new HashMap<>())
+                .put(machine, now);
     }
 
     /**
@@ -55,37 +57,37 @@
      * twice that of every other active member. This node itself is never returned.
      */
     Optional<String> unreachableMember(ClusterView view, Instant now) {
-        if (view.activeMembers().size() < 2 || isStabilizing(now) || misdirected.isEmpty()) {
+        if (view.activeMembers().size() < 2 || isStabilizing(now) || misdirectedHeartbeats.isEmpty()) {
             return Optional.empty();
         }
-        String worst = null;
+        String worstMember = null;
         double worstFraction = 0;
-        double secondFraction = 0;
+        double secondWorstFraction = 0;
         for (String owner : view.activeMembers()) {
-            int count = countMisdirected(owner, now);
+            int count = countMisdirectedMachines(owner, now);
             double fraction = count / (double) Math.max(1, listener.ownedMachines(owner));
             if (fraction > worstFraction) {
-                secondFraction = worstFraction;
+                secondWorstFraction = worstFraction;
                 worstFraction = fraction;
-                worst = count >= MIN_MISDIRECTED ? owner : null;
+                worstMember = count >= MIN_MISDIRECTED_MACHINES ? owner : null;
             } else {
-                secondFraction = Math.max(secondFraction, fraction);
+                secondWorstFraction = Math.max(secondWorstFraction, fraction);
             }
         }
-        boolean standsOut = worstFraction >= MIN_MISDIRECTED_FRACTION && secondFraction < worstFraction / 2;
-        return standsOut ? Optional.ofNullable(worst).filter(member -> !member.equals(node)) : Optional.empty();
+        boolean isOutlier = worstFraction >= MIN_MISDIRECTED_FRACTION && secondWorstFraction < worstFraction / 2;
+        return isOutlier ? Optional.ofNullable(worstMember).filter(member -> !member.equals(node)) : Optional.empty();
     }
 
     private boolean isStabilizing(Instant now) {
-        return countingSince != null && now.isBefore(countingSince.plus(STABILIZATION_PERIOD));
+        return countingStartedAt != null && now.isBefore(countingStartedAt.plus(STABILIZATION_PERIOD));
     }
 
-    private int countMisdirected(String owner, Instant now) {
-        Map<String, Instant> machines = misdirected.get(owner);
+    private int countMisdirectedMachines(String owner, Instant now) {
+        Map<String, Instant> machines = misdirectedHeartbeats.get(owner);
         if (machines == null) {
             return 0;
         }
-        machines.values().removeIf(redirectedAt -> now.isAfter(redirectedAt.plus(MISDIRECTED_WITHIN)));
+        machines.values().removeIf(receivedAt -> now.isAfter(receivedAt.plus(MISDIRECTION_WINDOW)));
         return machines.size();
     }
 }
--- a/src/main/java/org/havenford/coordination/membership/ViewProposer.java
+++ b/src/main/java/org/havenford/coordination/membership/ViewProposer.java
@@ -15,7 +15,7 @@
 /** Proposes new views to the store by compare-and-swap, one proposal at a time. */
 final class ViewProposer {
     /** Minimum time between a proposal and a following one that does not change the members. */
-    private static final Duration MIN_INTERVAL = Duration.ofSeconds(2);
+    private static final Duration MIN_PROPOSAL_INTERVAL = Duration.ofSeconds(2);
 
     private final EventLoop loop;
     private final StoreClient store;
@@ -24,7 +24,7 @@
     private final MemberRegistry registry;
     private boolean proposing;
     /** When the last proposal was sent; null before the first. */
-    private Instant lastProposal;
+    private Instant lastProposalAt;
 
     ViewProposer(
             EventLoop loop, StoreClient store, StoreReplica replica, CurrentView currentView, MemberRegistry registry) {
@@ -41,20 +41,20 @@
     }
 
     /** Returns whether the minimum interval before a proposal that does not change the members has elapsed. */
-    boolean intervalHasPassed(Instant now) {
-        return lastProposal == null || !now.isBefore(lastProposal.plus(MIN_INTERVAL));
+    boolean minIntervalElapsed(Instant now) {
+        return lastProposalAt == null || !now.isBefore(lastProposalAt.plus(MIN_PROPOSAL_INTERVAL));
     }
 
     /** Proposes a view that replaces the current one. */
-    void propose(ClusterView next) {
-        Transaction transaction = replacingCurrentView();
+    void propose(ClusterView newView) {
+        Transaction transaction = newViewTransaction();
         // The conditions on the registrations ensure that a member is removed only if its leased key no longer exists
         // or belongs to a later incarnation of the node. The removed incarnation then no longer considers its lease
         // valid.
-        TreeMap<String, Long> allMembers = new TreeMap<>(next.members());
+        TreeMap<String, Long> allMembers = new TreeMap<>(newView.members());
         allMembers.putAll(currentView.view().members());
         allMembers.keySet().forEach(member -> requireRegistration(transaction, member));
-        transaction.put(Keys.VIEW, next.toJson());
+        transaction.put(Keys.VIEW, newView.toJson());
         commit(transaction, committed -> {});
     }
 
@@ -62,10 +62,10 @@
      * Proposes the current view without a member whose lease may still be valid. The transaction requires that the
      * member has not answered the liveness probe, and also deletes the member's registration and the probe.
      *
-     * @param done receives whether the view was committed
+     * @param callback receives whether the view was committed
      */
-    void evict(String node, long incarnation, long probeRevision, Consumer<Boolean> done) {
-        Transaction transaction = replacingCurrentView();
+    void evict(String node, long incarnation, long probeRevision, Consumer<Boolean> callback) {
+        Transaction transaction = newViewTransaction();
         ClusterView view = currentView.view();
         view.members().keySet().forEach(member -> requireRegistration(transaction, member));
         String probe = Keys.livenessProbe(node);
@@ -74,10 +74,10 @@
                 .put(Keys.VIEW, ViewChange.evict(view, node, incarnation).toJson())
                 .delete(Keys.member(node))
                 .delete(probe);
-        commit(transaction, done);
+        commit(transaction, callback);
     }
 
-    private Transaction replacingCurrentView() {
+    private Transaction newViewTransaction() {
         return new Transaction().requireRevision(Keys.VIEW, currentView.modRevision());
     }
 
@@ -85,15 +85,15 @@
         transaction.requireRevision(Keys.member(node), registry.modRevision(node));
     }
 
-    private void commit(Transaction transaction, Consumer<Boolean> done) {
+    private void commit(Transaction transaction, Consumer<Boolean> callback) {
         proposing = true;
-        lastProposal = loop.now();
+        lastProposalAt = loop.now();
         store.commit(transaction, CallPriority.LEASE, result -> {
             proposing = false;
             if (result.ok()) {
                 replica.applyCommitted(transaction, result.revision());
             }
-            done.accept(result.ok());
+            callback.accept(result.ok());
         });
     }
 }
--- a/src/main/java/org/havenford/coordination/membership/ViewVerification.java
+++ b/src/main/java/org/havenford/coordination/membership/ViewVerification.java
@@ -46,16 +46,16 @@
 
     /** Discards the comparisons of the previous view; the new view has not been verified yet. */
     void viewChanged() {
-        forgetComparisons();
+        discardComparisons();
     }
 
     /** Discards all comparisons sent before the end of a pause of this process. */
     void processPaused(Instant pauseEnd) {
-        forgetComparisons();
+        discardComparisons();
         lastPauseEnd = pauseEnd;
     }
 
-    private void forgetComparisons() {
+    private void discardComparisons() {
         pendingComparisons.clear();
         verifiedAt = null;
     }
@@ -90,10 +90,10 @@
     /**
      * Returns whether the replica is guaranteed to contain everything committed up to {@code age} before {@code now}.
      */
-    boolean isFresherThan(Duration age, Instant now) {
+    boolean isReplicaFresherThan(Duration age, Instant now) {
         while (!pendingComparisons.isEmpty() && pendingComparisons.peek().storeRevision() <= replica.revision()) {
             verifiedAt = pendingComparisons.poll().sentAt();
         }
-        return verifiedAt != null && now.isBefore(LeaseClock.certainUntil(verifiedAt, age));
+        return verifiedAt != null && now.isBefore(LeaseClock.earliestExpiry(verifiedAt, age));
     }
 }
--- a/src/main/java/org/havenford/coordination/membership/WantedView.java
+++ b/src/main/java/org/havenford/coordination/membership/WantedView.java
@@ -70,16 +70,16 @@
      * @param members the registered nodes and their incarnations
      * @param mayChangeOwners whether requests and cordons are applied; if false, only the members may change
      */
-    Optional<ClusterView> next(SortedMap<String, Long> members, boolean mayChangeOwners, Instant now) {
+    Optional<ClusterView> nextView(SortedMap<String, Long> members, boolean mayChangeOwners, Instant now) {
         ClusterView view = currentView.view();
         if (!members.equals(view.members())) {
             Optional<String> uncordoned = mayChangeOwners ? requestedUncordon() : Optional.empty();
             return Optional.of(new ViewChange(members, new TreeMap<>(), Optional.empty(), uncordoned).applyTo(view));
         }
-        return mayChangeOwners ? withOtherOwners(view, now) : Optional.empty();
+        return mayChangeOwners ? withOwnerChanges(view, now) : Optional.empty();
     }
 
-    private Optional<ClusterView> withOtherOwners(ClusterView view, Instant now) {
+    private Optional<ClusterView> withOwnerChanges(ClusterView view, Instant now) {
         Optional<String> unreachable = unreachableMembers.unreachableMember(view, now);
         if (requestedReassignments.isEmpty() && !uncordonRequested && unreachable.isEmpty()) {
             return Optional.empty();
--- a/src/main/java/org/havenford/coordination/monitoring/LinkMonitor.java
+++ b/src/main/java/org/havenford/coordination/monitoring/LinkMonitor.java
@@ -29,7 +29,7 @@
     /** Number of heartbeat intervals without any heartbeat after which the link to the agents counts as lost. */
     private static final int MISSED_HEARTBEATS = 3;
 
-    private static final int UNAVAILABLE = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     /** A link to a service, or to the agents, that this controller depends on. */
     enum Link {
@@ -101,7 +101,7 @@
     public HttpCalls watching(HttpCalls calls) {
         return (address, method, path, body, timeout, done) ->
                 calls.call(address, method, path, body, timeout, reply -> {
-                    replied(linkTo(address), reply);
+                    recordReply(linkTo(address), reply);
                     done.accept(reply);
                 });
     }
@@ -113,10 +113,10 @@
         return address.equals(cloudAddress) ? Link.CLOUD : Link.AGENTS;
     }
 
-    private void replied(Link link, HttpCalls.Reply reply) {
+    private void recordReply(Link link, HttpCalls.Reply reply) {
         switch (reply.status()) {
             case HttpCalls.NOT_SENT, HttpCalls.NO_ANSWER -> recordFailure(link, Failure.UNREACHABLE);
-            case UNAVAILABLE -> recordFailure(link, Failure.REFUSED);
+            case SERVICE_UNAVAILABLE -> recordFailure(link, Failure.REFUSED);
             default -> recordSuccess(link);
         }
     }
@@ -135,7 +135,7 @@
     public void step(boolean heartbeatsExpected) {
         if (!heartbeatsExpected) {
             recordSuccess(Link.AGENTS);
-        } else if (sinceSuccess(states.get(Link.AGENTS)).compareTo(agentsLostAfter) >= 0) {
+        } else if (timeSinceSuccess(states.get(Link.AGENTS)).compareTo(agentsLostAfter) >= 0) {
             recordFailure(Link.AGENTS, Failure.SILENT);
         }
     }
@@ -156,10 +156,10 @@
         state.failures++;
         state.failure = failure;
         Duration lostAfter = link == Link.AGENTS ? agentsLostAfter : LOST_AFTER;
-        boolean longEnough = sinceSuccess(state).compareTo(lostAfter) >= 0;
-        if (!state.lost && longEnough && state.failures >= MIN_FAILURES) {
+        boolean timedOut = timeSinceSuccess(state).compareTo(lostAfter) >= 0;
+        if (!state.lost && timedOut && state.failures >= MIN_FAILURES) {
             state.lost = true;
-            LOG.warn("link lost: {}", lossSummary(link, state));
+            LOG.warn("link lost: {}", describeLoss(link, state));
         }
     }
 
@@ -185,7 +185,7 @@
             if (state.lost) {
                 JsonObject lostLink = new JsonObject();
                 lostLink.addProperty("link", link.healthName);
-                lostLink.addProperty("lostForS", sinceSuccess(state).toMillis() / 1e3);
+                lostLink.addProperty("lostForS", timeSinceSuccess(state).toMillis() / 1e3);
                 lostLink.addProperty("why", state.failure.healthText);
                 lostLinks.add(lostLink);
             }
@@ -198,22 +198,22 @@
         List<String> lostLinks = new ArrayList<>();
         states.forEach((link, state) -> {
             if (state.lost) {
-                lostLinks.add(lossSummary(link, state));
+                lostLinks.add(describeLoss(link, state));
             }
         });
         return lostLinks.isEmpty() ? "lost=none" : "lost=" + lostLinks;
     }
 
-    private String lossSummary(Link link, LinkState state) {
+    private String describeLoss(Link link, LinkState state) {
         return "link=" + link.logName() + " lostForS=" + secondsSinceSuccess(state) + " reason="
                 + state.failure.logName();
     }
 
-    private Duration sinceSuccess(LinkState state) {
+    private Duration timeSinceSuccess(LinkState state) {
         return Duration.between(state.lastSuccess, loop.now());
     }
 
     private String secondsSinceSuccess(LinkState state) {
-        return String.format(Locale.ROOT, "%.1f", sinceSuccess(state).toMillis() / 1e3);
+        return String.format(Locale.ROOT, "%.1f", timeSinceSuccess(state).toMillis() / 1e3);
     }
 }
--- a/src/main/java/org/havenford/coordination/monitoring/ProcessPauseDetector.java
+++ b/src/main/java/org/havenford/coordination/monitoring/ProcessPauseDetector.java
@@ -22,7 +22,7 @@
     private final HttpCalls calls;
     private final Consumer<Duration> pauseListener;
     /** When the last event started; null before the first event. */
-    private Instant lastEvent;
+    private Instant lastEventAt;
 
     /**
      * Creates a detector in front of an event loop and its HTTP calls.
@@ -38,8 +38,8 @@
     /** Must be called at the start of each event that is not dispatched by this object. Reports a preceding pause. */
     public void eventStarted() {
         Instant now = loop.now();
-        Duration sinceLastEvent = lastEvent == null ? Duration.ZERO : Duration.between(lastEvent, now);
-        lastEvent = now;
+        Duration sinceLastEvent = lastEventAt == null ? Duration.ZERO : Duration.between(lastEventAt, now);
+        lastEventAt = now;
         if (sinceLastEvent.compareTo(MIN_PAUSE) >= 0) {
             pauseListener.accept(sinceLastEvent);
         }
--- a/src/main/java/org/havenford/coordination/quota/QuotaAllocator.java
+++ b/src/main/java/org/havenford/coordination/quota/QuotaAllocator.java
@@ -37,14 +37,19 @@
      * known.
      *
      * @param team the team whose quota is charged
-     * @param amount the total resources of the tasks that the transaction claims
+     * @param resources the total resources of the tasks that the transaction claims
      * @param jobId the job of the tasks
      * @param taskRangeKey the key of the task range record that the claim changes
-     * @param modRevision the mod revision of the task range key that the claim requires
+     * @param taskRangeRevision the mod revision of the task range key that the claim requires
      * @param viewRevision the mod revision of the cluster view that the claim requires
      */
     public record Charge(
-            String team, Resources amount, String jobId, String taskRangeKey, long modRevision, long viewRevision) {}
+            String team,
+            Resources resources,
+            String jobId,
+            String taskRangeKey,
+            long taskRangeRevision,
+            long viewRevision) {}
 
     private final PlatformSettings settings;
     private final ClusterState clusterState;
@@ -99,17 +104,17 @@
         if (writer.isLocked(charge.taskRangeKey())) {
             return false;
         }
-        return replica.modRevision(charge.taskRangeKey()) != charge.modRevision()
+        return replica.modRevision(charge.taskRangeKey()) != charge.taskRangeRevision()
                 || clusterState.job(charge.jobId()) == null
                 || (membership.viewRevision() != charge.viewRevision() && membership.replicaCoversView());
     }
 
     /** Returns the resources of a team's claims that are charged to this controller, including pending claims. */
-    private Resources held(String team) {
+    private Resources ownUsage(String team) {
         Resources sum = clusterState.charged(team, settings.node());
         for (Charge charge : pendingCharges) {
             if (charge.team().equals(team)) {
-                sum = sum.plus(charge.amount());
+                sum = sum.plus(charge.resources());
             }
         }
         return sum;
@@ -131,29 +136,29 @@
         }
         transaction.requireRevision(key, replica.modRevision(key));
         TeamQuota quota = clusterState.quota(team.name());
-        Resources held = held(team.name());
+        Resources usage = ownUsage(team.name());
         Resources share = quota.share(settings.node());
-        if (fits(held, perTask, wanted, share)) {
+        if (fits(usage, perTask, wanted, share)) {
             return wanted;
         }
-        Resources extended = extendedShare(team, quota, held.plus(perTask.times(wanted)));
+        Resources extended = extendedShare(team, quota, usage.plus(perTask.times(wanted)));
         int allowed = wanted;
-        while (allowed > 0 && !fits(held, perTask, allowed, extended)) {
+        while (allowed > 0 && !fits(usage, perTask, allowed, extended)) {
             allowed--;
         }
         boolean starved = allowed < wanted;
         if (starved) {
             starvedTeams.add(team.name());
         }
-        if (allowed > 0 && !fits(held, perTask, allowed, share)) {
-            TeamQuota changed = quota.with(settings.node(), extended).withStarved(settings.node(), starved);
-            transaction.put(key, changed.toJson());
+        if (allowed > 0 && !fits(usage, perTask, allowed, share)) {
+            TeamQuota updated = quota.with(settings.node(), extended).withStarved(settings.node(), starved);
+            transaction.put(key, updated.toJson());
         }
         return allowed;
     }
 
-    private static boolean fits(Resources held, Resources perTask, int tasks, Resources share) {
-        return held.plus(perTask.times(tasks)).within(share);
+    private static boolean fits(Resources usage, Resources perTask, int tasks, Resources share) {
+        return usage.plus(perTask.times(tasks)).within(share);
     }
 
     /**
@@ -204,15 +209,15 @@
 
     private void rebalance(PlatformSettings.Team team, String key) {
         TeamQuota quota = clusterState.quota(team.name());
-        TeamQuota changed = withOwnShare(team, quota);
+        TeamQuota updated = withOwnShare(team, quota);
         if (settings.node().equals(membership.view().provisioningLeader())) {
-            changed = withoutFormerMembers(team, quota, changed);
+            updated = withoutFormerMembers(team, quota, updated);
         }
-        if (changed != quota) {
+        if (updated != quota) {
             Transaction transaction = new Transaction()
                     .requireRevision(Keys.VIEW, membership.viewRevision())
                     .requireRevision(key, replica.modRevision(key))
-                    .put(key, changed.toJson());
+                    .put(key, updated.toJson());
             writer.commit(transaction, CallPriority.WORK, List.of(key), () -> {});
         }
     }
@@ -223,33 +228,34 @@
      */
     private TeamQuota withOwnShare(PlatformSettings.Team team, TeamQuota quota) {
         String self = settings.node();
-        TeamQuota changed = quota;
-        Resources held = held(team.name());
+        TeamQuota updated = quota;
+        Resources usage = ownUsage(team.name());
         Resources share = quota.share(self);
         boolean starved = starvedTeams.contains(team.name());
         if (starved != quota.starvedHolders().contains(self)) {
-            changed = changed.withStarved(self, starved);
+            updated = updated.withStarved(self, starved);
         }
         boolean othersStarved = quota.starvedHolders().stream().anyMatch(node -> !node.equals(self));
-        Resources unused = share.minus(held).max(Resources.NONE);
+        Resources unused = share.minus(usage).max(Resources.NONE);
         if (othersStarved && !starved && !unused.within(Resources.NONE)) {
             // Returns only a fraction unless little is unused, since this controller also receives new tasks.
-            boolean little = unused.within(increment(team));
-            changed = changed.with(self, little ? held.min(share) : share.minus(unused.times(RETURNED_FRACTION)));
+            boolean unusedIsSmall = unused.within(increment(team));
+            updated =
+                    updated.with(self, unusedIsSmall ? usage.min(share) : share.minus(unused.times(RETURNED_FRACTION)));
         }
-        return changed;
+        return updated;
     }
 
     /** Reduces the shares of controllers that have left the view to the resources of their remaining claims. */
-    private TeamQuota withoutFormerMembers(PlatformSettings.Team team, TeamQuota quota, TeamQuota changed) {
-        TeamQuota next = changed;
+    private TeamQuota withoutFormerMembers(PlatformSettings.Team team, TeamQuota quota, TeamQuota updated) {
+        TeamQuota result = updated;
         for (String holder : quota.holders()) {
             Resources charged = clusterState.charged(team.name(), holder);
             boolean isMember = membership.view().members().containsKey(holder);
             if (!isMember && !quota.share(holder).within(charged)) {
-                next = next.with(holder, charged.min(quota.share(holder))).withStarved(holder, false);
+                result = result.with(holder, charged.min(quota.share(holder))).withStarved(holder, false);
             }
         }
-        return next;
+        return result;
     }
 }
--- a/src/test/java/org/havenford/coordination/membership/EvictionBackoffTest.java
+++ b/src/test/java/org/havenford/coordination/membership/EvictionBackoffTest.java
@@ -13,11 +13,11 @@
     private final EvictionBackoff backoff = new EvictionBackoff();
 
     private boolean isSparedAt(long seconds) {
-        return backoff.isSpared("node-1", START.plusSeconds(seconds));
+        return backoff.isInBackoff("node-1", START.plusSeconds(seconds));
     }
 
     private void evictAt(long incarnation, long seconds) {
-        backoff.evicted("node-1", incarnation, START.plusSeconds(seconds));
+        backoff.recordEviction("node-1", incarnation, START.plusSeconds(seconds));
     }
 
     @Test
--- a/src/test/java/org/havenford/coordination/membership/UnreachableMemberDetectorTest.java
+++ b/src/test/java/org/havenford/coordination/membership/UnreachableMemberDetectorTest.java
@@ -30,7 +30,7 @@
             });
 
     UnreachableMemberDetectorTest() {
-        detector.restart(VIEW_CHANGED);
+        detector.reset(VIEW_CHANGED);
     }
 
     private void misdirect(String owner, int machines, Instant at) {
