--- a/src/test/java/org/havenford/coordination/membership/EvictionBackoffTest.java
+++ b/src/test/java/org/havenford/coordination/membership/EvictionBackoffTest.java
@@ -6,13 +6,13 @@
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
 
-/** A node that is evicted again and again is spared for longer each time. */
+/** Tests that the backoff of a node grows with repeated evictions, is bounded, and is reset after a long time. */
 class EvictionBackoffTest {
     private static final Instant START = Instant.EPOCH;
 
     private final EvictionBackoff backoff = new EvictionBackoff();
 
-    private boolean isSparedAt(long seconds) {
+    private boolean isInBackoffAt(long seconds) {
         return backoff.isInBackoff("node-1", START.plusSeconds(seconds));
     }
 
@@ -21,41 +21,41 @@
     }
 
     @Test
-    void aNodeThatWasNeverEvictedIsNotSpared() {
-        assertFalse(isSparedAt(0));
+    void neverEvictedNodeIsNotInBackoff() {
+        assertFalse(isInBackoffAt(0));
     }
 
     @Test
-    void theIntervalDoublesWithEachEvictionThatComesSoon() {
+    void backoffDoublesWithEachEvictionInShortSuccession() {
         evictAt(1, 0);
-        assertTrue(isSparedAt(29));
-        assertFalse(isSparedAt(30));
+        assertTrue(isInBackoffAt(29));
+        assertFalse(isInBackoffAt(30));
         evictAt(2, 100);
-        assertTrue(isSparedAt(159));
-        assertFalse(isSparedAt(160));
+        assertTrue(isInBackoffAt(159));
+        assertFalse(isInBackoffAt(160));
     }
 
     @Test
-    void theIntervalHasALimit() {
+    void backoffIsBounded() {
         for (int incarnation = 1; incarnation <= 8; incarnation++) {
             evictAt(incarnation, 0);
         }
-        assertTrue(isSparedAt(599));
-        assertFalse(isSparedAt(600));
+        assertTrue(isInBackoffAt(599));
+        assertFalse(isInBackoffAt(600));
     }
 
     @Test
-    void theIntervalStartsAnewAfterALongTime() {
+    void backoffIsResetAfterLongTimeWithoutEviction() {
         evictAt(1, 0);
         evictAt(2, 600);
-        assertTrue(isSparedAt(629));
-        assertFalse(isSparedAt(630));
+        assertTrue(isInBackoffAt(629));
+        assertFalse(isInBackoffAt(630));
     }
 
     @Test
-    void aViewThatRepeatsAnEvictionDoesNotCountItTwice() {
+    void evictionRepeatedInViewIsCountedOnce() {
         evictAt(1, 0);
         evictAt(1, 20);
-        assertFalse(isSparedAt(30));
+        assertFalse(isInBackoffAt(30));
     }
 }
--- a/src/test/java/org/havenford/coordination/membership/UnreachableMemberDetectorTest.java
+++ b/src/test/java/org/havenford/coordination/membership/UnreachableMemberDetectorTest.java
@@ -11,7 +11,10 @@
 import org.havenford.storage.records.ClusterView;
 import org.junit.jupiter.api.Test;
 
-/** Each of three members owns 16 machines; this node is node-0. */
+/**
+ * Tests when a member is reported as unreachable for its agents. Each of the three members owns 16 machines; this node is
+ * node-0.
+ */
 class UnreachableMemberDetectorTest {
     private static final Instant VIEW_CHANGED = Instant.EPOCH;
     private static final Instant STABLE = VIEW_CHANGED.plusSeconds(12);
@@ -33,49 +36,49 @@
         detector.reset(VIEW_CHANGED);
     }
 
-    private void misdirect(String owner, int machines, Instant at) {
+    private void recordMisdirectedHeartbeats(String owner, int machines, Instant at) {
         for (int i = 0; i < machines; i++) {
             detector.recordMisdirectedHeartbeat(owner + "-machine-" + i, owner, at);
         }
     }
 
     @Test
-    void aMemberThatManyOfItsAgentsDoNotReach() {
-        misdirect("node-1", 2, STABLE);
+    void detectsMemberWithSeveralMisdirectedAgents() {
+        recordMisdirectedHeartbeats("node-1", 2, STABLE);
         assertEquals(Optional.of("node-1"), detector.unreachableMember(VIEW, STABLE));
     }
 
     @Test
-    void oneMisdirectedAgentIsNotEnough() {
-        misdirect("node-1", 1, STABLE);
+    void ignoresSingleMisdirectedAgent() {
+        recordMisdirectedHeartbeats("node-1", 1, STABLE);
         assertEquals(Optional.empty(), detector.unreachableMember(VIEW, STABLE));
     }
 
     @Test
-    void agentsNeedTimeToFindTheirOwnersAfterAChangeOfTheView() {
-        misdirect("node-1", 4, STABLE.minusMillis(1));
+    void detectsNothingDuringStabilizationPeriod() {
+        recordMisdirectedHeartbeats("node-1", 4, STABLE.minusMillis(1));
         assertEquals(Optional.empty(), detector.unreachableMember(VIEW, STABLE.minusMillis(1)));
     }
 
     @Test
-    void theFaultIsWithTheAgentsIfThoseOfTwoMembersAreMisdirected() {
-        misdirect("node-1", 4, STABLE);
-        misdirect("node-2", 2, STABLE);
+    void detectsNothingIfAgentsOfTwoMembersAreMisdirected() {
+        recordMisdirectedHeartbeats("node-1", 4, STABLE);
+        recordMisdirectedHeartbeats("node-2", 2, STABLE);
         assertEquals(Optional.empty(), detector.unreachableMember(VIEW, STABLE));
     }
 
     @Test
-    void oldHeartbeatsDoNotCount() {
-        misdirect("node-1", 4, STABLE);
+    void ignoresHeartbeatsOutsideMisdirectionWindow() {
+        recordMisdirectedHeartbeats("node-1", 4, STABLE);
         assertEquals(Optional.of("node-1"), detector.unreachableMember(VIEW, STABLE.plusSeconds(8)));
         assertEquals(Optional.empty(), detector.unreachableMember(VIEW, STABLE.plusMillis(8001)));
     }
 
     @Test
-    void theOnlyActiveMemberIsNeverUnreachable() {
+    void neverReportsOnlyActiveMember() {
         ClusterView onlyOneActive =
                 new ClusterView(2, VIEW.members(), new TreeMap<>(), new TreeSet<>(Set.of("node-0", "node-2")));
-        misdirect("node-1", 4, STABLE);
+        recordMisdirectedHeartbeats("node-1", 4, STABLE);
         assertEquals(Optional.empty(), detector.unreachableMember(onlyOneActive, STABLE));
     }
 }
--- a/src/test/java/org/havenford/coordination/membership/ViewChangeTest.java
+++ b/src/test/java/org/havenford/coordination/membership/ViewChangeTest.java
@@ -10,7 +10,7 @@
 import org.havenford.storage.records.ClusterView;
 import org.junit.jupiter.api.Test;
 
-/** Views that are proposed in place of the one in force. */
+/** Tests the views that result from view changes and evictions. */
 class ViewChangeTest {
     private static final ClusterView CURRENT = new ClusterView(
             4,
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void anotherIncarnationOfACordonedMemberIsNotCordoned() {
+    void cordonDoesNotApplyToNewIncarnation() {
         ClusterView next = change(Map.of("node-0", 1L, "node-1", 5L), Optional.empty(), Optional.empty())
                 .applyTo(CURRENT);
         assertEquals(5, next.epoch());
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aMemberIsCordonedAndAnotherUncordoned() {
+    void cordonsOneMemberAndUncordonsAnother() {
         ClusterView next = change(CURRENT.members(), Optional.of("node-0"), Optional.of("node-1"))
                 .applyTo(CURRENT);
         assertEquals(Set.of("node-0"), next.cordoned());
@@ -41,14 +41,14 @@
     }
 
     @Test
-    void anEvictedNodeThatJoinsAgainIsNoLongerNamed() {
+    void rejoinedNodeIsNoLongerListedAsEvicted() {
         ClusterView next = change(Map.of("node-0", 1L, "node-2", 6L), Optional.empty(), Optional.empty())
                 .applyTo(CURRENT);
         assertEquals(Map.of(), next.evicted());
     }
 
     @Test
-    void anEvictionNamesTheIncarnationAndDropsReassignments() {
+    void evictionRecordsIncarnationAndDropsReassignments() {
         ClusterView next = ViewChange.evict(CURRENT, "node-1", 2);
         assertEquals(5, next.epoch());
         assertEquals(Map.of("node-0", 1L), next.members());
--- a/src/test/java/org/havenford/coordination/monitoring/LinkMonitorTest.java
+++ b/src/test/java/org/havenford/coordination/monitoring/LinkMonitorTest.java
@@ -12,7 +12,7 @@
 import org.havenford.transport.HttpCalls;
 import org.junit.jupiter.api.Test;
 
-/** Operators read from it which link is lost, since when and why. */
+/** Tests which lost links are reported to operators, with their duration and reason. */
 class LinkMonitorTest {
     private static final String SETTINGS = "{\"node_name\":\"n\",\"location\":\"a\",\"bind\":\"n:1\","
             + "\"cluster_listen\":\"n:2\",\"others\":[],\"endpoints\":{\"cloud\":\"c:1\",\"state\":\"s:1\"},"
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void oneRefusalLosesNoLink() {
+    void briefRefusalIsNotReported() {
         call("s:1");
         status = 503;
         callForSeconds("s:1", 2);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void refusedByTheStoreAlone() {
+    void reportsStoreThatRefusesRequests() {
         call("s:1");
         status = 503;
         callForSeconds("s:1", 10);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void noAgentSendsHeartbeats() {
+    void reportsMissingHeartbeats() {
         links.heartbeatArrived();
         for (int i = 0; i < 40; i++) {
             loop.advance(Duration.ofMillis(250));
@@ -84,7 +84,7 @@
 
     /** A cordoned controller, or one without machines, expects no heartbeats. */
     @Test
-    void noHeartbeatsAreExpected() {
+    void reportsNothingIfNoHeartbeatsAreExpected() {
         for (int i = 0; i < 40; i++) {
             loop.advance(Duration.ofMillis(250));
             links.step(false);
@@ -92,9 +92,9 @@
         assertFalse(links.isLost(LinkMonitor.Link.AGENTS));
     }
 
-    /** While it was paused it could hear nobody: no link is lost for that. */
+    /** Guards against reporting links as lost because nothing could be received while the process was paused. */
     @Test
-    void aPauseLosesNoLink() {
+    void processPauseIsNotReportedAsLostLink() {
         links.heartbeatArrived();
         call("s:1");
         loop.advance(Duration.ofSeconds(40));
