--- a/src/main/java/org/havenford/coordination/failover/StandbyAccess.java
+++ b/src/main/java/org/havenford/coordination/failover/StandbyAccess.java
@@ -16,26 +16,26 @@
 import org.havenford.storage.records.Job;
 import org.havenford.transport.EventLoop;
 
-/** The controller's side of {@link StandbyHost}; it does nothing while nobody observes. */
+/** Implements {@link StandbyHost} on top of a controller. Events are dropped while no observer is registered. */
 public final class StandbyAccess implements StandbyHost {
-    private final ProcessPauseDetector loop;
+    private final ProcessPauseDetector pauseDetector;
     private final StoreClient store;
     private final ClusterState clusterState;
     private final Membership membership;
     private final MemberEvictions evictions;
     private final AgentManager agentManager;
-    /** Null while nobody observes. */
+    /** Null until an observer is registered. */
     private Observer observer;
 
-    /** The access to the controller made of these parts. */
+    /** Creates the access to the controller with the given components. */
     public StandbyAccess(
-            ProcessPauseDetector loop,
+            ProcessPauseDetector pauseDetector,
             StoreClient store,
             ClusterState clusterState,
             Membership membership,
             MemberEvictions evictions,
             AgentManager agentManager) {
-        this.loop = loop;
+        this.pauseDetector = pauseDetector;
         this.store = store;
         this.clusterState = clusterState;
         this.membership = membership;
@@ -43,14 +43,14 @@
         this.agentManager = agentManager;
     }
 
-    /** Tells the observer, if any, of a new view. */
+    /** Notifies the observer, if any, of a new view. */
     public void viewChanged() {
         if (observer != null) {
             observer.viewChanged();
         }
     }
 
-    /** Tells the observer, if any, of a pause of this process. */
+    /** Notifies the observer, if any, of a pause of this process. */
     public void processPaused() {
         if (observer != null) {
             observer.processPaused();
@@ -59,12 +59,12 @@
 
     @Override
     public EventLoop loop() {
-        return loop;
+        return pauseDetector;
     }
 
     @Override
     public void eventStarted() {
-        loop.eventStarted();
+        pauseDetector.eventStarted();
     }
 
     @Override
@@ -104,8 +104,8 @@
     }
 
     @Override
-    public void probe(String node, long incarnation, LongConsumer asked) {
-        evictions.probe(node, incarnation, asked);
+    public void probe(String node, long incarnation, LongConsumer callback) {
+        evictions.probe(node, incarnation, callback);
     }
 
     @Override
@@ -119,8 +119,8 @@
     }
 
     @Override
-    public void evict(String node, long incarnation, long probeRevision, Consumer<Boolean> done) {
-        evictions.evict(node, incarnation, probeRevision, done);
+    public void evict(String node, long incarnation, long probeRevision, Consumer<Boolean> callback) {
+        evictions.evict(node, incarnation, probeRevision, callback);
     }
 
     @Override
--- a/src/main/java/org/havenford/coordination/membership/MembershipLease.java
+++ b/src/main/java/org/havenford/coordination/membership/MembershipLease.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This node's lease in the store, and the registration that is attached to it. The id of the lease is the incarnation of
- * the node. An expired lease is replaced by a new one at once, that of an evicted node after a delay.
+ * This node's lease in the store and the registration attached to it. The lease id serves as the node's incarnation. An
+ * expired lease is replaced immediately; after an eviction, the node acquires a new lease after a delay.
  */
 final class MembershipLease {
     private static final Logger LOG = LoggerFactory.getLogger(MembershipLease.class);
@@ -25,10 +25,10 @@
     private static final long NO_LEASE = 0;
     private static final int RENEWALS_PER_LEASE = 4;
     private static final Duration RETRY_INTERVAL = Duration.ofMillis(300);
-    /** Time until the next attempt after a response that could not be read. */
-    private static final Duration RETRY_AFTER_BAD_RESPONSE = Duration.ofSeconds(1);
-    /** After its first eviction a node joins again this much later; twice as long after each further one. */
-    private static final Duration FIRST_REJOIN_DELAY = Duration.ofSeconds(2);
+    /** Delay before the next attempt after a malformed response. */
+    private static final Duration MALFORMED_RESPONSE_RETRY_INTERVAL = Duration.ofSeconds(1);
+    /** Delay before the node rejoins after its first eviction; doubled with each further eviction, up to a maximum. */
+    private static final Duration INITIAL_REJOIN_DELAY = Duration.ofSeconds(2);
 
     private static final Duration MAX_REJOIN_DELAY = Duration.ofSeconds(32);
 
@@ -37,14 +37,14 @@
     private final StoreReplica replica;
     private final ViewVerification verification;
     private final String node;
-    private final Duration duration;
+    private final Duration leaseDuration;
 
     private long id = NO_LEASE;
     private boolean registered;
-    /** Until when the lease is certain to hold; null if it may have ended. */
-    private Instant certainUntil;
+    /** Time until which the lease is guaranteed to be valid; null if it may have expired. */
+    private Instant validUntil;
 
-    private Duration rejoinDelay = FIRST_REJOIN_DELAY;
+    private Duration rejoinDelay = INITIAL_REJOIN_DELAY;
 
     MembershipLease(
             EventLoop loop,
@@ -57,56 +57,56 @@
         this.replica = replica;
         this.verification = verification;
         this.node = settings.node();
-        this.duration = settings.leaseDuration();
+        this.leaseDuration = settings.leaseDuration();
     }
 
-    /** Whether this node has a lease; it may have ended in the store. */
+    /** Returns whether this node has a lease, which may already have expired in the store. */
     boolean isHeld() {
         return id != NO_LEASE;
     }
 
-    /** The id of the lease, and thereby this node's incarnation; meaningful only while it is held. */
+    /** Returns the lease id, which is this node's incarnation; meaningful only while a lease is held. */
     long id() {
         return id;
     }
 
-    /** Whether the registration of this lease has been committed. */
+    /** Returns whether the registration under this lease has been committed. */
     boolean isRegistered() {
         return registered;
     }
 
-    /** Whether the lease is certain to hold at a time. */
-    boolean isCertainAt(Instant now) {
-        return certainUntil != null && now.isBefore(certainUntil);
+    /** Returns whether the lease is guaranteed to be valid at {@code now}. */
+    boolean isValidAt(Instant now) {
+        return validUntil != null && now.isBefore(validUntil);
     }
 
-    /** Creates a lease, and registers with it; tries until it succeeds. */
+    /** Creates a lease and registers this node under it; retries until it succeeds. */
     void acquire() {
         Instant sentAt = loop.now();
         registered = false;
-        store.createLease(duration, result -> {
+        store.createLease(leaseDuration, result -> {
             if (!result.ok()) {
                 loop.after(RETRY_INTERVAL, this::acquire);
                 return;
             }
             try {
-                acquired(result.leaseId(), sentAt);
+                handleLeaseCreated(result.leaseId(), sentAt);
             } catch (MalformedMessageException e) {
                 LOG.warn("created lease cannot be read: error={}", e.getMessage());
-                loop.after(RETRY_AFTER_BAD_RESPONSE, this::acquire);
+                loop.after(MALFORMED_RESPONSE_RETRY_INTERVAL, this::acquire);
             }
         });
     }
 
-    private void acquired(long newId, Instant sentAt) {
+    private void handleLeaseCreated(long newId, Instant sentAt) {
         id = newId;
-        certainUntil = LeaseClock.certainUntil(sentAt, duration);
+        validUntil = LeaseClock.earliestExpiry(sentAt, leaseDuration);
         register();
         loop.after(renewalInterval(), () -> renew(newId));
     }
 
     private Duration renewalInterval() {
-        return duration.dividedBy(RENEWALS_PER_LEASE);
+        return leaseDuration.dividedBy(RENEWALS_PER_LEASE);
     }
 
     private void renew(long renewedId) {
@@ -116,7 +116,7 @@
         Instant sentAt = loop.now();
         store.renewLease(renewedId, result -> {
             if (renewedId == id) {
-                renewalAnswered(renewedId, sentAt, result);
+                handleRenewalResult(renewedId, sentAt, result);
             }
         });
         if (registered) {
@@ -124,21 +124,21 @@
         }
     }
 
-    private void renewalAnswered(long renewedId, Instant sentAt, StoreResult result) {
+    private void handleRenewalResult(long renewedId, Instant sentAt, StoreResult result) {
         if (result.outcome() == StoreOutcome.ABSENT) {
             LOG.info("membership lease expired: lease={}", renewedId);
-            certainUntil = null;
+            validUntil = null;
             id = NO_LEASE;
             acquire();
             return;
         }
         if (result.ok()) {
-            certainUntil = LeaseClock.certainUntil(sentAt, duration);
+            validUntil = LeaseClock.earliestExpiry(sentAt, leaseDuration);
         }
         loop.after(result.ok() ? renewalInterval() : RETRY_INTERVAL, () -> renew(renewedId));
     }
 
-    /** Registers once more, after the registration of another incarnation has replaced ours. */
+    /** Registers this node again after the registration of another incarnation has replaced it. */
     void registerAgain() {
         registered = false;
         register();
@@ -146,7 +146,7 @@
 
     private void register() {
         if (!isHeld()) {
-            // A retry that was due after the lease had ended: a registration without a lease would stay for ever.
+            // This is a retry that fired after the lease had ended: a registration without a lease would never expire.
             return;
         }
         long registeredId = id;
@@ -154,12 +154,12 @@
         Transaction transaction = new Transaction().put(Keys.member(node), registration.toJson(), registeredId);
         store.commit(transaction, CallPriority.LEASE, result -> {
             if (registeredId == id) {
-                registrationAnswered(transaction, result);
+                handleRegistrationResult(transaction, result);
             }
         });
     }
 
-    private void registrationAnswered(Transaction transaction, StoreResult result) {
+    private void handleRegistrationResult(Transaction transaction, StoreResult result) {
         if (result.outcome() == StoreOutcome.REJECTED) {
             id = NO_LEASE;
             loop.after(RETRY_INTERVAL, this::acquire);
@@ -172,16 +172,16 @@
     }
 
     /**
-     * Ends the lease of an evicted incarnation, and joins as another one later. The node may have been unresponsive for a
-     * while only; the delay grows with each eviction, so that a node that stalls again and again does not keep machines
-     * moving.
+     * Ends the lease of the evicted incarnation, and rejoins under a new one after a delay. The node may have been
+     * unresponsive only temporarily. The delay doubles with each eviction, so that a node that stalls repeatedly does
+     * not cause constant reassignment of machines.
      */
     void rejoinAfterEviction() {
         LOG.warn("evicted from the view: rejoinDelayS={}", rejoinDelay.toSeconds());
         long evictedId = id;
         id = NO_LEASE;
         registered = false;
-        certainUntil = null;
+        validUntil = null;
         store.endLease(evictedId, result -> {});
         loop.after(rejoinDelay, this::acquire);
         Duration doubled = rejoinDelay.multipliedBy(2);
--- a/src/main/java/org/havenford/coordination/membership/UnreachableMemberDetector.java
+++ b/src/main/java/org/havenford/coordination/membership/UnreachableMemberDetector.java
@@ -8,76 +8,86 @@
 import org.havenford.storage.records.ClusterView;
 
 /**
- * Finds the one member that many of its agents cannot reach. Heartbeats that come here although another member owns the
- * machine are counted by owner. When agents of other members are misdirected as well, the fault is with the agents, and
- * cordoning a member would not help.
+ * Detects a member that many of its agents cannot reach, by counting per owner the machines whose heartbeats arrive at
+ * this node although another member owns them. If agents of several members are affected, the fault lies with the
+ * agents, and cordoning a member would not help.
  */
 final class UnreachableMemberDetector {
-    /** An agent that is redirected to its owner and comes back within this has not reached it. */
-    private static final Duration MISDIRECTED_WITHIN = Duration.ofSeconds(8);
-    /** After a change of the view agents need time to find their owners. */
+    /** An agent that was redirected to its owner and returns within this time has failed to reach the owner. */
+    private static final Duration MISDIRECTION_WINDOW = Duration.ofSeconds(8);
+    /**
+     * Time after a view change or a pause during which nothing is detected, because agents need time to find their
+     * owners.
+     */
     private static final Duration STABILIZATION_PERIOD = Duration.ofSeconds(12);
-    /** Part of a member's machines that must be misdirected before the member counts as unreachable. */
+    /**
+     * Minimum fraction of a member's machines with misdirected heartbeats for the member to be considered unreachable.
+     */
     private static final double MIN_MISDIRECTED_FRACTION = 0.125;
 
-    private static final int MIN_MISDIRECTED = 2;
+    private static final int MIN_MISDIRECTED_MACHINES = 2;
 
     private final String node;
     private final MembershipListener listener;
-    /** When machines were last redirected to their owner from here, by owner. */
-    private final Map<String, Map<String, Instant>> misdirected = new HashMap<>();
-    /** Since when the counts go on; null before the first view. */
-    private Instant countingSince;
+    /** Time of the last misdirected heartbeat of each machine, by owner and machine. */
+    private final Map<String, Map<String, Instant>> misdirectedHeartbeats = new HashMap<>();
+    /** When the counts were last reset; null before the first view. */
+    private Instant countingStartedAt;
 
     UnreachableMemberDetector(String node, MembershipListener listener) {
         this.node = node;
         this.listener = listener;
     }
 
-    /** Forgets all counts, and waits for the stabilization period. */
-    void restart(Instant now) {
-        misdirected.clear();
-        countingSince = now;
+    /** Discards all counts and starts a new stabilization period. */
+    void reset(Instant now) {
+        misdirectedHeartbeats.clear();
+        countingStartedAt = now;
     }
 
-    /** A heartbeat of a machine came here although another member owns the machine. */
+    /** Records that this node received a heartbeat of a machine that another member owns. */
     void recordMisdirectedHeartbeat(String machine, String owner, Instant now) {
-        misdirected.computeIfAbsent(owner, newOwner -> new HashMap<>()).put(machine, now);
+        misdirectedHeartbeats
+                .computeIfAbsent(owner, newOwner -> new HashMap<>())
+                .put(machine, now);
     }
 
-    /** Returns the member that is unreachable for its agents, if there is one besides this node. */
+    /**
+     * Returns the member that its agents cannot reach, if any. Its fraction of misdirected machines must be more than
+     * twice that of every other active member. This node itself is never returned.
+     */
     Optional<String> unreachableMember(ClusterView view, Instant now) {
-        if (view.activeMembers().size() < 2 || isStabilizing(now) || misdirected.isEmpty()) {
+        if (view.activeMembers().size() < 2 || isStabilizing(now) || misdirectedHeartbeats.isEmpty()) {
             return Optional.empty();
         }
-        String worst = null;
+        String worstMember = null;
         double worstFraction = 0;
-        double secondFraction = 0;
+        double secondWorstFraction = 0;
         for (String owner : view.activeMembers()) {
-            int count = countMisdirected(owner, now);
+            int count = countMisdirectedMachines(owner, now);
             double fraction = count / (double) Math.max(1, listener.ownedMachines(owner));
             if (fraction > worstFraction) {
-                secondFraction = worstFraction;
+                secondWorstFraction = worstFraction;
                 worstFraction = fraction;
-                worst = count >= MIN_MISDIRECTED ? owner : null;
+                worstMember = count >= MIN_MISDIRECTED_MACHINES ? owner : null;
             } else {
-                secondFraction = Math.max(secondFraction, fraction);
+                secondWorstFraction = Math.max(secondWorstFraction, fraction);
             }
         }
-        boolean standsOut = worstFraction >= MIN_MISDIRECTED_FRACTION && secondFraction < worstFraction / 2;
-        return standsOut ? Optional.ofNullable(worst).filter(member -> !member.equals(node)) : Optional.empty();
+        boolean isOutlier = worstFraction >= MIN_MISDIRECTED_FRACTION && secondWorstFraction < worstFraction / 2;
+        return isOutlier ? Optional.ofNullable(worstMember).filter(member -> !member.equals(node)) : Optional.empty();
     }
 
     private boolean isStabilizing(Instant now) {
-        return countingSince != null && now.isBefore(countingSince.plus(STABILIZATION_PERIOD));
+        return countingStartedAt != null && now.isBefore(countingStartedAt.plus(STABILIZATION_PERIOD));
     }
 
-    private int countMisdirected(String owner, Instant now) {
-        Map<String, Instant> machines = misdirected.get(owner);
+    private int countMisdirectedMachines(String owner, Instant now) {
+        Map<String, Instant> machines = misdirectedHeartbeats.get(owner);
         if (machines == null) {
             return 0;
         }
-        machines.values().removeIf(redirectedAt -> now.isAfter(redirectedAt.plus(MISDIRECTED_WITHIN)));
+        machines.values().removeIf(receivedAt -> now.isAfter(receivedAt.plus(MISDIRECTION_WINDOW)));
         return machines.size();
     }
 }
--- a/src/main/java/org/havenford/coordination/monitoring/LinkMonitor.java
+++ b/src/main/java/org/havenford/coordination/monitoring/LinkMonitor.java
@@ -16,27 +16,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Watches which of the parties that this controller depends on it still reaches, so that its log and {@code /healthz} can
- * name the link that is lost, and since when. No decision depends on it.
+ * Monitors whether this controller can reach the state service, the cloud and the agents, so that the log and
+ * {@code /healthz} can report lost links and how long they have been lost. No decision depends on it.
  */
 public final class LinkMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(LinkMonitor.class);
-    /** A link is lost when nothing came over it for this long although it was tried. */
+    /** Minimum time without success after which the link to the state service or the cloud counts as lost. */
     private static final Duration LOST_AFTER = Duration.ofSeconds(3);
 
+    /** Minimum number of consecutive failures before a link counts as lost. */
     private static final int MIN_FAILURES = 2;
-    /** Heartbeat intervals without any heartbeat after which the agents are out of reach. */
+    /** Number of heartbeat intervals without any heartbeat after which the link to the agents counts as lost. */
     private static final int MISSED_HEARTBEATS = 3;
 
-    private static final int UNAVAILABLE = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
-    /** A party that this controller depends on. */
+    /** A link to a service, or to the agents, that this controller depends on. */
     enum Link {
         STATE_SERVICE("state_service"),
         CLOUD("cloud"),
         AGENTS("workers");
 
-        /** Name in the answer to a health check. */
+        /** The name of the link in the health check response. */
         private final String healthName;
 
         Link(String healthName) {
@@ -48,13 +49,13 @@
         }
     }
 
-    /** Why a link does not serve. */
+    /** Why a link does not work. */
     private enum Failure {
         REFUSED("it refuses this controller"),
         UNREACHABLE("no connection or no answer"),
         SILENT("no reports");
 
-        /** Text in the answer to a health check. */
+        /** The text of the failure in the health check response. */
         private final String healthText;
 
         Failure(String healthText) {
@@ -69,7 +70,7 @@
     private static final class LinkState {
         private Instant lastSuccess;
         private int failures;
-        /** The latest failure since the last success; null if there is none. */
+        /** The kind of the latest failure since the last success; null if there was none. */
         private Failure failure;
 
         private boolean lost;
@@ -85,7 +86,7 @@
     private final Map<Link, LinkState> states = new EnumMap<>(Link.class);
     private final Duration agentsLostAfter;
 
-    /** A monitor of the links to the addresses in the settings. */
+    /** Creates a monitor of the links to the addresses in the settings. */
     public LinkMonitor(PlatformSettings settings, EventLoop loop) {
         this.loop = loop;
         this.storeAddress = settings.storeAddress();
@@ -96,11 +97,11 @@
         }
     }
 
-    /** The same calls, with their outcomes noted here. */
+    /** Returns a wrapper of {@code calls} that records the outcome of each call. */
     public HttpCalls watching(HttpCalls calls) {
         return (address, method, path, body, timeout, done) ->
                 calls.call(address, method, path, body, timeout, reply -> {
-                    replied(linkTo(address), reply);
+                    recordReply(linkTo(address), reply);
                     done.accept(reply);
                 });
     }
@@ -112,24 +113,29 @@
         return address.equals(cloudAddress) ? Link.CLOUD : Link.AGENTS;
     }
 
-    private void replied(Link link, HttpCalls.Reply reply) {
+    private void recordReply(Link link, HttpCalls.Reply reply) {
         switch (reply.status()) {
             case HttpCalls.NOT_SENT, HttpCalls.NO_ANSWER -> recordFailure(link, Failure.UNREACHABLE);
-            case UNAVAILABLE -> recordFailure(link, Failure.REFUSED);
+            case SERVICE_UNAVAILABLE -> recordFailure(link, Failure.REFUSED);
             default -> recordSuccess(link);
         }
     }
 
-    /** An agent has sent a heartbeat. */
+    /** Records a heartbeat received from an agent. */
     public void heartbeatArrived() {
         recordSuccess(Link.AGENTS);
     }
 
-    /** Time has passed; {@code heartbeatsExpected} says whether agents should have sent heartbeats by now. */
+    /**
+     * Checks whether the link to the agents is lost. Called periodically. The link never counts as lost while no
+     * heartbeats are expected.
+     *
+     * @param heartbeatsExpected whether agents should be sending heartbeats to this controller
+     */
     public void step(boolean heartbeatsExpected) {
         if (!heartbeatsExpected) {
             recordSuccess(Link.AGENTS);
-        } else if (sinceSuccess(states.get(Link.AGENTS)).compareTo(agentsLostAfter) >= 0) {
+        } else if (timeSinceSuccess(states.get(Link.AGENTS)).compareTo(agentsLostAfter) >= 0) {
             recordFailure(Link.AGENTS, Failure.SILENT);
         }
     }
@@ -150,14 +156,16 @@
         state.failures++;
         state.failure = failure;
         Duration lostAfter = link == Link.AGENTS ? agentsLostAfter : LOST_AFTER;
-        boolean longEnough = sinceSuccess(state).compareTo(lostAfter) >= 0;
-        if (!state.lost && longEnough && state.failures >= MIN_FAILURES) {
+        boolean timedOut = timeSinceSuccess(state).compareTo(lostAfter) >= 0;
+        if (!state.lost && timedOut && state.failures >= MIN_FAILURES) {
             state.lost = true;
-            LOG.warn("link lost: {}", lossSummary(link, state));
+            LOG.warn("link lost: {}", describeLoss(link, state));
         }
     }
 
-    /** The process was paused: that it heard nobody meanwhile says nothing of its links. */
+    /**
+     * Excludes a pause of this process from the time without success, as nothing could be received during the pause.
+     */
     public void processPaused(Duration pause) {
         for (LinkState state : states.values()) {
             state.failures = 0;
@@ -165,19 +173,19 @@
         }
     }
 
-    /** Whether a link is lost. */
+    /** Returns whether a link is lost. */
     boolean isLost(Link link) {
         return states.get(link).lost;
     }
 
-    /** The lost links for operators, as part of the answer to a health check. */
+    /** Returns the lost links for the health check response. */
     public JsonArray toJson() {
         JsonArray lostLinks = new JsonArray();
         states.forEach((link, state) -> {
             if (state.lost) {
                 JsonObject lostLink = new JsonObject();
                 lostLink.addProperty("link", link.healthName);
-                lostLink.addProperty("lostForS", sinceSuccess(state).toMillis() / 1e3);
+                lostLink.addProperty("lostForS", timeSinceSuccess(state).toMillis() / 1e3);
                 lostLink.addProperty("why", state.failure.healthText);
                 lostLinks.add(lostLink);
             }
@@ -185,27 +193,27 @@
         return lostLinks;
     }
 
-    /** The lost links as text for the log's line of each minute. */
+    /** Returns the lost links as text for the periodic statistics in the log. */
     public String summary() {
         List<String> lostLinks = new ArrayList<>();
         states.forEach((link, state) -> {
             if (state.lost) {
-                lostLinks.add(lossSummary(link, state));
+                lostLinks.add(describeLoss(link, state));
             }
         });
         return lostLinks.isEmpty() ? "lost=none" : "lost=" + lostLinks;
     }
 
-    private String lossSummary(Link link, LinkState state) {
+    private String describeLoss(Link link, LinkState state) {
         return "link=" + link.logName() + " lostForS=" + secondsSinceSuccess(state) + " reason="
                 + state.failure.logName();
     }
 
-    private Duration sinceSuccess(LinkState state) {
+    private Duration timeSinceSuccess(LinkState state) {
         return Duration.between(state.lastSuccess, loop.now());
     }
 
     private String secondsSinceSuccess(LinkState state) {
-        return String.format(Locale.ROOT, "%.1f", sinceSuccess(state).toMillis() / 1e3);
+        return String.format(Locale.ROOT, "%.1f", timeSinceSuccess(state).toMillis() / 1e3);
     }
 }
