--- a/src/main/java/org/havenford/coordination/agents/AgentContact.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentContact.java
@@ -1,13 +1,14 @@
 package org.havenford.coordination.agents;
 
 /**
- * What an owner knows of an agent that is not in the store.
+ * Data about an agent that its owner holds in memory only and passes to its warm standbys, so that a new owner can call the
+ * agent.
  *
  * @param machine the agent's machine
- * @param endpoint host and port at which the agent is reached
+ * @param endpoint host and port of the agent
  * @param incarnation the agent's incarnation
- * @param heartbeatSequence the sequence of the newest heartbeat that it sent by itself, 0 if none came of this incarnation
- * @param fencingToken the highest fencing token that it has seen or that was sent to it
+ * @param heartbeatSequence the sequence number of the newest unsolicited heartbeat of this incarnation, or 0 if there is none
+ * @param fencingToken the highest fencing token that the agent has seen or was sent
  */
 public record AgentContact(
         String machine, String endpoint, long incarnation, long heartbeatSequence, long fencingToken) {}
--- a/src/main/java/org/havenford/coordination/agents/AgentContext.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentContext.java
@@ -8,11 +8,11 @@
 import org.havenford.transport.EventLoop;
 
 /**
- * What the management of agents works with.
+ * Dependencies shared by the classes that manage agents.
  *
- * @param loop the controller's event loop and clocks
- * @param settings the settings of the installation
- * @param clusterState the typed, read-only view of the replica
+ * @param loop the controller's event loop and its clocks
+ * @param settings the platform settings
+ * @param clusterState the typed, read-only view of the store replica
  * @param replica the local copy of the store
  * @param store the client of the store
  * @param membership the cluster view and this controller's lease
@@ -25,12 +25,12 @@
         StoreClient store,
         Membership membership) {
 
-    /** The name of this controller. */
+    /** Returns the node name of this controller. */
     String node() {
         return settings.node();
     }
 
-    /** Whether this controller owns a machine in the present view. */
+    /** Returns whether this controller owns a machine in the current view. */
     boolean owns(String machine) {
         return settings.node().equals(membership.owner(machine));
     }
--- a/src/main/java/org/havenford/coordination/agents/AgentLeaseMonitor.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentLeaseMonitor.java
@@ -4,13 +4,14 @@
 import java.time.Instant;
 import org.havenford.storage.ClusterState;
 
-/** Gives up the claims on machines whose agents' leases have expired, and tells which agents can be forgotten. */
+/** Ends the attempts on machines whose agents' leases have expired, and determines which agents can be removed. */
 final class AgentLeaseMonitor {
-    /** How long an agent without a record is remembered after it was last heard. */
+    /** How long the state of an agent without record and claims is kept after its last heartbeat or lease renewal. */
     private static final Duration RETENTION = Duration.ofMinutes(3);
-    /** What the agent's steady clock and ours may differ by, as a part of the lease. */
+    /** Factor on the lease duration that covers the drift between the clocks of the agent and this controller. */
     private static final double CLOCK_DRIFT = 1.002;
 
+    /** Safety margin added to the end of a lease. */
     private static final Duration MARGIN = Duration.ofMillis(1500);
 
     private final AgentContext context;
@@ -23,7 +24,7 @@
         this.outcomes = outcomes;
     }
 
-    /** Ends the attempts on owned machines whose agents' leases have expired on any clock, or that are gone. */
+    /** Ends the attempts on owned machines that are gone or whose agents' leases have expired despite any clock drift. */
     void expireLeases(Instant now) {
         ClusterState clusterState = context.clusterState();
         for (String machine : clusterState.claimedMachines()) {
@@ -47,7 +48,7 @@
                 .plus(MARGIN);
     }
 
-    /** Whether an agent's machine went back to the cloud so long ago that nothing of it is expected any more. */
+    /** Returns whether an agent's machine is gone and its last heartbeat or lease renewal is past the retention time. */
     boolean isForgotten(AgentState agent, Instant now) {
         return context.clusterState().machine(agent.machine()) == null
                 && context.clusterState().claimsOn(agent.machine()).isEmpty()
--- a/src/main/java/org/havenford/coordination/agents/AgentListener.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentListener.java
@@ -1,10 +1,10 @@
 package org.havenford.coordination.agents;
 
-/** Is told what heartbeats have changed for the scheduler. */
+/** Receives notifications of changes to agents and machines that concern the scheduler. */
 public interface AgentListener {
-    /** A machine can take more or less than before: an attempt ended there, or its condition or cached images changed. */
+    /** Called when an attempt on a machine has ended, or the condition or the cached images of the machine have changed. */
     void capacityChanged(String machine);
 
-    /** A heartbeat has brought news; a scheduling round is due. */
+    /** Called when a scheduling round is due, after a heartbeat with changes or the end of a direct call. */
     void roundDue();
 }
--- a/src/main/java/org/havenford/coordination/agents/AgentManager.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentManager.java
@@ -15,8 +15,8 @@
 
 /**
  * Manages the agents of the machines that this controller owns. The desired state of a machine is the set of its claims in
- * the store; its actual state comes from the agent's newest heartbeat. The difference goes out as commands, and the outcomes
- * of ended attempts are kept until they are stored.
+ * the store; its actual state comes from the agent's newest heartbeat. Commands are sent for the difference, and the
+ * outcomes of ended attempts are kept until they are stored.
  */
 public final class AgentManager {
     private static final Duration SWEEP_INTERVAL = Duration.ofMillis(500);
@@ -34,10 +34,10 @@
     private final RedirectedAgents redirectedAgents;
     private final MachineStatusPublisher statusPublisher;
     private final ReachabilityProbe reachabilityProbe;
-    /** When the next sweep is due; null for at once. */
+    /** When the next sweep is due; null if it is due immediately. */
     private Instant nextSweep;
 
-    /** A manager that knows no agents yet; {@code listener} is told what concerns the scheduler. */
+    /** Creates a manager without agents; {@code listener} is notified of changes that concern the scheduler. */
     public AgentManager(
             AgentContext context, HttpCalls calls, OperatorSettings operatorSettings, AgentListener listener) {
         this.context = context;
@@ -61,9 +61,7 @@
         reachabilityProbe = new ReachabilityProbe(context, calls);
     }
 
-    // ---- ownership
-
-    /** After each change of the view: forgets agents whose machines went elsewhere, takes over those that came. */
+    /** Applies a change of the view: drops agents of machines that were reassigned away, takes over those gained. */
     public void viewChanged() {
         reachabilityProbe.viewChanged(registry.wasCordoned());
         registry.viewChanged().forEach(reachabilityProbe::lost);
@@ -71,14 +69,15 @@
         nextSweep = null;
     }
 
-    /** What is known of the agents of the machines that this controller owns. */
+    /** Returns the contacts of all agents on owned machines that have reported. */
     public List<AgentContact> contacts() {
         return registry.contacts();
     }
 
     /**
-     * Takes over what the former owner knew of an agent, and calls the agent. A heartbeat that is no newer than what the
-     * former owner had is a late copy, also for an owner that has not heard the agent yet.
+     * Restores what the former owner knew of an agent, and calls the agent to announce the new owner's fencing token.
+     * Heartbeats that are no newer than the last one of the former owner are then rejected as outdated, even before the
+     * agent has reported to this controller.
      */
     public void contact(AgentContact contact) {
         if (!context.membership().mayAnswerAgents() || !context.owns(contact.machine())) {
@@ -92,7 +91,7 @@
         commandSender.introduce(agent, contact);
     }
 
-    /** How many of the machines on record a node owns. */
+    /** Returns how many of the recorded machines a node owns. */
     public int ownedBy(String node) {
         int owned = 0;
         for (MachineRecord machine : context.clusterState().machines()) {
@@ -103,29 +102,25 @@
         return owned;
     }
 
-    // ---- heartbeats
-
-    /** Takes a heartbeat and says what to answer. */
+    /** Processes a heartbeat and returns the response to it. */
     public HeartbeatResponse handleHeartbeat(Heartbeat heartbeat) {
         return heartbeatHandler.handle(heartbeat);
     }
 
-    /** Whether agents should report here: this controller owns machines that are on record as up. */
+    /** Returns whether agents should be reporting to this controller: it owns at least one machine that is up. */
     public boolean expectsHeartbeats() {
         return context.membership().mayAnswerAgents()
                 && registry.all().stream().anyMatch(agent -> agent.condition() == Condition.UP);
     }
 
-    /** This process was paused, and heard no agent meanwhile. */
+    /** Adjusts the state after a pause of this process, in which no heartbeats were received. */
     public void processPaused(Duration pause) {
         registry.all().forEach(agent -> agent.processPaused(pause));
         redirectedAgents.processPaused();
         nextSweep = context.loop().now().plus(SWEEP_INTERVAL);
     }
 
-    // ---- commands
-
-    /** The record or the claims of a machine, or what is wanted of them, have changed. */
+    /** Marks a machine whose record, claims or claimed jobs have changed, so that its agent may need commands. */
     public void machineChanged(String machine) {
         changedMachines.add(machine);
     }
@@ -138,14 +133,14 @@
         }
     }
 
-    /** Sends commands to the agents of the machines where something has changed. */
+    /** Sends commands to the agents of all machines marked as changed. */
     public void sendChangedCommands() {
         if (context.membership().mayAnswerAgents()) {
             changedMachines.takeAll().forEach(this::sendCommands);
         }
     }
 
-    /** Marks a claim on one of our machines to be preempted. */
+    /** Marks a claim to be preempted if this controller owns its machine. */
     public void preempt(Claim claim) {
         AgentState agent = context.owns(claim.machine()) ? registry.get(claim.machine()) : null;
         if (agent != null && taskStopper.preempt(agent, claim)) {
@@ -153,9 +148,7 @@
         }
     }
 
-    // ---- periodic work
-
-    /** One turn of the loop over the owned machines: expired leases, stragglers, conditions, statuses. */
+    /** Runs the periodic work that is due: reachability probes, and a sweep over all owned machines. */
     public void step() {
         if (!context.replica().loaded() || !context.membership().mayAnswerAgents()) {
             return;
@@ -189,7 +182,7 @@
         redirectedAgents.forgetOld(now);
     }
 
-    /** A machine without tasks and claims needs no commands: of thousands most may be idle. */
+    /** Returns whether a machine has tasks or claims; most of thousands of machines may be idle and need no commands. */
     private boolean mayNeedCommands(AgentState agent) {
         boolean hasTasks = agent.hasReported() && !agent.heartbeat().tasks().isEmpty();
         return hasTasks || !context.clusterState().claimsOn(agent.machine()).isEmpty();
@@ -200,31 +193,30 @@
         return job != null && claim.equals(job.claim(claim.task().index()));
     }
 
-    // ---- what the scheduler asks
-
-    /** What this controller knows of the agent of a machine that it owns, or null. */
+    /** Returns the state of a machine's agent, or null if this controller does not manage it. */
     public AgentState agent(String machine) {
         return registry.get(machine);
     }
 
-    /** Outcomes of attempts that ended and whose claims are still in the store. */
+    /** Returns the outcomes of ended attempts whose claims are still in the store. */
     public AttemptOutcomes outcomes() {
         return outcomes;
     }
 
-    /** A job is over. */
+    /** Records the end of a job; {@code last} is its last state. */
     public void jobEnded(Job last) {
         faultDetector.jobEnded(last);
     }
 
-    /** How many tasks were stopped as stragglers. */
+    /** Returns how many attempts were stopped as stragglers. */
     public long stragglerStops() {
         return taskStopper.stragglerStops();
     }
 
     /**
-     * Tells at any time whether a machine can be given new tasks; of others' machines their owners know. It holds until the
-     * view or the machine's condition changes, so that a thousand machines need not be looked up in each round.
+     * Returns a predicate that tells at a given time whether a machine can take new tasks. Machines of other owners always
+     * pass, because only their owners can judge them. The predicate stays valid until the view or the machine's condition
+     * changes, which avoids looking up a thousand machines in each round.
      */
     public Predicate<Instant> availability(MachineRecord machine) {
         AgentState agent = registry.get(machine.name());
@@ -235,20 +227,20 @@
         return now -> ownedElsewhere;
     }
 
-    /** Whether a task should not be tried again on a machine. */
+    /** Returns whether a task failed on a machine and should not be placed there again. */
     public boolean avoided(TaskId task, String machine) {
         AgentState agent = registry.get(machine);
         return agent != null && agent.avoids(task);
     }
 
-    /** The condition of a machine: of our own machines we know it before it is on record. */
+    /** Returns the condition of a machine; for an owned machine it is more recent than the record. */
     public Condition condition(MachineRecord machine) {
         boolean retiring = machine.condition().compareTo(Condition.RETIRING) >= 0;
         AgentState agent = retiring || !context.owns(machine.name()) ? null : registry.get(machine.name());
         return agent == null ? machine.condition() : agent.condition();
     }
 
-    /** What a machine has cached: of our own machines we know more than is on record. */
+    /** Returns the images in a machine's cache; for an owned machine they are more recent than the record. */
     public List<String> images(MachineRecord machine) {
         AgentState agent = registry.get(machine.name());
         return agent == null || agent.images() == null ? machine.images() : agent.images();
--- a/src/main/java/org/havenford/coordination/agents/AgentRegistry.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentRegistry.java
@@ -11,7 +11,7 @@
 import org.havenford.storage.records.MachineRecord;
 import org.havenford.storage.records.MachineRecord.Condition;
 
-/** The agents of the machines that this controller owns, kept in step with the cluster view. */
+/** The agents of the machines that this controller owns, kept in sync with the cluster view. */
 final class AgentRegistry {
     private final AgentContext context;
     private final Object2ObjectOpenHashMap<String, AgentState> agents = new Object2ObjectOpenHashMap<>();
@@ -22,12 +22,12 @@
         this.context = context;
     }
 
-    /** The agent of a machine, or null if none is known. */
+    /** Returns the agent of a machine, or null if it is not registered. */
     AgentState get(String machine) {
         return agents.get(machine);
     }
 
-    /** The agent of a machine that this controller owns; it is taken over if it is not known yet. */
+    /** Returns the agent of an owned machine, taking it over first if it is not registered yet. */
     AgentState getOrTakeOver(String machine) {
         return agents.computeIfAbsent(machine, name -> takeOver((String) name));
     }
@@ -36,7 +36,7 @@
         return agents.values();
     }
 
-    /** The names of the machines whose agents are known. */
+    /** Returns the names of the machines whose agents are registered. */
     Set<String> machines() {
         return agents.keySet();
     }
@@ -45,21 +45,22 @@
         agents.values().removeIf(forgotten);
     }
 
-    /** Whether this controller was cordoned in the view before the present one. */
+    /** Returns whether the view applied last by {@link #viewChanged} had cordoned this controller. */
     boolean wasCordoned() {
         return previousView.cordoned().contains(context.node());
     }
 
     /**
-     * After each change of the view: forgets agents whose machines went to other owners and takes over those that came.
+     * Applies a change of the view: removes agents whose machines were reassigned to other owners, and takes over agents
+     * whose machines were assigned to this controller.
      *
-     * @return the agents that went to other owners
+     * @return the agents whose machines were reassigned to other owners
      */
     List<AgentState> viewChanged() {
         ClusterView view = context.membership().view();
         List<AgentState> lost = new ArrayList<>();
         for (String machine : List.copyOf(agents.keySet())) {
-            // It was ours in the view before, or it would not be here.
+            // A registered machine was owned by this controller in the previous view.
             boolean sameIncarnation = context.owns(machine)
                     && view.members()
                             .get(context.node())
@@ -72,14 +73,14 @@
                 agents.get(machine).startEpoch(view.epoch());
             }
         }
-        // Machines that are new to us are taken over with the view before this one still at hand.
+        // Taking over machines needs the previous view, which names their former owners.
         takeOverOwnedMachines();
         previousView = view;
         sawView = true;
         return lost;
     }
 
-    /** Takes over the agents of all owned machines that are on record or claimed. */
+    /** Takes over the agents of all owned machines that have a record or claims. */
     void takeOverOwnedMachines() {
         for (MachineRecord machine : context.clusterState().machines()) {
             if (context.owns(machine.name())) {
@@ -94,15 +95,15 @@
     }
 
     /**
-     * Until when may someone else have renewed the agent's lease? An owner that left the view had lost its own lease before;
-     * one that is still a member, or that we know nothing of, may not have seen the new view for as long as its lease can
-     * last.
+     * Creates the state of an agent with the latest time at which a former owner can renew the agent's lease. A former owner
+     * that left the view without eviction has already lost its own lease, so that time is now. A former owner that is still
+     * a member, or that is unknown, may not have seen the new view yet and can go on until its own lease ends.
      */
     private AgentState takeOver(String machine) {
         String formerOwner = previousView.owner(machine);
         Long incarnation = formerOwner == null ? null : previousView.members().get(formerOwner);
-        // An evicted owner may believe that it holds its lease until that ends by its own clock.
-        // stalled-owner-is-evicted.trace
+        // An evicted owner may rely on its lease until that expires by its own clock. Covered by
+        // stalled-owner-is-evicted.trace.
         boolean gone = sawView
                 && formerOwner != null
                 && !context.membership().isMember(formerOwner, incarnation)
@@ -113,13 +114,13 @@
         agent.startEpoch(context.membership().view().epoch());
         MachineRecord onRecord = context.clusterState().machine(machine);
         if (onRecord != null && onRecord.condition() == Condition.SILENT) {
-            // Its agent may be one that no response reaches: a heartbeat alone does not show the contrary.
+            // The machine may be silent because responses do not reach its agent; one heartbeat does not rule that out.
             agent.assumeUnanswered();
         }
         return agent;
     }
 
-    /** What is known of the agents, for the warm standbys of this controller. */
+    /** Returns the contacts of all agents that have reported, for the warm standbys of this controller. */
     List<AgentContact> contacts() {
         List<AgentContact> contacts = new ArrayList<>(agents.size());
         for (AgentState agent : agents.values()) {
--- a/src/main/java/org/havenford/coordination/agents/AgentState.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentState.java
@@ -11,89 +11,92 @@
 import org.havenford.storage.records.MachineRecord.Condition;
 
 /**
- * What this controller knows of an agent, and of its machine, that it owns. Kept in memory only: a successor starts from
- * nothing. Instants are steady time unless said otherwise; null stands for never.
+ * The state that a controller keeps of one agent and its machine while the controller owns the machine. It is held in
+ * memory only, so a new owner starts with an empty state. Instants are readings of the monotonic clock; null means never.
  */
 public final class AgentState {
-    /** Heartbeats in a row without a sign that our responses arrive, from which on a machine counts as silent. */
+    /** Consecutive heartbeats showing that responses do not reach the agent after which its machine counts as silent. */
     private static final int MAX_UNANSWERED = 2;
-    /** Bits of a fencing token that the fence takes. */
+    /** Width of the fence counter in the low bits of a fencing token; the bits above it hold the epoch. */
     private static final int FENCE_BITS = 32;
-    /** Before the first heartbeat: lower than any incarnation and sequence. */
+    /** Stands for a missing incarnation or sequence; lower than any real value. */
     private static final long NONE = -1;
 
     private final String machine;
 
     private Heartbeat heartbeat;
-    /** Incarnation and sequence of the newest heartbeat that the agent sent by itself, not in the reply to a command. */
+    /** Incarnation of the newest unsolicited heartbeat, that is, one not contained in the reply to a direct call. */
     private long heartbeatIncarnation = NONE;
 
+    /** Sequence number of the newest unsolicited heartbeat. */
     private long heartbeatSequence = NONE;
-    /** When the newest heartbeat came, replies to commands included. */
+    /** When the newest heartbeat was received, unsolicited or in the reply to a direct call. */
     private Instant lastSignAt;
-    /** When the newest heartbeat came that the agent sent by itself: only these renew its lease. */
+    /** When the newest unsolicited heartbeat was received; only these renew the agent's lease. */
     private Instant lastHeartbeatAt;
-    /** The last moment at which any owner could have renewed the agent's lease. */
+    /** The latest time at which any owner can have renewed the agent's lease. */
     private Instant leaseRenewedAt;
-    /** This controller was paused, and has not heard the agent since. */
+    /** Whether no heartbeat has been received since this process was last paused. */
     private boolean silentSincePause;
-    /** Heartbeats in a row before which the agent had reported elsewhere: our responses don't seem to reach it. */
+    /** Consecutive heartbeats before which the agent had reported to another controller, as it does without a response. */
     private int unanswered;
 
     private long epoch;
     private long fence;
-    /** A run command has been sent directly under the present fence. */
+    /** Whether a run command has been sent in a direct call with the current fencing token. */
     private boolean startedByDirectCommand;
 
     private boolean callInFlight;
     private Instant noCallBefore;
-    /** Replies to direct calls since the last heartbeat; each raises the agent's sequence too. */
+    /** Replies to direct calls since the last unsolicited heartbeat; each advances the agent's sequence number as well. */
     private int callReplies;
 
-    /** How the machine is, as its owner sees it; the record follows. */
+    /** The condition of the machine as determined by this controller; the stored status is updated from it later. */
     private Condition condition = Condition.BOOTING;
-    /** When the agent was first heard without its machine being on record. */
+    /** When the agent first reported while its machine had no record. */
     private Instant unknownSince;
 
+    /** End of the backoff after the agent refused a task. */
     private Instant refusedUntil;
-    /** When a spot machine is taken away; null without a notice. */
+    /** When the spot machine will be reclaimed; null unless a spot interruption notice was received. */
     private Instant interruptionAt;
-    /** Images that the machine should have cached, the latest first; null until the record's are taken over. */
+    /** Images expected in the machine's cache, most recently used first; null until copied from the record. */
     private List<String> images;
 
     private final Object2ObjectOpenHashMap<TaskId, AttemptState> attempts = new Object2ObjectOpenHashMap<>();
-    /** Tasks that failed here; they are placed elsewhere. */
+    /** Tasks that failed on this machine and should be placed on others. */
     private final Set<TaskId> avoidedTasks = new HashSet<>();
 
-    /** An agent that was not heard yet; nobody renews its lease after {@code leaseRenewedAt} but this controller. */
+    /**
+     * Creates the state of an agent that has not reported yet. After {@code leaseRenewedAt} no other controller can renew
+     * the agent's lease.
+     */
     AgentState(String machine, Instant leaseRenewedAt) {
         this.machine = machine;
         this.leaseRenewedAt = leaseRenewedAt;
     }
 
-    /** The machine on which the agent runs. */
+    /** Returns the name of the machine on which the agent runs. */
     String machine() {
         return machine;
     }
 
-    // ---- heartbeats
-
-    /** The newest heartbeat, or null if none has come. */
+    /** Returns the newest heartbeat, or null if none has been received. */
     Heartbeat heartbeat() {
         return heartbeat;
     }
 
-    /** Whether a heartbeat of the agent has come, by itself or in the reply to a command. */
+    /** Returns whether a heartbeat has been received, unsolicited or in the reply to a direct call. */
     public boolean hasReported() {
         return heartbeat != null;
     }
 
-    /** The incarnation of the agent that has reported. */
+    /** Returns the agent's incarnation in its newest heartbeat. Requires that the agent {@link #hasReported}. */
     public long incarnation() {
         return heartbeat.incarnation();
     }
 
-    /** Takes over a heartbeat that is newer than the last. A later incarnation has forgotten all attempts. */
+    /** Stores a heartbeat that is newer than the last one. A later incarnation of the agent has lost all its attempts. */
     void reported(Heartbeat newer, Instant now) {
         boolean restarted = heartbeat != null && newer.incarnation() > heartbeat.incarnation();
         heartbeat = newer;
@@ -104,7 +107,7 @@
         }
     }
 
-    /** The agent has sent a heartbeat by itself, which is no late copy. */
+    /** Records the receipt of an unsolicited heartbeat that is not outdated. */
     void heartbeatArrived(Heartbeat arrived, Instant now) {
         heartbeatIncarnation = arrived.incarnation();
         heartbeatSequence = arrived.sequence();
@@ -112,22 +115,23 @@
     }
 
     /**
-     * A copy that comes late. Its agent waits for no response; counted as a renewal, it would put off the moment at which a
-     * machine that is gone gives its tasks back. A reply to direct commands may well have overtaken a heartbeat that is still
-     * waited for: so only heartbeats that the agent sent by itself are compared.
+     * Returns whether a received heartbeat is an outdated or duplicate copy. The agent no longer waits for its response, so
+     * treating it as a lease renewal would delay the release of the tasks of a machine that is gone. Only unsolicited
+     * heartbeats are compared, because the reply to a direct call may overtake a heartbeat that is still awaiting its
+     * response.
      */
     boolean isLateCopy(Heartbeat arrived) {
         return arrived.incarnation() < heartbeatIncarnation
                 || (arrived.incarnation() == heartbeatIncarnation && arrived.sequence() <= heartbeatSequence);
     }
 
-    /** Takes over which heartbeat the former owner had last. */
+    /** Restores the newest unsolicited heartbeat that the former owner received, so that copies of it are detected. */
     void takeOver(AgentContact contact) {
         heartbeatIncarnation = contact.incarnation();
         heartbeatSequence = contact.heartbeatSequence();
     }
 
-    /** What a successor should know of the agent, or null if it was not heard. */
+    /** Returns what a new owner of the machine needs for calling the agent, or null if the agent has not reported. */
     AgentContact contact() {
         if (heartbeat == null) {
             return null;
@@ -141,60 +145,62 @@
     }
 
     /**
-     * Counts heartbeats that show that our responses don't arrive. An agent that gets our response stays here. One that
-     * reports elsewhere before each heartbeat here, or whose lease runs out although we respond, does not get it: its machine
-     * takes no new work until it does.
+     * Counts consecutive heartbeats showing that responses do not reach the agent. An agent that receives a response sends
+     * its next heartbeat to the same controller. A gap in the sequence numbers means that the agent reported to another
+     * controller in between, and a new incarnation usually means that its lease expired; in both cases the response did not
+     * reach it. Its machine takes no new tasks until responses arrive again.
      */
     void countUnanswered(Heartbeat arrived) {
         if (heartbeat != null) {
             boolean reportedElsewhere = arrived.incarnation() > heartbeat.incarnation()
                     || arrived.sequence() > heartbeat.sequence() + 1 + callReplies;
-            // An agent that got no response while this process was paused has asked others meanwhile.
+            // While this process was paused, the agent received no response and therefore reported to other controllers.
             boolean counts = reportedElsewhere && !silentSincePause;
             unanswered = counts ? unanswered + 1 : 0;
         }
         callReplies = 0;
     }
 
-    /** Whether our responses don't seem to reach the agent. */
+    /** Returns whether heartbeats indicate that responses do not reach the agent. */
     boolean isUnanswered() {
         return unanswered >= MAX_UNANSWERED;
     }
 
-    /** Takes it that our responses don't reach the agent, until heartbeats show the contrary. */
+    /** Assumes that responses do not reach the agent until its heartbeats show that they do. */
     void assumeUnanswered() {
         unanswered = MAX_UNANSWERED;
     }
 
-    /** Whether the agent has sent a heartbeat by itself that is younger than an age. */
+    /** Returns whether an unsolicited heartbeat was received less than {@code age} ago. */
     boolean hasHeartbeatWithin(Duration age, Instant now) {
         return lastHeartbeatAt != null && now.isBefore(lastHeartbeatAt.plus(age));
     }
 
-    /** Whether the agent has sent no heartbeat by itself for more than a time; before the first since it was taken over. */
+    /**
+     * Returns whether no unsolicited heartbeat was received for longer than {@code silence}. Before any heartbeat, the time
+     * counts from the latest possible lease renewal by a former owner.
+     */
     boolean isSilentLongerThan(Duration silence, Instant now) {
         Instant last = heartbeat == null ? leaseRenewedAt : lastHeartbeatAt;
         return last == null || Duration.between(last, now).compareTo(silence) > 0;
     }
 
-    /** Whether this controller was paused, and has not heard the agent since. */
+    /** Returns whether no heartbeat has been received since this process was last paused. */
     boolean isSilentSincePause() {
         return silentSincePause;
     }
 
-    // ---- lease and pauses
-
-    /** The last moment at which any owner could have renewed the agent's lease. */
+    /** Returns the latest time at which any owner can have renewed the agent's lease. */
     Instant leaseRenewedAt() {
         return leaseRenewedAt;
     }
 
-    /** A response that renews the agent's lease goes out. */
+    /** Records that a response that renews the agent's lease is being sent. */
     void renewLease(Instant now) {
         leaseRenewedAt = later(leaseRenewedAt, now);
     }
 
-    /** When the agent was last heard, or any owner could have renewed its lease. */
+    /** Returns when the last heartbeat was received or any owner can last have renewed the lease, whichever is later. */
     Instant lastSign() {
         return lastSignAt == null ? leaseRenewedAt : later(leaseRenewedAt, lastSignAt);
     }
@@ -204,8 +210,9 @@
     }
 
     /**
-     * This controller was paused. The time in which it could hear nobody does not count as silence of the agent, and what
-     * began or ended meanwhile was not seen. The agent's lease is not touched: nobody else can have renewed it.
+     * Adjusts the state after a pause of this process. The pause does not count as silence of the agent, because no
+     * heartbeat could be received, and phases of attempts that began or ended during it were not observed. The time of the
+     * last lease renewal stays, because no other controller can have renewed the lease.
      */
     void processPaused(Duration pause) {
         silentSincePause = true;
@@ -218,46 +225,42 @@
         return before == null ? null : before.plus(pause);
     }
 
-    // ---- fencing
-
-    /** The fencing token of commands and responses: the epoch of the view, and a fence that rises within it. */
+    /** Returns the fencing token of commands and responses: the view's epoch and a counter that grows within it. */
     long fencingToken() {
         return epoch << FENCE_BITS | fence;
     }
 
-    /** The lowest fencing token of the present epoch. */
+    /** Returns the lowest fencing token of the current epoch. */
     long lowestFencingToken() {
         return epoch << FENCE_BITS;
     }
 
-    /** From now on fencing tokens are higher than that of any command sent so far. */
+    /** Raises the fencing token above that of any command sent so far. */
     void raiseFencingToken() {
         fence++;
         startedByDirectCommand = false;
     }
 
-    /** Raises the fencing token if a run command has been sent directly under the present one. */
+    /** Raises the fencing token if a run command was sent in a direct call with the current one. */
     void raiseFencingTokenAfterDirectRun() {
         if (startedByDirectCommand) {
             raiseFencingToken();
         }
     }
 
-    /** The view has an epoch in which this controller owns the machine. */
+    /** Starts a new epoch of the view, in which this controller owns the machine. */
     void startEpoch(long newEpoch) {
         epoch = newEpoch;
         fence = 0;
         startedByDirectCommand = false;
     }
 
-    // ---- direct calls
-
-    /** Whether the agent is known, is not being called, and may be called again. */
+    /** Returns whether the agent has reported, no direct call is in flight, and the delay after the last call is over. */
     boolean mayBeCalled(Instant now) {
         return !callInFlight && (noCallBefore == null || !now.isBefore(noCallBefore)) && heartbeat != null;
     }
 
-    /** Whether any sign of an agent that has reported is at most so old. */
+    /** Returns whether the last heartbeat of an agent that {@link #hasReported} is at most {@code age} old. */
     boolean hasSignWithin(Duration age, Instant now) {
         return Duration.between(lastSignAt, now).compareTo(age) <= 0;
     }
@@ -278,13 +281,11 @@
         noCallBefore = until;
     }
 
-    /** A heartbeat has come in the reply to a direct call. */
+    /** Counts a heartbeat that was received in the reply to a direct call. */
     void countCallReply() {
         callReplies++;
     }
 
-    // ---- the machine
-
     Condition condition() {
         return condition;
     }
@@ -293,7 +294,7 @@
         condition = newCondition;
     }
 
-    /** When the agent was first heard without its machine being on record: now, if it was not before. */
+    /** Returns when the agent first reported while its machine had no record, and sets it to {@code now} the first time. */
     Instant unknownSince(Instant now) {
         if (unknownSince == null) {
             unknownSince = now;
@@ -301,7 +302,7 @@
         return unknownSince;
     }
 
-    /** The agent has refused a task: its machine gets no other for a while. */
+    /** Withholds new tasks from the machine until a given time, because the agent refused one. */
     void refuseTasksUntil(Instant until) {
         refusedUntil = until;
     }
@@ -310,7 +311,7 @@
         return refusedUntil != null && now.isBefore(refusedUntil);
     }
 
-    /** When the machine is taken away, or null without a spot interruption notice. */
+    /** Returns when the spot machine will be reclaimed, or null without a spot interruption notice. */
     Instant interruptionAt() {
         return interruptionAt;
     }
@@ -319,7 +320,7 @@
         interruptionAt = until;
     }
 
-    /** Images that the machine should have cached, the latest first; null until the record's are taken over. */
+    /** Returns the images expected in the cache, most recently used first, or null until copied from the record. */
     List<String> images() {
         return images;
     }
@@ -328,9 +329,7 @@
         images = latestFirst;
     }
 
-    // ---- attempts
-
-    /** The state of an attempt; it replaces that of another attempt of the task. */
+    /** Returns the state of an attempt. A new state replaces that of a different attempt of the same task. */
     AttemptState attempt(TaskId task, long number) {
         AttemptState attempt = attempts.get(task);
         if (attempt == null || attempt.number() != number) {
@@ -340,24 +339,24 @@
         return attempt;
     }
 
-    /** The state of an attempt if it is the one that is known of the task, or else null. */
+    /** Returns the state of an attempt, or null if this attempt of the task is not tracked. */
     AttemptState knownAttempt(TaskId task, long number) {
         AttemptState attempt = attempts.get(task);
         return attempt == null || attempt.number() != number ? null : attempt;
     }
 
-    /** A run command for an attempt is sent directly. */
+    /** Records that a run command for an attempt is being sent in a direct call. */
     void runSentDirectly(AttemptState attempt) {
         attempt.runSentDirectly(fencingToken());
         startedByDirectCommand = true;
     }
 
-    /** A task has failed here. */
+    /** Records that a task failed on this machine. */
     void avoid(TaskId task) {
         avoidedTasks.add(task);
     }
 
-    /** Whether a task has failed here and is placed elsewhere. */
+    /** Returns whether a task failed on this machine and should be placed on another. */
     boolean avoids(TaskId task) {
         return avoidedTasks.contains(task);
     }
--- a/src/main/java/org/havenford/coordination/agents/AttemptOutcome.java
+++ b/src/main/java/org/havenford/coordination/agents/AttemptOutcome.java
@@ -2,23 +2,23 @@
 
 import java.time.Duration;
 
-/** How an attempt ended. */
+/** The outcome of an ended attempt. */
 public sealed interface AttemptOutcome {
     /**
-     * The task is done.
+     * The attempt completed its task.
      *
-     * @param pullDuration how long the image was pulled, or null if that was not seen
-     * @param runDuration how long the task ran, or null if that was not seen
+     * @param pullDuration how long the image pull took, or null if it was not observed
+     * @param runDuration how long the task ran, or null if it was not observed
      */
     record Done(Duration pullDuration, Duration runDuration) implements AttemptOutcome {}
 
-    /** The task is not done. */
+    /** The attempt did not complete its task. */
     enum NotDone implements AttemptOutcome {
-        /** It is to be tried again. */
+        /** The task is to be retried, with no failure counted against it. */
         RETRY,
-        /** It was stopped as a straggler, because its image pull was late. */
+        /** The attempt was stopped as a straggler, because its image pull was slow. */
         STRAGGLER,
-        /** The task itself failed, or the agent would not take it. */
+        /** The task itself failed, or the agent refused it permanently. */
         FAILED
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/AttemptOutcomes.java
+++ b/src/main/java/org/havenford/coordination/agents/AttemptOutcomes.java
@@ -15,21 +15,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Outcomes of attempts that ended and whose claims are still in the store, gathered by the task range that holds the claim.
- * By claim, not by task: an outcome must never be taken for that of a later attempt.
+ * Outcomes of ended attempts whose claims are still in the store, grouped by the task range that holds the claim. They are
+ * keyed by claim rather than by task, so that an outcome is never applied to a later attempt of the same task.
  */
 public final class AttemptOutcomes {
     private static final Logger LOG = LoggerFactory.getLogger(AttemptOutcomes.class);
 
-    /** Outcomes that are to be written into one task range. */
+    /** Outcomes that are to be written to one task range. */
     public static final class TaskRangeOutcomes {
         private final String key;
         private final Job job;
         private final Map<Claim, AttemptOutcome> ended = new LinkedHashMap<>();
-        /** Since when outcomes are gathered; null before the task range was first considered while not locked. */
+        /** When batching started; null until the task range is first considered for writing while it is not locked. */
         private Instant gatheredSince;
 
-        /** When the task range was last considered for writing; null after a change. */
+        /** When the task range was last considered for writing; null if an outcome was added since. */
         private Instant lookedAt;
 
         private TaskRangeOutcomes(String key, Job job) {
@@ -37,36 +37,37 @@
             this.job = job;
         }
 
-        /** Key of the stored task range. */
+        /** Returns the key of the stored task range. */
         public String key() {
             return key;
         }
 
-        /** The job as it was when the first outcome was seen: its specification does not change. */
+        /** Returns the job as of the first outcome. Only its specification, which never changes, is up to date. */
         public Job job() {
             return job;
         }
 
-        /** The outcomes by claim, in the order in which they were seen. */
+        /** Returns the outcomes by claim, in the order in which they were recorded. */
         public Map<Claim, AttemptOutcome> ended() {
             return ended;
         }
 
         /**
-         * Since when outcomes are gathered: from now on if this is the first look. Counted from the outcome itself, what ends
-         * while a claim of the task range is written would at once be written after it, in the way of the next claim.
+         * Returns when batching started, and starts it at {@code now} on the first call. If it started with the outcome
+         * itself, outcomes recorded while a claim locks the task range would be due as soon as the lock is released, and
+         * writing them would delay the next claim.
          */
         public Instant gatheredSince(Instant now) {
             gatheredSince = gatheredSince == null ? now : gatheredSince;
             return gatheredSince;
         }
 
-        /** When the task range was last considered for writing; null if not since the last change. */
+        /** Returns when the task range was last considered for writing, or null if an outcome was added since. */
         public Instant lookedAt() {
             return lookedAt;
         }
 
-        /** Notes that the task range was considered for writing. */
+        /** Records that the task range was considered for writing. */
         public void lookedAt(Instant now) {
             lookedAt = now;
         }
@@ -77,13 +78,13 @@
     private final Map<Claim, TaskRangeOutcomes> rangeOf = new HashMap<>();
     private final Map<String, TaskRangeOutcomes> ranges = new LinkedHashMap<>();
 
-    /** {@code listener} is told of machines on which an attempt has ended. */
+    /** Creates an empty collection; {@code listener} is notified of each machine on which an attempt has ended. */
     AttemptOutcomes(ClusterState clusterState, AgentListener listener) {
         this.clusterState = clusterState;
         this.listener = listener;
     }
 
-    /** Notes the outcome of an attempt; the first outcome counts. */
+    /** Records the outcome of an attempt. Later outcomes for the same claim are ignored. */
     void end(Claim claim, AttemptOutcome outcome) {
         Job job = clusterState.job(claim.task().job());
         if (job == null || rangeOf.containsKey(claim)) {
@@ -103,18 +104,18 @@
                 outcome);
     }
 
-    /** Whether the outcome of a claim is known but not yet stored. */
+    /** Returns whether the outcome of a claim is known but not stored yet. */
     public boolean contains(Claim claim) {
         return rangeOf.containsKey(claim);
     }
 
-    /** How an attempt ended, or null. */
+    /** Returns the outcome recorded for a claim, or null. */
     public AttemptOutcome of(Claim claim) {
         TaskRangeOutcomes range = rangeOf.get(claim);
         return range == null ? null : range.ended.get(claim);
     }
 
-    /** The outcomes of some claims are in the store, or the claims are no longer held. */
+    /** Removes the outcomes of claims that are stored by now, or whose claims are no longer held. */
     public void remove(Collection<Claim> claims) {
         for (Claim claim : List.copyOf(claims)) {
             TaskRangeOutcomes range = rangeOf.remove(claim);
@@ -127,12 +128,12 @@
         }
     }
 
-    /** Forgets the outcomes of claims that are no longer held. */
+    /** Removes the outcomes of all claims that do not match the predicate. */
     void keepOnly(Predicate<Claim> held) {
         remove(rangeOf.keySet().stream().filter(held.negate()).toList());
     }
 
-    /** Task ranges with outcomes to be written, in the order in which the first outcome of each was seen. */
+    /** Returns the task ranges with outcomes to write, ordered by the time of their first outcome. */
     public List<TaskRangeOutcomes> records() {
         return List.copyOf(ranges.values());
     }
--- a/src/main/java/org/havenford/coordination/agents/AttemptState.java
+++ b/src/main/java/org/havenford/coordination/agents/AttemptState.java
@@ -5,9 +5,9 @@
 import org.havenford.storage.records.Claim;
 import org.havenford.transport.EventLoop;
 
-/** One claimed attempt of a task as seen by this controller. */
+/** The state of one claimed attempt of a task as observed by the owner of its machine. */
 final class AttemptState {
-    /** Why an attempt is to be stopped, although its claim still holds. */
+    /** Reason for which an attempt is to be stopped although its claim still holds. */
     enum StopReason {
         CANCELLED,
         STRAGGLER,
@@ -15,22 +15,22 @@
         DRAINED
     }
 
-    /** The fencing token of no command. */
+    /** Stands for the token of a command that was never sent; lower than any real token. */
     private static final long NO_TOKEN = -1;
 
     private final long number;
-    /** The agent has shown it in a heartbeat: a run command must not be sent again. */
+    /** Whether a heartbeat has listed the attempt; from then on no run command must be sent for it. */
     private boolean shown;
-    /** Token of the last run command that was sent directly; only a higher one, seen by the agent, rules it out. */
+    /** Token of the last run command sent in a direct call; the agent rejects it only after seeing a higher token. */
     private long directRunToken = NO_TOKEN;
-    /** When the image pull began; null if that is not known. */
+    /** When the image pull began; null if unknown. */
     private Instant pullStartedAt;
-    /** When the run began; null if that is not known. */
+    /** When the run began; null if unknown. */
     private Instant runStartedAt;
 
     private boolean sawPullStart;
     private boolean sawRunStart;
-    /** This controller was paused during the present phase: its duration was not seen. */
+    /** Whether this process was paused since the attempt is tracked; durations of phases are then unreliable. */
     private boolean interrupted;
 
     private Duration pullDuration;
@@ -40,14 +40,12 @@
         this.number = number;
     }
 
-    /** The number of the attempt among those of its task. */
+    /** Returns the number of the attempt among the attempts of its task. */
     long number() {
         return number;
     }
 
-    // ---- commands
-
-    /** A run command goes out. */
+    /** Records that a run command is being sent. */
     void runSent(EventLoop loop) {
         if (pullStartedAt == null) {
             pullStartedAt = loop.now();
@@ -55,12 +53,12 @@
         }
     }
 
-    /** A run command goes out in a direct call. */
+    /** Records that a run command is being sent in a direct call with a given fencing token. */
     void runSentDirectly(long fencingToken) {
         directRunToken = fencingToken;
     }
 
-    /** Whether no direct run command can arrive any more at an agent that has seen a fencing token. */
+    /** Returns whether an agent that has seen {@code fencingToken} rejects all run commands sent in direct calls so far. */
     boolean isDirectRunFenced(long fencingToken) {
         return fencingToken > directRunToken;
     }
@@ -74,14 +72,12 @@
         return stopReason != null;
     }
 
-    /** Whether the attempt is to be stopped for a reason. */
+    /** Returns whether the attempt is to be stopped for the given reason. */
     boolean isToStop(StopReason reason) {
         return stopReason == reason;
     }
 
-    // ---- heartbeats
-
-    /** The agent has shown the attempt in a heartbeat. */
+    /** Records that a heartbeat has listed the attempt. */
     void show() {
         shown = true;
     }
@@ -90,7 +86,7 @@
         return shown;
     }
 
-    /** The agent pulls the image. */
+    /** Records that the agent reports the attempt as pulling its image. */
     void pullSeen(EventLoop loop, Claim claim) {
         if (pullStartedAt == null) {
             pullStartedAt = startOf(claim, loop);
@@ -98,7 +94,10 @@
         }
     }
 
-    /** The agent runs the task; of claims younger than {@code fresh} the pull is taken to have been seen. */
+    /**
+     * Records that the agent reports the attempt as running. If the claim is younger than {@code fresh}, the image pull
+     * counts as observed even if no heartbeat showed it.
+     */
     void runSeen(EventLoop loop, Claim claim, Duration fresh) {
         if (runStartedAt != null) {
             return;
@@ -111,41 +110,39 @@
         }
     }
 
-    /** The claim's age by the time of day, as a steady instant. */
+    /** Converts the time of the claim, a time of day, to an instant of the monotonic clock. */
     private static Instant startOf(Claim claim, EventLoop loop) {
         Duration age = Duration.between(claim.claimedAt(), loop.timeOfDay());
         return loop.now().minus(age.isNegative() ? Duration.ZERO : age);
     }
 
-    /** This controller was paused: what began or ended meanwhile was not seen. */
+    /** Discards observations after a pause of this process, in which phases may have begun or ended unobserved. */
     void processPaused() {
         interrupted = true;
         sawRunStart = false;
     }
 
-    // ---- durations
-
-    /** Whether the agent has shown the attempt, and it has a known beginning and does not run yet. */
+    /** Returns whether the agent has reported the attempt, its start is known, and it is not running yet. */
     boolean isPulling() {
         return shown && runStartedAt == null && pullStartedAt != null;
     }
 
-    /** How long the image has been pulled, of an attempt that {@link #isPulling}. */
+    /** Returns how long the image pull has taken so far. Requires that the attempt {@link #isPulling}. */
     Duration pullElapsed(Instant now) {
         return Duration.between(pullStartedAt, now);
     }
 
-    /** How long the task has run; zero if its run was not seen. */
+    /** Returns how long the task has run so far, or zero if no heartbeat has shown it running. */
     Duration runElapsed(Instant now) {
         return runStartedAt == null ? Duration.ZERO : Duration.between(runStartedAt, now);
     }
 
-    /** How long the image was pulled; null if this controller did not see it. */
+    /** Returns how long the image pull took, or null if this controller did not observe it. */
     Duration pullDuration() {
         return pullDuration;
     }
 
-    /** How long a task that has ended now has run; null if this controller did not see the run begin. */
+    /** Returns the run duration of a task that ends now, or null if this controller did not observe its start. */
     Duration runDuration(EventLoop loop) {
         return sawRunStart && runStartedAt != null ? Duration.between(runStartedAt, loop.now()) : null;
     }
--- a/src/main/java/org/havenford/coordination/agents/ChangedMachines.java
+++ b/src/main/java/org/havenford/coordination/agents/ChangedMachines.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Machines whose agents may need commands, in the order in which they changed; the periodic sweep adds all. */
+/** Machines whose agents may need commands, in order of change. The periodic sweep adds all that have tasks or claims. */
 final class ChangedMachines {
     private final Set<String> names = new LinkedHashSet<>();
 
@@ -12,7 +12,7 @@
         names.add(machine);
     }
 
-    /** The changed machines, which are forgotten here. */
+    /** Removes and returns all machines. */
     List<String> takeAll() {
         List<String> taken = List.copyOf(names);
         names.clear();
--- a/src/main/java/org/havenford/coordination/agents/CommandPlanner.java
+++ b/src/main/java/org/havenford/coordination/agents/CommandPlanner.java
@@ -12,9 +12,9 @@
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.Job;
 
-/** Works out the commands that an agent needs, from the claims on its machine and its newest heartbeat. */
+/** Determines the commands that an agent needs from the claims on its machine and its newest heartbeat. */
 final class CommandPlanner {
-    /** Commands in the response to a heartbeat: a line of it must not be longer than 64 KiB. */
+    /** Limit of commands in the response to a heartbeat; a line of the response must not exceed 64 KiB. */
     private static final int MAX_IN_RESPONSE = 200;
 
     private static final int MAX_DIRECT = 40;
@@ -29,14 +29,17 @@
         this.outcomes = outcomes;
     }
 
-    /** Commands that go out with the response to a heartbeat. */
+    /** Returns the commands to send in the response to a heartbeat, and records the run commands among them. */
     List<Command> forHeartbeatResponse(AgentState agent) {
         List<Command> commands = commands(agent, MAX_IN_RESPONSE);
         noteStarts(agent, commands);
         return commands;
     }
 
-    /** Commands that are sent to the agent without waiting for its next heartbeat; empty if there is no need. */
+    /**
+     * Returns the commands to send in a direct call, and records the run commands among them. Forget commands are left to
+     * the response to the next heartbeat.
+     */
     List<Command> forDirectCall(AgentState agent) {
         List<Command> commands = commands(agent, MAX_DIRECT);
         commands.removeIf(command -> command.op() == Command.Op.FORGET);
@@ -61,15 +64,15 @@
                 return commands;
             }
         }
-        // What others cancelled within our staleness window must not start: run commands wait until our replica
-        // has caught up. gap.trace
+        // Jobs that another controller has cancelled but that a stale replica still shows as active must not start, so
+        // run commands are held back until the replica has caught up. Covered by gap.trace.
         if (context.membership().mayStartTasks()) {
             addRunCommands(agent, claims.values(), maxCommands, commands);
         }
         return commands;
     }
 
-    /** The command for an attempt that the agent reports, or null if it needs none. */
+    /** Returns the command for an attempt that the agent reports, or null if it needs none. */
     private Command commandFor(AgentState agent, Heartbeat.AttemptStatus status, Claim claim) {
         boolean held = claim != null
                 && claim.attempt() == status.attempt()
@@ -84,8 +87,8 @@
     }
 
     /**
-     * An agent that forgets an attempt can be made to start it again by a run command that is still under way: the fencing
-     * token that comes with a forget command is higher than that of any run command sent directly.
+     * Returns a forget command and raises the fencing token above that of all direct run commands. Otherwise a delayed run
+     * command could restart the attempt on an agent that has forgotten it.
      */
     private static Command forget(AgentState agent, Heartbeat.AttemptStatus status) {
         agent.raiseFencingTokenAfterDirectRun();
--- a/src/main/java/org/havenford/coordination/agents/DirectCommandSender.java
+++ b/src/main/java/org/havenford/coordination/agents/DirectCommandSender.java
@@ -11,21 +11,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends commands to agents without waiting for their next heartbeats, and takes over the heartbeats in the replies. */
+/** Sends commands to agents without waiting for their next heartbeats, and processes the heartbeats in the replies. */
 final class DirectCommandSender {
     private static final Logger LOG = LoggerFactory.getLogger(DirectCommandSender.class);
     private static final int EXECUTED = 200;
-    /** The agent has seen a higher fencing token, or another incarnation of it is running. */
+    /** Status with which an agent that has seen a higher fencing token or has another incarnation rejects the commands. */
     private static final int REFUSED = 409;
 
     private static final Duration TIMEOUT = Duration.ofSeconds(3);
-    /** Between two direct calls to one agent. */
+    /** Minimum delay between two direct calls to the same agent. */
     private static final Duration DELAY_AFTER_REPLY = Duration.ofMillis(20);
 
     private static final Duration DELAY_AFTER_REFUSAL = Duration.ofMillis(500);
-    /** The agent's next heartbeat brings the same commands; here nothing is gained by hurry. */
+    /** Delay after a failed call; there is no hurry, because the response to the next heartbeat has the same commands. */
     private static final Duration DELAY_AFTER_FAILURE = Duration.ofSeconds(3);
-    /** Heartbeat intervals without a sign of an agent after which it is not called. */
+    /** Heartbeat intervals without a heartbeat after which an agent counts as unreachable and is not called. */
     private static final int REACHABLE_INTERVALS = 3;
 
     private final AgentContext context;
@@ -52,7 +52,7 @@
         this.reachable = context.settings().heartbeatInterval().multipliedBy(REACHABLE_INTERVALS);
     }
 
-    /** Sends an agent the commands that it needs, unless it is being called, may not be called yet, or is out of reach. */
+    /** Sends an agent the commands that it needs, unless a call is in flight or delayed, or the agent is unreachable. */
     void sendCommands(AgentState agent) {
         if (!mayCall(agent, context.loop().now())) {
             return;
@@ -68,7 +68,7 @@
         return agent.mayBeCalled(now) && context.membership().mayAnswerAgents() && agent.hasSignWithin(reachable, now);
     }
 
-    /** Shows this owner's fencing token to an agent that was taken over; the reply brings its heartbeat. */
+    /** Sends this owner's fencing token to an agent that was taken over; the reply contains the agent's heartbeat. */
     void introduce(AgentState agent, AgentContact contact) {
         if (!agent.isCallInFlight()) {
             call(agent, contact.endpoint(), Command.direct(agent.fencingToken(), contact.incarnation(), List.of()));
@@ -83,7 +83,7 @@
         });
     }
 
-    /** A reply of an agent whose machine has gone to another owner, or came back since, says nothing any more. */
+    /** Processes a reply, unless the machine was reassigned since the call, also if it was assigned back afterwards. */
     private void replied(AgentState agent, HttpCalls.Reply reply) {
         if (registry.get(agent.machine()) != agent) {
             return;
@@ -97,7 +97,7 @@
         listener.roundDue();
     }
 
-    /** Reads the heartbeat in a reply, or null, and sets when the next direct call may go out. */
+    /** Sets the delay until the next direct call, and returns the heartbeat in the reply, or null if there is none. */
     private Heartbeat heartbeatIn(AgentState agent, HttpCalls.Reply reply) {
         boolean refused = reply.status() == REFUSED;
         if (reply.status() != EXECUTED && !refused) {
--- a/src/main/java/org/havenford/coordination/agents/ExitCause.java
+++ b/src/main/java/org/havenford/coordination/agents/ExitCause.java
@@ -1,19 +1,19 @@
 package org.havenford.coordination.agents;
 
-/** Why an attempt has exited, by the cause that its agent reports. */
+/** Reason for which an attempt exited, derived from the cause that its agent reports. */
 enum ExitCause {
-    /** The task is done. */
+    /** The task completed. */
     DONE,
-    /** It was stopped by a command. */
+    /** The attempt was stopped by a command. */
     STOPPED,
     /** The task itself failed. */
     ERROR,
-    /** The agent has not taken it, for now: other tasks hold the resources. */
+    /** The agent refused the task for now, because other tasks hold the resources. */
     REFUSED_FOR_NOW,
-    /** The agent will not take it, or gives a cause that is not known here. */
+    /** The agent refused the task permanently, or reported an unknown cause. */
     REFUSED;
 
-    /** The meaning of a cause as it stands in a heartbeat. */
+    /** Maps the cause in a heartbeat to a constant. */
     static ExitCause parse(String cause) {
         return switch (cause) {
             case "done" -> DONE;
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatHandler.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatHandler.java
@@ -5,7 +5,7 @@
 import org.havenford.protocol.Heartbeat;
 import org.havenford.storage.records.MachineRecord.Condition;
 
-/** Takes heartbeats from the agents and answers them, or redirects agents to the owners of their machines. */
+/** Processes unsolicited heartbeats: responds to those from owned machines and redirects the others to their owners. */
 final class HeartbeatHandler {
     private final AgentContext context;
     private final AgentRegistry registry;
@@ -29,7 +29,7 @@
         this.listener = listener;
     }
 
-    /** Answers a heartbeat that an agent sent by itself. */
+    /** Processes an unsolicited heartbeat and returns the response to it. */
     HeartbeatResponse handle(Heartbeat heartbeat) {
         if (!context.membership().mayAnswerAgents() || !context.replica().loaded()) {
             return HeartbeatResponse.NOT_READY;
@@ -50,7 +50,7 @@
     private HeartbeatResponse accept(AgentState agent, Heartbeat heartbeat) {
         agent.heartbeatArrived(heartbeat, context.loop().now());
         List<Command> commands = List.of();
-        // A heartbeat that says nothing new needs no round: of a thousand machines some hundred say so each second.
+        // A heartbeat without changes triggers no scheduling round; a thousand machines send hundreds of them per second.
         boolean news = false;
         if (heartbeat.newerThan(agent.heartbeat())) {
             news = isNews(agent, heartbeat);
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatIntake.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatIntake.java
@@ -3,7 +3,7 @@
 import org.havenford.protocol.Heartbeat;
 import org.havenford.storage.records.MachineRecord;
 
-/** Takes over what a new heartbeat says: of the attempts, of the machine's condition, or of a machine not on record. */
+/** Applies a new heartbeat to the attempts on the machine and to its condition, or adopts a machine without a record. */
 final class HeartbeatIntake {
     private final AgentContext context;
     private final ChangedMachines changedMachines;
@@ -24,7 +24,7 @@
         this.healthMonitor = healthMonitor;
     }
 
-    /** Takes over a heartbeat that is newer than the agent's last. */
+    /** Applies a heartbeat that is newer than the last one of the agent. */
     void accept(AgentState agent, Heartbeat heartbeat, HeartbeatOrigin origin) {
         changedMachines.add(agent.machine());
         reconciler.reconcile(agent, heartbeat, origin);
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatOrigin.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatOrigin.java
@@ -1,9 +1,9 @@
 package org.havenford.coordination.agents;
 
-/** How a heartbeat has come here. */
+/** The way in which a heartbeat was received. */
 enum HeartbeatOrigin {
-    /** The agent sent it by itself; the response renews its lease. */
+    /** The agent sent the heartbeat unsolicited; the response renews the agent's lease. */
     AGENT,
-    /** It came in the reply to direct commands, and renews no lease. */
+    /** The heartbeat was part of the reply to a direct call and does not renew the agent's lease. */
     COMMAND_REPLY
 }
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
@@ -10,10 +10,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Compares an agent's heartbeat with the claims on its machine: which attempts have begun, go on, or have ended. */
+/** Compares an agent's heartbeat with the claims on its machine to find attempts that have started or ended. */
 final class HeartbeatReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
-    /** How long a machine that has refused a task gets no other. */
+    /** How long a machine whose agent refused a task is given no new tasks. */
     private static final Duration REFUSAL_BACKOFF = Duration.ofSeconds(4);
 
     private final EventLoop loop;
@@ -23,7 +23,7 @@
     private final MachineFaultDetector faultDetector;
     private final Duration fresh;
 
-    /** Claims younger than {@code fresh} are taken to have begun when they were first seen. */
+    /** Creates a reconciler; for claims younger than {@code fresh}, the start of the attempt counts as observed. */
     HeartbeatReconciler(
             AgentContext context,
             AttemptOutcomes outcomes,
@@ -38,7 +38,7 @@
         this.fresh = fresh;
     }
 
-    /** Takes a heartbeat over and reconciles the claims of its machine with it. */
+    /** Stores a new heartbeat and reconciles the claims on its machine with it. */
     void reconcile(AgentState agent, Heartbeat heartbeat, HeartbeatOrigin origin) {
         agent.reported(heartbeat, loop.now());
         if (heartbeat.spotNoticeSeconds() != null && agent.interruptionAt() == null) {
@@ -51,7 +51,7 @@
 
     private void reconcile(AgentState agent, Claim claim, Heartbeat heartbeat, HeartbeatOrigin origin) {
         if (claim.incarnation() < heartbeat.incarnation()) {
-            // A later incarnation: the agent has killed and forgotten everything from before.
+            // A later incarnation of the agent has killed and forgotten all attempts of the earlier one.
             outcomes.end(claim, AttemptOutcome.NotDone.RETRY);
         } else if (claim.incarnation() == heartbeat.incarnation()) {
             Heartbeat.AttemptStatus status = heartbeat.find(claim.task(), claim.attempt());
@@ -70,9 +70,9 @@
         if (!attempt.isShown() && !unwanted) {
             return;
         }
-        // Absence in a heartbeat proves something only if no run command can arrive any more: responses to heartbeats
-        // can't be late beyond the next heartbeat, and a direct run command is ruled out once the agent has seen a
-        // higher token.
+        // An attempt that is absent from a heartbeat has ended only if no run command for it can still take effect. A run
+        // command in the response to a heartbeat cannot arrive after the agent's next heartbeat; one in a direct call is
+        // rejected once the agent has seen a higher fencing token.
         if (origin == HeartbeatOrigin.AGENT
                 && heartbeat.fencingToken() >= agent.lowestFencingToken()
                 && attempt.isDirectRunFenced(heartbeat.fencingToken())) {
@@ -92,7 +92,7 @@
             }
             case EXITED -> exited(agent, claim, attempt, status.exitCause());
             default -> {
-                // A task that is checkpointing still holds its resources.
+                // A checkpointing task still holds its resources.
             }
         }
     }
@@ -113,7 +113,7 @@
                 outcomes.end(claim, AttemptOutcome.NotDone.RETRY);
             }
             default -> {
-                // Refused for good, or for a cause that is not known here.
+                // Refused permanently, or exited for an unknown cause.
                 logRefused(agent, claim, cause);
                 outcomes.end(claim, AttemptOutcome.NotDone.FAILED);
             }
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatResponse.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatResponse.java
@@ -4,7 +4,7 @@
 import org.havenford.protocol.Command;
 
 /**
- * The response to a heartbeat.
+ * The HTTP response to a heartbeat.
  *
  * @param status the HTTP status
  * @param body the body as JSON
@@ -14,19 +14,19 @@
     private static final int MISDIRECTED = 421;
     private static final int UNAVAILABLE = 503;
 
-    /** This controller holds no lease, or has not read the store yet. */
+    /** Sent while this controller may not answer agents or has not read the store yet. */
     static final HeartbeatResponse NOT_READY = new HeartbeatResponse(UNAVAILABLE, "{\"error\":\"not entitled\"}");
 
-    /** A later heartbeat of the same agent came before. */
+    /** Sent if the same or a later heartbeat of the agent has been received already. */
     static final HeartbeatResponse LATE_COPY =
             new HeartbeatResponse(UNAVAILABLE, "{\"error\":\"a later report has been here\"}");
 
-    /** The heartbeat was taken; the response renews the agent's lease and brings its commands. */
+    /** Returns the response to an accepted heartbeat, which renews the agent's lease and carries its commands. */
     static HeartbeatResponse accepted(long fencingToken, List<Command> commands) {
         return new HeartbeatResponse(OK, Command.reply(fencingToken, commands));
     }
 
-    /** Another controller owns the machine. */
+    /** Returns the response that redirects an agent to the controller that owns its machine. */
     static HeartbeatResponse redirect(String owner) {
         return new HeartbeatResponse(MISDIRECTED, "{\"director\":\"" + owner + "\"}");
     }
--- a/src/main/java/org/havenford/coordination/agents/ImageCacheTracker.java
+++ b/src/main/java/org/havenford/coordination/agents/ImageCacheTracker.java
@@ -8,23 +8,23 @@
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.MachineRecord;
 
-/** Works out which images the machines of this controller have cached, from the tasks that ran there. */
+/** Derives the images in the caches of this controller's machines from the tasks that ran on them. */
 final class ImageCacheTracker {
     private static final int MAX_IMAGES = 20;
-    /** Size of an image of which no job is known, in GB. */
+    /** Assumed size, in GB, of an image whose size no job has specified so far. */
     private static final Double DEFAULT_IMAGE_GB = 5.0;
 
     private final ClusterState clusterState;
     private final AgentListener listener;
     private final Object2ObjectOpenHashMap<String, Double> sizesGb = new Object2ObjectOpenHashMap<>();
 
-    /** {@code listener} is told of machines whose images have changed. */
+    /** Creates a tracker; {@code listener} is notified of each machine whose cached images have changed. */
     ImageCacheTracker(ClusterState clusterState, AgentListener listener) {
         this.clusterState = clusterState;
         this.listener = listener;
     }
 
-    /** A task of the job has its image: it goes to the front, and what no longer fits the cache drops out. */
+    /** Moves the image of a job to the front of a machine's cached images, and drops images that no longer fit. */
     void used(AgentState agent, Job job) {
         MachineRecord onRecord = clusterState.machine(agent.machine());
         if (job == null || onRecord == null) {
--- a/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
@@ -22,17 +22,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Adopts machines whose agents report and that are in no record, such as those of an instance request that was carried
- * out late: puts them on record.
+ * Creates records for machines whose agents report but that have no record, such as machines of an instance request that the
+ * cloud carried out late.
  */
 final class MachineAdoption {
     private static final Logger LOG = LoggerFactory.getLogger(MachineAdoption.class);
-    /** How long an instance request that puts the machine on record may stay unanswered. */
+    /** How long to wait for open instance requests, which may create the record of the machine once answered. */
     private static final Duration INSTANCE_REQUEST_TIMEOUT = Duration.ofSeconds(5);
-    /** Many machines may be found at once; they are written together. */
+    /** How long machines are collected before they are written, since many may be found at once. */
     private static final Duration BATCH_DELAY = Duration.ofMillis(150);
 
-    /** Machines that can be in one batch. */
+    /** Properties that all machines of a batch share. */
     private record Kind(String type, String zone, boolean spot) {}
 
     private final EventLoop loop;
@@ -53,7 +53,10 @@
         this.node = context.node();
     }
 
-    /** The agent of a machine in no record has reported. One that was just rented will be, once the request is answered. */
+    /**
+     * Handles a heartbeat from a machine without a record. While instance requests are open, adoption is postponed, because a
+     * machine that was just rented gets its record when its request is answered.
+     */
     void reported(AgentState agent, Heartbeat heartbeat) {
         Instant now = loop.now();
         Instant unknownSince = agent.unknownSince(now);
--- a/src/main/java/org/havenford/coordination/agents/MachineFaultDetector.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineFaultDetector.java
@@ -10,41 +10,41 @@
 import org.havenford.storage.records.Job;
 
 /**
- * Tells faulty machines from jobs that fail everywhere. A failure weighs against its machine only if the job is known to
- * work: one of its tasks is done, or it was done to its end. A job that was submitted with a mistake never succeeds, so it
- * blames no machine, however many of its tasks fail there.
+ * Distinguishes faulty machines from jobs that fail on every machine. A failure counts against a machine only if its job is
+ * known to work, that is, at least one of the job's tasks is done or the whole job completed. A job that was submitted with
+ * an error never succeeds, so its failures count against no machine, however many there are.
  */
 public final class MachineFaultDetector {
-    /** Jobs known to work that must have failed on a machine, without a success in between, for it to be faulty. */
+    /** Number of jobs known to work that must fail on a machine, with no success in between, for it to count as faulty. */
     private static final int MIN_PROVING_JOBS = 2;
 
-    /** Jobs that failed on one machine since the last task that was done there. */
+    /** Jobs with tasks that failed on one machine since the last success on it. */
     private static final class Failures {
-        /** Jobs of which it is seen from their progress whether they work elsewhere. */
+        /** Jobs that had not ended yet; their progress shows whether they work on other machines. */
         private final Set<String> unfinished = new HashSet<>();
-        /** Jobs that were done to their end. */
+        /** Jobs that completed since. */
         private final Set<String> done = new HashSet<>();
     }
 
     private final ClusterState clusterState;
     private final Map<String, Failures> byMachine = new HashMap<>();
 
-    /** A detector over the jobs that the replica shows. */
+    /** Creates a detector that reads the progress of jobs from {@code clusterState}. */
     public MachineFaultDetector(ClusterState clusterState) {
         this.clusterState = clusterState;
     }
 
-    /** A task of a job has failed on a machine. */
+    /** Records the failure of a task of a job on a machine. */
     public void failed(String machine, String job) {
         byMachine.computeIfAbsent(machine, name -> new Failures()).unfinished.add(job);
     }
 
-    /** A task was done on a machine. */
+    /** Records that a task completed on a machine, which clears the failures of the machine. */
     public void succeeded(String machine) {
         byMachine.remove(machine);
     }
 
-    /** A job is over: it was cancelled and proves nothing, or it is done. */
+    /** Records the end of a job, given its last state. A job that was cancelled is no evidence for or against machines. */
     public void jobEnded(Job last) {
         for (Failures failures : byMachine.values()) {
             if (failures.unfinished.remove(last.id()) && !last.cancelled()) {
@@ -53,12 +53,12 @@
         }
     }
 
-    /** Forgets machines that are gone. */
+    /** Drops the failures of all machines but the given ones. */
     void keepOnly(Set<String> machines) {
         byMachine.keySet().retainAll(machines);
     }
 
-    /** Whether several jobs that work elsewhere have failed on a machine. */
+    /** Returns whether several jobs that are known to work have failed on a machine. */
     public boolean isFaulty(String machine) {
         Failures failures = byMachine.get(machine);
         return failures != null && provingJobs(failures).size() >= MIN_PROVING_JOBS;
--- a/src/main/java/org/havenford/coordination/agents/MachineHealthMonitor.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineHealthMonitor.java
@@ -9,20 +9,24 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Judges the condition of this controller's machines from the heartbeats of their agents. */
+/** Determines the condition of the machines of this controller from the heartbeats of their agents. */
 final class MachineHealthMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(MachineHealthMonitor.class);
-    /** An agent that has lost its controller tries others one after the other: no record is written for it meanwhile. */
+    /**
+     * Extra time before a machine whose agent has not reported to this controller counts as silent. An agent that has lost
+     * its controller tries the others in turn, and no silent status should be stored for it meanwhile.
+     */
     private static final Duration SEARCH_TIME = Duration.ofSeconds(10);
 
     private final AgentListener listener;
     private final MachineFaultDetector faultDetector;
-    /** Ages of a heartbeat, worked out once: they are compared for each machine in each round. */
+    /** Maximum age of a heartbeat that counts as current. Precomputed, because each round compares it for each machine. */
     private final Duration fresh;
 
+    /** Time without a heartbeat after which a machine that has reported counts as silent. */
     private final Duration silent;
 
-    /** {@code listener} is told of machines whose condition has changed. */
+    /** Creates a monitor; {@code listener} is notified of each machine whose condition has changed. */
     MachineHealthMonitor(PlatformSettings settings, MachineFaultDetector faultDetector, AgentListener listener) {
         this.faultDetector = faultDetector;
         this.listener = listener;
@@ -30,22 +34,22 @@
         this.silent = settings.heartbeatInterval().multipliedBy(5).dividedBy(2);
     }
 
-    /** Age up to which a heartbeat says how a machine is. */
+    /** Returns the maximum age of a heartbeat that counts as current. */
     Duration fresh() {
         return fresh;
     }
 
-    /** Whether a machine can be given new tasks. */
+    /** Returns whether a machine can take new tasks. */
     boolean usable(AgentState agent, Instant now) {
-        // Replies to direct commands renew no lease: what starts on a machine that only replies is killed with it.
-        // mute-machine.trace
+        // Replies to direct calls do not renew the agent's lease, so tasks started on a machine that only replies would be
+        // killed when its lease expires. Covered by mute-machine.trace.
         return agent.hasReported()
                 && agent.interruptionAt() == null
                 && !agent.refusesTasks(now)
                 && agent.hasHeartbeatWithin(fresh, now);
     }
 
-    /** Works out the condition of a machine anew. */
+    /** Updates the condition of a machine and notifies the listener if it has changed. */
     void judge(AgentState agent, MachineRecord onRecord, Instant now) {
         Condition condition = conditionOf(agent, onRecord, now);
         if (condition != agent.condition()) {
@@ -59,7 +63,7 @@
         if (agent.hasReported() && agent.hasHeartbeatWithin(fresh, now)) {
             condition = conditionOfReporting(agent, onRecord);
         } else if (!agent.hasReported() && onRecord.condition().compareTo(Condition.RETIRING) < 0) {
-            // Not heard yet: what the owner before us said.
+            // The agent has not reported yet: use the condition that the former owner stored.
             condition = onRecord.condition();
         }
         boolean expected = condition == Condition.UP || condition == Condition.DRAINING;
@@ -79,14 +83,15 @@
         return agent.interruptionAt() != null ? Condition.DRAINING : Condition.UP;
     }
 
-    /** After this long without a heartbeat a machine is on record as silent. */
+    /** Returns how long a machine may go without an unsolicited heartbeat before it counts as silent. */
     private Duration maxSilence(AgentState agent) {
         return agent.hasReported() ? silent : silent.plus(SEARCH_TIME);
     }
 
     /**
-     * Whether a machine is not what its record says: then nobody knows what may run there, so it gets no more tasks and goes
-     * back to the cloud. contradicting-record.trace
+     * Returns whether the machine reports another type, zone or spot property than its record. The constraints of its tasks
+     * cannot be checked then, so the machine is treated as faulty: it gets no new tasks and is returned to the cloud.
+     * Covered by contradicting-record.trace.
      */
     private static boolean contradicts(AgentState agent, MachineRecord onRecord) {
         Heartbeat heartbeat = agent.heartbeat();
--- a/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
@@ -19,17 +19,17 @@
 import org.havenford.transport.EventLoop;
 
 /**
- * Stores the status of this controller's machines for the other controllers and for a successor: some machines under each
- * key, and only those keys where something has changed.
+ * Stores the statuses of this controller's machines for the other controllers and for a new owner. The machines are divided
+ * among several keys, and only keys with changes are written.
  */
 final class MachineStatusPublisher {
     private static final Duration PUBLISH_INTERVAL = Duration.ofSeconds(2);
-    /** Where only cached images have changed, or changes are scarce. */
+    /** Interval for keys where only cached images have changed, and for all keys while the store is under pressure. */
     private static final Duration IMAGES_PUBLISH_INTERVAL = Duration.ofSeconds(8);
-    /** Machines under one key to begin with; the rest of the room is for those that come later. */
+    /** Average number of machines per key above which a key is added; the rest of a key's capacity is left for growth. */
     private static final int INITIAL_MACHINES = MachineStatuses.MAX_MACHINES * 3 / 4;
 
-    /** What was last stored under one key. */
+    /** The last stored value of one key. */
     private static final class Part {
         private Map<String, MachineStatuses.Status> stored;
         private Instant publishedAt;
@@ -52,7 +52,7 @@
         parts.add(new Part());
     }
 
-    /** Publishes what has changed of the given machines. */
+    /** Publishes the changed statuses of the given agents' machines. */
     void publish(Iterable<AgentState> agents, Instant now) {
         List<AgentState> known = new ArrayList<>();
         for (AgentState agent : agents) {
@@ -60,7 +60,7 @@
                 known.add(agent);
             }
         }
-        // Parts only grow in number, so that few machines change their part.
+        // The number of keys never shrinks, so that few machines move to another key.
         while (parts.size() * INITIAL_MACHINES < known.size()) {
             parts.add(new Part());
         }
@@ -113,7 +113,7 @@
         });
     }
 
-    /** A machine that is gone does not count: its record says so. */
+    /** Returns whether a condition is new or has changed. Machines that are gone are ignored, as their records show it. */
     private static boolean conditionsChanged(Map<String, MachineStatuses.Status> statuses, Part part) {
         if (part.stored == null) {
             return true;
--- a/src/main/java/org/havenford/coordination/agents/ReachabilityProbe.java
+++ b/src/main/java/org/havenford/coordination/agents/ReachabilityProbe.java
@@ -8,12 +8,12 @@
 import org.havenford.storage.ClusterState;
 import org.havenford.transport.HttpCalls;
 
-/** While this controller is cordoned, probes some of its former agents periodically, to see whether it reaches them again. */
+/** Probes some former agents periodically while this controller is cordoned, to detect when it can reach them again. */
 final class ReachabilityProbe {
     private static final int MAX_AGENTS = 3;
     private static final Duration PROBE_INTERVAL = Duration.ofSeconds(2);
     private static final Duration TIMEOUT = Duration.ofSeconds(1);
-    /** Replies in a row, for each agent, that show that the agents are reached. */
+    /** Consecutive successful replies per probed agent after which the agents count as reachable. */
     private static final int REPLIES_PER_AGENT = 2;
 
     private record FormerAgent(String machine, String endpoint) {}
@@ -35,7 +35,10 @@
         this.node = context.node();
     }
 
-    /** The view has changed; {@code wasCordoned} says whether this controller was cordoned in the view before. */
+    /**
+     * Restarts the count of replies after a change of the view, and drops the former agents unless this controller remains
+     * cordoned; {@code wasCordoned} tells whether the previous view had cordoned it.
+     */
     void viewChanged(boolean wasCordoned) {
         repliesInRow = 0;
         if (!wasCordoned || !isCordoned()) {
@@ -47,21 +50,21 @@
         return membership.view().cordoned().contains(node);
     }
 
-    /** A machine went to another owner. */
+    /** Records an agent whose machine was reassigned to another owner, as a candidate for probes. */
     void lost(AgentState agent) {
         if (agent.hasReported() && agents.size() < MAX_AGENTS) {
             agents.add(new FormerAgent(agent.machine(), agent.heartbeat().endpoint()));
         }
     }
 
-    /** Probes the former agents if that is due; requests the uncordoning if none is left. */
+    /** Probes the former agents if a probe is due, or requests to be uncordoned if none is left. */
     void step(Instant now) {
         if (!isCordoned() || (nextProbe != null && now.isBefore(nextProbe))) {
             return;
         }
         nextProbe = now.plus(PROBE_INTERVAL);
-        // A machine that is gone never replies; waiting for it, a controller stayed cordoned for good.
-        // rests-while-machines-go.trace
+        // A machine that is gone never replies; waiting for its reply kept a controller cordoned forever. Covered by
+        // rests-while-machines-go.trace.
         agents.removeIf(agent -> clusterState.machine(agent.machine()) == null);
         if (agents.isEmpty()) {
             membership.requestUncordon();
--- a/src/main/java/org/havenford/coordination/agents/RedirectedAgents.java
+++ b/src/main/java/org/havenford/coordination/agents/RedirectedAgents.java
@@ -7,16 +7,17 @@
 import org.havenford.coordination.membership.Membership;
 
 /**
- * Agents that report here although another controller owns their machines. One that is redirected to its owner and comes
- * back has not reached it. Moving the machine costs an epoch, so it is requested only after several heartbeats; by then an
- * owner that many don't reach has been cordoned.
+ * Tracks agents that report to this controller although another one owns their machines. An agent that is redirected to the
+ * owner and reports here again could not reach the owner. Reassigning its machine requires a new epoch of the view, so it is
+ * requested only after repeated heartbeats; by then an owner that many agents cannot reach has been cordoned.
  */
 final class RedirectedAgents {
-    /** Heartbeats further apart than this have nothing to do with each other. */
+    /** Maximum time between heartbeats of the same series; after a longer gap a new series begins. */
     private static final Duration MAX_GAP = Duration.ofSeconds(15);
 
+    /** How long an agent is tracked after its last misdirected heartbeat. */
     private static final Duration RETENTION = Duration.ofMinutes(1);
-    /** Fraction of an agent's lease during which it has to come back before its machine is moved: one third. */
+    /** An agent must report here for more than this fraction of its lease, one third, before its machine is reassigned. */
     private static final int LEASE_DIVISOR = 3;
 
     private record Heartbeats(Instant first, Instant last) {}
@@ -30,11 +31,11 @@
         this.patience = agentLease.dividedBy(LEASE_DIVISOR);
     }
 
-    /** A heartbeat came whose machine another controller owns. */
+    /** Records a heartbeat from a machine that another controller owns, and may request to reassign the machine. */
     void reported(String machine, Instant now) {
         Heartbeats before = agents.get(machine);
         if (before == null || now.isAfter(before.last().plus(MAX_GAP))) {
-            // One heartbeat means nothing: a new machine asks anybody, and each change of view redirects agents.
+            // A single heartbeat is normal: new machines report to any controller, and a change of the view redirects agents.
             agents.put(machine, new Heartbeats(now, now));
             return;
         }
@@ -46,17 +47,17 @@
         }
     }
 
-    /** A heartbeat came whose machine this controller owns. */
+    /** Stops tracking the agent of a machine that this controller owns. */
     void arrived(String machine) {
         agents.remove(machine);
     }
 
-    /** Heartbeats from before a pause and those that follow it have nothing to do with each other. */
+    /** Discards all series after a pause of this process: later heartbeats do not continue the earlier ones. */
     void processPaused() {
         agents.clear();
     }
 
-    /** Forgets agents that have not reported here for long. */
+    /** Stops tracking agents whose last misdirected heartbeat is older than the retention time. */
     void forgetOld(Instant now) {
         agents.values().removeIf(heartbeats -> now.isAfter(heartbeats.last().plus(RETENTION)));
     }
--- a/src/main/java/org/havenford/coordination/agents/StragglerDetector.java
+++ b/src/main/java/org/havenford/coordination/agents/StragglerDetector.java
@@ -3,25 +3,25 @@
 import java.time.Duration;
 
 /**
- * The trigger of the Self-healing paper (section 4.1): a task's estimated duration against the sum of its job's phase
- * medians. The phases here are image pull and run.
+ * The straggler criterion of the Self-healing paper (section 4.1), which compares a task's estimated duration with the sum of
+ * the median durations of the phases of its job. The phases here are image pull and run.
  */
 public final class StragglerDetector {
     private StragglerDetector() {}
 
-    /** The coefficient p = t / (m + t) of an estimate t and a sum m of medians; 0 if both are 0. */
+    /** Returns the coefficient p = t / (m + t) of an estimate t and a sum of medians m, or 0 if both are 0. */
     public static double coefficient(Duration estimate, Duration medians) {
         double t = estimate.toNanos();
         double m = medians.toNanos();
         return t + m <= 0 ? 0 : t / (m + t);
     }
 
-    /** The estimate for a task that pulls its image: the longer of elapsed and median pull, and the median of the run. */
+    /** Estimates the duration of a task that pulls its image: the longer of elapsed and median pull, plus the median run. */
     public static Duration estimatePulling(Duration elapsed, Duration medianPull, Duration medianRun) {
         return longer(elapsed, medianPull).plus(medianRun);
     }
 
-    /** The estimate for a running task: its real pull, and the longer of elapsed and median run. */
+    /** Estimates the duration of a running task: its actual pull, plus the longer of elapsed and median run. */
     public static Duration estimateRunning(Duration pull, Duration elapsed, Duration medianRun) {
         return pull.plus(longer(elapsed, medianRun));
     }
--- a/src/main/java/org/havenford/coordination/agents/TaskStopper.java
+++ b/src/main/java/org/havenford/coordination/agents/TaskStopper.java
@@ -11,12 +11,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Marks attempts to be stopped although their claims hold: stragglers, preempted ones, and those that would not end before
- * their spot machine is taken away.
+ * Marks attempts to be stopped although their claims still hold: stragglers, preempted attempts, and attempts that would
+ * not finish before their spot machine is reclaimed.
  */
 final class TaskStopper {
     private static final Logger LOG = LoggerFactory.getLogger(TaskStopper.class);
-    /** Part of the time left on a machine that is about to be taken away by which an estimate may be exceeded. */
+    /** An attempt is not drained if its estimated remaining time is at most this multiple of the time left. */
     private static final double ESTIMATE_MARGIN = 1.3;
 
     private final ClusterState clusterState;
@@ -28,12 +28,15 @@
         this.operatorSettings = operatorSettings;
     }
 
-    /** How many tasks were stopped as stragglers. */
+    /** Returns how many attempts were marked as stragglers. */
     long stragglerStops() {
         return stragglerStops;
     }
 
-    /** Marks a claim to be preempted; false if it was marked before or the agent has not shown the attempt yet. */
+    /**
+     * Marks a claim to be preempted. Returns false if the attempt is already marked to be stopped or the agent's current
+     * incarnation has not reported it yet.
+     */
     boolean preempt(AgentState agent, Claim claim) {
         if (!agent.hasReported() || claim.incarnation() != agent.incarnation()) {
             return false;
@@ -47,10 +50,10 @@
         return true;
     }
 
-    /** Marks attempts whose image pull is late against the medians of their job, by the trigger of the paper. */
+    /** Marks attempts whose image pull is slow compared to the medians of their job, as by {@link StragglerDetector}. */
     void stopStragglers(AgentState agent, Instant now) {
         if (agent.isSilentSincePause()) {
-            // The pull may be over: nobody has listened.
+            // The image pull may have finished during the pause, when no heartbeat could be received.
             return;
         }
         for (Claim claim : clusterState.claimsOn(agent.machine()).values()) {
@@ -62,7 +65,10 @@
         }
     }
 
-    /** A running task goes on: a straggler there is not restarted. */
+    /**
+     * Returns whether an attempt is a candidate for the straggler check. A task that already runs is never restarted as a
+     * straggler, and no task is restarted as one twice.
+     */
     private boolean mayBeStraggler(AttemptState attempt, Claim claim, Job job) {
         boolean pulls = attempt != null && attempt.isPulling() && !attempt.isToStop();
         int task = claim.task().index();
@@ -95,7 +101,7 @@
         }
     }
 
-    /** On a machine that is about to be taken away, marks what can't be done in time, so that it starts elsewhere sooner. */
+    /** Marks attempts that cannot finish before the spot interruption, so that they restart on other machines sooner. */
     void drain(AgentState agent, Instant now) {
         if (agent.interruptionAt() == null) {
             return;
--- a/src/main/java/org/havenford/coordination/agents/package-info.java
+++ b/src/main/java/org/havenford/coordination/agents/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Agents on the machines: heartbeats, commands, and reconciliation of claims with what agents report.
+ * Management of the agents on the machines: heartbeats, commands, and reconciliation of claims with reported attempts.
  *
- * <p>It owns what is known of each agent and the outcomes of attempts that are not yet stored. Called by scheduling,
- * provisioning, failover and the controller.
+ * <p>The package holds the state of each agent, and the outcomes of attempts that are not stored yet. It is used by
+ * scheduling, provisioning, failover and the controller.
  */
 package org.havenford.coordination.agents;
--- a/src/test/java/org/havenford/coordination/agents/AgentStateTest.java
+++ b/src/test/java/org/havenford/coordination/agents/AgentStateTest.java
@@ -14,7 +14,7 @@
 import org.havenford.protocol.TaskId;
 import org.junit.jupiter.api.Test;
 
-/** What an owner concludes from the heartbeats of one agent. */
+/** Tests the state that an owner derives from the heartbeats of one agent. */
 class AgentStateTest {
     private static final Instant START = Instant.EPOCH;
     private static final TaskId TASK = new TaskId("job", 0);
