--- a/src/main/java/org/havenford/coordination/agents/AgentLeaseMonitor.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentLeaseMonitor.java
@@ -9,10 +9,10 @@
     /** How long the state of an agent without record and claims is kept after its last heartbeat or lease renewal. */
     private static final Duration RETENTION = Duration.ofMinutes(3);
     /** Factor on the lease duration that covers the drift between the clocks of the agent and this controller. */
-    private static final double CLOCK_DRIFT = 1.002;
+    private static final double CLOCK_DRIFT_FACTOR = 1.002;
 
     /** Safety margin added to the end of a lease. */
-    private static final Duration MARGIN = Duration.ofMillis(1500);
+    private static final Duration LEASE_MARGIN = Duration.ofMillis(1500);
 
     private final AgentContext context;
     private final AgentRegistry registry;
@@ -24,19 +24,19 @@
         this.outcomes = outcomes;
     }
 
-    /** Ends the attempts on owned machines that are gone or whose agents' leases have expired despite any clock drift. */
+    /** Ends the attempts on owned machines that are gone or whose agents' leases have expired, allowing for clock drift. */
     void expireLeases(Instant now) {
         ClusterState clusterState = context.clusterState();
         for (String machine : clusterState.claimedMachines()) {
             if (context.owns(machine)) {
                 boolean expired = now.isAfter(leaseEnd(registry.getOrTakeOver(machine)));
                 // The cloud has confirmed that the machine is gone.
-                boolean returned = clusterState.machine(machine) == null;
-                if (expired || returned) {
+                boolean gone = clusterState.machine(machine) == null;
+                if (expired || gone) {
                     clusterState
                             .claimsOn(machine)
                             .values()
-                            .forEach(claim -> outcomes.end(claim, AttemptOutcome.NotDone.RETRY));
+                            .forEach(claim -> outcomes.recordOutcome(claim, AttemptOutcome.NotDone.RETRY));
                 }
             }
         }
@@ -44,14 +44,14 @@
 
     private Instant leaseEnd(AgentState agent) {
         return agent.leaseRenewedAt()
-                .plusNanos((long) (context.settings().agentLease().toNanos() * CLOCK_DRIFT))
-                .plus(MARGIN);
+                .plusNanos((long) (context.settings().agentLease().toNanos() * CLOCK_DRIFT_FACTOR))
+                .plus(LEASE_MARGIN);
     }
 
     /** Returns whether an agent's machine is gone and its last heartbeat or lease renewal is past the retention time. */
-    boolean isForgotten(AgentState agent, Instant now) {
+    boolean canBeRemoved(AgentState agent, Instant now) {
         return context.clusterState().machine(agent.machine()) == null
                 && context.clusterState().claimsOn(agent.machine()).isEmpty()
-                && Duration.between(agent.lastSign(), now).compareTo(RETENTION) > 0;
+                && Duration.between(agent.lastActivity(), now).compareTo(RETENTION) > 0;
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/AgentManager.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentManager.java
@@ -46,8 +46,8 @@
         faultDetector = new MachineFaultDetector(context.clusterState());
         healthMonitor = new MachineHealthMonitor(context.settings(), faultDetector, listener);
         ImageCacheTracker imageCache = new ImageCacheTracker(context.clusterState(), listener);
-        HeartbeatReconciler reconciler =
-                new HeartbeatReconciler(context, outcomes, imageCache, faultDetector, healthMonitor.fresh());
+        HeartbeatReconciler reconciler = new HeartbeatReconciler(
+                context, outcomes, imageCache, faultDetector, healthMonitor.heartbeatFreshness());
         HeartbeatIntake intake =
                 new HeartbeatIntake(context, changedMachines, reconciler, new MachineAdoption(context), healthMonitor);
         CommandPlanner commandPlanner = new CommandPlanner(context, outcomes);
@@ -64,8 +64,8 @@
     /** Applies a change of the view: drops agents of machines that were reassigned away, takes over those gained. */
     public void viewChanged() {
         reachabilityProbe.viewChanged(registry.wasCordoned());
-        registry.viewChanged().forEach(reachabilityProbe::lost);
-        outcomes.keepOnly(claim -> isHeld(claim) && context.owns(claim.machine()));
+        registry.viewChanged().forEach(reachabilityProbe::addFormerAgent);
+        outcomes.retainIf(claim -> isHeld(claim) && context.owns(claim.machine()));
         nextSweep = null;
     }
 
@@ -87,8 +87,8 @@
         if (agent.hasReported()) {
             return;
         }
-        agent.takeOver(contact);
-        commandSender.introduce(agent, contact);
+        agent.restore(contact);
+        commandSender.announceOwner(agent, contact);
     }
 
     /** Returns how many of the recorded machines a node owns. */
@@ -165,21 +165,21 @@
         registry.takeOverOwnedMachines();
         leaseMonitor.expireLeases(now);
         for (AgentState agent : registry.all()) {
-            MachineRecord onRecord = context.clusterState().machine(agent.machine());
-            if (onRecord != null) {
+            MachineRecord machineRecord = context.clusterState().machine(agent.machine());
+            if (machineRecord != null) {
                 taskStopper.stopStragglers(agent, now);
                 taskStopper.drain(agent, now);
-                healthMonitor.judge(agent, onRecord, now);
+                healthMonitor.updateCondition(agent, machineRecord, now);
                 if (mayNeedCommands(agent)) {
                     changedMachines.add(agent.machine());
                 }
             }
         }
         statusPublisher.publish(registry.all(), now);
-        registry.removeIf(agent -> leaseMonitor.isForgotten(agent, now));
-        outcomes.keepOnly(this::isHeld);
-        faultDetector.keepOnly(registry.machines());
-        redirectedAgents.forgetOld(now);
+        registry.removeIf(agent -> leaseMonitor.canBeRemoved(agent, now));
+        outcomes.retainIf(this::isHeld);
+        faultDetector.retainMachines(registry.machines());
+        redirectedAgents.removeExpired(now);
     }
 
     /** Returns whether a machine has tasks or claims; most of thousands of machines may be idle and need no commands. */
@@ -203,9 +203,9 @@
         return outcomes;
     }
 
-    /** Records the end of a job; {@code last} is its last state. */
-    public void jobEnded(Job last) {
-        faultDetector.jobEnded(last);
+    /** Records the end of a job; {@code lastState} is its last state. */
+    public void jobEnded(Job lastState) {
+        faultDetector.jobEnded(lastState);
     }
 
     /** Returns how many attempts were stopped as stragglers. */
@@ -221,7 +221,7 @@
     public Predicate<Instant> availability(MachineRecord machine) {
         AgentState agent = registry.get(machine.name());
         if (agent != null) {
-            return now -> healthMonitor.usable(agent, now);
+            return now -> healthMonitor.canTakeTasks(agent, now);
         }
         boolean ownedElsewhere = !context.owns(machine.name());
         return now -> ownedElsewhere;
--- a/src/main/java/org/havenford/coordination/agents/AgentRegistry.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentRegistry.java
@@ -16,7 +16,7 @@
     private final AgentContext context;
     private final Object2ObjectOpenHashMap<String, AgentState> agents = new Object2ObjectOpenHashMap<>();
     private ClusterView previousView = ClusterView.empty();
-    private boolean sawView;
+    private boolean viewReceived;
 
     AgentRegistry(AgentContext context) {
         this.context = context;
@@ -41,8 +41,8 @@
         return agents.keySet();
     }
 
-    void removeIf(Predicate<AgentState> forgotten) {
-        agents.values().removeIf(forgotten);
+    void removeIf(Predicate<AgentState> removable) {
+        agents.values().removeIf(removable);
     }
 
     /** Returns whether the view applied last by {@link #viewChanged} had cordoned this controller. */
@@ -58,7 +58,7 @@
      */
     List<AgentState> viewChanged() {
         ClusterView view = context.membership().view();
-        List<AgentState> lost = new ArrayList<>();
+        List<AgentState> reassigned = new ArrayList<>();
         for (String machine : List.copyOf(agents.keySet())) {
             // A registered machine was owned by this controller in the previous view.
             boolean sameIncarnation = context.owns(machine)
@@ -66,7 +66,7 @@
                             .get(context.node())
                             .equals(previousView.members().get(context.node()));
             if (!context.owns(machine)) {
-                lost.add(agents.remove(machine));
+                reassigned.add(agents.remove(machine));
             } else if (!sameIncarnation) {
                 agents.put(machine, takeOver(machine));
             } else {
@@ -76,8 +76,8 @@
         // Taking over machines needs the previous view, which names their former owners.
         takeOverOwnedMachines();
         previousView = view;
-        sawView = true;
-        return lost;
+        viewReceived = true;
+        return reassigned;
     }
 
     /** Takes over the agents of all owned machines that have a record or claims. */
@@ -104,18 +104,19 @@
         Long incarnation = formerOwner == null ? null : previousView.members().get(formerOwner);
         // An evicted owner may rely on its lease until that expires by its own clock. Covered by
         // stalled-owner-is-evicted.trace.
-        boolean gone = sawView
+        boolean formerOwnerLeaseEnded = viewReceived
                 && formerOwner != null
                 && !context.membership().isMember(formerOwner, incarnation)
                 && !context.membership().view().wasEvicted(formerOwner, incarnation);
         Instant now = context.loop().now();
         AgentState agent = new AgentState(
-                machine, gone ? now : now.plus(context.membership().leaseDuration()));
+                machine,
+                formerOwnerLeaseEnded ? now : now.plus(context.membership().leaseDuration()));
         agent.startEpoch(context.membership().view().epoch());
-        MachineRecord onRecord = context.clusterState().machine(machine);
-        if (onRecord != null && onRecord.condition() == Condition.SILENT) {
+        MachineRecord machineRecord = context.clusterState().machine(machine);
+        if (machineRecord != null && machineRecord.condition() == Condition.SILENT) {
             // The machine may be silent because responses do not reach its agent; one heartbeat does not rule that out.
-            agent.assumeUnanswered();
+            agent.assumeMissingResponses();
         }
         return agent;
     }
--- a/src/main/java/org/havenford/coordination/agents/AgentState.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentState.java
@@ -16,48 +16,48 @@
  */
 public final class AgentState {
     /** Consecutive heartbeats showing that responses do not reach the agent after which its machine counts as silent. */
-    private static final int MAX_UNANSWERED = 2;
+    private static final int MISSED_RESPONSES_THRESHOLD = 2;
     /** Width of the fence counter in the low bits of a fencing token; the bits above it hold the epoch. */
-    private static final int FENCE_BITS = 32;
+    private static final int FENCE_COUNTER_BITS = 32;
     /** Stands for a missing incarnation or sequence; lower than any real value. */
-    private static final long NONE = -1;
+    private static final long UNSET = -1;
 
     private final String machine;
 
     private Heartbeat heartbeat;
     /** Incarnation of the newest unsolicited heartbeat, that is, one not contained in the reply to a direct call. */
-    private long heartbeatIncarnation = NONE;
+    private long heartbeatIncarnation = UNSET;
 
     /** Sequence number of the newest unsolicited heartbeat. */
-    private long heartbeatSequence = NONE;
+    private long heartbeatSequence = UNSET;
     /** When the newest heartbeat was received, unsolicited or in the reply to a direct call. */
-    private Instant lastSignAt;
+    private Instant lastSeenAt;
     /** When the newest unsolicited heartbeat was received; only these renew the agent's lease. */
-    private Instant lastHeartbeatAt;
+    private Instant lastUnsolicitedAt;
     /** The latest time at which any owner can have renewed the agent's lease. */
     private Instant leaseRenewedAt;
     /** Whether no heartbeat has been received since this process was last paused. */
     private boolean silentSincePause;
     /** Consecutive heartbeats before which the agent had reported to another controller, as it does without a response. */
-    private int unanswered;
+    private int missedResponses;
 
     private long epoch;
-    private long fence;
+    private long fenceCounter;
     /** Whether a run command has been sent in a direct call with the current fencing token. */
-    private boolean startedByDirectCommand;
+    private boolean directRunSent;
 
     private boolean callInFlight;
-    private Instant noCallBefore;
+    private Instant callsDelayedUntil;
     /** Replies to direct calls since the last unsolicited heartbeat; each advances the agent's sequence number as well. */
     private int callReplies;
 
     /** The condition of the machine as determined by this controller; the stored status is updated from it later. */
     private Condition condition = Condition.BOOTING;
     /** When the agent first reported while its machine had no record. */
-    private Instant unknownSince;
+    private Instant unrecordedSince;
 
     /** End of the backoff after the agent refused a task. */
-    private Instant refusedUntil;
+    private Instant tasksWithheldUntil;
     /** When the spot machine will be reclaimed; null unless a spot interruption notice was received. */
     private Instant interruptionAt;
     /** Images expected in the machine's cache, most recently used first; null until copied from the record. */
@@ -97,10 +97,10 @@
     }
 
     /** Stores a heartbeat that is newer than the last one. A later incarnation of the agent has lost all its attempts. */
-    void reported(Heartbeat newer, Instant now) {
+    void recordHeartbeat(Heartbeat newer, Instant now) {
         boolean restarted = heartbeat != null && newer.incarnation() > heartbeat.incarnation();
         heartbeat = newer;
-        lastSignAt = now;
+        lastSeenAt = now;
         silentSincePause = false;
         if (restarted) {
             attempts.clear();
@@ -108,10 +108,10 @@
     }
 
     /** Records the receipt of an unsolicited heartbeat that is not outdated. */
-    void heartbeatArrived(Heartbeat arrived, Instant now) {
+    void recordUnsolicitedHeartbeat(Heartbeat arrived, Instant now) {
         heartbeatIncarnation = arrived.incarnation();
         heartbeatSequence = arrived.sequence();
-        lastHeartbeatAt = now;
+        lastUnsolicitedAt = now;
     }
 
     /**
@@ -120,13 +120,13 @@
      * heartbeats are compared, because the reply to a direct call may overtake a heartbeat that is still awaiting its
      * response.
      */
-    boolean isLateCopy(Heartbeat arrived) {
+    boolean isOutdated(Heartbeat arrived) {
         return arrived.incarnation() < heartbeatIncarnation
                 || (arrived.incarnation() == heartbeatIncarnation && arrived.sequence() <= heartbeatSequence);
     }
 
     /** Restores the newest unsolicited heartbeat that the former owner received, so that copies of it are detected. */
-    void takeOver(AgentContact contact) {
+    void restore(AgentContact contact) {
         heartbeatIncarnation = contact.incarnation();
         heartbeatSequence = contact.heartbeatSequence();
     }
@@ -150,30 +150,31 @@
      * controller in between, and a new incarnation usually means that its lease expired; in both cases the response did not
      * reach it. Its machine takes no new tasks until responses arrive again.
      */
-    void countUnanswered(Heartbeat arrived) {
+    void countMissedResponses(Heartbeat arrived) {
         if (heartbeat != null) {
             boolean reportedElsewhere = arrived.incarnation() > heartbeat.incarnation()
                     || arrived.sequence() > heartbeat.sequence() + 1 + callReplies;
-            // While this process was paused, the agent received no response and therefore reported to other controllers.
+            // While this process was paused, the agent received no response and therefore reported to other
+            // controllers.
             boolean counts = reportedElsewhere && !silentSincePause;
-            unanswered = counts ? unanswered + 1 : 0;
+            missedResponses = counts ? missedResponses + 1 : 0;
         }
         callReplies = 0;
     }
 
     /** Returns whether heartbeats indicate that responses do not reach the agent. */
-    boolean isUnanswered() {
-        return unanswered >= MAX_UNANSWERED;
+    boolean isMissingResponses() {
+        return missedResponses >= MISSED_RESPONSES_THRESHOLD;
     }
 
     /** Assumes that responses do not reach the agent until its heartbeats show that they do. */
-    void assumeUnanswered() {
-        unanswered = MAX_UNANSWERED;
+    void assumeMissingResponses() {
+        missedResponses = MISSED_RESPONSES_THRESHOLD;
     }
 
     /** Returns whether an unsolicited heartbeat was received less than {@code age} ago. */
     boolean hasHeartbeatWithin(Duration age, Instant now) {
-        return lastHeartbeatAt != null && now.isBefore(lastHeartbeatAt.plus(age));
+        return lastUnsolicitedAt != null && now.isBefore(lastUnsolicitedAt.plus(age));
     }
 
     /**
@@ -181,7 +182,7 @@
      * counts from the latest possible lease renewal by a former owner.
      */
     boolean isSilentLongerThan(Duration silence, Instant now) {
-        Instant last = heartbeat == null ? leaseRenewedAt : lastHeartbeatAt;
+        Instant last = heartbeat == null ? leaseRenewedAt : lastUnsolicitedAt;
         return last == null || Duration.between(last, now).compareTo(silence) > 0;
     }
 
@@ -201,8 +202,8 @@
     }
 
     /** Returns when the last heartbeat was received or any owner can last have renewed the lease, whichever is later. */
-    Instant lastSign() {
-        return lastSignAt == null ? leaseRenewedAt : later(leaseRenewedAt, lastSignAt);
+    Instant lastActivity() {
+        return lastSeenAt == null ? leaseRenewedAt : later(leaseRenewedAt, lastSeenAt);
     }
 
     private static Instant later(Instant a, Instant b) {
@@ -216,8 +217,8 @@
      */
     void processPaused(Duration pause) {
         silentSincePause = true;
-        lastHeartbeatAt = afterPause(lastHeartbeatAt, pause);
-        lastSignAt = afterPause(lastSignAt, pause);
+        lastUnsolicitedAt = afterPause(lastUnsolicitedAt, pause);
+        lastSeenAt = afterPause(lastSeenAt, pause);
         attempts.values().forEach(AttemptState::processPaused);
     }
 
@@ -227,23 +228,23 @@
 
     /** Returns the fencing token of commands and responses: the view's epoch and a counter that grows within it. */
     long fencingToken() {
-        return epoch << FENCE_BITS | fence;
+        return epoch << FENCE_COUNTER_BITS | fenceCounter;
     }
 
     /** Returns the lowest fencing token of the current epoch. */
     long lowestFencingToken() {
-        return epoch << FENCE_BITS;
+        return epoch << FENCE_COUNTER_BITS;
     }
 
     /** Raises the fencing token above that of any command sent so far. */
     void raiseFencingToken() {
-        fence++;
-        startedByDirectCommand = false;
+        fenceCounter++;
+        directRunSent = false;
     }
 
     /** Raises the fencing token if a run command was sent in a direct call with the current one. */
     void raiseFencingTokenAfterDirectRun() {
-        if (startedByDirectCommand) {
+        if (directRunSent) {
             raiseFencingToken();
         }
     }
@@ -251,18 +252,18 @@
     /** Starts a new epoch of the view, in which this controller owns the machine. */
     void startEpoch(long newEpoch) {
         epoch = newEpoch;
-        fence = 0;
-        startedByDirectCommand = false;
+        fenceCounter = 0;
+        directRunSent = false;
     }
 
     /** Returns whether the agent has reported, no direct call is in flight, and the delay after the last call is over. */
     boolean mayBeCalled(Instant now) {
-        return !callInFlight && (noCallBefore == null || !now.isBefore(noCallBefore)) && heartbeat != null;
+        return !callInFlight && (callsDelayedUntil == null || !now.isBefore(callsDelayedUntil)) && heartbeat != null;
     }
 
     /** Returns whether the last heartbeat of an agent that {@link #hasReported} is at most {@code age} old. */
-    boolean hasSignWithin(Duration age, Instant now) {
-        return Duration.between(lastSignAt, now).compareTo(age) <= 0;
+    boolean wasSeenWithin(Duration age, Instant now) {
+        return Duration.between(lastSeenAt, now).compareTo(age) <= 0;
     }
 
     boolean isCallInFlight() {
@@ -278,7 +279,7 @@
     }
 
     void delayCalls(Instant until) {
-        noCallBefore = until;
+        callsDelayedUntil = until;
     }
 
     /** Counts a heartbeat that was received in the reply to a direct call. */
@@ -295,20 +296,20 @@
     }
 
     /** Returns when the agent first reported while its machine had no record, and sets it to {@code now} the first time. */
-    Instant unknownSince(Instant now) {
-        if (unknownSince == null) {
-            unknownSince = now;
+    Instant unrecordedSince(Instant now) {
+        if (unrecordedSince == null) {
+            unrecordedSince = now;
         }
-        return unknownSince;
+        return unrecordedSince;
     }
 
     /** Withholds new tasks from the machine until a given time, because the agent refused one. */
-    void refuseTasksUntil(Instant until) {
-        refusedUntil = until;
+    void withholdTasksUntil(Instant until) {
+        tasksWithheldUntil = until;
     }
 
-    boolean refusesTasks(Instant now) {
-        return refusedUntil != null && now.isBefore(refusedUntil);
+    boolean withholdsTasks(Instant now) {
+        return tasksWithheldUntil != null && now.isBefore(tasksWithheldUntil);
     }
 
     /** Returns when the spot machine will be reclaimed, or null without a spot interruption notice. */
@@ -316,8 +317,8 @@
         return interruptionAt;
     }
 
-    void interruptionNoticed(Instant until) {
-        interruptionAt = until;
+    void recordInterruptionNotice(Instant reclaimedAt) {
+        interruptionAt = reclaimedAt;
     }
 
     /** Returns the images expected in the cache, most recently used first, or null until copied from the record. */
@@ -330,7 +331,7 @@
     }
 
     /** Returns the state of an attempt. A new state replaces that of a different attempt of the same task. */
-    AttemptState attempt(TaskId task, long number) {
+    AttemptState getOrCreateAttempt(TaskId task, long number) {
         AttemptState attempt = attempts.get(task);
         if (attempt == null || attempt.number() != number) {
             attempt = new AttemptState(number);
@@ -340,15 +341,15 @@
     }
 
     /** Returns the state of an attempt, or null if this attempt of the task is not tracked. */
-    AttemptState knownAttempt(TaskId task, long number) {
+    AttemptState findAttempt(TaskId task, long number) {
         AttemptState attempt = attempts.get(task);
         return attempt == null || attempt.number() != number ? null : attempt;
     }
 
     /** Records that a run command for an attempt is being sent in a direct call. */
-    void runSentDirectly(AttemptState attempt) {
-        attempt.runSentDirectly(fencingToken());
-        startedByDirectCommand = true;
+    void recordDirectRun(AttemptState attempt) {
+        attempt.recordDirectRun(fencingToken());
+        directRunSent = true;
     }
 
     /** Records that a task failed on this machine. */
--- a/src/main/java/org/havenford/coordination/agents/AttemptOutcomes.java
+++ b/src/main/java/org/havenford/coordination/agents/AttemptOutcomes.java
@@ -75,8 +75,8 @@
 
     private final ClusterState clusterState;
     private final AgentListener listener;
-    private final Map<Claim, TaskRangeOutcomes> rangeOf = new HashMap<>();
-    private final Map<String, TaskRangeOutcomes> ranges = new LinkedHashMap<>();
+    private final Map<Claim, TaskRangeOutcomes> rangesByClaim = new HashMap<>();
+    private final Map<String, TaskRangeOutcomes> rangesByKey = new LinkedHashMap<>();
 
     /** Creates an empty collection; {@code listener} is notified of each machine on which an attempt has ended. */
     AttemptOutcomes(ClusterState clusterState, AgentListener listener) {
@@ -85,16 +85,16 @@
     }
 
     /** Records the outcome of an attempt. Later outcomes for the same claim are ignored. */
-    void end(Claim claim, AttemptOutcome outcome) {
+    void recordOutcome(Claim claim, AttemptOutcome outcome) {
         Job job = clusterState.job(claim.task().job());
-        if (job == null || rangeOf.containsKey(claim)) {
+        if (job == null || rangesByClaim.containsKey(claim)) {
             return;
         }
         String key = Keys.tasks(job.id(), job.taskRangeIndex(claim.task().index()));
-        TaskRangeOutcomes range = ranges.computeIfAbsent(key, k -> new TaskRangeOutcomes(k, job));
+        TaskRangeOutcomes range = rangesByKey.computeIfAbsent(key, k -> new TaskRangeOutcomes(k, job));
         range.ended.put(claim, outcome);
         range.lookedAt = null;
-        rangeOf.put(claim, range);
+        rangesByClaim.put(claim, range);
         listener.capacityChanged(claim.machine());
         LOG.debug(
                 "attempt ended: task={} attempt={} machine={} outcome={}",
@@ -106,35 +106,35 @@
 
     /** Returns whether the outcome of a claim is known but not stored yet. */
     public boolean contains(Claim claim) {
-        return rangeOf.containsKey(claim);
+        return rangesByClaim.containsKey(claim);
     }
 
     /** Returns the outcome recorded for a claim, or null. */
     public AttemptOutcome of(Claim claim) {
-        TaskRangeOutcomes range = rangeOf.get(claim);
+        TaskRangeOutcomes range = rangesByClaim.get(claim);
         return range == null ? null : range.ended.get(claim);
     }
 
     /** Removes the outcomes of claims that are stored by now, or whose claims are no longer held. */
     public void remove(Collection<Claim> claims) {
         for (Claim claim : List.copyOf(claims)) {
-            TaskRangeOutcomes range = rangeOf.remove(claim);
+            TaskRangeOutcomes range = rangesByClaim.remove(claim);
             if (range != null) {
                 range.ended.remove(claim);
                 if (range.ended.isEmpty()) {
-                    ranges.remove(range.key);
+                    rangesByKey.remove(range.key);
                 }
             }
         }
     }
 
-    /** Removes the outcomes of all claims that do not match the predicate. */
-    void keepOnly(Predicate<Claim> held) {
-        remove(rangeOf.keySet().stream().filter(held.negate()).toList());
+    /** Removes the outcomes of all claims that do not satisfy the condition. */
+    void retainIf(Predicate<Claim> condition) {
+        remove(rangesByClaim.keySet().stream().filter(condition.negate()).toList());
     }
 
     /** Returns the task ranges with outcomes to write, ordered by the time of their first outcome. */
     public List<TaskRangeOutcomes> records() {
-        return List.copyOf(ranges.values());
+        return List.copyOf(rangesByKey.values());
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/AttemptState.java
+++ b/src/main/java/org/havenford/coordination/agents/AttemptState.java
@@ -20,7 +20,7 @@
 
     private final long number;
     /** Whether a heartbeat has listed the attempt; from then on no run command must be sent for it. */
-    private boolean shown;
+    private boolean reported;
     /** Token of the last run command sent in a direct call; the agent rejects it only after seeing a higher token. */
     private long directRunToken = NO_TOKEN;
     /** When the image pull began; null if unknown. */
@@ -28,10 +28,10 @@
     /** When the run began; null if unknown. */
     private Instant runStartedAt;
 
-    private boolean sawPullStart;
-    private boolean sawRunStart;
+    private boolean pullStartObserved;
+    private boolean runStartObserved;
     /** Whether this process was paused since the attempt is tracked; durations of phases are then unreliable. */
-    private boolean interrupted;
+    private boolean processWasPaused;
 
     private Duration pullDuration;
     private StopReason stopReason;
@@ -46,15 +46,15 @@
     }
 
     /** Records that a run command is being sent. */
-    void runSent(EventLoop loop) {
+    void recordRun(EventLoop loop) {
         if (pullStartedAt == null) {
             pullStartedAt = loop.now();
-            sawPullStart = true;
+            pullStartObserved = true;
         }
     }
 
     /** Records that a run command is being sent in a direct call with a given fencing token. */
-    void runSentDirectly(long fencingToken) {
+    void recordDirectRun(long fencingToken) {
         directRunToken = fencingToken;
     }
 
@@ -64,7 +64,7 @@
     }
 
     /** Marks the attempt to be stopped. */
-    void stop(StopReason reason) {
+    void markToStop(StopReason reason) {
         stopReason = reason;
     }
 
@@ -78,53 +78,54 @@
     }
 
     /** Records that a heartbeat has listed the attempt. */
-    void show() {
-        shown = true;
+    void markReported() {
+        reported = true;
     }
 
-    boolean isShown() {
-        return shown;
+    boolean isReported() {
+        return reported;
     }
 
     /** Records that the agent reports the attempt as pulling its image. */
-    void pullSeen(EventLoop loop, Claim claim) {
+    void recordPulling(EventLoop loop, Claim claim) {
         if (pullStartedAt == null) {
-            pullStartedAt = startOf(claim, loop);
-            sawPullStart = true;
+            pullStartedAt = monotonicClaimTime(claim, loop);
+            pullStartObserved = true;
         }
     }
 
     /**
-     * Records that the agent reports the attempt as running. If the claim is younger than {@code fresh}, the image pull
-     * counts as observed even if no heartbeat showed it.
+     * Records that the agent reports the attempt as running. If the claim is younger than {@code freshness}, the start of
+     * the run counts as observed even if no heartbeat showed the image pull.
      */
-    void runSeen(EventLoop loop, Claim claim, Duration fresh) {
+    void recordRunning(EventLoop loop, Claim claim, Duration freshness) {
         if (runStartedAt != null) {
             return;
         }
         runStartedAt = loop.now();
-        boolean young = Duration.between(claim.claimedAt(), loop.timeOfDay()).compareTo(fresh) < 0;
-        sawRunStart = !interrupted && (sawPullStart || young);
-        if (sawRunStart) {
+        boolean claimIsRecent =
+                Duration.between(claim.claimedAt(), loop.timeOfDay()).compareTo(freshness) < 0;
+        runStartObserved = !processWasPaused && (pullStartObserved || claimIsRecent);
+        if (runStartObserved) {
             pullDuration = pullStartedAt == null ? Duration.ZERO : Duration.between(pullStartedAt, runStartedAt);
         }
     }
 
     /** Converts the time of the claim, a time of day, to an instant of the monotonic clock. */
-    private static Instant startOf(Claim claim, EventLoop loop) {
+    private static Instant monotonicClaimTime(Claim claim, EventLoop loop) {
         Duration age = Duration.between(claim.claimedAt(), loop.timeOfDay());
         return loop.now().minus(age.isNegative() ? Duration.ZERO : age);
     }
 
     /** Discards observations after a pause of this process, in which phases may have begun or ended unobserved. */
     void processPaused() {
-        interrupted = true;
-        sawRunStart = false;
+        processWasPaused = true;
+        runStartObserved = false;
     }
 
     /** Returns whether the agent has reported the attempt, its start is known, and it is not running yet. */
     boolean isPulling() {
-        return shown && runStartedAt == null && pullStartedAt != null;
+        return reported && runStartedAt == null && pullStartedAt != null;
     }
 
     /** Returns how long the image pull has taken so far. Requires that the attempt {@link #isPulling}. */
@@ -132,7 +133,7 @@
         return Duration.between(pullStartedAt, now);
     }
 
-    /** Returns how long the task has run so far, or zero if no heartbeat has shown it running. */
+    /** Returns how long the task has run so far, or zero if no heartbeat has reported it running. */
     Duration runElapsed(Instant now) {
         return runStartedAt == null ? Duration.ZERO : Duration.between(runStartedAt, now);
     }
@@ -144,6 +145,6 @@
 
     /** Returns the run duration of a task that ends now, or null if this controller did not observe its start. */
     Duration runDuration(EventLoop loop) {
-        return sawRunStart && runStartedAt != null ? Duration.between(runStartedAt, loop.now()) : null;
+        return runStartObserved && runStartedAt != null ? Duration.between(runStartedAt, loop.now()) : null;
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/ChangedMachines.java
+++ b/src/main/java/org/havenford/coordination/agents/ChangedMachines.java
@@ -6,16 +6,16 @@
 
 /** Machines whose agents may need commands, in order of change. The periodic sweep adds all that have tasks or claims. */
 final class ChangedMachines {
-    private final Set<String> names = new LinkedHashSet<>();
+    private final Set<String> machines = new LinkedHashSet<>();
 
     void add(String machine) {
-        names.add(machine);
+        machines.add(machine);
     }
 
     /** Removes and returns all machines. */
     List<String> takeAll() {
-        List<String> taken = List.copyOf(names);
-        names.clear();
+        List<String> taken = List.copyOf(machines);
+        machines.clear();
         return taken;
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/CommandPlanner.java
+++ b/src/main/java/org/havenford/coordination/agents/CommandPlanner.java
@@ -15,9 +15,9 @@
 /** Determines the commands that an agent needs from the claims on its machine and its newest heartbeat. */
 final class CommandPlanner {
     /** Limit of commands in the response to a heartbeat; a line of the response must not exceed 64 KiB. */
-    private static final int MAX_IN_RESPONSE = 200;
+    private static final int MAX_COMMANDS_IN_RESPONSE = 200;
 
-    private static final int MAX_DIRECT = 40;
+    private static final int MAX_COMMANDS_IN_DIRECT_CALL = 40;
 
     private final AgentContext context;
     private final ClusterState clusterState;
@@ -31,8 +31,8 @@
 
     /** Returns the commands to send in the response to a heartbeat, and records the run commands among them. */
     List<Command> forHeartbeatResponse(AgentState agent) {
-        List<Command> commands = commands(agent, MAX_IN_RESPONSE);
-        noteStarts(agent, commands);
+        List<Command> commands = planCommands(agent, MAX_COMMANDS_IN_RESPONSE);
+        recordRuns(agent, commands);
         return commands;
     }
 
@@ -41,14 +41,14 @@
      * the response to the next heartbeat.
      */
     List<Command> forDirectCall(AgentState agent) {
-        List<Command> commands = commands(agent, MAX_DIRECT);
+        List<Command> commands = planCommands(agent, MAX_COMMANDS_IN_DIRECT_CALL);
         commands.removeIf(command -> command.op() == Command.Op.FORGET);
-        noteStarts(agent, commands);
-        noteDirectStarts(agent, commands);
+        recordRuns(agent, commands);
+        recordDirectRuns(agent, commands);
         return commands;
     }
 
-    private List<Command> commands(AgentState agent, int maxCommands) {
+    private List<Command> planCommands(AgentState agent, int maxCommands) {
         List<Command> commands = new ArrayList<>();
         Heartbeat heartbeat = agent.heartbeat();
         if (heartbeat == null || clusterState.machine(agent.machine()) == null) {
@@ -74,31 +74,31 @@
 
     /** Returns the command for an attempt that the agent reports, or null if it needs none. */
     private Command commandFor(AgentState agent, Heartbeat.AttemptStatus status, Claim claim) {
-        boolean held = claim != null
+        boolean claimHeld = claim != null
                 && claim.attempt() == status.attempt()
                 && claim.incarnation() == agent.heartbeat().incarnation();
         if (status.state() == Heartbeat.State.EXITED) {
-            return held ? null : forget(agent, status);
+            return claimHeld ? null : planForget(agent, status);
         }
-        if (!held) {
+        if (!claimHeld) {
             return new Command(Command.Op.STOP, status.task(), status.attempt(), Duration.ZERO);
         }
-        return stop(agent, status, claim);
+        return planStop(agent, status, claim);
     }
 
     /**
      * Returns a forget command and raises the fencing token above that of all direct run commands. Otherwise a delayed run
      * command could restart the attempt on an agent that has forgotten it.
      */
-    private static Command forget(AgentState agent, Heartbeat.AttemptStatus status) {
+    private static Command planForget(AgentState agent, Heartbeat.AttemptStatus status) {
         agent.raiseFencingTokenAfterDirectRun();
         return new Command(Command.Op.FORGET, status.task(), status.attempt(), Duration.ZERO);
     }
 
-    private Command stop(AgentState agent, Heartbeat.AttemptStatus status, Claim claim) {
-        AttemptState attempt = agent.attempt(claim.task(), claim.attempt());
+    private Command planStop(AgentState agent, Heartbeat.AttemptStatus status, Claim claim) {
+        AttemptState attempt = agent.getOrCreateAttempt(claim.task(), claim.attempt());
         if (clusterState.isCancelled(claim)) {
-            attempt.stop(StopReason.CANCELLED);
+            attempt.markToStop(StopReason.CANCELLED);
         }
         boolean cancelled = attempt.isToStop(StopReason.CANCELLED);
         if (!attempt.isToStop() || (status.state() == Heartbeat.State.CHECKPOINTING && !cancelled)) {
@@ -112,34 +112,34 @@
 
     private void addRunCommands(AgentState agent, Iterable<Claim> claims, int maxCommands, List<Command> commands) {
         for (Claim claim : claims) {
-            if (commands.size() < maxCommands && mustStart(agent, claim)) {
+            if (commands.size() < maxCommands && needsRunCommand(agent, claim)) {
                 commands.add(new Command(Command.Op.RUN, claim.task(), claim.attempt(), Duration.ZERO));
             }
         }
     }
 
-    private boolean mustStart(AgentState agent, Claim claim) {
-        AttemptState attempt = agent.attempt(claim.task(), claim.attempt());
+    private boolean needsRunCommand(AgentState agent, Claim claim) {
+        AttemptState attempt = agent.getOrCreateAttempt(claim.task(), claim.attempt());
         return claim.incarnation() == agent.heartbeat().incarnation()
-                && !attempt.isShown()
+                && !attempt.isReported()
                 && !attempt.isToStop()
                 && !clusterState.isCancelled(claim)
                 && !outcomes.contains(claim)
                 && agent.heartbeat().find(claim.task(), claim.attempt()) == null;
     }
 
-    private void noteStarts(AgentState agent, List<Command> commands) {
+    private void recordRuns(AgentState agent, List<Command> commands) {
         for (Command command : commands) {
             if (command.op() == Command.Op.RUN) {
-                agent.attempt(command.task(), command.attempt()).runSent(context.loop());
+                agent.getOrCreateAttempt(command.task(), command.attempt()).recordRun(context.loop());
             }
         }
     }
 
-    private static void noteDirectStarts(AgentState agent, List<Command> commands) {
+    private static void recordDirectRuns(AgentState agent, List<Command> commands) {
         for (Command command : commands) {
             if (command.op() == Command.Op.RUN) {
-                agent.runSentDirectly(agent.attempt(command.task(), command.attempt()));
+                agent.recordDirectRun(agent.getOrCreateAttempt(command.task(), command.attempt()));
             }
         }
     }
--- a/src/main/java/org/havenford/coordination/agents/DirectCommandSender.java
+++ b/src/main/java/org/havenford/coordination/agents/DirectCommandSender.java
@@ -14,19 +14,19 @@
 /** Sends commands to agents without waiting for their next heartbeats, and processes the heartbeats in the replies. */
 final class DirectCommandSender {
     private static final Logger LOG = LoggerFactory.getLogger(DirectCommandSender.class);
-    private static final int EXECUTED = 200;
+    private static final int STATUS_EXECUTED = 200;
     /** Status with which an agent that has seen a higher fencing token or has another incarnation rejects the commands. */
-    private static final int REFUSED = 409;
+    private static final int STATUS_REJECTED = 409;
 
     private static final Duration TIMEOUT = Duration.ofSeconds(3);
     /** Minimum delay between two direct calls to the same agent. */
     private static final Duration DELAY_AFTER_REPLY = Duration.ofMillis(20);
 
-    private static final Duration DELAY_AFTER_REFUSAL = Duration.ofMillis(500);
+    private static final Duration DELAY_AFTER_REJECTION = Duration.ofMillis(500);
     /** Delay after a failed call; there is no hurry, because the response to the next heartbeat has the same commands. */
     private static final Duration DELAY_AFTER_FAILURE = Duration.ofSeconds(3);
     /** Heartbeat intervals without a heartbeat after which an agent counts as unreachable and is not called. */
-    private static final int REACHABLE_INTERVALS = 3;
+    private static final int MAX_SILENT_INTERVALS = 3;
 
     private final AgentContext context;
     private final HttpCalls calls;
@@ -34,7 +34,7 @@
     private final CommandPlanner planner;
     private final HeartbeatIntake intake;
     private final AgentListener listener;
-    private final Duration reachable;
+    private final Duration maxSilence;
 
     DirectCommandSender(
             AgentContext context,
@@ -49,7 +49,7 @@
         this.planner = planner;
         this.intake = intake;
         this.listener = listener;
-        this.reachable = context.settings().heartbeatInterval().multipliedBy(REACHABLE_INTERVALS);
+        this.maxSilence = context.settings().heartbeatInterval().multipliedBy(MAX_SILENT_INTERVALS);
     }
 
     /** Sends an agent the commands that it needs, unless a call is in flight or delayed, or the agent is unreachable. */
@@ -65,11 +65,11 @@
     }
 
     private boolean mayCall(AgentState agent, Instant now) {
-        return agent.mayBeCalled(now) && context.membership().mayAnswerAgents() && agent.hasSignWithin(reachable, now);
+        return agent.mayBeCalled(now) && context.membership().mayAnswerAgents() && agent.wasSeenWithin(maxSilence, now);
     }
 
     /** Sends this owner's fencing token to an agent that was taken over; the reply contains the agent's heartbeat. */
-    void introduce(AgentState agent, AgentContact contact) {
+    void announceOwner(AgentState agent, AgentContact contact) {
         if (!agent.isCallInFlight()) {
             call(agent, contact.endpoint(), Command.direct(agent.fencingToken(), contact.incarnation(), List.of()));
         }
@@ -79,32 +79,32 @@
         agent.callStarted();
         calls.call(endpoint, "POST", "/do", body, TIMEOUT, reply -> {
             agent.callEnded();
-            replied(agent, reply);
+            handleReply(agent, reply);
         });
     }
 
     /** Processes a reply, unless the machine was reassigned since the call, also if it was assigned back afterwards. */
-    private void replied(AgentState agent, HttpCalls.Reply reply) {
+    private void handleReply(AgentState agent, HttpCalls.Reply reply) {
         if (registry.get(agent.machine()) != agent) {
             return;
         }
-        Heartbeat heartbeat = heartbeatIn(agent, reply);
+        Heartbeat heartbeat = readHeartbeat(agent, reply);
         if (heartbeat != null
                 && heartbeat.machine().equals(agent.machine())
                 && heartbeat.newerThan(agent.heartbeat())) {
-            intake.accept(agent, heartbeat, HeartbeatOrigin.COMMAND_REPLY);
+            intake.apply(agent, heartbeat, HeartbeatOrigin.COMMAND_REPLY);
         }
         listener.roundDue();
     }
 
     /** Sets the delay until the next direct call, and returns the heartbeat in the reply, or null if there is none. */
-    private Heartbeat heartbeatIn(AgentState agent, HttpCalls.Reply reply) {
-        boolean refused = reply.status() == REFUSED;
-        if (reply.status() != EXECUTED && !refused) {
+    private Heartbeat readHeartbeat(AgentState agent, HttpCalls.Reply reply) {
+        boolean rejected = reply.status() == STATUS_REJECTED;
+        if (reply.status() != STATUS_EXECUTED && !rejected) {
             agent.delayCalls(context.loop().now().plus(DELAY_AFTER_FAILURE));
             return null;
         }
-        agent.delayCalls(context.loop().now().plus(refused ? DELAY_AFTER_REFUSAL : DELAY_AFTER_REPLY));
+        agent.delayCalls(context.loop().now().plus(rejected ? DELAY_AFTER_REJECTION : DELAY_AFTER_REPLY));
         try {
             Heartbeat heartbeat = Heartbeat.parse(Json.object(reply.body()));
             agent.countCallReply();
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatHandler.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatHandler.java
@@ -36,41 +36,42 @@
         }
         String machine = heartbeat.machine();
         if (!context.owns(machine)) {
-            redirectedAgents.reported(machine, context.loop().now());
+            redirectedAgents.recordHeartbeat(machine, context.loop().now());
             return HeartbeatResponse.redirect(context.membership().owner(machine));
         }
-        redirectedAgents.arrived(machine);
+        redirectedAgents.stopTracking(machine);
         AgentState agent = registry.getOrTakeOver(machine);
-        if (agent.isLateCopy(heartbeat)) {
-            return HeartbeatResponse.LATE_COPY;
+        if (agent.isOutdated(heartbeat)) {
+            return HeartbeatResponse.OUTDATED;
         }
         return accept(agent, heartbeat);
     }
 
     private HeartbeatResponse accept(AgentState agent, Heartbeat heartbeat) {
-        agent.heartbeatArrived(heartbeat, context.loop().now());
+        agent.recordUnsolicitedHeartbeat(heartbeat, context.loop().now());
         List<Command> commands = List.of();
-        // A heartbeat without changes triggers no scheduling round; a thousand machines send hundreds of them per second.
-        boolean news = false;
+        // A heartbeat without changes triggers no scheduling round; a thousand machines send hundreds of them per
+        // second.
+        boolean changed = false;
         if (heartbeat.newerThan(agent.heartbeat())) {
-            news = isNews(agent, heartbeat);
-            agent.countUnanswered(heartbeat);
-            intake.accept(agent, heartbeat, HeartbeatOrigin.AGENT);
+            changed = hasChanges(agent, heartbeat);
+            agent.countMissedResponses(heartbeat);
+            intake.apply(agent, heartbeat, HeartbeatOrigin.UNSOLICITED);
             commands = commandPlanner.forHeartbeatResponse(agent);
-            news |= !commands.isEmpty();
+            changed |= !commands.isEmpty();
         }
         agent.renewLease(context.loop().now());
-        if (news) {
+        if (changed) {
             listener.roundDue();
         }
         return HeartbeatResponse.accepted(agent.fencingToken(), commands);
     }
 
-    private static boolean isNews(AgentState agent, Heartbeat heartbeat) {
-        Heartbeat before = agent.heartbeat();
-        return before == null
+    private static boolean hasChanges(AgentState agent, Heartbeat heartbeat) {
+        Heartbeat previous = agent.heartbeat();
+        return previous == null
                 || agent.condition() != Condition.UP
-                || heartbeat.incarnation() != before.incarnation()
-                || !heartbeat.tasks().equals(before.tasks());
+                || heartbeat.incarnation() != previous.incarnation()
+                || !heartbeat.tasks().equals(previous.tasks());
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatIntake.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatIntake.java
@@ -25,14 +25,14 @@
     }
 
     /** Applies a heartbeat that is newer than the last one of the agent. */
-    void accept(AgentState agent, Heartbeat heartbeat, HeartbeatOrigin origin) {
+    void apply(AgentState agent, Heartbeat heartbeat, HeartbeatOrigin origin) {
         changedMachines.add(agent.machine());
         reconciler.reconcile(agent, heartbeat, origin);
-        MachineRecord onRecord = context.clusterState().machine(agent.machine());
-        if (onRecord == null) {
-            adoption.reported(agent, heartbeat);
+        MachineRecord machineRecord = context.clusterState().machine(agent.machine());
+        if (machineRecord == null) {
+            adoption.handleHeartbeat(agent, heartbeat);
         } else {
-            healthMonitor.judge(agent, onRecord, context.loop().now());
+            healthMonitor.updateCondition(agent, machineRecord, context.loop().now());
         }
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
@@ -21,28 +21,31 @@
     private final AttemptOutcomes outcomes;
     private final ImageCacheTracker imageCache;
     private final MachineFaultDetector faultDetector;
-    private final Duration fresh;
+    private final Duration heartbeatFreshness;
 
-    /** Creates a reconciler; for claims younger than {@code fresh}, the start of the attempt counts as observed. */
+    /**
+     * Creates a reconciler. For claims younger than {@code heartbeatFreshness}, the start of a run counts as observed even if
+     * no heartbeat showed the image pull.
+     */
     HeartbeatReconciler(
             AgentContext context,
             AttemptOutcomes outcomes,
             ImageCacheTracker imageCache,
             MachineFaultDetector faultDetector,
-            Duration fresh) {
+            Duration heartbeatFreshness) {
         this.loop = context.loop();
         this.clusterState = context.clusterState();
         this.outcomes = outcomes;
         this.imageCache = imageCache;
         this.faultDetector = faultDetector;
-        this.fresh = fresh;
+        this.heartbeatFreshness = heartbeatFreshness;
     }
 
     /** Stores a new heartbeat and reconciles the claims on its machine with it. */
     void reconcile(AgentState agent, Heartbeat heartbeat, HeartbeatOrigin origin) {
-        agent.reported(heartbeat, loop.now());
+        agent.recordHeartbeat(heartbeat, loop.now());
         if (heartbeat.spotNoticeSeconds() != null && agent.interruptionAt() == null) {
-            agent.interruptionNoticed(loop.now().plusMillis((long) (heartbeat.spotNoticeSeconds() * 1000)));
+            agent.recordInterruptionNotice(loop.now().plusMillis((long) (heartbeat.spotNoticeSeconds() * 1000)));
         }
         for (Claim claim : List.copyOf(clusterState.claimsOn(agent.machine()).values())) {
             reconcile(agent, claim, heartbeat, origin);
@@ -52,10 +55,10 @@
     private void reconcile(AgentState agent, Claim claim, Heartbeat heartbeat, HeartbeatOrigin origin) {
         if (claim.incarnation() < heartbeat.incarnation()) {
             // A later incarnation of the agent has killed and forgotten all attempts of the earlier one.
-            outcomes.end(claim, AttemptOutcome.NotDone.RETRY);
+            outcomes.recordOutcome(claim, AttemptOutcome.NotDone.RETRY);
         } else if (claim.incarnation() == heartbeat.incarnation()) {
             Heartbeat.AttemptStatus status = heartbeat.find(claim.task(), claim.attempt());
-            AttemptState attempt = agent.attempt(claim.task(), claim.attempt());
+            AttemptState attempt = agent.getOrCreateAttempt(claim.task(), claim.attempt());
             if (status == null) {
                 reconcileAbsent(agent, claim, attempt, heartbeat, origin);
             } else {
@@ -67,55 +70,57 @@
     private void reconcileAbsent(
             AgentState agent, Claim claim, AttemptState attempt, Heartbeat heartbeat, HeartbeatOrigin origin) {
         boolean unwanted = attempt.isToStop() || clusterState.isCancelled(claim);
-        if (!attempt.isShown() && !unwanted) {
+        if (!attempt.isReported() && !unwanted) {
             return;
         }
-        // An attempt that is absent from a heartbeat has ended only if no run command for it can still take effect. A run
-        // command in the response to a heartbeat cannot arrive after the agent's next heartbeat; one in a direct call is
+        // An attempt that is absent from a heartbeat has ended only if no run command for it can still take effect. A
+        // run
+        // command in the response to a heartbeat cannot arrive after the agent's next heartbeat; one in a direct call
+        // is
         // rejected once the agent has seen a higher fencing token.
-        if (origin == HeartbeatOrigin.AGENT
+        if (origin == HeartbeatOrigin.UNSOLICITED
                 && heartbeat.fencingToken() >= agent.lowestFencingToken()
                 && attempt.isDirectRunFenced(heartbeat.fencingToken())) {
-            outcomes.end(claim, outcomeOfStopped(attempt));
+            outcomes.recordOutcome(claim, outcomeOfStopped(attempt));
         } else if (!attempt.isDirectRunFenced(agent.fencingToken())) {
             agent.raiseFencingToken();
         }
     }
 
     private void reconcilePresent(AgentState agent, Claim claim, AttemptState attempt, Heartbeat.AttemptStatus status) {
-        attempt.show();
+        attempt.markReported();
         switch (status.state()) {
-            case PULLING_IMAGE -> attempt.pullSeen(loop, claim);
+            case PULLING_IMAGE -> attempt.recordPulling(loop, claim);
             case RUNNING -> {
-                attempt.runSeen(loop, claim, fresh);
-                imageCache.used(agent, clusterState.job(claim.task().job()));
+                attempt.recordRunning(loop, claim, heartbeatFreshness);
+                imageCache.recordUse(agent, clusterState.job(claim.task().job()));
             }
-            case EXITED -> exited(agent, claim, attempt, status.exitCause());
+            case EXITED -> reconcileExited(agent, claim, attempt, status.exitCause());
             default -> {
                 // A checkpointing task still holds its resources.
             }
         }
     }
 
-    private void exited(AgentState agent, Claim claim, AttemptState attempt, String cause) {
+    private void reconcileExited(AgentState agent, Claim claim, AttemptState attempt, String cause) {
         switch (ExitCause.parse(cause)) {
-            case DONE -> done(agent, claim, attempt);
-            case STOPPED -> outcomes.end(claim, outcomeOfStopped(attempt));
+            case DONE -> reconcileDone(agent, claim, attempt);
+            case STOPPED -> outcomes.recordOutcome(claim, outcomeOfStopped(attempt));
             case ERROR -> {
                 LOG.info("task failed: task={} machine={}", claim.task(), agent.machine());
                 agent.avoid(claim.task());
                 faultDetector.failed(agent.machine(), claim.task().job());
-                outcomes.end(claim, AttemptOutcome.NotDone.FAILED);
+                outcomes.recordOutcome(claim, AttemptOutcome.NotDone.FAILED);
             }
             case REFUSED_FOR_NOW -> {
                 logRefused(agent, claim, cause);
-                agent.refuseTasksUntil(loop.now().plus(REFUSAL_BACKOFF));
-                outcomes.end(claim, AttemptOutcome.NotDone.RETRY);
+                agent.withholdTasksUntil(loop.now().plus(REFUSAL_BACKOFF));
+                outcomes.recordOutcome(claim, AttemptOutcome.NotDone.RETRY);
             }
             default -> {
                 // Refused permanently, or exited for an unknown cause.
                 logRefused(agent, claim, cause);
-                outcomes.end(claim, AttemptOutcome.NotDone.FAILED);
+                outcomes.recordOutcome(claim, AttemptOutcome.NotDone.FAILED);
             }
         }
     }
@@ -128,10 +133,10 @@
         return attempt.isToStop(StopReason.STRAGGLER) ? AttemptOutcome.NotDone.STRAGGLER : AttemptOutcome.NotDone.RETRY;
     }
 
-    private void done(AgentState agent, Claim claim, AttemptState attempt) {
-        imageCache.used(agent, clusterState.job(claim.task().job()));
+    private void reconcileDone(AgentState agent, Claim claim, AttemptState attempt) {
+        imageCache.recordUse(agent, clusterState.job(claim.task().job()));
         Duration runDuration = attempt.runDuration(loop);
         faultDetector.succeeded(agent.machine());
-        outcomes.end(claim, new AttemptOutcome.Done(attempt.pullDuration(), runDuration));
+        outcomes.recordOutcome(claim, new AttemptOutcome.Done(attempt.pullDuration(), runDuration));
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatResponse.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatResponse.java
@@ -18,7 +18,7 @@
     static final HeartbeatResponse NOT_READY = new HeartbeatResponse(UNAVAILABLE, "{\"error\":\"not entitled\"}");
 
     /** Sent if the same or a later heartbeat of the agent has been received already. */
-    static final HeartbeatResponse LATE_COPY =
+    static final HeartbeatResponse OUTDATED =
             new HeartbeatResponse(UNAVAILABLE, "{\"error\":\"a later report has been here\"}");
 
     /** Returns the response to an accepted heartbeat, which renews the agent's lease and carries its commands. */
--- a/src/main/java/org/havenford/coordination/agents/ImageCacheTracker.java
+++ b/src/main/java/org/havenford/coordination/agents/ImageCacheTracker.java
@@ -25,15 +25,15 @@
     }
 
     /** Moves the image of a job to the front of a machine's cached images, and drops images that no longer fit. */
-    void used(AgentState agent, Job job) {
-        MachineRecord onRecord = clusterState.machine(agent.machine());
-        if (job == null || onRecord == null) {
+    void recordUse(AgentState agent, Job job) {
+        MachineRecord machineRecord = clusterState.machine(agent.machine());
+        if (job == null || machineRecord == null) {
             return;
         }
         String image = job.spec().image();
         sizesGb.put(image, (Double) job.spec().imageGb());
         if (agent.images() == null) {
-            agent.setImages(onRecord.images());
+            agent.setImages(machineRecord.images());
         }
         List<String> cached = agent.images();
         if (!cached.isEmpty() && cached.get(0).equals(image)) {
@@ -42,12 +42,12 @@
         List<String> latestFirst = new ArrayList<>(cached);
         latestFirst.remove(image);
         latestFirst.add(0, image);
-        MachineType type = clusterState.types().get(onRecord.type());
-        agent.setImages(fitting(latestFirst, type == null ? 0 : type.cacheGb()));
+        MachineType type = clusterState.types().get(machineRecord.type());
+        agent.setImages(selectFitting(latestFirst, type == null ? 0 : type.cacheGb()));
         listener.capacityChanged(agent.machine());
     }
 
-    private List<String> fitting(List<String> latestFirst, double cacheGb) {
+    private List<String> selectFitting(List<String> latestFirst, double cacheGb) {
         double freeGb = cacheGb;
         List<String> kept = new ArrayList<>();
         for (String image : latestFirst) {
--- a/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
@@ -41,8 +41,8 @@
     private final StoreClient store;
     private final Membership membership;
     private final String node;
-    private final Map<String, Heartbeat> found = new LinkedHashMap<>();
-    private long batches;
+    private final Map<String, Heartbeat> pending = new LinkedHashMap<>();
+    private long batchCount;
 
     MachineAdoption(AgentContext context) {
         this.loop = context.loop();
@@ -57,32 +57,34 @@
      * Handles a heartbeat from a machine without a record. While instance requests are open, adoption is postponed, because a
      * machine that was just rented gets its record when its request is answered.
      */
-    void reported(AgentState agent, Heartbeat heartbeat) {
+    void handleHeartbeat(AgentState agent, Heartbeat heartbeat) {
         Instant now = loop.now();
-        Instant unknownSince = agent.unknownSince(now);
-        boolean requestsOpen =
-                !clusterState.instanceRequests().isEmpty() && now.isBefore(unknownSince.plus(INSTANCE_REQUEST_TIMEOUT));
-        if (requestsOpen || found.containsKey(agent.machine())) {
+        Instant unrecordedSince = agent.unrecordedSince(now);
+        boolean requestsOpen = !clusterState.instanceRequests().isEmpty()
+                && now.isBefore(unrecordedSince.plus(INSTANCE_REQUEST_TIMEOUT));
+        if (requestsOpen || pending.containsKey(agent.machine())) {
             return;
         }
         LOG.info("adopting unrecorded machine: machine={}", agent.machine());
-        if (found.isEmpty()) {
-            loop.after(BATCH_DELAY, this::writeFound);
+        if (pending.isEmpty()) {
+            loop.after(BATCH_DELAY, this::writePending);
         }
-        found.put(agent.machine(), heartbeat);
+        pending.put(agent.machine(), heartbeat);
     }
 
-    private void writeFound() {
-        Map<String, List<Heartbeat>> alike = new TreeMap<>();
-        for (Heartbeat heartbeat : found.values()) {
+    private void writePending() {
+        Map<String, List<Heartbeat>> heartbeatsByKind = new TreeMap<>();
+        for (Heartbeat heartbeat : pending.values()) {
             boolean owned = node.equals(membership.owner(heartbeat.machine()));
             if (owned && clusterState.machine(heartbeat.machine()) == null) {
                 Kind kind = new Kind(heartbeat.type(), heartbeat.zone(), heartbeat.spot());
-                alike.computeIfAbsent(kind.toString(), k -> new ArrayList<>()).add(heartbeat);
+                heartbeatsByKind
+                        .computeIfAbsent(kind.toString(), k -> new ArrayList<>())
+                        .add(heartbeat);
             }
         }
-        found.clear();
-        for (List<Heartbeat> heartbeats : alike.values()) {
+        pending.clear();
+        for (List<Heartbeat> heartbeats : heartbeatsByKind.values()) {
             for (List<Heartbeat> batch : Lists.partition(heartbeats, MachineBatch.MAX_MACHINES)) {
                 writeBatch(batch);
             }
@@ -94,7 +96,7 @@
         if (incarnation == null) {
             return;
         }
-        String name = "a-" + node + "-" + incarnation + "-" + ++batches;
+        String name = "a-" + node + "-" + incarnation + "-" + ++batchCount;
         Heartbeat first = heartbeats.get(0);
         List<String> machines = heartbeats.stream().map(Heartbeat::machine).toList();
         MachineBatch batch =
--- a/src/main/java/org/havenford/coordination/agents/MachineFaultDetector.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineFaultDetector.java
@@ -16,14 +16,14 @@
  */
 public final class MachineFaultDetector {
     /** Number of jobs known to work that must fail on a machine, with no success in between, for it to count as faulty. */
-    private static final int MIN_PROVING_JOBS = 2;
+    private static final int MIN_WORKING_JOBS = 2;
 
     /** Jobs with tasks that failed on one machine since the last success on it. */
     private static final class Failures {
         /** Jobs that had not ended yet; their progress shows whether they work on other machines. */
         private final Set<String> unfinished = new HashSet<>();
         /** Jobs that completed since. */
-        private final Set<String> done = new HashSet<>();
+        private final Set<String> completed = new HashSet<>();
     }
 
     private final ClusterState clusterState;
@@ -45,33 +45,33 @@
     }
 
     /** Records the end of a job, given its last state. A job that was cancelled is no evidence for or against machines. */
-    public void jobEnded(Job last) {
+    public void jobEnded(Job lastState) {
         for (Failures failures : byMachine.values()) {
-            if (failures.unfinished.remove(last.id()) && !last.cancelled()) {
-                failures.done.add(last.id());
+            if (failures.unfinished.remove(lastState.id()) && !lastState.cancelled()) {
+                failures.completed.add(lastState.id());
             }
         }
     }
 
     /** Drops the failures of all machines but the given ones. */
-    void keepOnly(Set<String> machines) {
+    void retainMachines(Set<String> machines) {
         byMachine.keySet().retainAll(machines);
     }
 
     /** Returns whether several jobs that are known to work have failed on a machine. */
     public boolean isFaulty(String machine) {
         Failures failures = byMachine.get(machine);
-        return failures != null && provingJobs(failures).size() >= MIN_PROVING_JOBS;
+        return failures != null && workingJobs(failures).size() >= MIN_WORKING_JOBS;
     }
 
-    private List<String> provingJobs(Failures failures) {
-        List<String> proving = new ArrayList<>(failures.done);
+    private List<String> workingJobs(Failures failures) {
+        List<String> working = new ArrayList<>(failures.completed);
         for (String id : failures.unfinished) {
             Job job = clusterState.job(id);
             if (job != null && job.doneCount() > 0) {
-                proving.add(id);
+                working.add(id);
             }
         }
-        return proving;
+        return working;
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/MachineHealthMonitor.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineHealthMonitor.java
@@ -16,67 +16,68 @@
      * Extra time before a machine whose agent has not reported to this controller counts as silent. An agent that has lost
      * its controller tries the others in turn, and no silent status should be stored for it meanwhile.
      */
-    private static final Duration SEARCH_TIME = Duration.ofSeconds(10);
+    private static final Duration OWNER_SEARCH_TIME = Duration.ofSeconds(10);
 
     private final AgentListener listener;
     private final MachineFaultDetector faultDetector;
     /** Maximum age of a heartbeat that counts as current. Precomputed, because each round compares it for each machine. */
-    private final Duration fresh;
+    private final Duration heartbeatFreshness;
 
     /** Time without a heartbeat after which a machine that has reported counts as silent. */
-    private final Duration silent;
+    private final Duration silenceThreshold;
 
     /** Creates a monitor; {@code listener} is notified of each machine whose condition has changed. */
     MachineHealthMonitor(PlatformSettings settings, MachineFaultDetector faultDetector, AgentListener listener) {
         this.faultDetector = faultDetector;
         this.listener = listener;
-        this.fresh = settings.heartbeatInterval().multipliedBy(2);
-        this.silent = settings.heartbeatInterval().multipliedBy(5).dividedBy(2);
+        this.heartbeatFreshness = settings.heartbeatInterval().multipliedBy(2);
+        this.silenceThreshold = settings.heartbeatInterval().multipliedBy(5).dividedBy(2);
     }
 
     /** Returns the maximum age of a heartbeat that counts as current. */
-    Duration fresh() {
-        return fresh;
+    Duration heartbeatFreshness() {
+        return heartbeatFreshness;
     }
 
     /** Returns whether a machine can take new tasks. */
-    boolean usable(AgentState agent, Instant now) {
-        // Replies to direct calls do not renew the agent's lease, so tasks started on a machine that only replies would be
+    boolean canTakeTasks(AgentState agent, Instant now) {
+        // Replies to direct calls do not renew the agent's lease, so tasks started on a machine that only replies would
+        // be
         // killed when its lease expires. Covered by mute-machine.trace.
         return agent.hasReported()
                 && agent.interruptionAt() == null
-                && !agent.refusesTasks(now)
-                && agent.hasHeartbeatWithin(fresh, now);
+                && !agent.withholdsTasks(now)
+                && agent.hasHeartbeatWithin(heartbeatFreshness, now);
     }
 
     /** Updates the condition of a machine and notifies the listener if it has changed. */
-    void judge(AgentState agent, MachineRecord onRecord, Instant now) {
-        Condition condition = conditionOf(agent, onRecord, now);
+    void updateCondition(AgentState agent, MachineRecord machineRecord, Instant now) {
+        Condition condition = determineCondition(agent, machineRecord, now);
         if (condition != agent.condition()) {
             agent.setCondition(condition);
             listener.capacityChanged(agent.machine());
         }
     }
 
-    private Condition conditionOf(AgentState agent, MachineRecord onRecord, Instant now) {
+    private Condition determineCondition(AgentState agent, MachineRecord machineRecord, Instant now) {
         Condition condition = agent.condition();
-        if (agent.hasReported() && agent.hasHeartbeatWithin(fresh, now)) {
-            condition = conditionOfReporting(agent, onRecord);
-        } else if (!agent.hasReported() && onRecord.condition().compareTo(Condition.RETIRING) < 0) {
+        if (agent.hasReported() && agent.hasHeartbeatWithin(heartbeatFreshness, now)) {
+            condition = determineReportingCondition(agent, machineRecord);
+        } else if (!agent.hasReported() && machineRecord.condition().compareTo(Condition.RETIRING) < 0) {
             // The agent has not reported yet: use the condition that the former owner stored.
-            condition = onRecord.condition();
+            condition = machineRecord.condition();
         }
         boolean expected = condition == Condition.UP || condition == Condition.DRAINING;
         return expected && agent.isSilentLongerThan(maxSilence(agent), now) ? Condition.SILENT : condition;
     }
 
-    private Condition conditionOfReporting(AgentState agent, MachineRecord onRecord) {
-        if (agent.isUnanswered()) {
+    private Condition determineReportingCondition(AgentState agent, MachineRecord machineRecord) {
+        if (agent.isMissingResponses()) {
             return Condition.SILENT;
         }
         boolean faulty = faultDetector.isFaulty(agent.machine())
                 || agent.condition() == Condition.FAULTY
-                || contradicts(agent, onRecord);
+                || contradictsRecord(agent, machineRecord);
         if (faulty) {
             return Condition.FAULTY;
         }
@@ -85,7 +86,7 @@
 
     /** Returns how long a machine may go without an unsolicited heartbeat before it counts as silent. */
     private Duration maxSilence(AgentState agent) {
-        return agent.hasReported() ? silent : silent.plus(SEARCH_TIME);
+        return agent.hasReported() ? silenceThreshold : silenceThreshold.plus(OWNER_SEARCH_TIME);
     }
 
     /**
@@ -93,22 +94,22 @@
      * cannot be checked then, so the machine is treated as faulty: it gets no new tasks and is returned to the cloud.
      * Covered by contradicting-record.trace.
      */
-    private static boolean contradicts(AgentState agent, MachineRecord onRecord) {
+    private static boolean contradictsRecord(AgentState agent, MachineRecord machineRecord) {
         Heartbeat heartbeat = agent.heartbeat();
-        boolean same = heartbeat.type().equals(onRecord.type())
-                && heartbeat.zone().equals(onRecord.zone())
-                && heartbeat.spot() == onRecord.spot();
-        if (!same && agent.condition() != Condition.FAULTY) {
+        boolean matches = heartbeat.type().equals(machineRecord.type())
+                && heartbeat.zone().equals(machineRecord.zone())
+                && heartbeat.spot() == machineRecord.spot();
+        if (!matches && agent.condition() != Condition.FAULTY) {
             LOG.error(
                     "machine contradicts its record: machine={} recordType={} recordZone={} recordSpot={} type={} zone={} spot={}",
                     agent.machine(),
-                    onRecord.type(),
-                    onRecord.zone(),
-                    onRecord.spot(),
+                    machineRecord.type(),
+                    machineRecord.zone(),
+                    machineRecord.spot(),
                     heartbeat.type(),
                     heartbeat.zone(),
                     heartbeat.spot());
         }
-        return !same;
+        return !matches;
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineStatusPublisher.java
@@ -25,12 +25,12 @@
 final class MachineStatusPublisher {
     private static final Duration PUBLISH_INTERVAL = Duration.ofSeconds(2);
     /** Interval for keys where only cached images have changed, and for all keys while the store is under pressure. */
-    private static final Duration IMAGES_PUBLISH_INTERVAL = Duration.ofSeconds(8);
+    private static final Duration SLOW_PUBLISH_INTERVAL = Duration.ofSeconds(8);
     /** Average number of machines per key above which a key is added; the rest of a key's capacity is left for growth. */
-    private static final int INITIAL_MACHINES = MachineStatuses.MAX_MACHINES * 3 / 4;
+    private static final int TARGET_MACHINES_PER_SHARD = MachineStatuses.MAX_MACHINES * 3 / 4;
 
-    /** The last stored value of one key. */
-    private static final class Part {
+    /** The state of one key, which holds the statuses of some of the machines. */
+    private static final class Shard {
         private Map<String, MachineStatuses.Status> stored;
         private Instant publishedAt;
         private boolean inFlight;
@@ -41,7 +41,7 @@
     private final ClusterState clusterState;
     private final StoreReplica replica;
     private final StoreClient store;
-    private final List<Part> parts = new ArrayList<>();
+    private final List<Shard> shards = new ArrayList<>();
 
     MachineStatusPublisher(AgentContext context) {
         this.loop = context.loop();
@@ -49,78 +49,80 @@
         this.clusterState = context.clusterState();
         this.replica = context.replica();
         this.store = context.store();
-        parts.add(new Part());
+        shards.add(new Shard());
     }
 
     /** Publishes the changed statuses of the given agents' machines. */
     void publish(Iterable<AgentState> agents, Instant now) {
-        List<AgentState> known = new ArrayList<>();
+        List<AgentState> publishable = new ArrayList<>();
         for (AgentState agent : agents) {
             if (agent.condition() != Condition.BOOTING && clusterState.machine(agent.machine()) != null) {
-                known.add(agent);
+                publishable.add(agent);
             }
         }
         // The number of keys never shrinks, so that few machines move to another key.
-        while (parts.size() * INITIAL_MACHINES < known.size()) {
-            parts.add(new Part());
+        while (shards.size() * TARGET_MACHINES_PER_SHARD < publishable.size()) {
+            shards.add(new Shard());
         }
-        List<SortedMap<String, MachineStatuses.Status>> split = split(known);
-        for (int i = 0; i < parts.size(); i++) {
-            publish(i, split.get(i), now);
+        List<SortedMap<String, MachineStatuses.Status>> statusesByShard = divideIntoShards(publishable);
+        for (int i = 0; i < shards.size(); i++) {
+            publish(i, statusesByShard.get(i), now);
         }
     }
 
-    private List<SortedMap<String, MachineStatuses.Status>> split(List<AgentState> agents) {
-        List<SortedMap<String, MachineStatuses.Status>> split = new ArrayList<>();
-        for (int i = 0; i < parts.size(); i++) {
-            split.add(new TreeMap<>());
+    private List<SortedMap<String, MachineStatuses.Status>> divideIntoShards(List<AgentState> agents) {
+        List<SortedMap<String, MachineStatuses.Status>> statusesByShard = new ArrayList<>();
+        for (int i = 0; i < shards.size(); i++) {
+            statusesByShard.add(new TreeMap<>());
         }
         for (AgentState agent : agents) {
-            int part = (agent.machine().hashCode() & Integer.MAX_VALUE) % parts.size();
-            for (int i = 0; i < parts.size() && split.get(part).size() >= MachineStatuses.MAX_MACHINES; i++) {
-                part = (part + 1) % parts.size();
+            int shard = (agent.machine().hashCode() & Integer.MAX_VALUE) % shards.size();
+            for (int i = 0;
+                    i < shards.size() && statusesByShard.get(shard).size() >= MachineStatuses.MAX_MACHINES;
+                    i++) {
+                shard = (shard + 1) % shards.size();
             }
             List<String> images = agent.images() == null
                     ? clusterState.machine(agent.machine()).images()
                     : agent.images();
-            split.get(part).put(agent.machine(), new MachineStatuses.Status(agent.condition(), images));
+            statusesByShard.get(shard).put(agent.machine(), new MachineStatuses.Status(agent.condition(), images));
         }
-        return split;
+        return statusesByShard;
     }
 
     private void publish(int index, SortedMap<String, MachineStatuses.Status> statuses, Instant now) {
-        Part part = parts.get(index);
-        if (part.inFlight || statuses.equals(part.stored)) {
+        Shard shard = shards.get(index);
+        if (shard.inFlight || statuses.equals(shard.stored)) {
             return;
         }
-        boolean conditionsChanged = conditionsChanged(statuses, part);
-        Duration interval = conditionsChanged && !store.underPressure() ? PUBLISH_INTERVAL : IMAGES_PUBLISH_INTERVAL;
-        if (part.publishedAt != null && now.isBefore(part.publishedAt.plus(interval))) {
+        boolean conditionsChanged = conditionsChanged(statuses, shard);
+        Duration interval = conditionsChanged && !store.underPressure() ? PUBLISH_INTERVAL : SLOW_PUBLISH_INTERVAL;
+        if (shard.publishedAt != null && now.isBefore(shard.publishedAt.plus(interval))) {
             return;
         }
         MachineStatuses value = new MachineStatuses(loop.timeOfDay(), statuses);
         Transaction transaction = new Transaction()
                 .put(Keys.machineStatuses(settings.node(), index), value.toJson(settings.valueBytes()));
-        part.inFlight = true;
-        part.publishedAt = now;
+        shard.inFlight = true;
+        shard.publishedAt = now;
         CallPriority priority = conditionsChanged ? CallPriority.WORK : CallPriority.SPARE;
         store.commit(transaction, priority, result -> {
-            part.inFlight = false;
+            shard.inFlight = false;
             if (result.ok()) {
-                part.stored = statuses;
+                shard.stored = statuses;
                 replica.applyCommitted(transaction, result.revision());
             }
         });
     }
 
     /** Returns whether a condition is new or has changed. Machines that are gone are ignored, as their records show it. */
-    private static boolean conditionsChanged(Map<String, MachineStatuses.Status> statuses, Part part) {
-        if (part.stored == null) {
+    private static boolean conditionsChanged(Map<String, MachineStatuses.Status> statuses, Shard shard) {
+        if (shard.stored == null) {
             return true;
         }
         for (Map.Entry<String, MachineStatuses.Status> entry : statuses.entrySet()) {
-            MachineStatuses.Status before = part.stored.get(entry.getKey());
-            if (before == null || before.condition() != entry.getValue().condition()) {
+            MachineStatuses.Status previous = shard.stored.get(entry.getKey());
+            if (previous == null || previous.condition() != entry.getValue().condition()) {
                 return true;
             }
         }
--- a/src/main/java/org/havenford/coordination/agents/ReachabilityProbe.java
+++ b/src/main/java/org/havenford/coordination/agents/ReachabilityProbe.java
@@ -22,11 +22,11 @@
     private final ClusterState clusterState;
     private final Membership membership;
     private final String node;
-    private final List<FormerAgent> agents = new ArrayList<>();
+    private final List<FormerAgent> formerAgents = new ArrayList<>();
     /** When the next probe is due; null before the first. */
     private Instant nextProbe;
 
-    private int repliesInRow;
+    private int consecutiveReplies;
 
     ReachabilityProbe(AgentContext context, HttpCalls calls) {
         this.calls = calls;
@@ -40,9 +40,9 @@
      * cordoned; {@code wasCordoned} tells whether the previous view had cordoned it.
      */
     void viewChanged(boolean wasCordoned) {
-        repliesInRow = 0;
+        consecutiveReplies = 0;
         if (!wasCordoned || !isCordoned()) {
-            agents.clear();
+            formerAgents.clear();
         }
     }
 
@@ -51,9 +51,9 @@
     }
 
     /** Records an agent whose machine was reassigned to another owner, as a candidate for probes. */
-    void lost(AgentState agent) {
-        if (agent.hasReported() && agents.size() < MAX_AGENTS) {
-            agents.add(new FormerAgent(agent.machine(), agent.heartbeat().endpoint()));
+    void addFormerAgent(AgentState agent) {
+        if (agent.hasReported() && formerAgents.size() < MAX_AGENTS) {
+            formerAgents.add(new FormerAgent(agent.machine(), agent.heartbeat().endpoint()));
         }
     }
 
@@ -65,18 +65,18 @@
         nextProbe = now.plus(PROBE_INTERVAL);
         // A machine that is gone never replies; waiting for its reply kept a controller cordoned forever. Covered by
         // rests-while-machines-go.trace.
-        agents.removeIf(agent -> clusterState.machine(agent.machine()) == null);
-        if (agents.isEmpty()) {
+        formerAgents.removeIf(agent -> clusterState.machine(agent.machine()) == null);
+        if (formerAgents.isEmpty()) {
             membership.requestUncordon();
         }
-        for (FormerAgent agent : agents) {
-            calls.call(agent.endpoint(), "GET", "/status", null, TIMEOUT, reply -> replied(reply.ok()));
+        for (FormerAgent agent : formerAgents) {
+            calls.call(agent.endpoint(), "GET", "/status", null, TIMEOUT, reply -> recordReply(reply.ok()));
         }
     }
 
-    private void replied(boolean ok) {
-        repliesInRow = ok ? repliesInRow + 1 : 0;
-        if (repliesInRow >= REPLIES_PER_AGENT * agents.size()) {
+    private void recordReply(boolean ok) {
+        consecutiveReplies = ok ? consecutiveReplies + 1 : 0;
+        if (consecutiveReplies >= REPLIES_PER_AGENT * formerAgents.size()) {
             membership.requestUncordon();
         }
     }
--- a/src/main/java/org/havenford/coordination/agents/RedirectedAgents.java
+++ b/src/main/java/org/havenford/coordination/agents/RedirectedAgents.java
@@ -17,48 +17,49 @@
 
     /** How long an agent is tracked after its last misdirected heartbeat. */
     private static final Duration RETENTION = Duration.ofMinutes(1);
-    /** An agent must report here for more than this fraction of its lease, one third, before its machine is reassigned. */
+    /** Divides an agent's lease; an agent must keep reporting here for one third of it before its machine is reassigned. */
     private static final int LEASE_DIVISOR = 3;
 
-    private record Heartbeats(Instant first, Instant last) {}
+    private record HeartbeatSeries(Instant first, Instant last) {}
 
     private final Membership membership;
-    private final Duration patience;
-    private final Map<String, Heartbeats> agents = new HashMap<>();
+    private final Duration reassignmentDelay;
+    private final Map<String, HeartbeatSeries> seriesByMachine = new HashMap<>();
 
     RedirectedAgents(Membership membership, Duration agentLease) {
         this.membership = membership;
-        this.patience = agentLease.dividedBy(LEASE_DIVISOR);
+        this.reassignmentDelay = agentLease.dividedBy(LEASE_DIVISOR);
     }
 
     /** Records a heartbeat from a machine that another controller owns, and may request to reassign the machine. */
-    void reported(String machine, Instant now) {
-        Heartbeats before = agents.get(machine);
-        if (before == null || now.isAfter(before.last().plus(MAX_GAP))) {
-            // A single heartbeat is normal: new machines report to any controller, and a change of the view redirects agents.
-            agents.put(machine, new Heartbeats(now, now));
+    void recordHeartbeat(String machine, Instant now) {
+        HeartbeatSeries previous = seriesByMachine.get(machine);
+        if (previous == null || now.isAfter(previous.last().plus(MAX_GAP))) {
+            // A single heartbeat is normal: new machines report to any controller, and a change of the view redirects
+            // agents.
+            seriesByMachine.put(machine, new HeartbeatSeries(now, now));
             return;
         }
-        agents.put(machine, new Heartbeats(before.first(), now));
+        seriesByMachine.put(machine, new HeartbeatSeries(previous.first(), now));
         membership.recordMisdirectedHeartbeat(machine, membership.owner(machine));
-        if (now.isAfter(before.first().plus(patience))) {
+        if (now.isAfter(previous.first().plus(reassignmentDelay))) {
             membership.requestReassignment(machine);
-            agents.remove(machine);
+            seriesByMachine.remove(machine);
         }
     }
 
     /** Stops tracking the agent of a machine that this controller owns. */
-    void arrived(String machine) {
-        agents.remove(machine);
+    void stopTracking(String machine) {
+        seriesByMachine.remove(machine);
     }
 
     /** Discards all series after a pause of this process: later heartbeats do not continue the earlier ones. */
     void processPaused() {
-        agents.clear();
+        seriesByMachine.clear();
     }
 
     /** Stops tracking agents whose last misdirected heartbeat is older than the retention time. */
-    void forgetOld(Instant now) {
-        agents.values().removeIf(heartbeats -> now.isAfter(heartbeats.last().plus(RETENTION)));
+    void removeExpired(Instant now) {
+        seriesByMachine.values().removeIf(series -> now.isAfter(series.last().plus(RETENTION)));
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/StragglerDetector.java
+++ b/src/main/java/org/havenford/coordination/agents/StragglerDetector.java
@@ -17,12 +17,12 @@
     }
 
     /** Estimates the duration of a task that pulls its image: the longer of elapsed and median pull, plus the median run. */
-    public static Duration estimatePulling(Duration elapsed, Duration medianPull, Duration medianRun) {
+    public static Duration estimateWhilePulling(Duration elapsed, Duration medianPull, Duration medianRun) {
         return longer(elapsed, medianPull).plus(medianRun);
     }
 
     /** Estimates the duration of a running task: its actual pull, plus the longer of elapsed and median run. */
-    public static Duration estimateRunning(Duration pull, Duration elapsed, Duration medianRun) {
+    public static Duration estimateWhileRunning(Duration pull, Duration elapsed, Duration medianRun) {
         return pull.plus(longer(elapsed, medianRun));
     }
 
--- a/src/main/java/org/havenford/coordination/agents/TaskStopper.java
+++ b/src/main/java/org/havenford/coordination/agents/TaskStopper.java
@@ -17,7 +17,7 @@
 final class TaskStopper {
     private static final Logger LOG = LoggerFactory.getLogger(TaskStopper.class);
     /** An attempt is not drained if its estimated remaining time is at most this multiple of the time left. */
-    private static final double ESTIMATE_MARGIN = 1.3;
+    private static final double REMAINING_TIME_TOLERANCE = 1.3;
 
     private final ClusterState clusterState;
     private final OperatorSettings operatorSettings;
@@ -41,12 +41,12 @@
         if (!agent.hasReported() || claim.incarnation() != agent.incarnation()) {
             return false;
         }
-        AttemptState attempt = agent.attempt(claim.task(), claim.attempt());
-        if (!attempt.isShown() || attempt.isToStop()) {
+        AttemptState attempt = agent.getOrCreateAttempt(claim.task(), claim.attempt());
+        if (!attempt.isReported() || attempt.isToStop()) {
             return false;
         }
         LOG.info("preempting task: task={} machine={}", claim.task(), claim.machine());
-        attempt.stop(StopReason.PREEMPTED);
+        attempt.markToStop(StopReason.PREEMPTED);
         return true;
     }
 
@@ -57,7 +57,7 @@
             return;
         }
         for (Claim claim : clusterState.claimsOn(agent.machine()).values()) {
-            AttemptState attempt = agent.knownAttempt(claim.task(), claim.attempt());
+            AttemptState attempt = agent.findAttempt(claim.task(), claim.attempt());
             Job job = clusterState.job(claim.task().job());
             if (mayBeStraggler(attempt, claim, job)) {
                 stopIfStraggler(claim, attempt, job, now);
@@ -70,9 +70,9 @@
      * straggler, and no task is restarted as one twice.
      */
     private boolean mayBeStraggler(AttemptState attempt, Claim claim, Job job) {
-        boolean pulls = attempt != null && attempt.isPulling() && !attempt.isToStop();
+        boolean pulling = attempt != null && attempt.isPulling() && !attempt.isToStop();
         int task = claim.task().index();
-        return pulls
+        return pulling
                 && job != null
                 && job.doneCount() >= operatorSettings.stragglerMinimumDone()
                 && !job.storedTaskRange(job.taskRangeIndex(task)).wasLate(task);
@@ -85,7 +85,7 @@
             return;
         }
         Duration elapsed = attempt.pullElapsed(now);
-        Duration estimate = StragglerDetector.estimatePulling(elapsed, medianPull, medianRun);
+        Duration estimate = StragglerDetector.estimateWhilePulling(elapsed, medianPull, medianRun);
         double coefficient = StragglerDetector.coefficient(estimate, medianPull.plus(medianRun));
         if (coefficient > operatorSettings.stragglerThreshold()) {
             stragglerStops++;
@@ -97,7 +97,7 @@
                     medianPull,
                     medianRun,
                     coefficient);
-            attempt.stop(StopReason.STRAGGLER);
+            attempt.markToStop(StopReason.STRAGGLER);
         }
     }
 
@@ -106,20 +106,20 @@
         if (agent.interruptionAt() == null) {
             return;
         }
-        Duration left = Duration.between(now, agent.interruptionAt());
+        Duration timeLeft = Duration.between(now, agent.interruptionAt());
         for (Claim claim : clusterState.claimsOn(agent.machine()).values()) {
-            AttemptState attempt = agent.knownAttempt(claim.task(), claim.attempt());
+            AttemptState attempt = agent.findAttempt(claim.task(), claim.attempt());
             Job job = clusterState.job(claim.task().job());
-            boolean goesOn = attempt != null && !attempt.isToStop();
-            if (goesOn && job != null && !endsWithin(left, attempt, job, now)) {
-                attempt.stop(StopReason.DRAINED);
+            boolean continues = attempt != null && !attempt.isToStop();
+            if (continues && job != null && !endsWithin(timeLeft, attempt, job, now)) {
+                attempt.markToStop(StopReason.DRAINED);
             }
         }
     }
 
-    private static boolean endsWithin(Duration left, AttemptState attempt, Job job, Instant now) {
+    private static boolean endsWithin(Duration timeLeft, AttemptState attempt, Job job, Instant now) {
         Duration medianRun = job.medianRun();
         Duration estimate = medianRun == null ? job.spec().estimatedDuration() : medianRun;
-        return estimate.minus(attempt.runElapsed(now)).toMillis() <= left.toMillis() * ESTIMATE_MARGIN;
+        return estimate.minus(attempt.runElapsed(now)).toMillis() <= timeLeft.toMillis() * REMAINING_TIME_TOLERANCE;
     }
 }
--- a/src/test/java/org/havenford/coordination/agents/AgentStateTest.java
+++ b/src/test/java/org/havenford/coordination/agents/AgentStateTest.java
@@ -26,43 +26,43 @@
     }
 
     private void arrive(Heartbeat heartbeat, Instant now) {
-        agent.heartbeatArrived(heartbeat, now);
-        agent.countUnanswered(heartbeat);
-        agent.reported(heartbeat, now);
+        agent.recordUnsolicitedHeartbeat(heartbeat, now);
+        agent.countMissedResponses(heartbeat);
+        agent.recordHeartbeat(heartbeat, now);
     }
 
     @Test
     void aHeartbeatThatIsNoNewerIsALateCopy() {
         arrive(heartbeat(2, 5), START);
-        assertTrue(agent.isLateCopy(heartbeat(2, 5)));
-        assertTrue(agent.isLateCopy(heartbeat(1, 9)));
-        assertFalse(agent.isLateCopy(heartbeat(2, 6)));
-        assertFalse(agent.isLateCopy(heartbeat(3, 0)));
+        assertTrue(agent.isOutdated(heartbeat(2, 5)));
+        assertTrue(agent.isOutdated(heartbeat(1, 9)));
+        assertFalse(agent.isOutdated(heartbeat(2, 6)));
+        assertFalse(agent.isOutdated(heartbeat(3, 0)));
     }
 
     @Test
     void lateCopiesAreKnownFromTheFormerOwner() {
-        agent.takeOver(new AgentContact("host-1", "10.0.0.1:9000", 2, 5, 0));
-        assertTrue(agent.isLateCopy(heartbeat(2, 5)));
-        assertFalse(agent.isLateCopy(heartbeat(2, 6)));
+        agent.restore(new AgentContact("host-1", "10.0.0.1:9000", 2, 5, 0));
+        assertTrue(agent.isOutdated(heartbeat(2, 5)));
+        assertFalse(agent.isOutdated(heartbeat(2, 6)));
     }
 
     @Test
     void aReplyToACommandMayOvertakeAHeartbeat() {
         arrive(heartbeat(1, 1), START);
-        agent.reported(heartbeat(1, 3), START);
-        assertFalse(agent.isLateCopy(heartbeat(1, 2)));
+        agent.recordHeartbeat(heartbeat(1, 3), START);
+        assertFalse(agent.isOutdated(heartbeat(1, 2)));
     }
 
     @Test
     void skippedSequencesShowThatResponsesDoNotArrive() {
         arrive(heartbeat(1, 1), START);
         arrive(heartbeat(1, 3), START);
-        assertFalse(agent.isUnanswered());
+        assertFalse(agent.isMissingResponses());
         arrive(heartbeat(1, 5), START);
-        assertTrue(agent.isUnanswered());
+        assertTrue(agent.isMissingResponses());
         arrive(heartbeat(1, 6), START);
-        assertFalse(agent.isUnanswered());
+        assertFalse(agent.isMissingResponses());
     }
 
     @Test
@@ -72,7 +72,7 @@
             agent.countCallReply();
             arrive(heartbeat(1, 1 + 2L * round), START);
         }
-        assertFalse(agent.isUnanswered());
+        assertFalse(agent.isMissingResponses());
     }
 
     @Test
@@ -89,7 +89,7 @@
 
     @Test
     void anAgentThatOnlyRepliesToCommandsHasNoHeartbeat() {
-        agent.reported(heartbeat(1, 1), START);
+        agent.recordHeartbeat(heartbeat(1, 1), START);
         assertTrue(agent.hasReported());
         assertFalse(agent.hasHeartbeatWithin(Duration.ofDays(1), START));
         assertTrue(agent.isSilentLongerThan(Duration.ofDays(1), START));
@@ -101,8 +101,8 @@
         long first = agent.fencingToken();
         agent.raiseFencingTokenAfterDirectRun();
         assertEquals(first, agent.fencingToken());
-        AttemptState attempt = agent.attempt(TASK, 1);
-        agent.runSentDirectly(attempt);
+        AttemptState attempt = agent.getOrCreateAttempt(TASK, 1);
+        agent.recordDirectRun(attempt);
         assertFalse(attempt.isDirectRunFenced(first));
         agent.raiseFencingTokenAfterDirectRun();
         assertTrue(attempt.isDirectRunFenced(agent.fencingToken()));
@@ -115,13 +115,13 @@
     @Test
     void aLaterIncarnationHasForgottenAllAttempts() {
         arrive(heartbeat(1, 1), START);
-        AttemptState attempt = agent.attempt(TASK, 1);
+        AttemptState attempt = agent.getOrCreateAttempt(TASK, 1);
         arrive(heartbeat(1, 2), START);
-        assertSame(attempt, agent.knownAttempt(TASK, 1));
-        assertNull(agent.knownAttempt(TASK, 2));
+        assertSame(attempt, agent.findAttempt(TASK, 1));
+        assertNull(agent.findAttempt(TASK, 2));
         arrive(heartbeat(2, 0), START);
-        assertNull(agent.knownAttempt(TASK, 1));
-        assertNotSame(attempt, agent.attempt(TASK, 1));
+        assertNull(agent.findAttempt(TASK, 1));
+        assertNotSame(attempt, agent.getOrCreateAttempt(TASK, 1));
     }
 
     @Test
@@ -130,7 +130,7 @@
         agent.startEpoch(1);
         arrive(heartbeat(1, 7), START);
         assertEquals(new AgentContact("host-1", "10.0.0.1:9000", 1, 7, agent.fencingToken()), agent.contact());
-        agent.reported(heartbeat(2, 1), START);
+        agent.recordHeartbeat(heartbeat(2, 1), START);
         assertEquals(new AgentContact("host-1", "10.0.0.1:9000", 2, 0, agent.fencingToken()), agent.contact());
     }
 }
--- a/src/test/java/org/havenford/coordination/agents/StragglerDetectorTest.java
+++ b/src/test/java/org/havenford/coordination/agents/StragglerDetectorTest.java
@@ -14,15 +14,15 @@
      */
     @Test
     void remainingTimeIsEstimatedAsInThePaper() {
-        assertEquals(seconds(742), StragglerDetector.estimateRunning(seconds(342), seconds(20), seconds(400)));
-        assertEquals(seconds(410), StragglerDetector.estimatePulling(seconds(3), seconds(10), seconds(400)));
+        assertEquals(seconds(742), StragglerDetector.estimateWhileRunning(seconds(342), seconds(20), seconds(400)));
+        assertEquals(seconds(410), StragglerDetector.estimateWhilePulling(seconds(3), seconds(10), seconds(400)));
         assertEquals(0.5, StragglerDetector.coefficient(seconds(50), seconds(50)));
         // With medians of 10 s and 30 s, the coefficient exceeds 0.75 once the estimate is more than three times 40 s.
         assertTrue(StragglerDetector.coefficient(
-                        StragglerDetector.estimatePulling(seconds(89), seconds(10), seconds(30)), seconds(40))
+                        StragglerDetector.estimateWhilePulling(seconds(89), seconds(10), seconds(30)), seconds(40))
                 < 0.75);
         assertTrue(StragglerDetector.coefficient(
-                        StragglerDetector.estimatePulling(seconds(91), seconds(10), seconds(30)), seconds(40))
+                        StragglerDetector.estimateWhilePulling(seconds(91), seconds(10), seconds(30)), seconds(40))
                 > 0.75);
     }
 
