--- a/src/test/java/org/havenford/coordination/agents/AgentStateTest.java
+++ b/src/test/java/org/havenford/coordination/agents/AgentStateTest.java
@@ -25,15 +25,15 @@
         return new Heartbeat("host-1", "10.0.0.1:9000", "small", "a", false, incarnation, sequence, 0, null, List.of());
     }
 
-    private void arrive(Heartbeat heartbeat, Instant now) {
+    private void receiveUnsolicited(Heartbeat heartbeat, Instant now) {
         agent.recordUnsolicitedHeartbeat(heartbeat, now);
         agent.countMissedResponses(heartbeat);
         agent.recordHeartbeat(heartbeat, now);
     }
 
     @Test
-    void aHeartbeatThatIsNoNewerIsALateCopy() {
-        arrive(heartbeat(2, 5), START);
+    void aHeartbeatThatIsNoNewerIsOutdated() {
+        receiveUnsolicited(heartbeat(2, 5), START);
         assertTrue(agent.isOutdated(heartbeat(2, 5)));
         assertTrue(agent.isOutdated(heartbeat(1, 9)));
         assertFalse(agent.isOutdated(heartbeat(2, 6)));
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void lateCopiesAreKnownFromTheFormerOwner() {
+    void outdatedHeartbeatsAreDetectedFromTheFormerOwnersContact() {
         agent.restore(new AgentContact("host-1", "10.0.0.1:9000", 2, 5, 0));
         assertTrue(agent.isOutdated(heartbeat(2, 5)));
         assertFalse(agent.isOutdated(heartbeat(2, 6)));
@@ -49,28 +49,28 @@
 
     @Test
     void aReplyToACommandMayOvertakeAHeartbeat() {
-        arrive(heartbeat(1, 1), START);
+        receiveUnsolicited(heartbeat(1, 1), START);
         agent.recordHeartbeat(heartbeat(1, 3), START);
         assertFalse(agent.isOutdated(heartbeat(1, 2)));
     }
 
     @Test
-    void skippedSequencesShowThatResponsesDoNotArrive() {
-        arrive(heartbeat(1, 1), START);
-        arrive(heartbeat(1, 3), START);
+    void skippedSequencesCountAsMissedResponses() {
+        receiveUnsolicited(heartbeat(1, 1), START);
+        receiveUnsolicited(heartbeat(1, 3), START);
         assertFalse(agent.isMissingResponses());
-        arrive(heartbeat(1, 5), START);
+        receiveUnsolicited(heartbeat(1, 5), START);
         assertTrue(agent.isMissingResponses());
-        arrive(heartbeat(1, 6), START);
+        receiveUnsolicited(heartbeat(1, 6), START);
         assertFalse(agent.isMissingResponses());
     }
 
     @Test
-    void repliesToCommandsAreNoSkippedSequences() {
-        arrive(heartbeat(1, 1), START);
+    void repliesToCommandsDoNotCountAsMissedResponses() {
+        receiveUnsolicited(heartbeat(1, 1), START);
         for (int round = 1; round <= 3; round++) {
             agent.countCallReply();
-            arrive(heartbeat(1, 1 + 2L * round), START);
+            receiveUnsolicited(heartbeat(1, 1 + 2L * round), START);
         }
         assertFalse(agent.isMissingResponses());
     }
@@ -78,7 +78,7 @@
     @Test
     void aPauseDoesNotCountAsSilenceOfTheAgent() {
         Duration second = Duration.ofSeconds(1);
-        arrive(heartbeat(1, 1), START);
+        receiveUnsolicited(heartbeat(1, 1), START);
         Instant later = START.plusSeconds(10);
         assertTrue(agent.isSilentLongerThan(second, later));
         agent.processPaused(Duration.ofSeconds(10));
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void anAgentThatOnlyRepliesToCommandsHasNoHeartbeat() {
+    void anAgentThatOnlyRepliesToCommandsHasNoUnsolicitedHeartbeat() {
         agent.recordHeartbeat(heartbeat(1, 1), START);
         assertTrue(agent.hasReported());
         assertFalse(agent.hasHeartbeatWithin(Duration.ofDays(1), START));
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void fencingTokensRiseWithinAnEpochAndWithIt() {
+    void fencingTokensRiseWithinAnEpochAndWithEachNewEpoch() {
         agent.startEpoch(1);
         long first = agent.fencingToken();
         agent.raiseFencingTokenAfterDirectRun();
@@ -113,22 +113,22 @@
     }
 
     @Test
-    void aLaterIncarnationHasForgottenAllAttempts() {
-        arrive(heartbeat(1, 1), START);
+    void aLaterIncarnationClearsAllAttempts() {
+        receiveUnsolicited(heartbeat(1, 1), START);
         AttemptState attempt = agent.getOrCreateAttempt(TASK, 1);
-        arrive(heartbeat(1, 2), START);
+        receiveUnsolicited(heartbeat(1, 2), START);
         assertSame(attempt, agent.findAttempt(TASK, 1));
         assertNull(agent.findAttempt(TASK, 2));
-        arrive(heartbeat(2, 0), START);
+        receiveUnsolicited(heartbeat(2, 0), START);
         assertNull(agent.findAttempt(TASK, 1));
         assertNotSame(attempt, agent.getOrCreateAttempt(TASK, 1));
     }
 
     @Test
-    void aContactNamesTheNewestHeartbeatAndToken() {
+    void aContactHoldsTheNewestSequenceAndToken() {
         assertNull(agent.contact());
         agent.startEpoch(1);
-        arrive(heartbeat(1, 7), START);
+        receiveUnsolicited(heartbeat(1, 7), START);
         assertEquals(new AgentContact("host-1", "10.0.0.1:9000", 1, 7, agent.fencingToken()), agent.contact());
         agent.recordHeartbeat(heartbeat(2, 1), START);
         assertEquals(new AgentContact("host-1", "10.0.0.1:9000", 2, 0, agent.fencingToken()), agent.contact());
--- a/src/test/java/org/havenford/coordination/agents/StragglerDetectorTest.java
+++ b/src/test/java/org/havenford/coordination/agents/StragglerDetectorTest.java
@@ -13,7 +13,7 @@
      * with a median of 400 s.
      */
     @Test
-    void remainingTimeIsEstimatedAsInThePaper() {
+    void durationsAndCoefficientsMatchThePaper() {
         assertEquals(seconds(742), StragglerDetector.estimateWhileRunning(seconds(342), seconds(20), seconds(400)));
         assertEquals(seconds(410), StragglerDetector.estimateWhilePulling(seconds(3), seconds(10), seconds(400)));
         assertEquals(0.5, StragglerDetector.coefficient(seconds(50), seconds(50)));
