--- a/src/main/java/org/havenford/coordination/agents/ChangedMachines.java
+++ b/src/main/java/org/havenford/coordination/agents/ChangedMachines.java
@@ -4,18 +4,18 @@
 import java.util.List;
 import java.util.Set;
 
-/** Machines whose agents may need commands, in the order in which they changed; the periodic sweep adds all. */
+/** Machines whose agents may need commands, in order of change. The periodic sweep adds all that have tasks or claims. */
 final class ChangedMachines {
-    private final Set<String> names = new LinkedHashSet<>();
+    private final Set<String> machines = new LinkedHashSet<>();
 
     void add(String machine) {
-        names.add(machine);
+        machines.add(machine);
     }
 
-    /** The changed machines, which are forgotten here. */
+    /** Removes and returns all machines. */
     List<String> takeAll() {
-        List<String> taken = List.copyOf(names);
-        names.clear();
+        List<String> taken = List.copyOf(machines);
+        machines.clear();
         return taken;
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatHandler.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatHandler.java
@@ -5,7 +5,7 @@
 import org.havenford.protocol.Heartbeat;
 import org.havenford.storage.records.MachineRecord.Condition;
 
-/** Takes heartbeats from the agents and answers them, or redirects agents to the owners of their machines. */
+/** Processes unsolicited heartbeats: responds to those from owned machines and redirects the others to their owners. */
 final class HeartbeatHandler {
     private final AgentContext context;
     private final AgentRegistry registry;
@@ -29,48 +29,49 @@
         this.listener = listener;
     }
 
-    /** Answers a heartbeat that an agent sent by itself. */
+    /** Processes an unsolicited heartbeat and returns the response to it. */
     HeartbeatResponse handle(Heartbeat heartbeat) {
         if (!context.membership().mayAnswerAgents() || !context.replica().loaded()) {
             return HeartbeatResponse.NOT_READY;
         }
         String machine = heartbeat.machine();
         if (!context.owns(machine)) {
-            redirectedAgents.reported(machine, context.loop().now());
+            redirectedAgents.recordHeartbeat(machine, context.loop().now());
             return HeartbeatResponse.redirect(context.membership().owner(machine));
         }
-        redirectedAgents.arrived(machine);
+        redirectedAgents.stopTracking(machine);
         AgentState agent = registry.getOrTakeOver(machine);
-        if (agent.isLateCopy(heartbeat)) {
-            return HeartbeatResponse.LATE_COPY;
+        if (agent.isOutdated(heartbeat)) {
+            return HeartbeatResponse.OUTDATED;
         }
         return accept(agent, heartbeat);
     }
 
     private HeartbeatResponse accept(AgentState agent, Heartbeat heartbeat) {
-        agent.heartbeatArrived(heartbeat, context.loop().now());
+        agent.recordUnsolicitedHeartbeat(heartbeat, context.loop().now());
         List<Command> commands = List.of();
-        // A heartbeat that says nothing new needs no round: of a thousand machines some hundred say so each second.
-        boolean news = false;
+        // A heartbeat without changes triggers no scheduling round; a thousand machines send hundreds of them per
+        // second.
+        boolean changed = false;
         if (heartbeat.newerThan(agent.heartbeat())) {
-            news = isNews(agent, heartbeat);
-            agent.countUnanswered(heartbeat);
-            intake.accept(agent, heartbeat, HeartbeatOrigin.AGENT);
+            changed = hasChanges(agent, heartbeat);
+            agent.countMissedResponses(heartbeat);
+            intake.apply(agent, heartbeat, HeartbeatOrigin.UNSOLICITED);
             commands = commandPlanner.forHeartbeatResponse(agent);
-            news |= !commands.isEmpty();
+            changed |= !commands.isEmpty();
         }
         agent.renewLease(context.loop().now());
-        if (news) {
+        if (changed) {
             listener.roundDue();
         }
         return HeartbeatResponse.accepted(agent.fencingToken(), commands);
     }
 
-    private static boolean isNews(AgentState agent, Heartbeat heartbeat) {
-        Heartbeat before = agent.heartbeat();
-        return before == null
+    private static boolean hasChanges(AgentState agent, Heartbeat heartbeat) {
+        Heartbeat previous = agent.heartbeat();
+        return previous == null
                 || agent.condition() != Condition.UP
-                || heartbeat.incarnation() != before.incarnation()
-                || !heartbeat.tasks().equals(before.tasks());
+                || heartbeat.incarnation() != previous.incarnation()
+                || !heartbeat.tasks().equals(previous.tasks());
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/ReachabilityProbe.java
+++ b/src/main/java/org/havenford/coordination/agents/ReachabilityProbe.java
@@ -8,12 +8,12 @@
 import org.havenford.storage.ClusterState;
 import org.havenford.transport.HttpCalls;
 
-/** While this controller is cordoned, probes some of its former agents periodically, to see whether it reaches them again. */
+/** Probes some former agents periodically while this controller is cordoned, to detect when it can reach them again. */
 final class ReachabilityProbe {
     private static final int MAX_AGENTS = 3;
     private static final Duration PROBE_INTERVAL = Duration.ofSeconds(2);
     private static final Duration TIMEOUT = Duration.ofSeconds(1);
-    /** Replies in a row, for each agent, that show that the agents are reached. */
+    /** Consecutive successful replies per probed agent after which the agents count as reachable. */
     private static final int REPLIES_PER_AGENT = 2;
 
     private record FormerAgent(String machine, String endpoint) {}
@@ -22,11 +22,11 @@
     private final ClusterState clusterState;
     private final Membership membership;
     private final String node;
-    private final List<FormerAgent> agents = new ArrayList<>();
+    private final List<FormerAgent> formerAgents = new ArrayList<>();
     /** When the next probe is due; null before the first. */
     private Instant nextProbe;
 
-    private int repliesInRow;
+    private int consecutiveReplies;
 
     ReachabilityProbe(AgentContext context, HttpCalls calls) {
         this.calls = calls;
@@ -35,11 +35,14 @@
         this.node = context.node();
     }
 
-    /** The view has changed; {@code wasCordoned} says whether this controller was cordoned in the view before. */
+    /**
+     * Restarts the count of replies after a change of the view, and drops the former agents unless this controller remains
+     * cordoned; {@code wasCordoned} tells whether the previous view had cordoned it.
+     */
     void viewChanged(boolean wasCordoned) {
-        repliesInRow = 0;
+        consecutiveReplies = 0;
         if (!wasCordoned || !isCordoned()) {
-            agents.clear();
+            formerAgents.clear();
         }
     }
 
@@ -47,33 +50,33 @@
         return membership.view().cordoned().contains(node);
     }
 
-    /** A machine went to another owner. */
-    void lost(AgentState agent) {
-        if (agent.hasReported() && agents.size() < MAX_AGENTS) {
-            agents.add(new FormerAgent(agent.machine(), agent.heartbeat().endpoint()));
+    /** Records an agent whose machine was reassigned to another owner, as a candidate for probes. */
+    void addFormerAgent(AgentState agent) {
+        if (agent.hasReported() && formerAgents.size() < MAX_AGENTS) {
+            formerAgents.add(new FormerAgent(agent.machine(), agent.heartbeat().endpoint()));
         }
     }
 
-    /** Probes the former agents if that is due; requests the uncordoning if none is left. */
+    /** Probes the former agents if a probe is due, or requests to be uncordoned if none is left. */
     void step(Instant now) {
         if (!isCordoned() || (nextProbe != null && now.isBefore(nextProbe))) {
             return;
         }
         nextProbe = now.plus(PROBE_INTERVAL);
-        // A machine that is gone never replies; waiting for it, a controller stayed cordoned for good.
-        // rests-while-machines-go.trace
-        agents.removeIf(agent -> clusterState.machine(agent.machine()) == null);
-        if (agents.isEmpty()) {
+        // A machine that is gone never replies; waiting for its reply kept a controller cordoned forever. Covered by
+        // rests-while-machines-go.trace.
+        formerAgents.removeIf(agent -> clusterState.machine(agent.machine()) == null);
+        if (formerAgents.isEmpty()) {
             membership.requestUncordon();
         }
-        for (FormerAgent agent : agents) {
-            calls.call(agent.endpoint(), "GET", "/status", null, TIMEOUT, reply -> replied(reply.ok()));
+        for (FormerAgent agent : formerAgents) {
+            calls.call(agent.endpoint(), "GET", "/status", null, TIMEOUT, reply -> recordReply(reply.ok()));
         }
     }
 
-    private void replied(boolean ok) {
-        repliesInRow = ok ? repliesInRow + 1 : 0;
-        if (repliesInRow >= REPLIES_PER_AGENT * agents.size()) {
+    private void recordReply(boolean ok) {
+        consecutiveReplies = ok ? consecutiveReplies + 1 : 0;
+        if (consecutiveReplies >= REPLIES_PER_AGENT * formerAgents.size()) {
             membership.requestUncordon();
         }
     }
--- a/src/main/java/org/havenford/coordination/agents/TaskStopper.java
+++ b/src/main/java/org/havenford/coordination/agents/TaskStopper.java
@@ -11,13 +11,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Marks attempts to be stopped although their claims hold: stragglers, preempted ones, and those that would not end before
- * their spot machine is taken away.
+ * Marks attempts to be stopped although their claims still hold: stragglers, preempted attempts, and attempts that would
+ * not finish before their spot machine is reclaimed.
  */
 final class TaskStopper {
     private static final Logger LOG = LoggerFactory.getLogger(TaskStopper.class);
-    /** Part of the time left on a machine that is about to be taken away by which an estimate may be exceeded. */
-    private static final double ESTIMATE_MARGIN = 1.3;
+    /** An attempt is not drained if its estimated remaining time is at most this multiple of the time left. */
+    private static final double REMAINING_TIME_TOLERANCE = 1.3;
 
     private final ClusterState clusterState;
     private final OperatorSettings operatorSettings;
@@ -28,33 +28,36 @@
         this.operatorSettings = operatorSettings;
     }
 
-    /** How many tasks were stopped as stragglers. */
+    /** Returns how many attempts were marked as stragglers. */
     long stragglerStops() {
         return stragglerStops;
     }
 
-    /** Marks a claim to be preempted; false if it was marked before or the agent has not shown the attempt yet. */
+    /**
+     * Marks a claim to be preempted. Returns false if the attempt is already marked to be stopped or the agent's current
+     * incarnation has not reported it yet.
+     */
     boolean preempt(AgentState agent, Claim claim) {
         if (!agent.hasReported() || claim.incarnation() != agent.incarnation()) {
             return false;
         }
-        AttemptState attempt = agent.attempt(claim.task(), claim.attempt());
-        if (!attempt.isShown() || attempt.isToStop()) {
+        AttemptState attempt = agent.getOrCreateAttempt(claim.task(), claim.attempt());
+        if (!attempt.isReported() || attempt.isToStop()) {
             return false;
         }
         LOG.info("preempting task: task={} machine={}", claim.task(), claim.machine());
-        attempt.stop(StopReason.PREEMPTED);
+        attempt.markToStop(StopReason.PREEMPTED);
         return true;
     }
 
-    /** Marks attempts whose image pull is late against the medians of their job, by the trigger of the paper. */
+    /** Marks attempts whose image pull is slow compared to the medians of their job, as by {@link StragglerDetector}. */
     void stopStragglers(AgentState agent, Instant now) {
         if (agent.isSilentSincePause()) {
-            // The pull may be over: nobody has listened.
+            // The image pull may have finished during the pause, when no heartbeat could be received.
             return;
         }
         for (Claim claim : clusterState.claimsOn(agent.machine()).values()) {
-            AttemptState attempt = agent.knownAttempt(claim.task(), claim.attempt());
+            AttemptState attempt = agent.findAttempt(claim.task(), claim.attempt());
             Job job = clusterState.job(claim.task().job());
             if (mayBeStraggler(attempt, claim, job)) {
                 stopIfStraggler(claim, attempt, job, now);
@@ -62,11 +65,14 @@
         }
     }
 
-    /** A running task goes on: a straggler there is not restarted. */
+    /**
+     * Returns whether an attempt is a candidate for the straggler check. A task that already runs is never restarted as a
+     * straggler, and no task is restarted as one twice.
+     */
     private boolean mayBeStraggler(AttemptState attempt, Claim claim, Job job) {
-        boolean pulls = attempt != null && attempt.isPulling() && !attempt.isToStop();
+        boolean pulling = attempt != null && attempt.isPulling() && !attempt.isToStop();
         int task = claim.task().index();
-        return pulls
+        return pulling
                 && job != null
                 && job.doneCount() >= operatorSettings.stragglerMinimumDone()
                 && !job.storedTaskRange(job.taskRangeIndex(task)).wasLate(task);
@@ -79,7 +85,7 @@
             return;
         }
         Duration elapsed = attempt.pullElapsed(now);
-        Duration estimate = StragglerDetector.estimatePulling(elapsed, medianPull, medianRun);
+        Duration estimate = StragglerDetector.estimateWhilePulling(elapsed, medianPull, medianRun);
         double coefficient = StragglerDetector.coefficient(estimate, medianPull.plus(medianRun));
         if (coefficient > operatorSettings.stragglerThreshold()) {
             stragglerStops++;
@@ -91,29 +97,29 @@
                     medianPull,
                     medianRun,
                     coefficient);
-            attempt.stop(StopReason.STRAGGLER);
+            attempt.markToStop(StopReason.STRAGGLER);
         }
     }
 
-    /** On a machine that is about to be taken away, marks what can't be done in time, so that it starts elsewhere sooner. */
+    /** Marks attempts that cannot finish before the spot interruption, so that they restart on other machines sooner. */
     void drain(AgentState agent, Instant now) {
         if (agent.interruptionAt() == null) {
             return;
         }
-        Duration left = Duration.between(now, agent.interruptionAt());
+        Duration timeLeft = Duration.between(now, agent.interruptionAt());
         for (Claim claim : clusterState.claimsOn(agent.machine()).values()) {
-            AttemptState attempt = agent.knownAttempt(claim.task(), claim.attempt());
+            AttemptState attempt = agent.findAttempt(claim.task(), claim.attempt());
             Job job = clusterState.job(claim.task().job());
-            boolean goesOn = attempt != null && !attempt.isToStop();
-            if (goesOn && job != null && !endsWithin(left, attempt, job, now)) {
-                attempt.stop(StopReason.DRAINED);
+            boolean continues = attempt != null && !attempt.isToStop();
+            if (continues && job != null && !endsWithin(timeLeft, attempt, job, now)) {
+                attempt.markToStop(StopReason.DRAINED);
             }
         }
     }
 
-    private static boolean endsWithin(Duration left, AttemptState attempt, Job job, Instant now) {
+    private static boolean endsWithin(Duration timeLeft, AttemptState attempt, Job job, Instant now) {
         Duration medianRun = job.medianRun();
         Duration estimate = medianRun == null ? job.spec().estimatedDuration() : medianRun;
-        return estimate.minus(attempt.runElapsed(now)).toMillis() <= left.toMillis() * ESTIMATE_MARGIN;
+        return estimate.minus(attempt.runElapsed(now)).toMillis() <= timeLeft.toMillis() * REMAINING_TIME_TOLERANCE;
     }
 }
