--- a/src/main/java/org/havenford/ClassDataSharingWarmUp.java
+++ b/src/main/java/org/havenford/ClassDataSharingWarmUp.java
@@ -11,8 +11,9 @@
 import org.havenford.settings.PlatformSettings;
 
 /**
- * A start without a deployment, for the build: it loads the classes that a start needs, so that the JVM can archive them.
- * The controller takes itself for the state service and the cloud, which answers every call with 404.
+ * Warm-up run for the class-data-sharing archive: starts a controller without a deployment during the build and loads
+ * the classes that a start needs, so that the JVM can archive them. The controller uses its own address as the state
+ * service and the cloud, so every such call is answered with 404.
  */
 final class ClassDataSharingWarmUp {
     private ClassDataSharingWarmUp() {}
@@ -33,7 +34,7 @@
             Thread.sleep(1500);
             return 0;
         } catch (IOException | MalformedMessageException | ReflectiveOperationException e) {
-            System.err.println("havenford: the rehearsal failed: " + e.getMessage());
+            System.err.println("havenford: warm-up run failed: " + e.getMessage());
             return 1;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/org/havenford/Main.java
+++ b/src/main/java/org/havenford/Main.java
@@ -25,13 +25,13 @@
 import picocli.CommandLine.Model.OptionSpec;
 import picocli.CommandLine.ParseResult;
 
-/** The command line. */
+/** Entry point and command line of the controller. */
 public final class Main {
     private static final int FAILED = 1;
 
     private Main() {}
 
-    /** Starts a controller, or does what the options say. */
+    /** Starts a controller, or runs the action that the options select and exits with its code. */
     public static void main(String[] args) {
         logging(System.getenv());
         int code = commandLine().execute(args);
@@ -54,7 +54,7 @@
         System.setProperty("org.jboss.logging.provider", "slf4j");
     }
 
-    /** Options are declared without annotations: reading those by reflection would lengthen every start. */
+    /** Declares the options in code, because reading annotations by reflection would lengthen every start. */
     private static CommandLine commandLine() {
         CommandSpec spec = CommandSpec.create().name("havenford");
         String version = Main.class.getPackage().getImplementationVersion();
@@ -63,19 +63,19 @@
         spec.addOption(OptionSpec.builder("--config")
                 .paramLabel("FILE")
                 .type(Path.class)
-                .description("settings of the platform, JSON")
+                .description("platform settings (JSON), required")
                 .build());
         spec.addOption(OptionSpec.builder("--operator")
                 .paramLabel("FILE")
                 .type(Path.class)
-                .description("settings of the operators, XML (see docs/operations.md)")
+                .description("operator settings (XML), see docs/operations.md")
                 .build());
         spec.addOption(OptionSpec.builder("--rehearse")
                 .type(boolean.class)
                 .arity("0")
                 .hidden(true)
                 .description(
-                        "start, talk to itself for a moment and end; the build archives the classes that this loads")
+                        "start without a deployment, load all classes for the class-data-sharing archive and exit")
                 .build());
         spec.addOption(OptionSpec.builder("-h", "--help")
                 .usageHelp(true)
@@ -100,7 +100,7 @@
         }
         Path file = parsed.matchedOptionValue("--config", (Path) null);
         if (file == null) {
-            System.err.println("havenford: --config is missing");
+            System.err.println("havenford: required option --config FILE is missing");
             CommandLine.usage(parsed.commandSpec(), System.err);
             return 2;
         }
@@ -112,15 +112,15 @@
             serve(settings, operatorSettings);
             return -1;
         } catch (NoSuchFileException e) {
-            return fail("there is no file " + e.getMessage());
+            return fail("settings file does not exist: " + e.getMessage());
         } catch (IOException e) {
-            return fail(e.getMessage());
+            return fail("I/O error at startup: " + e);
         } catch (MalformedMessageException e) {
             return fail(file + ": " + e.getMessage());
         } catch (OperatorSettings.InvalidSettingException e) {
-            return fail("operators' settings: " + e.getMessage());
+            return fail("invalid operator settings: " + e.getMessage());
         } catch (RuntimeException e) {
-            return fail("can't listen on the configured address: " + e.getMessage());
+            return fail("cannot listen on the address of bind or cluster_listen: " + e.getMessage());
         }
     }
 
@@ -130,8 +130,9 @@
     }
 
     /**
-     * Starts the one event-loop thread and builds everything on it. The calling thread only waits: two threads that load
-     * classes at the same time have been seen to crash the process in read() (docs/incidents/start-crash.md).
+     * Starts the single event-loop thread, on which all components are created and started. The calling thread only
+     * waits for it: class loading in two threads at the same time has crashed the process in read(), see
+     * docs/incidents/start-crash.md.
      */
     static void serve(PlatformSettings settings, OperatorSettings operatorSettings) throws IOException {
         XnioWorker worker = Xnio.getInstance()
@@ -157,8 +158,9 @@
     private static void build(XnioWorker worker, PlatformSettings settings, OperatorSettings operatorSettings) {
         XnioLoop loop = new XnioLoop(worker.getIoThread());
         DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8 * 1024, 64, 0);
-        // When the other controllers are down, all workers and users come here: room for them goes before room for
-        // commands of our own, which also reach workers in answers. What the store and the cloud need is kept back.
+        // Inbound connections take precedence over outbound ones: if the other controllers are down, all agents and
+        // users connect to this one, and commands also reach agents in heartbeat responses. Some connections are
+        // reserved for calls to the store and the cloud.
         HttpServer[] server = new HttpServer[1];
         int most = settings.maxConnections();
         int kept = Math.max(20, Math.min(60, most / 20));
--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -44,12 +44,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller: puts the parts together, and tells them of events. All of it happens on the event loop. */
+/** Wires the components of one controller together and dispatches events to them. Everything runs on the event loop. */
 public final class Controller implements HttpServer.Handler {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-    /** Time for an agent to hear of a cancellation, and for clocks that differ. */
+    /** Allowance for delivering a cancellation to an agent and for clock skew. */
     private static final Duration CANCEL_MARGIN = Duration.ofSeconds(6);
-    /** A limit of the membership lease below this is not applied. */
+    /** The limit on the membership lease applies only if it is longer than this. */
     private static final Duration MIN_LEASE_LIMIT = Duration.ofSeconds(2);
 
     private final PlatformSettings settings;
@@ -71,7 +71,7 @@
     private final HttpRouter router;
     private final ControllerStatistics statistics;
 
-    /** Puts a controller together; nothing happens before {@link #start}. */
+    /** Creates a controller, which does nothing until {@link #start} is called. */
     public Controller(
             EventLoop outerLoop, HttpCalls outerCalls, PlatformSettings settings, OperatorSettings operatorSettings) {
         this.settings = settings;
@@ -154,8 +154,9 @@
     }
 
     /**
-     * How long the membership lease lasts. A silent task must be gone within the time for cancellations, even if its owner
-     * can't be reached: an owner cut off may renew the agent's lease until its own ends.
+     * Returns the duration of the membership lease: the operator setting, limited so that a cancelled task stops within
+     * the cancellation limit even if the owner of its machine is cut off from the store. Such an owner may renew the
+     * agent's lease until its own membership lease ends, so both leases and a margin must fit within that limit.
      */
     private static Duration membershipLease(PlatformSettings settings, OperatorSettings operatorSettings) {
         Duration limit =
@@ -170,14 +171,14 @@
         return all;
     }
 
-    /** Begins to read the store, to register, and to decide. */
+    /** Starts to load the replica, to register as a member and to run rounds. */
     public void start() {
         replica.start();
         membership.start();
         roundTimer.start();
     }
 
-    /** What a standby in this process sees of the controller, and may ask of it. */
+    /** Returns the interface through which a standby in this process uses the controller. */
     public StandbyHost standbyHost() {
         return standbyAccess;
     }
@@ -193,8 +194,9 @@
     }
 
     /**
-     * This process was paused while its clocks went on. What it knew before is old: others may have taken over its
-     * membership, its machines and its work. The parts are told before anything that came or was due meanwhile is handled.
+     * Notifies the components that the process was paused while its clocks went on. Their state may be stale: other
+     * controllers may have evicted this member and taken over its machines and jobs. This runs before any event that
+     * arrived or became due during the pause is handled.
      */
     private void processPaused(Duration pause) {
         LOG.warn("process paused, knowledge from before is not acted on: seconds={}", pause.toMillis() / 1e3);
@@ -206,7 +208,7 @@
         standbyAccess.processPaused();
     }
 
-    /** Passes on a new view, and answers what membership decides on. */
+    /** Forwards view changes to the components and provides membership with the number of owned machines. */
     private final class ControllerMembershipListener implements MembershipListener {
         @Override
         public void viewChanged() {
@@ -222,7 +224,7 @@
         }
     }
 
-    /** Passes on what agents have changed. */
+    /** Forwards changes reported by agents to the scheduler and the round timer. */
     private final class AgentObserver implements AgentListener {
         @Override
         public void capacityChanged(String machine) {
@@ -235,7 +237,7 @@
         }
     }
 
-    /** What the controller does in rounds and with each tick. */
+    /** Runs the steps of the components in rounds and at each tick. */
     private final class ControllerWork implements RoundTimer.Work {
         @Override
         public void tickStarted(Duration delay) {
--- a/src/main/java/org/havenford/controller/ControllerStatistics.java
+++ b/src/main/java/org/havenford/controller/ControllerStatistics.java
@@ -13,14 +13,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Durations of a controller's work, logged once a minute together with the summaries of its parts. */
+/** Histograms of a controller's latencies, logged once a minute together with the summaries of its components. */
 final class ControllerStatistics {
     private static final Logger LOG = LoggerFactory.getLogger(ControllerStatistics.class);
     private static final Duration LOG_INTERVAL = Duration.ofSeconds(60);
     private static final long MAX_MICROS = 60_000_000L;
     private static final int SIGNIFICANT_DIGITS = 2;
 
-    /** The summary of a part of the controller since the last one; empty if there is nothing to tell. */
+    /**
+     * A component and the supplier of its summary since the last log; the summary is empty if there is nothing to log.
+     */
     record Section(String name, Supplier<Optional<String>> summary) {}
 
     private final EventLoop loop;
@@ -46,12 +48,12 @@
         this.nextLog = loop.now().plus(LOG_INTERVAL);
     }
 
-    /** Records the time between a request and its answer. */
+    /** Records the time between the arrival of a request and its response. */
     void recordAnswer(Duration duration) {
         record(answerMicros, duration);
     }
 
-    /** Records how late a timer fired. */
+    /** Records the delay of a tick against its due time. */
     void recordTimerDelay(Duration delay) {
         record(timerDelayMicros, delay);
     }
@@ -60,7 +62,7 @@
         histogram.recordValue(Math.max(0, Math.min(MAX_MICROS, duration.toNanos() / 1000)));
     }
 
-    /** Logs what was recorded since the last time, if the interval is over. */
+    /** Logs and resets the statistics if the log interval has passed. */
     void logIfDue() {
         if (loop.now().isBefore(nextLog)) {
             return;
--- a/src/main/java/org/havenford/controller/HealthCheck.java
+++ b/src/main/java/org/havenford/controller/HealthCheck.java
@@ -8,7 +8,10 @@
 import org.havenford.storage.StoreReplica;
 import org.havenford.transport.HttpServer.Response;
 
-/** The readiness check: whether requests can be taken; for operators, the reason if not, and the lost links. */
+/**
+ * The readiness check: reports whether this controller can serve requests and, for operators, the reason if it cannot,
+ * and the lost links.
+ */
 final class HealthCheck {
     private static final int READY_STATUS = 200;
     private static final int NOT_READY_STATUS = 503;
@@ -28,7 +31,7 @@
         this.links = links;
     }
 
-    /** GET /healthz. */
+    /** Handles {@code GET /healthz}. */
     Response check() {
         Optional<String> reason = whyNotReady();
         JsonObject body = new JsonObject();
--- a/src/main/java/org/havenford/controller/HeartbeatEndpoint.java
+++ b/src/main/java/org/havenford/controller/HeartbeatEndpoint.java
@@ -14,7 +14,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Parses the heartbeats of agents and has them handled. */
+/** Parses the heartbeats of agents and passes them to the agent manager. */
 final class HeartbeatEndpoint {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatEndpoint.class);
     private static final Duration WARNING_INTERVAL = Duration.ofSeconds(10);
@@ -23,7 +23,7 @@
     private final EventLoop loop;
     private final LinkMonitor links;
     private final AgentManager agentManager;
-    /** The first warning is due at once. */
+    /** When a warning was last logged; the initial value lets the first warning through. */
     private Instant lastWarning = Instant.MIN;
 
     HeartbeatEndpoint(EventLoop loop, LinkMonitor links, AgentManager agentManager) {
@@ -32,7 +32,7 @@
         this.agentManager = agentManager;
     }
 
-    /** POST /checkin; {@code body} is null when it was too large or incomplete. */
+    /** Handles {@code POST /checkin}; {@code body} is null if it was too large or incomplete. */
     Response handle(byte[] body) {
         links.heartbeatArrived();
         try {
--- a/src/main/java/org/havenford/controller/HttpRouter.java
+++ b/src/main/java/org/havenford/controller/HttpRouter.java
@@ -6,7 +6,7 @@
 import org.havenford.transport.HttpServer.Request;
 import org.havenford.transport.HttpServer.Response;
 
-/** Maps methods and paths to the handlers of a controller. */
+/** Routes requests to the handlers of a controller by method and path. */
 final class HttpRouter implements HttpServer.Handler {
     private static final String GET = "GET";
     private static final String POST = "POST";
@@ -47,7 +47,11 @@
         }
     }
 
-    /** {@code rest} is what follows the prefix of job paths: a job id, or one with the suffix of cancellations. */
+    /**
+     * Handles a request for one job.
+     *
+     * @param rest the path without {@link #JOB_PREFIX}: a job id, followed by {@link #CANCEL_SUFFIX} for a cancellation
+     */
     private void handleJob(Request request, String rest, Consumer<Response> answer) {
         if (request.method().equals(POST) && rest.endsWith(CANCEL_SUFFIX)) {
             jobApi.cancel(rest.substring(0, rest.length() - CANCEL_SUFFIX.length()), answer);
--- a/src/main/java/org/havenford/controller/ReplicaObserver.java
+++ b/src/main/java/org/havenford/controller/ReplicaObserver.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Tells the parts of a controller what has changed in the replica of the store. */
+/** Dispatches changes of the replica to the components of a controller. */
 final class ReplicaObserver implements ClusterState.Observer {
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaObserver.class);
 
--- a/src/main/java/org/havenford/controller/RoundTimer.java
+++ b/src/main/java/org/havenford/controller/RoundTimer.java
@@ -5,34 +5,37 @@
 import org.havenford.transport.EventLoop;
 
 /**
- * Decides when rounds are run: with every tick, and soon after one was requested. What comes in together is decided
- * together, and rounds leave most of the time to answers.
+ * Schedules rounds: one at every tick, and one shortly after a request. Requests that arrive together share a round,
+ * and a pause before each requested round leaves most of the processor time to requests.
  */
 final class RoundTimer {
     private static final Duration TICK = Duration.ofMillis(250);
-    /** How long a requested round waits for more to come in. */
+    /** Delay of a requested round, so that events that arrive together are handled in one round. */
     private static final Duration BATCH_DELAY = Duration.ofMillis(4);
 
     private static final Duration MIN_BETWEEN_ROUNDS = Duration.ofMillis(50);
-    /** Times as long as a round took that the next one waits: with a thousand machines it is answers that use the processor. */
+    /**
+     * Pause before a requested round as a multiple of the duration of the last round. With a thousand machines, most of
+     * the processor time is needed to answer requests.
+     */
     private static final int PAUSE_PER_ROUND_DURATION = 12;
 
-    /** What is run when the timer fires. */
+    /** Callbacks of the timer. */
     interface Work {
-        /** A tick has come, {@code delay} after its time. */
+        /** Called at the start of each tick; {@code delay} is the time since the tick was due. */
         void tickStarted(Duration delay);
 
-        /** Runs one round of decisions. */
+        /** Runs one round. */
         void runRound();
 
-        /** Runs what follows the round of each tick. */
+        /** Runs the periodic work after the round of each tick. */
         void runPeriodicWork();
     }
 
     private final EventLoop loop;
     private final Work work;
     private boolean roundRequested;
-    /** No round is requested before this time; the first may be at once. */
+    /** Earliest time of the next requested round; rounds at ticks ignore it. */
     private Instant pauseUntil = Instant.MIN;
 
     RoundTimer(EventLoop loop, Work work) {
@@ -40,7 +43,7 @@
         this.work = work;
     }
 
-    /** Begins to tick. */
+    /** Starts the ticks. */
     void start() {
         scheduleTick();
     }
@@ -55,7 +58,7 @@
         });
     }
 
-    /** Asks for a round soon. */
+    /** Requests a round after the batch delay, or after the pause that follows the last round if that ends later. */
     void requestRound() {
         if (!roundRequested) {
             roundRequested = true;
--- a/src/main/java/org/havenford/coordination/jobs/CoordinationContext.java
+++ b/src/main/java/org/havenford/coordination/jobs/CoordinationContext.java
@@ -11,7 +11,7 @@
 import org.havenford.storage.records.TaskRange;
 import org.havenford.transport.EventLoop;
 
-/** What scheduling and the job API work with: the replica that decisions are read from, and the ways to the store. */
+/** Shared dependencies of scheduling, provisioning and the job API: settings, membership and access to the store. */
 public record CoordinationContext(
         EventLoop loop,
         PlatformSettings settings,
@@ -19,52 +19,55 @@
         Membership membership,
         FinalStateCache finalStates,
         PipelineMetrics pipelineMetrics) {
-    /** The store allows this many conditions of a transaction for each operation that it allows. */
+    /** Conditions that the store accepts in a transaction, per operation that it accepts. */
     private static final int CONDITIONS_PER_OPERATION = 4;
 
-    /** The typed view of the replica. */
+    /** Returns the typed view of the replica. */
     public ClusterState clusterState() {
         return storeAccess.clusterState();
     }
 
-    /** The replica of the store's keys. */
+    /** Returns the replica of the store's keys. */
     public StoreReplica replica() {
         return storeAccess.replica();
     }
 
-    /** Calls to the store. */
+    /** Returns the client for calls to the store. */
     public StoreClient store() {
         return storeAccess.client();
     }
 
-    /** Transactions that lock the keys they decide on. */
+    /** Returns the writer that locks the keys of a transaction until its outcome is known. */
     public ConditionalWriter writer() {
         return storeAccess.writer();
     }
 
-    /** Name of this controller. */
+    /** Returns this controller's node name. */
     public String node() {
         return settings.node();
     }
 
-    /** The mod revision that our replica holds of a key; 0 where the key does not exist. */
+    /** Returns the mod revision of a key in the replica, or 0 if the replica does not hold the key. */
     public long modRevision(String key) {
         return replica().modRevision(key);
     }
 
-    /** The most conditions that the store accepts in one transaction. */
+    /** Returns the maximum number of conditions in one transaction. */
     int maxConditions() {
         return settings.maxTransactionOperations() * CONDITIONS_PER_OPERATION;
     }
 
-    /** Whether this controller is the one member that is responsible for a job. */
+    /** Returns whether this controller is the one member of the current view that is responsible for a job. */
     boolean isResponsibleFor(Job job) {
         return node().equals(membership.view().rendezvousOwner(job.id()));
     }
 
     /**
-     * The value to store for a task range; null while no form fits. The short form is written once every controller has been
-     * seen to read it.
+     * Encodes a task range for the store. The short form is used only once all controllers are known to read it: either
+     * all of them have registered with a version that does, or the store has already lowered its limits, which happens
+     * only after all controllers were upgraded.
+     *
+     * @return the value to store, or null if no encoding fits the value limit
      */
     public JsonObject toJson(TaskRange taskRange) {
         boolean shortForm = membership.allReadShortForm() || writer().limitsLowered();
--- a/src/main/java/org/havenford/coordination/jobs/DependencyVerifier.java
+++ b/src/main/java/org/havenford/coordination/jobs/DependencyVerifier.java
@@ -13,20 +13,20 @@
 import org.havenford.storage.Transaction;
 import org.havenford.storage.records.Keys;
 
-/** Verifies that each dependency of a submission is an accepted job. */
+/** Verifies that every dependency of a submission is an accepted job. */
 final class DependencyVerifier {
-    /** A job is looked for in two places: its header and its final state. */
+    /** One condition on the header key of a job and one on its final-state key. */
     private static final int CONDITIONS_PER_JOB = 2;
 
-    /** The outcome of a verification. */
+    /** Result of a verification. */
     sealed interface Verification {
-        /** Each dependency was accepted once. */
+        /** Every dependency is an accepted job, which may have ended since. */
         record AllAccepted() implements Verification {}
 
-        /** At least one dependency does not exist; {@code jobId} is the first of those asked for. */
+        /** At least one dependency was never accepted; {@code jobId} names one such dependency. */
         record NeverAccepted(String jobId) implements Verification {}
 
-        /** The store could not be asked. */
+        /** The store returned no usable result. */
         record Unavailable() implements Verification {}
     }
 
@@ -37,15 +37,16 @@
     }
 
     /**
-     * Verifies the dependencies of a submission. Acceptance can't be undone, so it is read and need not be a condition of the
-     * submission. The final states of dependencies that have ended are read as well if they are few: then the job can be
+     * Verifies the dependencies of a submission. An accepted job stays accepted, so the check precedes the submission's
+     * transaction and adds no conditions to it. If at most {@link FinalStateCache#MAX_READS} dependencies are missing
+     * from the replica and the cache, their final states are read as well, so that a job whose dependencies are done is
      * released at once.
      */
     void verify(JobSpec spec, Consumer<Verification> verified) {
         verify(unknownDependencies(spec), spec, verified);
     }
 
-    /** Dependencies that this controller has not seen to be accepted. */
+    /** Returns the dependencies that are neither in the replica nor in the cache of final states. */
     private ArrayDeque<String> unknownDependencies(JobSpec spec) {
         ArrayDeque<String> unknown = new ArrayDeque<>();
         for (String jobId : spec.dependencies()) {
@@ -58,8 +59,9 @@
     }
 
     /**
-     * Many jobs are looked for with one transaction that only compares: a condition that fails names a job that exists. As
-     * the conditions of a transaction hold at one moment, a job that ends meanwhile is not missed.
+     * Checks a batch of jobs with one transaction that has conditions but no operations. Each condition requires that a
+     * key does not exist, so a condition that fails identifies an existing job. All conditions are evaluated at one
+     * revision: a job that ends during the check has either its header or its final state at that revision.
      */
     private void verify(ArrayDeque<String> unknown, JobSpec spec, Consumer<Verification> verified) {
         if (unknown.isEmpty()) {
--- a/src/main/java/org/havenford/coordination/jobs/FinalStateCache.java
+++ b/src/main/java/org/havenford/coordination/jobs/FinalStateCache.java
@@ -20,15 +20,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Cache of the final states of jobs. They are not replicated to the controllers, so they are read from the store when they
- * are needed. A final state never changes, hence a cached one is always right.
+ * Cache of the final states of jobs. Final states are not part of the replica, so they are read from the store on
+ * demand. A final state never changes, so cached entries never become stale.
  */
 public final class FinalStateCache {
     private static final Logger LOG = LoggerFactory.getLogger(FinalStateCache.class);
     private static final int MAX_CACHED = 20_000;
-    /** Reads under way at a time, so that a pipeline with many jobs does not crowd out other calls. */
+    /** Limit of concurrent reads, so that a pipeline with many jobs does not delay other calls to the store. */
     static final int MAX_READS = 8;
-    /** When to read again what was not there, or could not be read. */
+    /** Delay before a final state that was absent or unreadable is read again. */
     private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
     private final EventLoop loop;
@@ -39,24 +39,32 @@
     private final Set<String> readsUnderWay = new HashSet<>();
     private final Map<String, Instant> retryAt = new HashMap<>();
 
-    /** {@code requestRound} is run whenever a read has brought a final state, or may be repeated. */
+    /**
+     * Creates an empty cache.
+     *
+     * @param requestRound requests a scheduling round when a final state was read, and when a failed read may be
+     * repeated
+     */
     public FinalStateCache(EventLoop loop, StoreClient store, Runnable requestRound) {
         this.loop = loop;
         this.store = store;
         this.requestRound = requestRound;
     }
 
-    /** The final state of a job, or null while none is known here: rounds ask once per dependency, so nothing is allocated. */
+    /**
+     * Returns the cached final state of a job, or null. It returns null instead of an {@link Optional} to avoid an
+     * allocation per dependency in every scheduling round.
+     */
     FinalState known(String jobId) {
         return cache.getIfPresent(jobId);
     }
 
-    /** Adds a final state that was learnt from the store in another way. */
+    /** Adds a final state that this controller has committed. */
     void put(String jobId, FinalState state) {
         cache.put(jobId, state);
     }
 
-    /** Parses and caches the final state that the store has returned; empty if it can't be parsed. */
+    /** Parses a final state returned by the store and adds it to the cache; returns empty if it cannot be parsed. */
     Optional<FinalState> parse(String jobId, StoreResult result) {
         try {
             FinalState state = FinalState.parse(result.value());
@@ -68,7 +76,10 @@
         }
     }
 
-    /** Starts to read a final state, unless a read is under way, was made a moment ago, or too many others are. */
+    /**
+     * Starts to read a final state from the store, unless a read of it is in flight, the retry delay after a failed
+     * read has not passed, or {@link #MAX_READS} reads are in flight.
+     */
     void read(String jobId) {
         Instant now = loop.now();
         if (readsUnderWay.size() >= MAX_READS
@@ -83,7 +94,7 @@
                 requestRound.run();
                 return;
             }
-            // Absent: the job is one whose header our replica has yet to show.
+            // A missing final state means that the job has not ended and its header has yet to reach the replica.
             retryLater(jobId);
         });
     }
--- a/src/main/java/org/havenford/coordination/jobs/JobApi.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobApi.java
@@ -14,11 +14,11 @@
 import org.havenford.storage.records.Keys;
 import org.havenford.transport.HttpServer.Response;
 
-/** The job API: submissions, queries and cancellations. All of them are idempotent requests. */
+/** Handlers of the job API: submissions, queries and cancellations. All requests are idempotent. */
 public final class JobApi {
-    /** Calls for users that may wait for the store's limits; what comes on top is refused at once. */
+    /** Queued store calls of user requests above which further requests are rejected, to be retried by the client. */
     private static final int MAX_QUEUED = 60;
-    /** Attempts at a cancellation whose header is changed by others meanwhile. */
+    /** Attempts at a cancellation if concurrent changes of the header cause conflicts. */
     private static final int CANCEL_ATTEMPTS = 3;
 
     private final CoordinationContext context;
@@ -26,7 +26,7 @@
     private final JobSubmissions submissions;
     private final Runnable requestRound;
 
-    /** The handlers of the job API; {@code requestRound} asks for a scheduling round. */
+    /** Creates the handlers; {@code requestRound} requests a scheduling round. */
     public JobApi(CoordinationContext context, JobDependencies dependencies, Runnable requestRound) {
         this.context = context;
         this.queries = new JobQueries(context, dependencies);
@@ -34,12 +34,15 @@
         this.requestRound = requestRound;
     }
 
-    /** Whether requests are refused at once: the store is not to be reached, or more is waiting than can be done in time. */
+    /**
+     * Returns whether requests have to be rejected at once: the replica is not loaded, or more store calls are queued
+     * than can be made before they time out.
+     */
     private boolean overloaded() {
         return !context.replica().loaded() || context.store().queued(CallPriority.USER) > MAX_QUEUED;
     }
 
-    /** POST /submissions; {@code body} is null when it was too large or incomplete. */
+    /** Handles {@code POST /submissions}; {@code body} is null if it was too large or incomplete. */
     public void submit(byte[] body, Consumer<Response> answer) {
         if (body == null) {
             answer.accept(
@@ -67,7 +70,7 @@
         }
     }
 
-    /** GET /submissions/{id}. */
+    /** Handles {@code GET /submissions/ID}. */
     public void get(String jobId, Consumer<Response> answer) {
         if (!JobSpec.validId(jobId)) {
             answer.accept(JobApiResponses.unknownJob());
@@ -78,7 +81,7 @@
         }
     }
 
-    /** POST /submissions/{id}/abort. */
+    /** Handles {@code POST /submissions/ID/abort}. */
     public void cancel(String jobId, Consumer<Response> answer) {
         if (!JobSpec.validId(jobId)) {
             answer.accept(JobApiResponses.unknownJob());
@@ -114,7 +117,10 @@
         }
     }
 
-    /** The mod revision of the header decides between the cancellation and the end of the job's last task. */
+    /**
+     * Commits a cancellation on condition that the header is unchanged: of a cancellation and a concurrent completion,
+     * which deletes the header, only one succeeds.
+     */
     private void commitCancellation(Job job, long modRevision, int attempts, Consumer<Response> answer) {
         String key = Keys.job(job.id());
         Transaction transaction =
--- a/src/main/java/org/havenford/coordination/jobs/JobApiResponses.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobApiResponses.java
@@ -5,7 +5,7 @@
 import org.havenford.storage.records.FinalState;
 import org.havenford.transport.HttpServer.Response;
 
-/** The responses of the job API. */
+/** Builds the responses of the job API. */
 final class JobApiResponses {
     static final int BAD_REQUEST = 400;
     static final int UNPROCESSABLE = 422;
@@ -14,7 +14,7 @@
     private static final int NOT_FOUND = 404;
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
-    // Field names and states as users read them.
+    // Field names and status values of the public API, which must not change.
     private static final String ERROR = "error";
     private static final String JOB_ID = "nameId";
     private static final String STATUS = "status";
@@ -39,7 +39,7 @@
         return response.status() == NOT_FOUND;
     }
 
-    /** Nothing can be said for sure at present; the user is told when to come back. */
+    /** Returns a 503 response with a {@code Retry-After} header, for requests that cannot be answered reliably now. */
     static Response retryLater() {
         return Response.comeBack(RETRY_AFTER);
     }
@@ -56,7 +56,7 @@
         return progress(jobId, state.status().text(), state.doneTasks(), 0);
     }
 
-    /** A job that is cancelled, but has yet to end. */
+    /** Returns the response for a cancelled job that has not ended yet. */
     static Response beingCancelled(String jobId, int doneTasks) {
         return progress(jobId, FinalState.Status.CANCELLED.text(), doneTasks, 0);
     }
--- a/src/main/java/org/havenford/coordination/jobs/JobCompletion.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobCompletion.java
@@ -13,24 +13,32 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Stores the final states of jobs, and deletes their headers and task ranges. */
+/** Completes jobs: stores their final states and deletes their headers and task ranges. */
 public final class JobCompletion {
     private static final Logger LOG = LoggerFactory.getLogger(JobCompletion.class);
-    /** Task ranges that are deleted together with a job's header; of larger jobs they are deleted afterwards. */
+    /**
+     * Task ranges up to which a job is deleted in a single transaction together with its header. Those of larger jobs
+     * are deleted after the header if the job is done, and before it if the job is cancelled.
+     */
     private static final int MAX_FINAL_TASK_RANGES = 8;
-    /** The final state and the header take an operation each. */
+    /**
+     * Operations of a completion besides the task ranges: the put of the final state and the deletion of the header.
+     */
     private static final int OPERATIONS_OF_END = 2;
-    /** Name of the lock that is held while task ranges without a job are deleted; no key of the store. */
+    /** Lock name held while task ranges without a job are deleted. It is not a key of the store. */
     private static final String DELETION_LOCK = "sweep";
 
     private final CoordinationContext context;
 
-    /** Ends jobs in the given context. */
+    /** Creates the component in the given context. */
     public JobCompletion(CoordinationContext context) {
         this.context = context;
     }
 
-    /** Ends jobs whose tasks are all done, or that were cancelled and hold no claim any more. */
+    /**
+     * Completes the jobs that this controller is responsible for if all tasks are done or a cancelled job has no
+     * claims.
+     */
     public void step() {
         for (Job job : List.copyOf(context.clusterState().jobs())) {
             boolean done = isDone(job);
@@ -47,8 +55,10 @@
     }
 
     /**
-     * Our own cancellation is in our replica at once, another's claim that came just before it only with the watch: a claim
-     * that we don't know of would be dropped with its task still running. cancel-overtakes-claim.trace
+     * Returns whether a job is cancelled and certain to have no claims. A cancellation made by this controller is in
+     * the replica at once, whereas a claim that another controller committed just before it arrives through the watch.
+     * Until the watch has passed the cancellation, such a claim would be deleted while its task still runs. See
+     * cancel-overtakes-claim.trace.
      */
     private boolean isCancelledWithoutClaims(Job job) {
         return job.cancelled()
@@ -56,7 +66,12 @@
                 && context.replica().revision() >= context.modRevision(Keys.job(job.id()));
     }
 
-    /** A job of many task ranges is deleted bit by bit; its header goes last, together with the final state. */
+    /**
+     * Commits the next transaction that completes a job. A job with few task ranges is completed by a single
+     * transaction. For a larger one that is done, the final state is stored at once and the task ranges are left to
+     * {@link #deleteTaskRangesWithoutJob}. For a larger one that is cancelled, the task ranges are deleted in batches
+     * first and the final state is stored last.
+     */
     private void end(Job job, FinalState.Status status) {
         boolean done = status == FinalState.Status.DONE;
         List<Integer> stored = storedTaskRanges(job);
@@ -76,16 +91,22 @@
         }
     }
 
-    /** Users and dependents wait for the end of a job; only that of a low-priority job is sent after other jobs' claims. */
+    /**
+     * Returns the store priority of a transaction that completes a job. Users and dependent jobs wait for it, so only
+     * the completion of a low-priority job is sent after claims.
+     */
     public static CallPriority commitPriority(Job job) {
         boolean low = job.spec().priority() == JobSpec.Priority.LOW;
         return low ? CallPriority.WORK : CallPriority.CLAIM;
     }
 
     /**
-     * Adds the end of a job to a transaction that is conditional on its header, and returns what is to be done once it is
-     * committed. Jobs that wait for nothing else are released by the same transaction, as far as its limit allows: they then
-     * need not wait until the member that is responsible for them has read the final state.
+     * Adds the completion of a job to a transaction that is conditional on its header. Jobs that wait for no other
+     * dependency are released by the same transaction, up to its limit of operations, so that they need not wait until
+     * their responsible member has read the final state.
+     *
+     * @param locks receives the header keys of the released jobs, to be locked with the transaction
+     * @return an action to run once the transaction is committed
      */
     public Runnable addCompletion(Job job, FinalState.Status status, Transaction transaction, List<String> locks) {
         Instant now = context.loop().timeOfDay();
@@ -116,7 +137,10 @@
         }
     }
 
-    /** Whether all other dependencies of a waiting job are known to be done. */
+    /**
+     * Returns whether a waiting job can be released: all dependencies except {@code lastDependency} are known to be
+     * done.
+     */
     private boolean waitsOnlyFor(String waitingId, String lastDependency) {
         Job waiting = context.clusterState().job(waitingId);
         if (waiting.cancelled() || context.writer().isLocked(Keys.job(waitingId))) {
@@ -147,7 +171,7 @@
         transaction.requireRevision(key, context.modRevision(key)).delete(key);
     }
 
-    /** Deletes task ranges whose job has ended; the provisioning leader does so for all controllers. */
+    /** Deletes task ranges whose job has ended. Only the provisioning leader does this, for all controllers. */
     public void deleteTaskRangesWithoutJob() {
         boolean isLeader = context.node().equals(context.membership().view().provisioningLeader());
         if (!isLeader
--- a/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
@@ -17,39 +17,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Releases jobs whose dependencies are all done, and cancels those of which a dependency is cancelled. Both are conditional
- * on the mod revision of the job's header; claims are as well, so no task starts before the release.
+ * Releases jobs whose dependencies are all done and cancels jobs with a cancelled dependency. Releases, cancellations
+ * and claims are all conditional on the mod revision of the job's header, so no task starts before the job is released.
  */
 public final class JobDependencies {
     private static final Logger LOG = LoggerFactory.getLogger(JobDependencies.class);
-    /** Transactions that cancel dependents; so a wide cascade leaves room in the queue for claims. */
+    /**
+     * Concurrent transactions that cancel dependents; the limit keeps a wide cascade from delaying claims in the queue.
+     */
     private static final int MAX_CANCELLATIONS_UNDER_WAY = 2;
-    /** Cancelling a dependent puts its final state and deletes its header. */
+    /** The cancellation of a dependent puts its final state and deletes its header. */
     private static final int OPERATIONS_PER_CANCELLATION = 2;
 
-    /** What is known of a job's dependencies; of several, the last in this order counts. */
+    /** Status of a job's dependencies, in ascending order of precedence: the combined status is the highest of all. */
     enum DependencyStatus {
-        /** Each of them is done according to its stored final state. */
+        /** All dependencies are done according to their stored final states. */
         DONE,
-        /** Some have not ended; none that is known here is cancelled. */
+        /** At least one dependency has not ended, and none is known to be cancelled. */
         OPEN,
-        /** The final state of one has yet to be read from the store. */
+        /** The final state of at least one dependency has yet to be read from the store. */
         UNKNOWN,
-        /** One, directly or through others, is cancelled: it can never be done, nor can what depends on it. */
+        /** A direct or transitive dependency is cancelled, so the job can never start. */
         CANCELLED
     }
 
     private final CoordinationContext context;
     private int cancellationsUnderWay;
 
-    /** Dependencies as seen in the given context. */
+    /** Creates the component in the given context. */
     public JobDependencies(CoordinationContext context) {
         this.context = context;
     }
 
     /**
-     * The status of a job that depends on the given ones. A cancelled header can only end as a cancelled job, and so can a job
-     * that depends on a cancelled one; so {@code CANCELLED} is certain however old our replica is.
+     * Returns the combined status of the given jobs and their transitive dependencies. {@code CANCELLED} is final even
+     * if the replica is stale, because a cancelled job, and any job that depends on it, can only end as cancelled.
      */
     DependencyStatus statusOf(Collection<String> jobIds) {
         DependencyStatus combined = DependencyStatus.DONE;
@@ -78,7 +80,10 @@
         return job.cancelled() ? DependencyStatus.CANCELLED : DependencyStatus.OPEN;
     }
 
-    /** The status of a job whose header is gone, or not here yet; a final state that is not known is read. */
+    /**
+     * Returns the status of a job without a header in the replica, and starts to read its final state if it is not
+     * cached.
+     */
     private DependencyStatus endedStatus(String jobId) {
         FinalState state = context.finalStates().known(jobId);
         if (state == null) {
@@ -89,8 +94,9 @@
     }
 
     /**
-     * Whether a job that awaits dependencies may be called pending. A cancellation that our replica does not show yet must be
-     * so young that the time for cancellations is not over; after an outage the replica may lack older ones.
+     * Returns whether a job that awaits dependencies may be reported as pending. A cancellation that is missing from
+     * the replica must be more recent than the cancellation limit. After an outage the replica may lack older ones, so
+     * it must have been verified within half of that limit.
      */
     boolean isCertainlyPending(Job waiting) {
         DependencyStatus status = statusOf(waiting.spec().dependencies());
@@ -101,8 +107,9 @@
     }
 
     /**
-     * When a job could start whose dependencies are all done: the end of the last of them, or now where the version that
-     * ended one did not store it; not before its submission.
+     * Returns when a job whose dependencies are all done became ready to start: at the end of the last dependency, but
+     * not before its submission. It is the present time if the end time of a dependency is unknown, for example because
+     * an earlier version stored its final state without one.
      */
     private Instant releaseTime(Job job) {
         Instant latest = job.submittedAt();
@@ -116,7 +123,7 @@
         return latest;
     }
 
-    /** Releases and cancels jobs that this controller is responsible for. */
+    /** Releases or cancels the waiting jobs that this controller is responsible for. */
     public void step() {
         List<Job> toCancel = new ArrayList<>();
         for (String jobId : List.copyOf(context.clusterState().jobsAwaitingDependencies())) {
@@ -124,7 +131,8 @@
             if (job.cancelled()) {
                 continue;
             }
-            // Every member finds out, so that each can answer users and knows the final states at a failover.
+            // Evaluated by every member, not only the responsible one: this loads the final states into the cache,
+            // where they are needed to answer queries and after a failover.
             DependencyStatus status = statusOf(job.spec().dependencies());
             if (context.writer().isLocked(Keys.job(jobId)) || !context.isResponsibleFor(job)) {
                 continue;
@@ -155,7 +163,10 @@
         context.writer().commit(transaction, CallPriority.CLAIM, List.of(key), onSuccess);
     }
 
-    /** They were never released, so they hold no task, and with the conditions on their headers none can be claimed any more. */
+    /**
+     * Ends jobs with a cancelled dependency. They were never released, so they have no claims, and the conditions on
+     * their headers make the transaction fail if that has changed.
+     */
     private void cancelDependents(List<Job> jobs) {
         Transaction transaction = new Transaction();
         List<String> keys = new ArrayList<>();
--- a/src/main/java/org/havenford/coordination/jobs/JobQueries.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobQueries.java
@@ -20,14 +20,14 @@
 import org.havenford.transport.HttpServer.Response;
 
 /**
- * Answers queries for jobs. Whatever is not yet final is answered from our replica only once a comparison of mod revisions
- * has shown that the replica holds the present header; one comparison serves all queries that wait for it. What the replica
- * lacks, or holds in an older version, is read from the store.
+ * Answers queries for jobs. An unfinished job is answered from the replica only after the store has confirmed that the
+ * replica holds the current mod revision of its header. Queries are batched, so that one comparison serves all that
+ * wait for it. Headers that the replica lacks or holds in an older revision are read from the store.
  */
 final class JobQueries {
     private final CoordinationContext context;
     private final JobDependencies dependencies;
-    /** Queries by job, of those that came since the last comparison was sent. */
+    /** Queries by job id that arrived since the last comparison was sent. */
     private final Map<String, List<Consumer<Response>>> waiting = new LinkedHashMap<>();
 
     private boolean comparing;
@@ -37,7 +37,7 @@
         this.dependencies = dependencies;
     }
 
-    /** Answers with the present state of a job; 404 if it was never accepted. */
+    /** Answers with the current state of a job, or with 404 if the job was never accepted. */
     void query(String jobId, Consumer<Response> answer) {
         FinalState known = context.finalStates().known(jobId);
         if (known != null) {
@@ -88,7 +88,10 @@
         });
     }
 
-    /** Takes as many waiting queries as one comparison has room for; those of jobs that have left the replica are read. */
+    /**
+     * Removes as many waiting queries as fit one comparison and returns them by job id. Jobs that have left the replica
+     * meanwhile are read from the store instead.
+     */
     private Map<String, List<Consumer<Response>>> nextBatch() {
         Map<String, List<Consumer<Response>>> batch = new LinkedHashMap<>();
         Iterator<Map.Entry<String, List<Consumer<Response>>>> entries =
@@ -105,7 +108,9 @@
         return batch;
     }
 
-    /** Keys of the headers that our replica holds in an older version; all of them, if the store does not name them. */
+    /**
+     * Returns the keys of headers that are outdated in the replica, or all header keys if the store does not name them.
+     */
     private static Set<String> outdatedHeaders(StoreResult result, Set<String> jobIds) {
         Set<String> outdated = new HashSet<>();
         if (result.ok()) {
@@ -118,7 +123,10 @@
         return outdated;
     }
 
-    /** Reads the header first, the final state second: a job that ends in between is found by the second call. */
+    /**
+     * Answers with the state of a job in the store. The header is read before the final state, so that a job that ends
+     * between the two calls is found by the second one.
+     */
     void readFromStore(String jobId, Consumer<Response> answer) {
         context.store().get(Keys.job(jobId), CallPriority.USER, result -> {
             if (result.ok()) {
@@ -131,7 +139,7 @@
         });
     }
 
-    /** Answers with how a job ended; 404 if there is no final state. */
+    /** Answers with the final state of a job, or with 404 if there is none. */
     void readFinalState(String jobId, Consumer<Response> answer) {
         context.store().get(Keys.finalState(jobId), CallPriority.USER, result -> {
             if (result.ok()) {
@@ -155,7 +163,7 @@
         }
     }
 
-    /** The state that the present header tells; how many tasks run and are done is taken from our replica. */
+    /** Builds the response from a current header; the numbers of done and running tasks come from the replica. */
     private Response unfinished(Job header) {
         Job job = context.clusterState().job(header.id());
         int doneTasks = job == null ? 0 : job.doneCount();
--- a/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
@@ -21,11 +21,12 @@
 import org.havenford.transport.HttpServer.Response;
 
 /**
- * Checks submissions and stores the accepted ones. A job is accepted once its header is in the store. A submission is an
- * idempotent request: one whose id is known is answered with the state of that job.
+ * Validates submissions and stores the accepted ones. A job is accepted once its header, or its final state if a
+ * dependency is already cancelled, is in the store. Submissions are idempotent: one with the id of a known job is
+ * answered with the state of that job.
  */
 final class JobSubmissions {
-    /** Bytes that a cancellation adds to a header. */
+    /** Upper bound of the bytes that a cancellation adds to a header. */
     private static final int CANCELLATION_BYTES = 24;
 
     private final CoordinationContext context;
@@ -43,7 +44,7 @@
         this.requestRound = requestRound;
     }
 
-    /** Accepts a well-formed job that can run, or answers with the state of one that is known already. */
+    /** Accepts a well-formed job that can run, or answers with the state of the job if its id is already known. */
     void submit(JobSpec spec, Consumer<Response> answer) {
         if (context.clusterState().job(spec.id()) != null) {
             queries.query(spec.id(), answer);
@@ -68,7 +69,10 @@
         }
     }
 
-    /** What looks impossible now may have been accepted when it was not; then it stays accepted. */
+    /**
+     * Rejects a submission unless its job was accepted before: a job that is infeasible now may have been feasible when
+     * it was first submitted, and then its state is returned.
+     */
     private void refuse(JobSpec spec, int status, String reason, Consumer<Response> answer) {
         queries.readFromStore(
                 spec.id(),
@@ -76,7 +80,7 @@
                         JobApiResponses.isUnknownJob(response) ? JobApiResponses.error(status, reason) : response));
     }
 
-    /** Why no task of a job could ever be placed; empty if one could. */
+    /** Returns why no task of a job could ever be placed, or empty if one could. */
     private Optional<String> whyInfeasible(JobSpec spec) {
         PlatformSettings.Team team = context.settings().teams().get(spec.team());
         if (team == null) {
@@ -122,14 +126,14 @@
         commit(transaction, spec.id(), () -> {}, answer);
     }
 
-    /** Accepts a job of which a dependency is cancelled: it can never start, so it is over at once. */
+    /** Accepts a job with a cancelled dependency. It can never start, so it is stored with its final state only. */
     private void acceptCancelled(JobSpec spec, Consumer<Response> answer) {
         FinalState cancelled = FinalState.of(FinalState.Status.CANCELLED, spec.taskCount());
         Transaction transaction = ifUnknown(spec.id()).put(Keys.finalState(spec.id()), cancelled.toJson());
         commit(transaction, spec.id(), () -> context.finalStates().put(spec.id(), cancelled), answer);
     }
 
-    /** A transaction that fails if the store has a job of this id, ended or not. */
+    /** Returns a transaction that fails if the store holds an unfinished or ended job with this id. */
     private static Transaction ifUnknown(String jobId) {
         return new Transaction().requireRevision(Keys.job(jobId), 0).requireRevision(Keys.finalState(jobId), 0);
     }
@@ -149,7 +153,7 @@
         });
     }
 
-    /** Keeps of the allowed types those that exist, so that the stored job stays small. */
+    /** Removes unknown machine types from the allowed ones, so that the stored header stays small. */
     private JobSpec withKnownTypes(JobSpec spec) {
         if (spec.types() == null) {
             return spec;
@@ -165,7 +169,9 @@
         return Job.taskRangeSize(settings.valueBytes(), spec.taskCount(), controllers, settings.scarceChanges());
     }
 
-    /** Whether the header would not fit a value of the store, now or once the job is released and cancelled. */
+    /**
+     * Returns whether the header exceeds the value limit, including the fields that a release and a cancellation add.
+     */
     private boolean tooLarge(Job job, Instant now) {
         int bytes = job.readyHeader(now).toString().getBytes(StandardCharsets.UTF_8).length;
         return bytes + CANCELLATION_BYTES > context.settings().valueBytes();
--- a/src/main/java/org/havenford/coordination/jobs/PipelineMetrics.java
+++ b/src/main/java/org/havenford/coordination/jobs/PipelineMetrics.java
@@ -5,22 +5,22 @@
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 
-/** How long jobs with dependencies wait once the last of these has ended, for the log. */
+/** Histograms of how long jobs with dependencies wait after the end of their last dependency, for the log. */
 public final class PipelineMetrics {
     private static final long MAX_MILLIS = 3_600_000L;
     private static final int SIGNIFICANT_DIGITS = 2;
 
-    /** From the end of the last dependency until the release is committed. */
+    /** Delays from the end of the last dependency to the committed release, in milliseconds. */
     private final Histogram untilRelease = new Histogram(MAX_MILLIS, SIGNIFICANT_DIGITS);
-    /** From the end of the last dependency until the first claim is committed. */
+    /** Delays from the end of the last dependency to the first committed claim, in milliseconds. */
     private final Histogram untilFirstClaim = new Histogram(MAX_MILLIS, SIGNIFICANT_DIGITS);
 
-    /** Records how long after the end of its last dependency a job was released. */
+    /** Records the delay between the end of the last dependency of a job and its release. */
     void released(Instant lastEnd, Instant now) {
         record(untilRelease, lastEnd, now);
     }
 
-    /** Records how long after the end of its last dependency a job got its first claim. */
+    /** Records the delay between the end of the last dependency of a job and its first claim. */
     public void firstClaim(Instant lastEnd, Instant now) {
         record(untilFirstClaim, lastEnd, now);
     }
@@ -30,7 +30,7 @@
         histogram.recordValue(Math.max(0, Math.min(MAX_MILLIS, millis)));
     }
 
-    /** What was recorded since the last call, as {@code key=value} pairs. */
+    /** Returns the delays recorded since the last call as {@code key=value} pairs, and resets the histograms. */
     public String summary() {
         String text = describe("release", untilRelease) + " " + describe("firstClaim", untilFirstClaim);
         untilRelease.reset();
--- a/src/main/java/org/havenford/coordination/jobs/StoreAccess.java
+++ b/src/main/java/org/havenford/coordination/jobs/StoreAccess.java
@@ -6,8 +6,12 @@
 import org.havenford.storage.StoreReplica;
 
 /**
- * The ways to the store: calls to it, the replica of its keys, the typed view of that replica, and transactions that lock
- * the keys they decide on.
+ * Access to the store.
+ *
+ * @param client client for calls to the store
+ * @param replica local copy of the replicated keys
+ * @param clusterState typed view of the replica
+ * @param writer commits transactions and locks their keys until the outcome is known
  */
 public record StoreAccess(
         StoreClient client, StoreReplica replica, ClusterState clusterState, ConditionalWriter writer) {}
--- a/src/main/java/org/havenford/coordination/jobs/StoreResponses.java
+++ b/src/main/java/org/havenford/coordination/jobs/StoreResponses.java
@@ -5,16 +5,16 @@
 import org.havenford.storage.StoreResult;
 import org.havenford.storage.records.Job;
 
-/** Reads the store's responses in the terms of jobs. */
+/** Parses store results that concern jobs. */
 final class StoreResponses {
     private StoreResponses() {}
 
-    /** The header of a job that was read. */
+    /** Parses a job header that was read from the store. */
     static Job header(StoreResult result) throws MalformedMessageException {
         return Job.parse(result.value());
     }
 
-    /** Keys whose conditions failed a transaction; empty if the store does not name them. */
+    /** Returns the keys whose conditions failed, or an empty list if the result does not contain valid keys. */
     static List<String> conflictingKeys(StoreResult result) {
         try {
             return result.conflictingKeys();
--- a/src/main/java/org/havenford/coordination/jobs/package-info.java
+++ b/src/main/java/org/havenford/coordination/jobs/package-info.java
@@ -1,7 +1,7 @@
 /**
  * Job API, dependencies between jobs, and final states.
  *
- * <p>It owns the requests that wait for an answer and the cache of final states; jobs themselves are records of the store.
- * Called by the controller and by scheduling.
+ * <p>This package holds the queries that wait for a comparison with the store, and the cache of final states. Jobs
+ * themselves are stored in the state service. It is used by the controller, scheduling and provisioning.
  */
 package org.havenford.coordination.jobs;
--- a/src/main/java/org/havenford/package-info.java
+++ b/src/main/java/org/havenford/package-info.java
@@ -1,2 +1,2 @@
-/** Command line of the controller. */
+/** Command line of the controller, and the warm-up run of the build. */
 package org.havenford;
