--- a/src/main/java/org/havenford/ClassDataSharingWarmUp.java
+++ b/src/main/java/org/havenford/ClassDataSharingWarmUp.java
@@ -20,17 +20,17 @@
 
     static int run() {
         try {
-            String self = "127.0.0.1:" + freePort();
+            String ownAddress = "127.0.0.1:" + freePort();
             Main.serve(
-                    PlatformSettings.parse("{\"node_name\":\"rehearsal\",\"location\":\"a\",\"bind\":\"" + self
+                    PlatformSettings.parse("{\"node_name\":\"rehearsal\",\"location\":\"a\",\"bind\":\"" + ownAddress
                             + "\",\"cluster_listen\":\"127.0.0.1:" + freePort() + "\",\"endpoints\":{\"cloud\":\""
-                            + self
-                            + "\",\"state\":\"" + self
+                            + ownAddress
+                            + "\",\"state\":\"" + ownAddress
                             + "\"},\"deployment\":{\"workers\":{\"report_s\":3,\"lease_s\":20,\"cancel_s\":40},"
                             + "\"state\":{\"rps\":100,\"write_rps\":50,\"value_kb\":8,\"txn_ops\":12},"
                             + "\"cloud\":{\"rps\":5,\"list_lag_s\":4}}}"),
                     OperatorSettings.DEFAULTS);
-            loadOwnClasses();
+            loadApplicationClasses();
             Thread.sleep(1500);
             return 0;
         } catch (IOException | MalformedMessageException | ReflectiveOperationException e) {
@@ -43,23 +43,23 @@
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return s.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
         }
     }
 
-    private static void loadOwnClasses() throws IOException, ClassNotFoundException {
-        String jar = ClassDataSharingWarmUp.class
+    private static void loadApplicationClasses() throws IOException, ClassNotFoundException {
+        String jarPath = ClassDataSharingWarmUp.class
                 .getProtectionDomain()
                 .getCodeSource()
                 .getLocation()
                 .getPath();
-        if (!jar.endsWith(".jar")) {
+        if (!jarPath.endsWith(".jar")) {
             return;
         }
-        try (JarFile file = new JarFile(jar)) {
-            for (Enumeration<JarEntry> e = file.entries(); e.hasMoreElements(); ) {
-                String name = e.nextElement().getName();
+        try (JarFile jarFile = new JarFile(jarPath)) {
+            for (Enumeration<JarEntry> entries = jarFile.entries(); entries.hasMoreElements(); ) {
+                String name = entries.nextElement().getName();
                 if (name.startsWith("org/havenford/") && name.endsWith(".class")) {
                     Class.forName(
                             name.substring(0, name.length() - ".class".length()).replace('/', '.'));
--- a/src/main/java/org/havenford/Main.java
+++ b/src/main/java/org/havenford/Main.java
@@ -27,23 +27,23 @@
 
 /** Entry point and command line of the controller. */
 public final class Main {
-    private static final int FAILED = 1;
+    private static final int EXIT_FAILURE = 1;
 
     private Main() {}
 
     /** Starts a controller, or runs the action that the options select and exits with its code. */
     public static void main(String[] args) {
-        logging(System.getenv());
-        int code = commandLine().execute(args);
-        if (code >= 0) {
-            System.exit(code);
+        configureLogging(System.getenv());
+        int exitCode = commandLine().execute(args);
+        if (exitCode >= 0) {
+            System.exit(exitCode);
         }
     }
 
-    private static void logging(Map<String, String> env) {
-        String level = env.getOrDefault("LOG_LEVEL", "info");
-        boolean known = level.equals("error") || level.equals("info") || level.equals("debug");
-        System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", known ? level : "info");
+    private static void configureLogging(Map<String, String> environment) {
+        String level = environment.getOrDefault("LOG_LEVEL", "info");
+        boolean isKnown = level.equals("error") || level.equals("info") || level.equals("debug");
+        System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", isKnown ? level : "info");
         System.setProperty("org.slf4j.simpleLogger.showDateTime", "true");
         System.setProperty("org.slf4j.simpleLogger.dateTimeFormat", "HH:mm:ss.SSS");
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
@@ -74,8 +74,7 @@
                 .type(boolean.class)
                 .arity("0")
                 .hidden(true)
-                .description(
-                        "start without a deployment, load all classes for the class-data-sharing archive and exit")
+                .description("start without a deployment, load all classes for the class-data-sharing archive and exit")
                 .build());
         spec.addOption(OptionSpec.builder("-h", "--help")
                 .usageHelp(true)
@@ -85,28 +84,28 @@
                 .versionHelp(true)
                 .description("show the version")
                 .build());
-        CommandLine line = new CommandLine(spec);
-        line.setExecutionStrategy(Main::run);
-        return line;
+        CommandLine commandLine = new CommandLine(spec);
+        commandLine.setExecutionStrategy(Main::run);
+        return commandLine;
     }
 
-    private static int run(ParseResult parsed) {
-        Integer help = CommandLine.executeHelpRequest(parsed);
-        if (help != null) {
-            return help;
+    private static int run(ParseResult parseResult) {
+        Integer helpExitCode = CommandLine.executeHelpRequest(parseResult);
+        if (helpExitCode != null) {
+            return helpExitCode;
         }
-        if (parsed.hasMatchedOption("--rehearse")) {
+        if (parseResult.hasMatchedOption("--rehearse")) {
             return ClassDataSharingWarmUp.run();
         }
-        Path file = parsed.matchedOptionValue("--config", (Path) null);
-        if (file == null) {
+        Path configFile = parseResult.matchedOptionValue("--config", (Path) null);
+        if (configFile == null) {
             System.err.println("havenford: required option --config FILE is missing");
-            CommandLine.usage(parsed.commandSpec(), System.err);
+            CommandLine.usage(parseResult.commandSpec(), System.err);
             return 2;
         }
         try {
-            PlatformSettings settings = PlatformSettings.read(file);
-            Path operatorFile = parsed.matchedOptionValue("--operator", (Path) null);
+            PlatformSettings settings = PlatformSettings.read(configFile);
+            Path operatorFile = parseResult.matchedOptionValue("--operator", (Path) null);
             OperatorSettings operatorSettings =
                     operatorFile == null ? OperatorSettings.DEFAULTS : OperatorSettings.read(operatorFile);
             serve(settings, operatorSettings);
@@ -116,7 +115,7 @@
         } catch (IOException e) {
             return fail("I/O error at startup: " + e);
         } catch (MalformedMessageException e) {
-            return fail(file + ": " + e.getMessage());
+            return fail(configFile + ": " + e.getMessage());
         } catch (OperatorSettings.InvalidSettingException e) {
             return fail("invalid operator settings: " + e.getMessage());
         } catch (RuntimeException e) {
@@ -124,9 +123,9 @@
         }
     }
 
-    private static int fail(String why) {
-        System.err.println("havenford: " + why);
-        return FAILED;
+    private static int fail(String message) {
+        System.err.println("havenford: " + message);
+        return EXIT_FAILURE;
     }
 
     /**
@@ -143,43 +142,50 @@
                         .set(Options.STACK_SIZE, 1024L * 1024)
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
-        CompletableFuture<Void> built = new CompletableFuture<>();
+        CompletableFuture<Void> started = new CompletableFuture<>();
         worker.getIoThread().execute(() -> {
             try {
-                build(worker, settings, operatorSettings);
-                built.complete(null);
+                startController(worker, settings, operatorSettings);
+                started.complete(null);
             } catch (RuntimeException e) {
-                built.completeExceptionally(e);
+                started.completeExceptionally(e);
             }
         });
-        built.join();
+        started.join();
     }
 
-    private static void build(XnioWorker worker, PlatformSettings settings, OperatorSettings operatorSettings) {
+    private static void startController(
+            XnioWorker worker, PlatformSettings settings, OperatorSettings operatorSettings) {
         XnioLoop loop = new XnioLoop(worker.getIoThread());
-        DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8 * 1024, 64, 0);
+        DefaultByteBufferPool bufferPool = new DefaultByteBufferPool(false, 8 * 1024, 64, 0);
         // Inbound connections take precedence over outbound ones: if the other controllers are down, all agents and
         // users connect to this one, and commands also reach agents in heartbeat responses. Some connections are
         // reserved for calls to the store and the cloud.
-        HttpServer[] server = new HttpServer[1];
-        int most = settings.maxConnections();
-        int kept = Math.max(20, Math.min(60, most / 20));
+        HttpServer[] serverHolder = new HttpServer[1];
+        int maxConnections = settings.maxConnections();
+        int reservedConnections = Math.max(20, Math.min(60, maxConnections / 20));
         HttpClient client = new HttpClient(
                 loop,
-                buffers,
-                () -> Math.max(kept, Math.min(most / 2, most - kept - (server[0] == null ? 0 : server[0].open()))));
+                bufferPool,
+                () -> Math.max(
+                        reservedConnections,
+                        Math.min(
+                                maxConnections / 2,
+                                maxConnections
+                                        - reservedConnections
+                                        - (serverHolder[0] == null ? 0 : serverHolder[0].open()))));
         Controller controller = new Controller(loop, client, settings, operatorSettings);
         int colon = settings.bind().lastIndexOf(':');
-        server[0] = new HttpServer(
+        serverHolder[0] = new HttpServer(
                 worker,
                 settings.bind().substring(0, colon),
                 Integer.parseInt(settings.bind().substring(colon + 1)),
-                Math.max(50, most - 2 * kept),
+                Math.max(50, maxConnections - 2 * reservedConnections),
                 controller);
-        server[0].start();
+        serverHolder[0].start();
         if (operatorSettings.standby().enabled() && !settings.peers().isEmpty()) {
-            XnioPeerNetwork peers = new XnioPeerNetwork(worker, loop);
-            new WarmStandby(controller.standbyHost(), peers, settings, operatorSettings.standby()).start();
+            XnioPeerNetwork peerNetwork = new XnioPeerNetwork(worker, loop);
+            new WarmStandby(controller.standbyHost(), peerNetwork, settings, operatorSettings.standby()).start();
         }
         LoggerFactory.getLogger(Main.class).info("{} serves on {}", settings.node(), settings.bind());
         controller.start();
--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -48,7 +48,7 @@
 public final class Controller implements HttpServer.Handler {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
     /** Allowance for delivering a cancellation to an agent and for clock skew. */
-    private static final Duration CANCEL_MARGIN = Duration.ofSeconds(6);
+    private static final Duration CANCELLATION_MARGIN = Duration.ofSeconds(6);
     /** The limit on the membership lease applies only if it is longer than this. */
     private static final Duration MIN_LEASE_LIMIT = Duration.ofSeconds(2);
 
@@ -58,7 +58,7 @@
     private final EventLoop loop;
     private final HttpCalls calls;
     private final RoundTimer roundTimer;
-    private final LinkMonitor links;
+    private final LinkMonitor linkMonitor;
     private final ClusterState clusterState;
     private final StoreClient store;
     private final StoreReplica replica;
@@ -73,14 +73,17 @@
 
     /** Creates a controller, which does nothing until {@link #start} is called. */
     public Controller(
-            EventLoop outerLoop, HttpCalls outerCalls, PlatformSettings settings, OperatorSettings operatorSettings) {
+            EventLoop underlyingLoop,
+            HttpCalls underlyingCalls,
+            PlatformSettings settings,
+            OperatorSettings operatorSettings) {
         this.settings = settings;
         this.operatorSettings = operatorSettings;
-        pauseDetector = new ProcessPauseDetector(outerLoop, outerCalls, this::processPaused);
+        pauseDetector = new ProcessPauseDetector(underlyingLoop, underlyingCalls, this::processPaused);
         loop = pauseDetector;
-        roundTimer = new RoundTimer(loop, new ControllerWork());
-        links = new LinkMonitor(settings, loop);
-        calls = links.watching(pauseDetector);
+        roundTimer = new RoundTimer(loop, new RoundCallbacks());
+        linkMonitor = new LinkMonitor(settings, loop);
+        calls = linkMonitor.watching(pauseDetector);
 
         clusterState = new ClusterState();
         store = createStoreClient();
@@ -101,8 +104,8 @@
 
         router = new HttpRouter(
                 new JobApi(context, dependencies, roundTimer::requestRound),
-                new HeartbeatEndpoint(loop, links, agentManager),
-                new HealthCheck(replica, membership, clusterState, links));
+                new HeartbeatEndpoint(loop, linkMonitor, agentManager),
+                new HealthCheck(replica, membership, clusterState, linkMonitor));
         statistics = createStatistics(context.pipelineMetrics());
     }
 
@@ -123,7 +126,8 @@
                 loop,
                 store,
                 replica,
-                new MembershipSettings(settings.node(), nodes(settings), membershipLease(settings, operatorSettings)),
+                new MembershipSettings(
+                        settings.node(), allNodes(settings), membershipLease(settings, operatorSettings)),
                 new ControllerMembershipListener());
     }
 
@@ -148,7 +152,7 @@
         List<ControllerStatistics.Section> sections = List.of(
                 new ControllerStatistics.Section("store", () -> Optional.of(store.statistics())),
                 new ControllerStatistics.Section("pipelines", () -> Optional.of(pipelineMetrics.summary())),
-                new ControllerStatistics.Section("links", () -> Optional.of(links.summary())),
+                new ControllerStatistics.Section("links", () -> Optional.of(linkMonitor.summary())),
                 new ControllerStatistics.Section("booting machines", () -> Optional.ofNullable(provisioner.summary())));
         return new ControllerStatistics(loop, scheduler, agentManager, clusterState, sections);
     }
@@ -159,16 +163,16 @@
      * agent's lease until its own membership lease ends, so both leases and a margin must fit within that limit.
      */
     private static Duration membershipLease(PlatformSettings settings, OperatorSettings operatorSettings) {
-        Duration limit =
-                settings.cancellationLimit().minus(settings.agentLease()).minus(CANCEL_MARGIN);
+        Duration maxLease =
+                settings.cancellationLimit().minus(settings.agentLease()).minus(CANCELLATION_MARGIN);
         Duration lease = operatorSettings.membershipLease();
-        return lease.compareTo(limit) > 0 && limit.compareTo(MIN_LEASE_LIMIT) > 0 ? limit : lease;
+        return lease.compareTo(maxLease) > 0 && maxLease.compareTo(MIN_LEASE_LIMIT) > 0 ? maxLease : lease;
     }
 
-    private static Set<String> nodes(PlatformSettings settings) {
-        Set<String> all = new TreeSet<>(Set.of(settings.node()));
-        settings.peers().forEach(peer -> all.add(peer.node()));
-        return all;
+    private static Set<String> allNodes(PlatformSettings settings) {
+        Set<String> names = new TreeSet<>(Set.of(settings.node()));
+        settings.peers().forEach(peer -> names.add(peer.node()));
+        return names;
     }
 
     /** Starts to load the replica, to register as a member and to run rounds. */
@@ -184,12 +188,12 @@
     }
 
     @Override
-    public void handle(Request request, Consumer<Response> answer) {
+    public void handle(Request request, Consumer<Response> callback) {
         pauseDetector.eventStarted();
         Instant start = loop.now();
         router.handle(request, response -> {
-            statistics.recordAnswer(Duration.between(start, loop.now()));
-            answer.accept(response);
+            statistics.recordResponse(Duration.between(start, loop.now()));
+            callback.accept(response);
         });
     }
 
@@ -200,7 +204,7 @@
      */
     private void processPaused(Duration pause) {
         LOG.warn("process paused, knowledge from before is not acted on: seconds={}", pause.toMillis() / 1e3);
-        links.processPaused(pause);
+        linkMonitor.processPaused(pause);
         membership.processPaused();
         agentManager.processPaused(pause);
         scheduler.processPaused();
@@ -238,7 +242,7 @@
     }
 
     /** Runs the steps of the components in rounds and at each tick. */
-    private final class ControllerWork implements RoundTimer.Work {
+    private final class RoundCallbacks implements RoundTimer.Callbacks {
         @Override
         public void tickStarted(Duration delay) {
             statistics.recordTimerDelay(delay);
@@ -253,9 +257,9 @@
         }
 
         @Override
-        public void runPeriodicWork() {
+        public void runPeriodicTasks() {
             provisioner.step();
-            links.step(agentManager.expectsHeartbeats());
+            linkMonitor.step(agentManager.expectsHeartbeats());
             statistics.logIfDue();
         }
     }
--- a/src/main/java/org/havenford/controller/ControllerStatistics.java
+++ b/src/main/java/org/havenford/controller/ControllerStatistics.java
@@ -17,7 +17,7 @@
 final class ControllerStatistics {
     private static final Logger LOG = LoggerFactory.getLogger(ControllerStatistics.class);
     private static final Duration LOG_INTERVAL = Duration.ofSeconds(60);
-    private static final long MAX_MICROS = 60_000_000L;
+    private static final long MAX_RECORDED_MICROS = 60_000_000L;
     private static final int SIGNIFICANT_DIGITS = 2;
 
     /**
@@ -30,8 +30,8 @@
     private final AgentManager agentManager;
     private final ClusterState clusterState;
     private final List<Section> sections;
-    private final Histogram answerMicros = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
-    private final Histogram timerDelayMicros = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
+    private final Histogram responseMicros = new Histogram(MAX_RECORDED_MICROS, SIGNIFICANT_DIGITS);
+    private final Histogram timerDelayMicros = new Histogram(MAX_RECORDED_MICROS, SIGNIFICANT_DIGITS);
     private Instant nextLog;
 
     ControllerStatistics(
@@ -49,8 +49,8 @@
     }
 
     /** Records the time between the arrival of a request and its response. */
-    void recordAnswer(Duration duration) {
-        record(answerMicros, duration);
+    void recordResponse(Duration duration) {
+        record(responseMicros, duration);
     }
 
     /** Records the delay of a tick against its due time. */
@@ -59,7 +59,7 @@
     }
 
     private static void record(Histogram histogram, Duration duration) {
-        histogram.recordValue(Math.max(0, Math.min(MAX_MICROS, duration.toNanos() / 1000)));
+        histogram.recordValue(Math.max(0, Math.min(MAX_RECORDED_MICROS, duration.toNanos() / 1000)));
     }
 
     /** Logs and resets the statistics if the log interval has passed. */
@@ -75,9 +75,9 @@
                 roundMicros.getTotalCount(),
                 roundMicros.getValueAtPercentile(50),
                 roundMicros.getValueAtPercentile(99),
-                answerMicros.getTotalCount(),
-                answerMicros.getValueAtPercentile(50),
-                answerMicros.getValueAtPercentile(99),
+                responseMicros.getTotalCount(),
+                responseMicros.getValueAtPercentile(50),
+                responseMicros.getValueAtPercentile(99),
                 timerDelayMicros.getValueAtPercentile(99),
                 agentManager.stragglerStops(),
                 clusterState.jobs().size(),
@@ -87,7 +87,7 @@
             section.summary().get().ifPresent(summary -> LOG.info("{}: {}", section.name(), summary));
         }
         roundMicros.reset();
-        answerMicros.reset();
+        responseMicros.reset();
         timerDelayMicros.reset();
     }
 
--- a/src/main/java/org/havenford/controller/HealthCheck.java
+++ b/src/main/java/org/havenford/controller/HealthCheck.java
@@ -22,26 +22,26 @@
     private final StoreReplica replica;
     private final Membership membership;
     private final ClusterState clusterState;
-    private final LinkMonitor links;
+    private final LinkMonitor linkMonitor;
 
-    HealthCheck(StoreReplica replica, Membership membership, ClusterState clusterState, LinkMonitor links) {
+    HealthCheck(StoreReplica replica, Membership membership, ClusterState clusterState, LinkMonitor linkMonitor) {
         this.replica = replica;
         this.membership = membership;
         this.clusterState = clusterState;
-        this.links = links;
+        this.linkMonitor = linkMonitor;
     }
 
     /** Handles {@code GET /healthz}. */
     Response check() {
-        Optional<String> reason = whyNotReady();
+        Optional<String> reason = notReadyReason();
         JsonObject body = new JsonObject();
         body.addProperty(READY, reason.isEmpty());
         reason.ifPresent(text -> body.addProperty(REASON, text));
-        body.add(LOST_LINKS, links.toJson());
+        body.add(LOST_LINKS, linkMonitor.toJson());
         return Response.of(reason.isEmpty() ? READY_STATUS : NOT_READY_STATUS, body.toString());
     }
 
-    private Optional<String> whyNotReady() {
+    private Optional<String> notReadyReason() {
         if (!replica.loaded()) {
             return Optional.of("the state service has not been read");
         }
--- a/src/main/java/org/havenford/controller/HeartbeatEndpoint.java
+++ b/src/main/java/org/havenford/controller/HeartbeatEndpoint.java
@@ -18,23 +18,23 @@
 final class HeartbeatEndpoint {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatEndpoint.class);
     private static final Duration WARNING_INTERVAL = Duration.ofSeconds(10);
-    private static final Response BAD_HEARTBEAT = Response.of(400, "{\"error\":\"not a report\"}");
+    private static final Response MALFORMED_HEARTBEAT = Response.of(400, "{\"error\":\"not a report\"}");
 
     private final EventLoop loop;
-    private final LinkMonitor links;
+    private final LinkMonitor linkMonitor;
     private final AgentManager agentManager;
     /** When a warning was last logged; the initial value lets the first warning through. */
     private Instant lastWarning = Instant.MIN;
 
-    HeartbeatEndpoint(EventLoop loop, LinkMonitor links, AgentManager agentManager) {
+    HeartbeatEndpoint(EventLoop loop, LinkMonitor linkMonitor, AgentManager agentManager) {
         this.loop = loop;
-        this.links = links;
+        this.linkMonitor = linkMonitor;
         this.agentManager = agentManager;
     }
 
     /** Handles {@code POST /checkin}; {@code body} is null if it was too large or incomplete. */
     Response handle(byte[] body) {
-        links.heartbeatArrived();
+        linkMonitor.heartbeatArrived();
         try {
             if (body == null) {
                 throw new MalformedMessageException("too large or incomplete");
@@ -43,12 +43,12 @@
             HeartbeatResponse response = agentManager.handleHeartbeat(heartbeat);
             return Response.of(response.status(), response.body());
         } catch (MalformedMessageException e) {
-            warn(e);
-            return BAD_HEARTBEAT;
+            logMalformedHeartbeat(e);
+            return MALFORMED_HEARTBEAT;
         }
     }
 
-    private void warn(MalformedMessageException cause) {
+    private void logMalformedHeartbeat(MalformedMessageException cause) {
         if (loop.now().isAfter(lastWarning.plus(WARNING_INTERVAL))) {
             lastWarning = loop.now();
             LOG.warn("heartbeat cannot be parsed: cause=\"{}\"", cause.getMessage());
--- a/src/main/java/org/havenford/controller/HttpRouter.java
+++ b/src/main/java/org/havenford/controller/HttpRouter.java
@@ -10,55 +10,56 @@
 final class HttpRouter implements HttpServer.Handler {
     private static final String GET = "GET";
     private static final String POST = "POST";
-    private static final String HEARTBEATS = "/checkin";
-    private static final String HEALTH = "/healthz";
-    private static final String JOBS = "/submissions";
-    private static final String JOB_PREFIX = JOBS + "/";
+    private static final String HEARTBEAT_PATH = "/checkin";
+    private static final String HEALTH_PATH = "/healthz";
+    private static final String JOBS_PATH = "/submissions";
+    private static final String JOB_PATH_PREFIX = JOBS_PATH + "/";
     private static final String CANCEL_SUFFIX = "/abort";
 
     private static final Response NO_SUCH_PATH = Response.of(404, "{\"error\":\"no such path\"}");
     private static final Response METHOD_NOT_ALLOWED = Response.of(405, "{\"error\":\"method not allowed\"}");
 
     private final JobApi jobApi;
-    private final HeartbeatEndpoint heartbeats;
-    private final HealthCheck health;
+    private final HeartbeatEndpoint heartbeatEndpoint;
+    private final HealthCheck healthCheck;
 
-    HttpRouter(JobApi jobApi, HeartbeatEndpoint heartbeats, HealthCheck health) {
+    HttpRouter(JobApi jobApi, HeartbeatEndpoint heartbeatEndpoint, HealthCheck healthCheck) {
         this.jobApi = jobApi;
-        this.heartbeats = heartbeats;
-        this.health = health;
+        this.heartbeatEndpoint = heartbeatEndpoint;
+        this.healthCheck = healthCheck;
     }
 
     @Override
-    public void handle(Request request, Consumer<Response> answer) {
+    public void handle(Request request, Consumer<Response> callback) {
         String path = request.path();
-        boolean post = request.method().equals(POST);
-        boolean get = request.method().equals(GET);
-        if (path.equals(HEARTBEATS) && post) {
-            answer.accept(heartbeats.handle(request.body()));
-        } else if (path.equals(HEALTH) && get) {
-            answer.accept(health.check());
-        } else if (path.equals(JOBS) && post) {
-            jobApi.submit(request.body(), answer);
-        } else if (path.startsWith(JOB_PREFIX)) {
-            handleJob(request, path.substring(JOB_PREFIX.length()), answer);
+        boolean isPost = request.method().equals(POST);
+        boolean isGet = request.method().equals(GET);
+        if (path.equals(HEARTBEAT_PATH) && isPost) {
+            callback.accept(heartbeatEndpoint.handle(request.body()));
+        } else if (path.equals(HEALTH_PATH) && isGet) {
+            callback.accept(healthCheck.check());
+        } else if (path.equals(JOBS_PATH) && isPost) {
+            jobApi.submit(request.body(), callback);
+        } else if (path.startsWith(JOB_PATH_PREFIX)) {
+            handleJob(request, path.substring(JOB_PATH_PREFIX.length()), callback);
         } else {
-            answer.accept(NO_SUCH_PATH);
+            callback.accept(NO_SUCH_PATH);
         }
     }
 
     /**
      * Handles a request for one job.
      *
-     * @param rest the path without {@link #JOB_PREFIX}: a job id, followed by {@link #CANCEL_SUFFIX} for a cancellation
+     * @param jobPath the path without {@link #JOB_PATH_PREFIX}: a job id, followed by {@link #CANCEL_SUFFIX} for a
+     * cancellation
      */
-    private void handleJob(Request request, String rest, Consumer<Response> answer) {
-        if (request.method().equals(POST) && rest.endsWith(CANCEL_SUFFIX)) {
-            jobApi.cancel(rest.substring(0, rest.length() - CANCEL_SUFFIX.length()), answer);
+    private void handleJob(Request request, String jobPath, Consumer<Response> callback) {
+        if (request.method().equals(POST) && jobPath.endsWith(CANCEL_SUFFIX)) {
+            jobApi.cancel(jobPath.substring(0, jobPath.length() - CANCEL_SUFFIX.length()), callback);
         } else if (request.method().equals(GET)) {
-            jobApi.get(rest, answer);
+            jobApi.get(jobPath, callback);
         } else {
-            answer.accept(METHOD_NOT_ALLOWED);
+            callback.accept(METHOD_NOT_ALLOWED);
         }
     }
 }
--- a/src/main/java/org/havenford/controller/ReplicaObserver.java
+++ b/src/main/java/org/havenford/controller/ReplicaObserver.java
@@ -65,9 +65,9 @@
     }
 
     @Override
-    public void jobEnded(Job last) {
-        agentManager.jobEnded(last);
-        scheduler.jobEnded(last);
+    public void jobEnded(Job lastState) {
+        agentManager.jobEnded(lastState);
+        scheduler.jobEnded(lastState);
     }
 
     @Override
--- a/src/main/java/org/havenford/controller/RoundTimer.java
+++ b/src/main/java/org/havenford/controller/RoundTimer.java
@@ -13,15 +13,15 @@
     /** Delay of a requested round, so that events that arrive together are handled in one round. */
     private static final Duration BATCH_DELAY = Duration.ofMillis(4);
 
-    private static final Duration MIN_BETWEEN_ROUNDS = Duration.ofMillis(50);
+    private static final Duration MIN_ROUND_PAUSE = Duration.ofMillis(50);
     /**
      * Pause before a requested round as a multiple of the duration of the last round. With a thousand machines, most of
      * the processor time is needed to answer requests.
      */
-    private static final int PAUSE_PER_ROUND_DURATION = 12;
+    private static final int ROUND_PAUSE_FACTOR = 12;
 
     /** Callbacks of the timer. */
-    interface Work {
+    interface Callbacks {
         /** Called at the start of each tick; {@code delay} is the time since the tick was due. */
         void tickStarted(Duration delay);
 
@@ -29,18 +29,18 @@
         void runRound();
 
         /** Runs the periodic work after the round of each tick. */
-        void runPeriodicWork();
+        void runPeriodicTasks();
     }
 
     private final EventLoop loop;
-    private final Work work;
+    private final Callbacks callbacks;
     private boolean roundRequested;
     /** Earliest time of the next requested round; rounds at ticks ignore it. */
-    private Instant pauseUntil = Instant.MIN;
+    private Instant nextRoundNotBefore = Instant.MIN;
 
-    RoundTimer(EventLoop loop, Work work) {
+    RoundTimer(EventLoop loop, Callbacks callbacks) {
         this.loop = loop;
-        this.work = work;
+        this.callbacks = callbacks;
     }
 
     /** Starts the ticks. */
@@ -51,10 +51,10 @@
     private void scheduleTick() {
         Instant due = loop.now().plus(TICK);
         loop.after(TICK, () -> {
-            work.tickStarted(Duration.between(due, loop.now()));
+            callbacks.tickStarted(Duration.between(due, loop.now()));
             scheduleTick();
             runRound();
-            work.runPeriodicWork();
+            callbacks.runPeriodicTasks();
         });
     }
 
@@ -62,8 +62,8 @@
     void requestRound() {
         if (!roundRequested) {
             roundRequested = true;
-            Duration pause = Duration.between(loop.now(), pauseUntil);
-            loop.after(pause.compareTo(BATCH_DELAY) > 0 ? pause : BATCH_DELAY, () -> {
+            Duration pauseLeft = Duration.between(loop.now(), nextRoundNotBefore);
+            loop.after(pauseLeft.compareTo(BATCH_DELAY) > 0 ? pauseLeft : BATCH_DELAY, () -> {
                 if (roundRequested) {
                     runRound();
                 }
@@ -74,9 +74,9 @@
     private void runRound() {
         roundRequested = false;
         Instant start = loop.now();
-        work.runRound();
+        callbacks.runRound();
         Instant end = loop.now();
         long roundNanos = Duration.between(start, end).toNanos();
-        pauseUntil = end.plusNanos(roundNanos * PAUSE_PER_ROUND_DURATION).plus(MIN_BETWEEN_ROUNDS);
+        nextRoundNotBefore = end.plusNanos(roundNanos * ROUND_PAUSE_FACTOR).plus(MIN_ROUND_PAUSE);
     }
 }
--- a/src/main/java/org/havenford/coordination/jobs/DependencyVerifier.java
+++ b/src/main/java/org/havenford/coordination/jobs/DependencyVerifier.java
@@ -38,12 +38,12 @@
 
     /**
      * Verifies the dependencies of a submission. An accepted job stays accepted, so the check precedes the submission's
-     * transaction and adds no conditions to it. If at most {@link FinalStateCache#MAX_READS} dependencies are missing
-     * from the replica and the cache, their final states are read as well, so that a job whose dependencies are done is
-     * released at once.
+     * transaction and adds no conditions to it. If at most {@link FinalStateCache#MAX_CONCURRENT_READS} dependencies
+     * are missing from the replica and the cache, their final states are read as well, so that a job whose dependencies
+     * are done is released at once.
      */
-    void verify(JobSpec spec, Consumer<Verification> verified) {
-        verify(unknownDependencies(spec), spec, verified);
+    void verify(JobSpec spec, Consumer<Verification> callback) {
+        verifyNextBatch(unknownDependencies(spec), spec, callback);
     }
 
     /** Returns the dependencies that are neither in the replica nor in the cache of final states. */
@@ -51,7 +51,7 @@
         ArrayDeque<String> unknown = new ArrayDeque<>();
         for (String jobId : spec.dependencies()) {
             if (context.clusterState().job(jobId) == null
-                    && context.finalStates().known(jobId) == null) {
+                    && context.finalStates().cached(jobId) == null) {
                 unknown.add(jobId);
             }
         }
@@ -63,64 +63,64 @@
      * key does not exist, so a condition that fails identifies an existing job. All conditions are evaluated at one
      * revision: a job that ends during the check has either its header or its final state at that revision.
      */
-    private void verify(ArrayDeque<String> unknown, JobSpec spec, Consumer<Verification> verified) {
+    private void verifyNextBatch(ArrayDeque<String> unknown, JobSpec spec, Consumer<Verification> callback) {
         if (unknown.isEmpty()) {
-            readFinalStates(spec, verified);
+            readFinalStates(spec, callback);
             return;
         }
-        List<String> asked = firstOf(unknown, context.maxConditions() / CONDITIONS_PER_JOB);
+        List<String> batch = firstJobs(unknown, context.maxConditions() / CONDITIONS_PER_JOB);
         Transaction transaction = new Transaction();
-        for (String jobId : asked) {
+        for (String jobId : batch) {
             transaction.requireRevision(Keys.job(jobId), 0).requireRevision(Keys.finalState(jobId), 0);
         }
         context.store().commit(transaction, CallPriority.USER, result -> {
             if (result.ok()) {
-                verified.accept(new Verification.NeverAccepted(asked.get(0)));
+                callback.accept(new Verification.NeverAccepted(batch.get(0)));
                 return;
             }
-            Set<String> existing = existing(result, asked);
-            if (existing.isEmpty()) {
-                verified.accept(new Verification.Unavailable());
+            Set<String> existingJobs = existingJobs(result, batch);
+            if (existingJobs.isEmpty()) {
+                callback.accept(new Verification.Unavailable());
                 return;
             }
-            unknown.removeAll(existing);
-            verify(unknown, spec, verified);
+            unknown.removeAll(existingJobs);
+            verifyNextBatch(unknown, spec, callback);
         });
     }
 
-    private static List<String> firstOf(ArrayDeque<String> jobIds, int count) {
+    private static List<String> firstJobs(ArrayDeque<String> jobIds, int count) {
         return jobIds.stream().limit(count).toList();
     }
 
-    private static Set<String> existing(StoreResult result, List<String> asked) {
-        Set<String> existing = new HashSet<>();
+    private static Set<String> existingJobs(StoreResult result, List<String> batch) {
+        Set<String> existingJobs = new HashSet<>();
         if (result.outcome() != StoreOutcome.CONFLICT) {
-            return existing;
+            return existingJobs;
         }
-        List<String> failed = StoreResponses.conflictingKeys(result);
-        for (String jobId : asked) {
-            if (failed.contains(Keys.job(jobId)) || failed.contains(Keys.finalState(jobId))) {
-                existing.add(jobId);
+        List<String> failedKeys = StoreResponses.conflictingKeys(result);
+        for (String jobId : batch) {
+            if (failedKeys.contains(Keys.job(jobId)) || failedKeys.contains(Keys.finalState(jobId))) {
+                existingJobs.add(jobId);
             }
         }
-        return existing;
+        return existingJobs;
     }
 
-    private void readFinalStates(JobSpec spec, Consumer<Verification> verified) {
-        List<String> ended = new ArrayList<>(unknownDependencies(spec));
-        if (ended.isEmpty() || ended.size() > FinalStateCache.MAX_READS) {
-            verified.accept(new Verification.AllAccepted());
+    private void readFinalStates(JobSpec spec, Consumer<Verification> callback) {
+        List<String> unread = new ArrayList<>(unknownDependencies(spec));
+        if (unread.isEmpty() || unread.size() > FinalStateCache.MAX_CONCURRENT_READS) {
+            callback.accept(new Verification.AllAccepted());
             return;
         }
-        int[] readsLeft = {ended.size()};
-        for (String jobId : ended) {
+        int[] readsLeft = {unread.size()};
+        for (String jobId : unread) {
             context.store().get(Keys.finalState(jobId), CallPriority.USER, result -> {
                 if (result.ok()) {
-                    context.finalStates().parse(jobId, result);
+                    context.finalStates().parseAndCache(jobId, result);
                 }
                 readsLeft[0]--;
                 if (readsLeft[0] == 0) {
-                    verified.accept(new Verification.AllAccepted());
+                    callback.accept(new Verification.AllAccepted());
                 }
             });
         }
--- a/src/main/java/org/havenford/coordination/jobs/FinalStateCache.java
+++ b/src/main/java/org/havenford/coordination/jobs/FinalStateCache.java
@@ -25,9 +25,9 @@
  */
 public final class FinalStateCache {
     private static final Logger LOG = LoggerFactory.getLogger(FinalStateCache.class);
-    private static final int MAX_CACHED = 20_000;
+    private static final int MAX_CACHED_STATES = 20_000;
     /** Limit of concurrent reads, so that a pipeline with many jobs does not delay other calls to the store. */
-    static final int MAX_READS = 8;
+    static final int MAX_CONCURRENT_READS = 8;
     /** Delay before a final state that was absent or unreadable is read again. */
     private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
@@ -35,9 +35,9 @@
     private final StoreClient store;
     private final Runnable requestRound;
     private final Cache<String, FinalState> cache =
-            CacheBuilder.newBuilder().maximumSize(MAX_CACHED).build();
-    private final Set<String> readsUnderWay = new HashSet<>();
-    private final Map<String, Instant> retryAt = new HashMap<>();
+            CacheBuilder.newBuilder().maximumSize(MAX_CACHED_STATES).build();
+    private final Set<String> pendingReads = new HashSet<>();
+    private final Map<String, Instant> retryTimes = new HashMap<>();
 
     /**
      * Creates an empty cache.
@@ -55,7 +55,7 @@
      * Returns the cached final state of a job, or null. It returns null instead of an {@link Optional} to avoid an
      * allocation per dependency in every scheduling round.
      */
-    FinalState known(String jobId) {
+    FinalState cached(String jobId) {
         return cache.getIfPresent(jobId);
     }
 
@@ -65,7 +65,7 @@
     }
 
     /** Parses a final state returned by the store and adds it to the cache; returns empty if it cannot be parsed. */
-    Optional<FinalState> parse(String jobId, StoreResult result) {
+    Optional<FinalState> parseAndCache(String jobId, StoreResult result) {
         try {
             FinalState state = FinalState.parse(result.value());
             cache.put(jobId, state);
@@ -78,19 +78,19 @@
 
     /**
      * Starts to read a final state from the store, unless a read of it is in flight, the retry delay after a failed
-     * read has not passed, or {@link #MAX_READS} reads are in flight.
+     * read has not passed, or {@link #MAX_CONCURRENT_READS} reads are in flight.
      */
-    void read(String jobId) {
+    void startRead(String jobId) {
         Instant now = loop.now();
-        if (readsUnderWay.size() >= MAX_READS
-                || now.isBefore(retryAt.getOrDefault(jobId, Instant.MIN))
-                || !readsUnderWay.add(jobId)) {
+        if (pendingReads.size() >= MAX_CONCURRENT_READS
+                || now.isBefore(retryTimes.getOrDefault(jobId, Instant.MIN))
+                || !pendingReads.add(jobId)) {
             return;
         }
         store.get(Keys.finalState(jobId), CallPriority.CLAIM, result -> {
-            readsUnderWay.remove(jobId);
-            retryAt.remove(jobId);
-            if (result.ok() && parse(jobId, result).isPresent()) {
+            pendingReads.remove(jobId);
+            retryTimes.remove(jobId);
+            if (result.ok() && parseAndCache(jobId, result).isPresent()) {
                 requestRound.run();
                 return;
             }
@@ -100,9 +100,9 @@
     }
 
     private void retryLater(String jobId) {
-        retryAt.put(jobId, loop.now().plus(RETRY_DELAY));
+        retryTimes.put(jobId, loop.now().plus(RETRY_DELAY));
         loop.after(RETRY_DELAY, () -> {
-            retryAt.remove(jobId);
+            retryTimes.remove(jobId);
             requestRound.run();
         });
     }
--- a/src/main/java/org/havenford/coordination/jobs/JobApi.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobApi.java
@@ -17,9 +17,9 @@
 /** Handlers of the job API: submissions, queries and cancellations. All requests are idempotent. */
 public final class JobApi {
     /** Queued store calls of user requests above which further requests are rejected, to be retried by the client. */
-    private static final int MAX_QUEUED = 60;
+    private static final int MAX_QUEUED_CALLS = 60;
     /** Attempts at a cancellation if concurrent changes of the header cause conflicts. */
-    private static final int CANCEL_ATTEMPTS = 3;
+    private static final int MAX_CANCEL_ATTEMPTS = 3;
 
     private final CoordinationContext context;
     private final JobQueries queries;
@@ -38,14 +38,14 @@
      * Returns whether requests have to be rejected at once: the replica is not loaded, or more store calls are queued
      * than can be made before they time out.
      */
-    private boolean overloaded() {
-        return !context.replica().loaded() || context.store().queued(CallPriority.USER) > MAX_QUEUED;
+    private boolean isUnavailable() {
+        return !context.replica().loaded() || context.store().queued(CallPriority.USER) > MAX_QUEUED_CALLS;
     }
 
     /** Handles {@code POST /submissions}; {@code body} is null if it was too large or incomplete. */
-    public void submit(byte[] body, Consumer<Response> answer) {
+    public void submit(byte[] body, Consumer<Response> callback) {
         if (body == null) {
-            answer.accept(
+            callback.accept(
                     JobApiResponses.error(JobApiResponses.BAD_REQUEST, "the body is larger than 64 KiB or incomplete"));
             return;
         }
@@ -53,67 +53,67 @@
         try {
             spec = JobSpec.parse(Json.object(new String(body, StandardCharsets.UTF_8)));
         } catch (MalformedMessageException e) {
-            answer.accept(JobApiResponses.error(JobApiResponses.BAD_REQUEST, e.getMessage()));
+            callback.accept(JobApiResponses.error(JobApiResponses.BAD_REQUEST, e.getMessage()));
             return;
         }
-        submit(spec, answer);
+        submit(spec, callback);
     }
 
-    private void submit(JobSpec spec, Consumer<Response> answer) {
-        FinalState known = context.finalStates().known(spec.id());
-        if (known != null) {
-            answer.accept(JobApiResponses.ended(spec.id(), known));
-        } else if (overloaded() || context.clusterState().types().isEmpty()) {
-            answer.accept(JobApiResponses.retryLater());
+    private void submit(JobSpec spec, Consumer<Response> callback) {
+        FinalState finalState = context.finalStates().cached(spec.id());
+        if (finalState != null) {
+            callback.accept(JobApiResponses.ended(spec.id(), finalState));
+        } else if (isUnavailable() || context.clusterState().types().isEmpty()) {
+            callback.accept(JobApiResponses.retryLater());
         } else {
-            submissions.submit(spec, answer);
+            submissions.submit(spec, callback);
         }
     }
 
     /** Handles {@code GET /submissions/ID}. */
-    public void get(String jobId, Consumer<Response> answer) {
+    public void get(String jobId, Consumer<Response> callback) {
         if (!JobSpec.validId(jobId)) {
-            answer.accept(JobApiResponses.unknownJob());
-        } else if (context.finalStates().known(jobId) == null && overloaded()) {
-            answer.accept(JobApiResponses.retryLater());
+            callback.accept(JobApiResponses.unknownJob());
+        } else if (context.finalStates().cached(jobId) == null && isUnavailable()) {
+            callback.accept(JobApiResponses.retryLater());
         } else {
-            queries.query(jobId, answer);
+            queries.query(jobId, callback);
         }
     }
 
     /** Handles {@code POST /submissions/ID/abort}. */
-    public void cancel(String jobId, Consumer<Response> answer) {
+    public void cancel(String jobId, Consumer<Response> callback) {
         if (!JobSpec.validId(jobId)) {
-            answer.accept(JobApiResponses.unknownJob());
-        } else if (overloaded()) {
-            answer.accept(JobApiResponses.retryLater());
+            callback.accept(JobApiResponses.unknownJob());
+        } else if (isUnavailable()) {
+            callback.accept(JobApiResponses.retryLater());
         } else {
-            cancel(jobId, CANCEL_ATTEMPTS, answer);
+            cancel(jobId, MAX_CANCEL_ATTEMPTS, callback);
         }
     }
 
-    private void cancel(String jobId, int attempts, Consumer<Response> answer) {
+    private void cancel(String jobId, int attemptsLeft, Consumer<Response> callback) {
         context.store().get(Keys.job(jobId), CallPriority.USER, result -> {
             if (result.outcome() == StoreOutcome.ABSENT) {
-                queries.readFinalState(jobId, answer);
+                queries.readFinalState(jobId, callback);
             } else if (result.ok()) {
-                cancelIfNotYet(result, attempts, answer);
+                cancelUnlessCancelled(result, attemptsLeft, callback);
             } else {
-                answer.accept(JobApiResponses.retryLater());
+                callback.accept(JobApiResponses.retryLater());
             }
         });
     }
 
-    private void cancelIfNotYet(StoreResult header, int attempts, Consumer<Response> answer) {
+    private void cancelUnlessCancelled(StoreResult header, int attemptsLeft, Consumer<Response> callback) {
         try {
-            Job job = StoreResponses.header(header);
+            Job job = StoreResponses.parseHeader(header);
             if (job.cancelled()) {
-                answer.accept(JobApiResponses.cancelled(job.id()));
+                callback.accept(JobApiResponses.cancelled(job.id()));
             } else {
-                commitCancellation(job, header.modRevision(), attempts, answer);
+                commitCancellation(job, header.modRevision(), attemptsLeft, callback);
             }
         } catch (MalformedMessageException e) {
-            answer.accept(JobApiResponses.retryLater());
+            callback.accept(JobApiResponses.retryLater());
         }
     }
 
@@ -121,19 +121,19 @@
      * Commits a cancellation on condition that the header is unchanged: of a cancellation and a concurrent completion,
      * which deletes the header, only one succeeds.
      */
-    private void commitCancellation(Job job, long modRevision, int attempts, Consumer<Response> answer) {
+    private void commitCancellation(Job job, long modRevision, int attemptsLeft, Consumer<Response> callback) {
         String key = Keys.job(job.id());
         Transaction transaction =
                 new Transaction().requireRevision(key, modRevision).put(key, job.header(true));
         context.store().commit(transaction, CallPriority.USER, result -> {
             if (result.ok()) {
                 context.replica().applyCommitted(transaction, result.revision());
-                answer.accept(JobApiResponses.cancelled(job.id()));
+                callback.accept(JobApiResponses.cancelled(job.id()));
                 requestRound.run();
-            } else if (result.outcome() == StoreOutcome.CONFLICT && attempts > 1) {
-                cancel(job.id(), attempts - 1, answer);
+            } else if (result.outcome() == StoreOutcome.CONFLICT && attemptsLeft > 1) {
+                cancel(job.id(), attemptsLeft - 1, callback);
             } else {
-                answer.accept(JobApiResponses.retryLater());
+                callback.accept(JobApiResponses.retryLater());
             }
         });
     }
--- a/src/main/java/org/havenford/coordination/jobs/JobCompletion.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobCompletion.java
@@ -20,11 +20,11 @@
      * Task ranges up to which a job is deleted in a single transaction together with its header. Those of larger jobs
      * are deleted after the header if the job is done, and before it if the job is cancelled.
      */
-    private static final int MAX_FINAL_TASK_RANGES = 8;
+    private static final int MAX_TASK_RANGES_AT_ONCE = 8;
     /**
      * Operations of a completion besides the task ranges: the put of the final state and the deletion of the header.
      */
-    private static final int OPERATIONS_OF_END = 2;
+    private static final int OPERATIONS_PER_COMPLETION = 2;
     /** Lock name held while task ranges without a job are deleted. It is not a key of the store. */
     private static final String DELETION_LOCK = "sweep";
 
@@ -45,7 +45,7 @@
             if ((done || isCancelledWithoutClaims(job))
                     && context.isResponsibleFor(job)
                     && !context.writer().isLocked(Keys.job(job.id()))) {
-                end(job, done ? FinalState.Status.DONE : FinalState.Status.CANCELLED);
+                commitCompletionStep(job, done ? FinalState.Status.DONE : FinalState.Status.CANCELLED);
             }
         }
     }
@@ -72,18 +72,18 @@
      * {@link #deleteTaskRangesWithoutJob}. For a larger one that is cancelled, the task ranges are deleted in batches
      * first and the final state is stored last.
      */
-    private void end(Job job, FinalState.Status status) {
+    private void commitCompletionStep(Job job, FinalState.Status status) {
         boolean done = status == FinalState.Status.DONE;
-        List<Integer> stored = storedTaskRanges(job);
-        int maxTaskRanges = context.settings().maxTransactionOperations() - OPERATIONS_OF_END;
-        boolean last = stored.size() <= Math.min(MAX_FINAL_TASK_RANGES, maxTaskRanges);
-        String header = Keys.job(job.id());
-        Transaction transaction = new Transaction().requireRevision(header, context.modRevision(header));
-        if (last || !done) {
-            stored.stream().limit(maxTaskRanges).forEach(index -> deleteTaskRange(job, index, transaction));
+        List<Integer> storedIndexes = storedTaskRanges(job);
+        int maxTaskRanges = context.settings().maxTransactionOperations() - OPERATIONS_PER_COMPLETION;
+        boolean fitsOneTransaction = storedIndexes.size() <= Math.min(MAX_TASK_RANGES_AT_ONCE, maxTaskRanges);
+        String headerKey = Keys.job(job.id());
+        Transaction transaction = new Transaction().requireRevision(headerKey, context.modRevision(headerKey));
+        if (fitsOneTransaction || !done) {
+            storedIndexes.stream().limit(maxTaskRanges).forEach(index -> deleteTaskRange(job, index, transaction));
         }
-        List<String> locks = new ArrayList<>(List.of(header));
-        if (last || done) {
+        List<String> locks = new ArrayList<>(List.of(headerKey));
+        if (fitsOneTransaction || done) {
             Runnable onSuccess = addCompletion(job, status, transaction, locks);
             context.writer().commit(transaction, commitPriority(job), locks, onSuccess);
         } else {
@@ -96,8 +96,8 @@
      * the completion of a low-priority job is sent after claims.
      */
     public static CallPriority commitPriority(Job job) {
-        boolean low = job.spec().priority() == JobSpec.Priority.LOW;
-        return low ? CallPriority.WORK : CallPriority.CLAIM;
+        boolean isLowPriority = job.spec().priority() == JobSpec.Priority.LOW;
+        return isLowPriority ? CallPriority.WORK : CallPriority.CLAIM;
     }
 
     /**
@@ -124,32 +124,32 @@
     }
 
     private void releaseDependents(
-            String endedJob, Set<String> dependents, Instant now, Transaction transaction, List<String> locks) {
-        for (String dependent : dependents) {
+            String endedJobId, Set<String> dependents, Instant now, Transaction transaction, List<String> locks) {
+        for (String dependentId : dependents) {
             if (transaction.operationCount() < context.settings().maxTransactionOperations()
-                    && waitsOnlyFor(dependent, endedJob)) {
-                String key = Keys.job(dependent);
+                    && waitsOnlyFor(dependentId, endedJobId)) {
+                String key = Keys.job(dependentId);
                 transaction
                         .requireRevision(key, context.modRevision(key))
-                        .put(key, context.clusterState().job(dependent).readyHeader(now));
+                        .put(key, context.clusterState().job(dependentId).readyHeader(now));
                 locks.add(key);
             }
         }
     }
 
     /**
-     * Returns whether a waiting job can be released: all dependencies except {@code lastDependency} are known to be
+     * Returns whether a waiting job can be released: all dependencies except {@code lastDependencyId} are known to be
      * done.
      */
-    private boolean waitsOnlyFor(String waitingId, String lastDependency) {
-        Job waiting = context.clusterState().job(waitingId);
-        if (waiting.cancelled() || context.writer().isLocked(Keys.job(waitingId))) {
+    private boolean waitsOnlyFor(String dependentId, String lastDependencyId) {
+        Job dependent = context.clusterState().job(dependentId);
+        if (dependent.cancelled() || context.writer().isLocked(Keys.job(dependentId))) {
             return false;
         }
-        for (String dependency : waiting.spec().dependencies()) {
-            FinalState state = context.finalStates().known(dependency);
+        for (String dependency : dependent.spec().dependencies()) {
+            FinalState state = context.finalStates().cached(dependency);
             boolean done = state != null && state.status() == FinalState.Status.DONE;
-            if (!done && !dependency.equals(lastDependency)) {
+            if (!done && !dependency.equals(lastDependencyId)) {
                 return false;
             }
         }
@@ -157,13 +157,13 @@
     }
 
     private static List<Integer> storedTaskRanges(Job job) {
-        List<Integer> stored = new ArrayList<>();
+        List<Integer> storedIndexes = new ArrayList<>();
         for (int index = 0; index < job.taskRangeCount(); index++) {
             if (job.storedTaskRange(index) != null) {
-                stored.add(index);
+                storedIndexes.add(index);
             }
         }
-        return stored;
+        return storedIndexes;
     }
 
     private void deleteTaskRange(Job job, int index, Transaction transaction) {
@@ -181,9 +181,10 @@
         }
         Transaction transaction = new Transaction();
         for (String path : context.clusterState().taskRangesWithoutJob()) {
-            if (transaction.operationCount() < context.settings().maxTransactionOperations() - OPERATIONS_OF_END) {
-                String header = Keys.job(path.substring(0, path.indexOf('/')));
-                transaction.requireRevision(header, 0).delete(Keys.TASKS + path);
+            if (transaction.operationCount()
+                    < context.settings().maxTransactionOperations() - OPERATIONS_PER_COMPLETION) {
+                String headerKey = Keys.job(path.substring(0, path.indexOf('/')));
+                transaction.requireRevision(headerKey, 0).delete(Keys.TASKS + path);
             }
         }
         context.writer().commit(transaction, CallPriority.WORK, List.of(DELETION_LOCK), () -> {});
--- a/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
@@ -25,7 +25,7 @@
     /**
      * Concurrent transactions that cancel dependents; the limit keeps a wide cascade from delaying claims in the queue.
      */
-    private static final int MAX_CANCELLATIONS_UNDER_WAY = 2;
+    private static final int MAX_PENDING_CANCELLATIONS = 2;
     /** The cancellation of a dependent puts its final state and deletes its header. */
     private static final int OPERATIONS_PER_CANCELLATION = 2;
 
@@ -34,7 +34,7 @@
         /** All dependencies are done according to their stored final states. */
         DONE,
         /** At least one dependency has not ended, and none is known to be cancelled. */
-        OPEN,
+        UNFINISHED,
         /** The final state of at least one dependency has yet to be read from the store. */
         UNKNOWN,
         /** A direct or transitive dependency is cancelled, so the job can never start. */
@@ -42,7 +42,7 @@
     }
 
     private final CoordinationContext context;
-    private int cancellationsUnderWay;
+    private int pendingCancellations;
 
     /** Creates the component in the given context. */
     public JobDependencies(CoordinationContext context) {
@@ -60,15 +60,15 @@
         while (!unvisited.isEmpty()) {
             String jobId = unvisited.poll();
             Job job = context.clusterState().job(jobId);
-            DependencyStatus status = job == null ? endedStatus(jobId) : unfinishedStatus(job);
+            DependencyStatus status = job == null ? statusWithoutHeader(jobId) : statusFromHeader(job);
             if (status == DependencyStatus.CANCELLED) {
                 return status;
             }
             combined = status.compareTo(combined) > 0 ? status : combined;
             if (job != null && job.awaitsDependencies()) {
-                for (String further : job.spec().dependencies()) {
-                    if (seen.add(further)) {
-                        unvisited.add(further);
+                for (String dependency : job.spec().dependencies()) {
+                    if (seen.add(dependency)) {
+                        unvisited.add(dependency);
                     }
                 }
             }
@@ -76,18 +76,18 @@
         return combined;
     }
 
-    private static DependencyStatus unfinishedStatus(Job job) {
-        return job.cancelled() ? DependencyStatus.CANCELLED : DependencyStatus.OPEN;
+    private static DependencyStatus statusFromHeader(Job job) {
+        return job.cancelled() ? DependencyStatus.CANCELLED : DependencyStatus.UNFINISHED;
     }
 
     /**
      * Returns the status of a job without a header in the replica, and starts to read its final state if it is not
      * cached.
      */
-    private DependencyStatus endedStatus(String jobId) {
-        FinalState state = context.finalStates().known(jobId);
+    private DependencyStatus statusWithoutHeader(String jobId) {
+        FinalState state = context.finalStates().cached(jobId);
         if (state == null) {
-            context.finalStates().read(jobId);
+            context.finalStates().startRead(jobId);
             return DependencyStatus.UNKNOWN;
         }
         return state.status() == FinalState.Status.DONE ? DependencyStatus.DONE : DependencyStatus.CANCELLED;
@@ -98,9 +98,9 @@
      * the replica must be more recent than the cancellation limit. After an outage the replica may lack older ones, so
      * it must have been verified within half of that limit.
      */
-    boolean isCertainlyPending(Job waiting) {
-        DependencyStatus status = statusOf(waiting.spec().dependencies());
-        return (status == DependencyStatus.OPEN || status == DependencyStatus.DONE)
+    boolean isConfirmedPending(Job job) {
+        DependencyStatus status = statusOf(job.spec().dependencies());
+        return (status == DependencyStatus.UNFINISHED || status == DependencyStatus.DONE)
                 && context.membership()
                         .replicaIsFresherThan(
                                 context.settings().cancellationLimit().dividedBy(2));
@@ -114,7 +114,7 @@
     private Instant releaseTime(Job job) {
         Instant latest = job.submittedAt();
         for (String dependency : job.spec().dependencies()) {
-            FinalState state = context.finalStates().known(dependency);
+            FinalState state = context.finalStates().cached(dependency);
             if (state == null || state.endedAt() == null) {
                 return context.loop().timeOfDay();
             }
@@ -146,7 +146,7 @@
         int jobsPerTransaction =
                 Math.max(1, context.settings().maxTransactionOperations() / OPERATIONS_PER_CANCELLATION);
         for (List<Job> jobs : Lists.partition(toCancel, jobsPerTransaction)) {
-            if (cancellationsUnderWay < MAX_CANCELLATIONS_UNDER_WAY) {
+            if (pendingCancellations < MAX_PENDING_CANCELLATIONS) {
                 cancelDependents(jobs);
             }
         }
@@ -158,8 +158,8 @@
         Instant releasedAt = releaseTime(job);
         Transaction transaction =
                 new Transaction().requireRevision(key, context.modRevision(key)).put(key, job.readyHeader(releasedAt));
-        Runnable onSuccess = () ->
-                context.pipelineMetrics().released(releasedAt, context.loop().timeOfDay());
+        Runnable onSuccess = () -> context.pipelineMetrics()
+                .recordRelease(releasedAt, context.loop().timeOfDay());
         context.writer().commit(transaction, CallPriority.CLAIM, List.of(key), onSuccess);
     }
 
@@ -181,7 +181,7 @@
                     .delete(key);
         }
         LOG.info("cancelled with a dependency: jobs={}", keys);
-        cancellationsUnderWay++;
-        context.writer().commit(transaction, CallPriority.CLAIM, keys, () -> {}, result -> cancellationsUnderWay--);
+        pendingCancellations++;
+        context.writer().commit(transaction, CallPriority.CLAIM, keys, () -> {}, result -> pendingCancellations--);
     }
 }
--- a/src/main/java/org/havenford/coordination/jobs/JobQueries.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobQueries.java
@@ -28,9 +28,9 @@
     private final CoordinationContext context;
     private final JobDependencies dependencies;
     /** Queries by job id that arrived since the last comparison was sent. */
-    private final Map<String, List<Consumer<Response>>> waiting = new LinkedHashMap<>();
+    private final Map<String, List<Consumer<Response>>> waitingQueries = new LinkedHashMap<>();
 
-    private boolean comparing;
+    private boolean comparisonPending;
 
     JobQueries(CoordinationContext context, JobDependencies dependencies) {
         this.context = context;
@@ -38,20 +38,20 @@
     }
 
     /** Answers with the current state of a job, or with 404 if the job was never accepted. */
-    void query(String jobId, Consumer<Response> answer) {
-        FinalState known = context.finalStates().known(jobId);
-        if (known != null) {
-            answer.accept(JobApiResponses.ended(jobId, known));
+    void query(String jobId, Consumer<Response> callback) {
+        FinalState finalState = context.finalStates().cached(jobId);
+        if (finalState != null) {
+            callback.accept(JobApiResponses.ended(jobId, finalState));
         } else if (context.clusterState().job(jobId) == null) {
-            readFromStore(jobId, answer);
+            readFromStore(jobId, callback);
         } else {
-            waiting.computeIfAbsent(jobId, id -> new ArrayList<>()).add(answer);
+            waitingQueries.computeIfAbsent(jobId, id -> new ArrayList<>()).add(callback);
             compareNextBatch();
         }
     }
 
     private void compareNextBatch() {
-        if (comparing || waiting.isEmpty()) {
+        if (comparisonPending || waitingQueries.isEmpty()) {
             return;
         }
         Map<String, List<Consumer<Response>>> batch = nextBatch();
@@ -59,31 +59,31 @@
             return;
         }
         Transaction transaction = new Transaction();
-        Map<String, Job> compared = new HashMap<>();
+        Map<String, Job> comparedJobs = new HashMap<>();
         for (String jobId : batch.keySet()) {
             transaction.requireRevision(Keys.job(jobId), context.modRevision(Keys.job(jobId)));
-            compared.put(jobId, context.clusterState().job(jobId));
+            comparedJobs.put(jobId, context.clusterState().job(jobId));
         }
-        comparing = true;
+        comparisonPending = true;
         context.store().commit(transaction, CallPriority.USER, result -> {
-            comparing = false;
-            answerBatch(result, batch, compared);
+            comparisonPending = false;
+            respondToBatch(result, batch, comparedJobs);
             compareNextBatch();
         });
     }
 
-    private void answerBatch(
-            StoreResult result, Map<String, List<Consumer<Response>>> batch, Map<String, Job> compared) {
-        boolean wasCompared = result.ok() || result.outcome() == StoreOutcome.CONFLICT;
-        Set<String> outdated = wasCompared ? outdatedHeaders(result, batch.keySet()) : Set.of();
-        batch.forEach((jobId, answers) -> {
-            if (!wasCompared) {
-                answers.forEach(answer -> answer.accept(JobApiResponses.retryLater()));
+    private void respondToBatch(
+            StoreResult result, Map<String, List<Consumer<Response>>> batch, Map<String, Job> comparedJobs) {
+        boolean comparisonExecuted = result.ok() || result.outcome() == StoreOutcome.CONFLICT;
+        Set<String> outdated = comparisonExecuted ? outdatedHeaders(result, batch.keySet()) : Set.of();
+        batch.forEach((jobId, callbacks) -> {
+            if (!comparisonExecuted) {
+                callbacks.forEach(callback -> callback.accept(JobApiResponses.retryLater()));
             } else if (outdated.contains(Keys.job(jobId))) {
-                answers.forEach(answer -> readFromStore(jobId, answer));
+                callbacks.forEach(callback -> readFromStore(jobId, callback));
             } else {
-                Response response = unfinished(compared.get(jobId));
-                answers.forEach(answer -> answer.accept(response));
+                Response response = unfinishedResponse(comparedJobs.get(jobId));
+                callbacks.forEach(callback -> callback.accept(response));
             }
         });
     }
@@ -95,12 +95,12 @@
     private Map<String, List<Consumer<Response>>> nextBatch() {
         Map<String, List<Consumer<Response>>> batch = new LinkedHashMap<>();
         Iterator<Map.Entry<String, List<Consumer<Response>>>> entries =
-                waiting.entrySet().iterator();
+                waitingQueries.entrySet().iterator();
         while (entries.hasNext() && batch.size() < context.maxConditions()) {
             Map.Entry<String, List<Consumer<Response>>> entry = entries.next();
             entries.remove();
             if (context.clusterState().job(entry.getKey()) == null) {
-                entry.getValue().forEach(answer -> readFromStore(entry.getKey(), answer));
+                entry.getValue().forEach(callback -> readFromStore(entry.getKey(), callback));
             } else {
                 batch.put(entry.getKey(), entry.getValue());
             }
@@ -127,51 +127,51 @@
      * Answers with the state of a job in the store. The header is read before the final state, so that a job that ends
      * between the two calls is found by the second one.
      */
-    void readFromStore(String jobId, Consumer<Response> answer) {
+    void readFromStore(String jobId, Consumer<Response> callback) {
         context.store().get(Keys.job(jobId), CallPriority.USER, result -> {
             if (result.ok()) {
-                answer.accept(unfinished(result));
+                callback.accept(unfinishedResponse(result));
             } else if (result.outcome() == StoreOutcome.ABSENT) {
-                readFinalState(jobId, answer);
+                readFinalState(jobId, callback);
             } else {
-                answer.accept(JobApiResponses.retryLater());
+                callback.accept(JobApiResponses.retryLater());
             }
         });
     }
 
     /** Answers with the final state of a job, or with 404 if there is none. */
-    void readFinalState(String jobId, Consumer<Response> answer) {
+    void readFinalState(String jobId, Consumer<Response> callback) {
         context.store().get(Keys.finalState(jobId), CallPriority.USER, result -> {
             if (result.ok()) {
-                answer.accept(context.finalStates()
-                        .parse(jobId, result)
+                callback.accept(context.finalStates()
+                        .parseAndCache(jobId, result)
                         .map(state -> JobApiResponses.ended(jobId, state))
                         .orElseGet(JobApiResponses::retryLater));
             } else if (result.outcome() == StoreOutcome.ABSENT) {
-                answer.accept(JobApiResponses.unknownJob());
+                callback.accept(JobApiResponses.unknownJob());
             } else {
-                answer.accept(JobApiResponses.retryLater());
+                callback.accept(JobApiResponses.retryLater());
             }
         });
     }
 
-    private Response unfinished(StoreResult header) {
+    private Response unfinishedResponse(StoreResult header) {
         try {
-            return unfinished(StoreResponses.header(header));
+            return unfinishedResponse(StoreResponses.parseHeader(header));
         } catch (MalformedMessageException e) {
             return JobApiResponses.retryLater();
         }
     }
 
     /** Builds the response from a current header; the numbers of done and running tasks come from the replica. */
-    private Response unfinished(Job header) {
+    private Response unfinishedResponse(Job header) {
         Job job = context.clusterState().job(header.id());
         int doneTasks = job == null ? 0 : job.doneCount();
         int runningTasks = job == null ? 0 : job.claimCount();
         if (header.cancelled()) {
             return JobApiResponses.beingCancelled(header.id(), doneTasks);
         }
-        if (header.awaitsDependencies() && !dependencies.isCertainlyPending(header)) {
+        if (header.awaitsDependencies() && !dependencies.isConfirmedPending(header)) {
             return JobApiResponses.retryLater();
         }
         return JobApiResponses.unfinished(header.id(), doneTasks, runningTasks);
--- a/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
@@ -45,27 +45,27 @@
     }
 
     /** Accepts a well-formed job that can run, or answers with the state of the job if its id is already known. */
-    void submit(JobSpec spec, Consumer<Response> answer) {
+    void submit(JobSpec spec, Consumer<Response> callback) {
         if (context.clusterState().job(spec.id()) != null) {
-            queries.query(spec.id(), answer);
+            queries.query(spec.id(), callback);
             return;
         }
-        Optional<String> infeasible = whyInfeasible(spec);
-        if (infeasible.isPresent()) {
-            refuse(spec, JobApiResponses.UNPROCESSABLE, infeasible.get(), answer);
+        Optional<String> reason = infeasibilityReason(spec);
+        if (reason.isPresent()) {
+            rejectUnlessAccepted(spec, JobApiResponses.UNPROCESSABLE, reason.get(), callback);
             return;
         }
-        dependencyVerifier.verify(spec, verification -> dependenciesVerified(verification, spec, answer));
+        dependencyVerifier.verify(spec, verification -> handleVerification(verification, spec, callback));
     }
 
-    private void dependenciesVerified(Verification verification, JobSpec spec, Consumer<Response> answer) {
+    private void handleVerification(Verification verification, JobSpec spec, Consumer<Response> callback) {
         if (verification instanceof Verification.NeverAccepted neverAccepted) {
             String reason = "awaits a job that was never accepted: " + neverAccepted.jobId();
-            refuse(spec, JobApiResponses.UNPROCESSABLE, reason, answer);
+            rejectUnlessAccepted(spec, JobApiResponses.UNPROCESSABLE, reason, callback);
         } else if (verification instanceof Verification.Unavailable) {
-            answer.accept(JobApiResponses.retryLater());
+            callback.accept(JobApiResponses.retryLater());
         } else {
-            accept(withKnownTypes(spec), answer);
+            accept(withKnownTypes(spec), callback);
         }
     }
 
@@ -73,15 +73,15 @@
      * Rejects a submission unless its job was accepted before: a job that is infeasible now may have been feasible when
      * it was first submitted, and then its state is returned.
      */
-    private void refuse(JobSpec spec, int status, String reason, Consumer<Response> answer) {
+    private void rejectUnlessAccepted(JobSpec spec, int status, String reason, Consumer<Response> callback) {
         queries.readFromStore(
                 spec.id(),
-                response -> answer.accept(
+                response -> callback.accept(
                         JobApiResponses.isUnknownJob(response) ? JobApiResponses.error(status, reason) : response));
     }
 
     /** Returns why no task of a job could ever be placed, or empty if one could. */
-    private Optional<String> whyInfeasible(JobSpec spec) {
+    private Optional<String> infeasibilityReason(JobSpec spec) {
         PlatformSettings.Team team = context.settings().teams().get(spec.team());
         if (team == null) {
             return Optional.of("unknown team");
@@ -104,51 +104,52 @@
         return false;
     }
 
-    private void accept(JobSpec spec, Consumer<Response> answer) {
+    private void accept(JobSpec spec, Consumer<Response> callback) {
         Instant now = context.loop().timeOfDay();
         Job job = new Job(spec, now, taskRangeSize(spec), false);
-        if (tooLarge(job, now)) {
-            refuse(
+        if (exceedsValueLimit(job, now)) {
+            rejectUnlessAccepted(
                     spec,
                     JobApiResponses.BAD_REQUEST,
                     "the names in this submission, and the jobs that it awaits, are too many to be kept",
-                    answer);
+                    callback);
             return;
         }
         DependencyStatus status = dependencies.statusOf(spec.dependencies());
         if (status == DependencyStatus.CANCELLED) {
-            acceptCancelled(spec, answer);
+            acceptCancelled(spec, callback);
             return;
         }
-        boolean ready = status == DependencyStatus.DONE && !spec.dependencies().isEmpty();
-        Transaction transaction =
-                ifUnknown(spec.id()).put(Keys.job(spec.id()), ready ? job.readyHeader(now) : job.header(false));
-        commit(transaction, spec.id(), () -> {}, answer);
+        boolean isReady =
+                status == DependencyStatus.DONE && !spec.dependencies().isEmpty();
+        Transaction transaction = requireUnknownJob(spec.id())
+                .put(Keys.job(spec.id()), isReady ? job.readyHeader(now) : job.header(false));
+        commit(transaction, spec.id(), () -> {}, callback);
     }
 
     /** Accepts a job with a cancelled dependency. It can never start, so it is stored with its final state only. */
-    private void acceptCancelled(JobSpec spec, Consumer<Response> answer) {
+    private void acceptCancelled(JobSpec spec, Consumer<Response> callback) {
         FinalState cancelled = FinalState.of(FinalState.Status.CANCELLED, spec.taskCount());
-        Transaction transaction = ifUnknown(spec.id()).put(Keys.finalState(spec.id()), cancelled.toJson());
-        commit(transaction, spec.id(), () -> context.finalStates().put(spec.id(), cancelled), answer);
+        Transaction transaction = requireUnknownJob(spec.id()).put(Keys.finalState(spec.id()), cancelled.toJson());
+        commit(transaction, spec.id(), () -> context.finalStates().put(spec.id(), cancelled), callback);
     }
 
     /** Returns a transaction that fails if the store holds an unfinished or ended job with this id. */
-    private static Transaction ifUnknown(String jobId) {
+    private static Transaction requireUnknownJob(String jobId) {
         return new Transaction().requireRevision(Keys.job(jobId), 0).requireRevision(Keys.finalState(jobId), 0);
     }
 
-    private void commit(Transaction transaction, String jobId, Runnable onSuccess, Consumer<Response> answer) {
+    private void commit(Transaction transaction, String jobId, Runnable onSuccess, Consumer<Response> callback) {
         context.store().commit(transaction, CallPriority.USER, result -> {
             if (result.ok()) {
                 onSuccess.run();
                 context.replica().applyCommitted(transaction, result.revision());
-                answer.accept(JobApiResponses.accepted(jobId));
+                callback.accept(JobApiResponses.accepted(jobId));
                 requestRound.run();
             } else if (result.outcome() == StoreOutcome.CONFLICT) {
-                queries.query(jobId, answer);
+                queries.query(jobId, callback);
             } else {
-                answer.accept(JobApiResponses.retryLater());
+                callback.accept(JobApiResponses.retryLater());
             }
         });
     }
@@ -158,21 +159,21 @@
         if (spec.types() == null) {
             return spec;
         }
-        Set<String> kept = new TreeSet<>(spec.types());
-        kept.retainAll(context.clusterState().types().keySet());
-        return spec.withTypes(kept);
+        Set<String> knownTypes = new TreeSet<>(spec.types());
+        knownTypes.retainAll(context.clusterState().types().keySet());
+        return spec.withTypes(knownTypes);
     }
 
     private int taskRangeSize(JobSpec spec) {
         PlatformSettings settings = context.settings();
-        int controllers = settings.peers().size() + 1;
-        return Job.taskRangeSize(settings.valueBytes(), spec.taskCount(), controllers, settings.scarceChanges());
+        int controllerCount = settings.peers().size() + 1;
+        return Job.taskRangeSize(settings.valueBytes(), spec.taskCount(), controllerCount, settings.scarceChanges());
     }
 
     /**
      * Returns whether the header exceeds the value limit, including the fields that a release and a cancellation add.
      */
-    private boolean tooLarge(Job job, Instant now) {
+    private boolean exceedsValueLimit(Job job, Instant now) {
         int bytes = job.readyHeader(now).toString().getBytes(StandardCharsets.UTF_8).length;
         return bytes + CANCELLATION_BYTES > context.settings().valueBytes();
     }
--- a/src/main/java/org/havenford/coordination/jobs/PipelineMetrics.java
+++ b/src/main/java/org/havenford/coordination/jobs/PipelineMetrics.java
@@ -7,35 +7,35 @@
 
 /** Histograms of how long jobs with dependencies wait after the end of their last dependency, for the log. */
 public final class PipelineMetrics {
-    private static final long MAX_MILLIS = 3_600_000L;
+    private static final long MAX_RECORDED_MILLIS = 3_600_000L;
     private static final int SIGNIFICANT_DIGITS = 2;
 
     /** Delays from the end of the last dependency to the committed release, in milliseconds. */
-    private final Histogram untilRelease = new Histogram(MAX_MILLIS, SIGNIFICANT_DIGITS);
+    private final Histogram releaseDelays = new Histogram(MAX_RECORDED_MILLIS, SIGNIFICANT_DIGITS);
     /** Delays from the end of the last dependency to the first committed claim, in milliseconds. */
-    private final Histogram untilFirstClaim = new Histogram(MAX_MILLIS, SIGNIFICANT_DIGITS);
+    private final Histogram firstClaimDelays = new Histogram(MAX_RECORDED_MILLIS, SIGNIFICANT_DIGITS);
 
     /** Records the delay between the end of the last dependency of a job and its release. */
-    void released(Instant lastEnd, Instant now) {
-        record(untilRelease, lastEnd, now);
+    void recordRelease(Instant lastDependencyEnd, Instant now) {
+        record(releaseDelays, lastDependencyEnd, now);
     }
 
     /** Records the delay between the end of the last dependency of a job and its first claim. */
-    public void firstClaim(Instant lastEnd, Instant now) {
-        record(untilFirstClaim, lastEnd, now);
+    public void firstClaim(Instant lastDependencyEnd, Instant now) {
+        record(firstClaimDelays, lastDependencyEnd, now);
     }
 
     private static void record(Histogram histogram, Instant from, Instant to) {
         long millis = Duration.between(from, to).toMillis();
-        histogram.recordValue(Math.max(0, Math.min(MAX_MILLIS, millis)));
+        histogram.recordValue(Math.max(0, Math.min(MAX_RECORDED_MILLIS, millis)));
     }
 
     /** Returns the delays recorded since the last call as {@code key=value} pairs, and resets the histograms. */
     public String summary() {
-        String text = describe("release", untilRelease) + " " + describe("firstClaim", untilFirstClaim);
-        untilRelease.reset();
-        untilFirstClaim.reset();
-        return text;
+        String summary = describe("release", releaseDelays) + " " + describe("firstClaim", firstClaimDelays);
+        releaseDelays.reset();
+        firstClaimDelays.reset();
+        return summary;
     }
 
     private static String describe(String name, Histogram histogram) {
--- a/src/main/java/org/havenford/coordination/jobs/StoreResponses.java
+++ b/src/main/java/org/havenford/coordination/jobs/StoreResponses.java
@@ -10,7 +10,7 @@
     private StoreResponses() {}
 
     /** Parses a job header that was read from the store. */
-    static Job header(StoreResult result) throws MalformedMessageException {
+    static Job parseHeader(StoreResult result) throws MalformedMessageException {
         return Job.parse(result.value());
     }
 
