--- a/src/main/java/org/havenford/Main.java
+++ b/src/main/java/org/havenford/Main.java
@@ -25,25 +25,25 @@
 import picocli.CommandLine.Model.OptionSpec;
 import picocli.CommandLine.ParseResult;
 
-/** The command line. */
+/** Entry point and command line of the controller. */
 public final class Main {
-    private static final int FAILED = 1;
+    private static final int EXIT_FAILURE = 1;
 
     private Main() {}
 
-    /** Starts a controller, or does what the options say. */
+    /** Starts a controller, or runs the action that the options select and exits with its code. */
     public static void main(String[] args) {
-        logging(System.getenv());
-        int code = commandLine().execute(args);
-        if (code >= 0) {
-            System.exit(code);
+        configureLogging(System.getenv());
+        int exitCode = commandLine().execute(args);
+        if (exitCode >= 0) {
+            System.exit(exitCode);
         }
     }
 
-    private static void logging(Map<String, String> env) {
-        String level = env.getOrDefault("LOG_LEVEL", "info");
-        boolean known = level.equals("error") || level.equals("info") || level.equals("debug");
-        System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", known ? level : "info");
+    private static void configureLogging(Map<String, String> environment) {
+        String level = environment.getOrDefault("LOG_LEVEL", "info");
+        boolean isKnown = level.equals("error") || level.equals("info") || level.equals("debug");
+        System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", isKnown ? level : "info");
         System.setProperty("org.slf4j.simpleLogger.showDateTime", "true");
         System.setProperty("org.slf4j.simpleLogger.dateTimeFormat", "HH:mm:ss.SSS");
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
@@ -54,7 +54,7 @@
         System.setProperty("org.jboss.logging.provider", "slf4j");
     }
 
-    /** Options are declared without annotations: reading those by reflection would lengthen every start. */
+    /** Declares the options in code, because reading annotations by reflection would lengthen every start. */
     private static CommandLine commandLine() {
         CommandSpec spec = CommandSpec.create().name("havenford");
         String version = Main.class.getPackage().getImplementationVersion();
@@ -63,19 +63,18 @@
         spec.addOption(OptionSpec.builder("--config")
                 .paramLabel("FILE")
                 .type(Path.class)
-                .description("settings of the platform, JSON")
+                .description("platform settings (JSON), required")
                 .build());
         spec.addOption(OptionSpec.builder("--operator")
                 .paramLabel("FILE")
                 .type(Path.class)
-                .description("settings of the operators, XML (see docs/operations.md)")
+                .description("operator settings (XML), see docs/operations.md")
                 .build());
         spec.addOption(OptionSpec.builder("--rehearse")
                 .type(boolean.class)
                 .arity("0")
                 .hidden(true)
-                .description(
-                        "start, talk to itself for a moment and end; the build archives the classes that this loads")
+                .description("start without a deployment, load all classes for the class-data-sharing archive and exit")
                 .build());
         spec.addOption(OptionSpec.builder("-h", "--help")
                 .usageHelp(true)
@@ -85,53 +84,54 @@
                 .versionHelp(true)
                 .description("show the version")
                 .build());
-        CommandLine line = new CommandLine(spec);
-        line.setExecutionStrategy(Main::run);
-        return line;
+        CommandLine commandLine = new CommandLine(spec);
+        commandLine.setExecutionStrategy(Main::run);
+        return commandLine;
     }
 
-    private static int run(ParseResult parsed) {
-        Integer help = CommandLine.executeHelpRequest(parsed);
-        if (help != null) {
-            return help;
+    private static int run(ParseResult parseResult) {
+        Integer helpExitCode = CommandLine.executeHelpRequest(parseResult);
+        if (helpExitCode != null) {
+            return helpExitCode;
         }
-        if (parsed.hasMatchedOption("--rehearse")) {
+        if (parseResult.hasMatchedOption("--rehearse")) {
             return ClassDataSharingWarmUp.run();
         }
-        Path file = parsed.matchedOptionValue("--config", (Path) null);
-        if (file == null) {
-            System.err.println("havenford: --config is missing");
-            CommandLine.usage(parsed.commandSpec(), System.err);
+        Path configFile = parseResult.matchedOptionValue("--config", (Path) null);
+        if (configFile == null) {
+            System.err.println("havenford: required option --config FILE is missing");
+            CommandLine.usage(parseResult.commandSpec(), System.err);
             return 2;
         }
         try {
-            PlatformSettings settings = PlatformSettings.read(file);
-            Path operatorFile = parsed.matchedOptionValue("--operator", (Path) null);
+            PlatformSettings settings = PlatformSettings.read(configFile);
+            Path operatorFile = parseResult.matchedOptionValue("--operator", (Path) null);
             OperatorSettings operatorSettings =
                     operatorFile == null ? OperatorSettings.DEFAULTS : OperatorSettings.read(operatorFile);
             serve(settings, operatorSettings);
             return -1;
         } catch (NoSuchFileException e) {
-            return fail("there is no file " + e.getMessage());
+            return fail("settings file does not exist: " + e.getMessage());
         } catch (IOException e) {
-            return fail(e.getMessage());
+            return fail("I/O error at startup: " + e);
         } catch (MalformedMessageException e) {
-            return fail(file + ": " + e.getMessage());
+            return fail(configFile + ": " + e.getMessage());
         } catch (OperatorSettings.InvalidSettingException e) {
-            return fail("operators' settings: " + e.getMessage());
+            return fail("invalid operator settings: " + e.getMessage());
         } catch (RuntimeException e) {
-            return fail("can't listen on the configured address: " + e.getMessage());
+            return fail("cannot listen on the address of bind or cluster_listen: " + e.getMessage());
         }
     }
 
-    private static int fail(String why) {
-        System.err.println("havenford: " + why);
-        return FAILED;
+    private static int fail(String message) {
+        System.err.println("havenford: " + message);
+        return EXIT_FAILURE;
     }
 
     /**
-     * Starts the one event-loop thread and builds everything on it. The calling thread only waits: two threads that load
-     * classes at the same time have been seen to crash the process in read() (docs/incidents/start-crash.md).
+     * Starts the single event-loop thread, on which all components are created and started. The calling thread only
+     * waits for it: class loading in two threads at the same time has crashed the process in read(), see
+     * docs/incidents/start-crash.md.
      */
     static void serve(PlatformSettings settings, OperatorSettings operatorSettings) throws IOException {
         XnioWorker worker = Xnio.getInstance()
@@ -142,42 +142,50 @@
                         .set(Options.STACK_SIZE, 1024L * 1024)
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
-        CompletableFuture<Void> built = new CompletableFuture<>();
+        CompletableFuture<Void> started = new CompletableFuture<>();
         worker.getIoThread().execute(() -> {
             try {
-                build(worker, settings, operatorSettings);
-                built.complete(null);
+                startController(worker, settings, operatorSettings);
+                started.complete(null);
             } catch (RuntimeException e) {
-                built.completeExceptionally(e);
+                started.completeExceptionally(e);
             }
         });
-        built.join();
+        started.join();
     }
 
-    private static void build(XnioWorker worker, PlatformSettings settings, OperatorSettings operatorSettings) {
+    private static void startController(
+            XnioWorker worker, PlatformSettings settings, OperatorSettings operatorSettings) {
         XnioLoop loop = new XnioLoop(worker.getIoThread());
-        DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8 * 1024, 64, 0);
-        // When the other controllers are down, all workers and users come here: room for them goes before room for
-        // commands of our own, which also reach workers in answers. What the store and the cloud need is kept back.
-        HttpServer[] server = new HttpServer[1];
-        int most = settings.maxConnections();
-        int kept = Math.max(20, Math.min(60, most / 20));
+        DefaultByteBufferPool bufferPool = new DefaultByteBufferPool(false, 8 * 1024, 64, 0);
+        // Inbound connections take precedence over outbound ones: if the other controllers are down, all agents and
+        // users connect to this one, and commands also reach agents in heartbeat responses. Some connections are
+        // reserved for calls to the store and the cloud.
+        HttpServer[] serverHolder = new HttpServer[1];
+        int maxConnections = settings.maxConnections();
+        int reservedConnections = Math.max(20, Math.min(60, maxConnections / 20));
         HttpClient client = new HttpClient(
                 loop,
-                buffers,
-                () -> Math.max(kept, Math.min(most / 2, most - kept - (server[0] == null ? 0 : server[0].open()))));
+                bufferPool,
+                () -> Math.max(
+                        reservedConnections,
+                        Math.min(
+                                maxConnections / 2,
+                                maxConnections
+                                        - reservedConnections
+                                        - (serverHolder[0] == null ? 0 : serverHolder[0].open()))));
         Controller controller = new Controller(loop, client, settings, operatorSettings);
         int colon = settings.bind().lastIndexOf(':');
-        server[0] = new HttpServer(
+        serverHolder[0] = new HttpServer(
                 worker,
                 settings.bind().substring(0, colon),
                 Integer.parseInt(settings.bind().substring(colon + 1)),
-                Math.max(50, most - 2 * kept),
+                Math.max(50, maxConnections - 2 * reservedConnections),
                 controller);
-        server[0].start();
+        serverHolder[0].start();
         if (operatorSettings.standby().enabled() && !settings.peers().isEmpty()) {
-            XnioPeerNetwork peers = new XnioPeerNetwork(worker, loop);
-            new WarmStandby(controller.standbyHost(), peers, settings, operatorSettings.standby()).start();
+            XnioPeerNetwork peerNetwork = new XnioPeerNetwork(worker, loop);
+            new WarmStandby(controller.standbyHost(), peerNetwork, settings, operatorSettings.standby()).start();
         }
         LoggerFactory.getLogger(Main.class).info("{} serves on {}", settings.node(), settings.bind());
         controller.start();
--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -44,12 +44,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller: puts the parts together, and tells them of events. All of it happens on the event loop. */
+/** Wires the components of one controller together and dispatches events to them. Everything runs on the event loop. */
 public final class Controller implements HttpServer.Handler {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-    /** Time for an agent to hear of a cancellation, and for clocks that differ. */
-    private static final Duration CANCEL_MARGIN = Duration.ofSeconds(6);
-    /** A limit of the membership lease below this is not applied. */
+    /** Allowance for delivering a cancellation to an agent and for clock skew. */
+    private static final Duration CANCELLATION_MARGIN = Duration.ofSeconds(6);
+    /** The limit on the membership lease applies only if it is longer than this. */
     private static final Duration MIN_LEASE_LIMIT = Duration.ofSeconds(2);
 
     private final PlatformSettings settings;
@@ -58,7 +58,7 @@
     private final EventLoop loop;
     private final HttpCalls calls;
     private final RoundTimer roundTimer;
-    private final LinkMonitor links;
+    private final LinkMonitor linkMonitor;
     private final ClusterState clusterState;
     private final StoreClient store;
     private final StoreReplica replica;
@@ -71,16 +71,19 @@
     private final HttpRouter router;
     private final ControllerStatistics statistics;
 
-    /** Puts a controller together; nothing happens before {@link #start}. */
+    /** Creates a controller, which does nothing until {@link #start} is called. */
     public Controller(
-            EventLoop outerLoop, HttpCalls outerCalls, PlatformSettings settings, OperatorSettings operatorSettings) {
+            EventLoop underlyingLoop,
+            HttpCalls underlyingCalls,
+            PlatformSettings settings,
+            OperatorSettings operatorSettings) {
         this.settings = settings;
         this.operatorSettings = operatorSettings;
-        pauseDetector = new ProcessPauseDetector(outerLoop, outerCalls, this::processPaused);
+        pauseDetector = new ProcessPauseDetector(underlyingLoop, underlyingCalls, this::processPaused);
         loop = pauseDetector;
-        roundTimer = new RoundTimer(loop, new ControllerWork());
-        links = new LinkMonitor(settings, loop);
-        calls = links.watching(pauseDetector);
+        roundTimer = new RoundTimer(loop, new RoundCallbacks());
+        linkMonitor = new LinkMonitor(settings, loop);
+        calls = linkMonitor.watching(pauseDetector);
 
         clusterState = new ClusterState();
         store = createStoreClient();
@@ -101,8 +104,8 @@
 
         router = new HttpRouter(
                 new JobApi(context, dependencies, roundTimer::requestRound),
-                new HeartbeatEndpoint(loop, links, agentManager),
-                new HealthCheck(replica, membership, clusterState, links));
+                new HeartbeatEndpoint(loop, linkMonitor, agentManager),
+                new HealthCheck(replica, membership, clusterState, linkMonitor));
         statistics = createStatistics(context.pipelineMetrics());
     }
 
@@ -123,7 +126,8 @@
                 loop,
                 store,
                 replica,
-                new MembershipSettings(settings.node(), nodes(settings), membershipLease(settings, operatorSettings)),
+                new MembershipSettings(
+                        settings.node(), allNodes(settings), membershipLease(settings, operatorSettings)),
                 new ControllerMembershipListener());
     }
 
@@ -148,57 +152,59 @@
         List<ControllerStatistics.Section> sections = List.of(
                 new ControllerStatistics.Section("store", () -> Optional.of(store.statistics())),
                 new ControllerStatistics.Section("pipelines", () -> Optional.of(pipelineMetrics.summary())),
-                new ControllerStatistics.Section("links", () -> Optional.of(links.summary())),
+                new ControllerStatistics.Section("links", () -> Optional.of(linkMonitor.summary())),
                 new ControllerStatistics.Section("booting machines", () -> Optional.ofNullable(provisioner.summary())));
         return new ControllerStatistics(loop, scheduler, agentManager, clusterState, sections);
     }
 
     /**
-     * How long the membership lease lasts. A silent task must be gone within the time for cancellations, even if its owner
-     * can't be reached: an owner cut off may renew the agent's lease until its own ends.
+     * Returns the duration of the membership lease: the operator setting, limited so that a cancelled task stops within
+     * the cancellation limit even if the owner of its machine is cut off from the store. Such an owner may renew the
+     * agent's lease until its own membership lease ends, so both leases and a margin must fit within that limit.
      */
     private static Duration membershipLease(PlatformSettings settings, OperatorSettings operatorSettings) {
-        Duration limit =
-                settings.cancellationLimit().minus(settings.agentLease()).minus(CANCEL_MARGIN);
+        Duration maxLease =
+                settings.cancellationLimit().minus(settings.agentLease()).minus(CANCELLATION_MARGIN);
         Duration lease = operatorSettings.membershipLease();
-        return lease.compareTo(limit) > 0 && limit.compareTo(MIN_LEASE_LIMIT) > 0 ? limit : lease;
+        return lease.compareTo(maxLease) > 0 && maxLease.compareTo(MIN_LEASE_LIMIT) > 0 ? maxLease : lease;
     }
 
-    private static Set<String> nodes(PlatformSettings settings) {
-        Set<String> all = new TreeSet<>(Set.of(settings.node()));
-        settings.peers().forEach(peer -> all.add(peer.node()));
-        return all;
+    private static Set<String> allNodes(PlatformSettings settings) {
+        Set<String> names = new TreeSet<>(Set.of(settings.node()));
+        settings.peers().forEach(peer -> names.add(peer.node()));
+        return names;
     }
 
-    /** Begins to read the store, to register, and to decide. */
+    /** Starts to load the replica, to register as a member and to run rounds. */
     public void start() {
         replica.start();
         membership.start();
         roundTimer.start();
     }
 
-    /** What a standby in this process sees of the controller, and may ask of it. */
+    /** Returns the interface through which a standby in this process uses the controller. */
     public StandbyHost standbyHost() {
         return standbyAccess;
     }
 
     @Override
-    public void handle(Request request, Consumer<Response> answer) {
+    public void handle(Request request, Consumer<Response> callback) {
         pauseDetector.eventStarted();
         Instant start = loop.now();
         router.handle(request, response -> {
-            statistics.recordAnswer(Duration.between(start, loop.now()));
-            answer.accept(response);
+            statistics.recordResponse(Duration.between(start, loop.now()));
+            callback.accept(response);
         });
     }
 
     /**
-     * This process was paused while its clocks went on. What it knew before is old: others may have taken over its
-     * membership, its machines and its work. The parts are told before anything that came or was due meanwhile is handled.
+     * Notifies the components that the process was paused while its clocks went on. Their state may be stale: other
+     * controllers may have evicted this member and taken over its machines and jobs. This runs before any event that
+     * arrived or became due during the pause is handled.
      */
     private void processPaused(Duration pause) {
         LOG.warn("process paused, knowledge from before is not acted on: seconds={}", pause.toMillis() / 1e3);
-        links.processPaused(pause);
+        linkMonitor.processPaused(pause);
         membership.processPaused();
         agentManager.processPaused(pause);
         scheduler.processPaused();
@@ -206,7 +212,7 @@
         standbyAccess.processPaused();
     }
 
-    /** Passes on a new view, and answers what membership decides on. */
+    /** Forwards view changes to the components and provides membership with the number of owned machines. */
     private final class ControllerMembershipListener implements MembershipListener {
         @Override
         public void viewChanged() {
@@ -222,7 +228,7 @@
         }
     }
 
-    /** Passes on what agents have changed. */
+    /** Forwards changes reported by agents to the scheduler and the round timer. */
     private final class AgentObserver implements AgentListener {
         @Override
         public void capacityChanged(String machine) {
@@ -235,8 +241,8 @@
         }
     }
 
-    /** What the controller does in rounds and with each tick. */
-    private final class ControllerWork implements RoundTimer.Work {
+    /** Runs the steps of the components in rounds and at each tick. */
+    private final class RoundCallbacks implements RoundTimer.Callbacks {
         @Override
         public void tickStarted(Duration delay) {
             statistics.recordTimerDelay(delay);
@@ -251,9 +257,9 @@
         }
 
         @Override
-        public void runPeriodicWork() {
+        public void runPeriodicTasks() {
             provisioner.step();
-            links.step(agentManager.expectsHeartbeats());
+            linkMonitor.step(agentManager.expectsHeartbeats());
             statistics.logIfDue();
         }
     }
--- a/src/main/java/org/havenford/controller/HealthCheck.java
+++ b/src/main/java/org/havenford/controller/HealthCheck.java
@@ -8,7 +8,10 @@
 import org.havenford.storage.StoreReplica;
 import org.havenford.transport.HttpServer.Response;
 
-/** The readiness check: whether requests can be taken; for operators, the reason if not, and the lost links. */
+/**
+ * The readiness check: reports whether this controller can serve requests and, for operators, the reason if it cannot,
+ * and the lost links.
+ */
 final class HealthCheck {
     private static final int READY_STATUS = 200;
     private static final int NOT_READY_STATUS = 503;
@@ -19,26 +22,26 @@
     private final StoreReplica replica;
     private final Membership membership;
     private final ClusterState clusterState;
-    private final LinkMonitor links;
+    private final LinkMonitor linkMonitor;
 
-    HealthCheck(StoreReplica replica, Membership membership, ClusterState clusterState, LinkMonitor links) {
+    HealthCheck(StoreReplica replica, Membership membership, ClusterState clusterState, LinkMonitor linkMonitor) {
         this.replica = replica;
         this.membership = membership;
         this.clusterState = clusterState;
-        this.links = links;
+        this.linkMonitor = linkMonitor;
     }
 
-    /** GET /healthz. */
+    /** Handles {@code GET /healthz}. */
     Response check() {
-        Optional<String> reason = whyNotReady();
+        Optional<String> reason = notReadyReason();
         JsonObject body = new JsonObject();
         body.addProperty(READY, reason.isEmpty());
         reason.ifPresent(text -> body.addProperty(REASON, text));
-        body.add(LOST_LINKS, links.toJson());
+        body.add(LOST_LINKS, linkMonitor.toJson());
         return Response.of(reason.isEmpty() ? READY_STATUS : NOT_READY_STATUS, body.toString());
     }
 
-    private Optional<String> whyNotReady() {
+    private Optional<String> notReadyReason() {
         if (!replica.loaded()) {
             return Optional.of("the state service has not been read");
         }
--- a/src/main/java/org/havenford/controller/ReplicaObserver.java
+++ b/src/main/java/org/havenford/controller/ReplicaObserver.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Tells the parts of a controller what has changed in the replica of the store. */
+/** Dispatches changes of the replica to the components of a controller. */
 final class ReplicaObserver implements ClusterState.Observer {
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaObserver.class);
 
@@ -65,9 +65,9 @@
     }
 
     @Override
-    public void jobEnded(Job last) {
-        agentManager.jobEnded(last);
-        scheduler.jobEnded(last);
+    public void jobEnded(Job lastState) {
+        agentManager.jobEnded(lastState);
+        scheduler.jobEnded(lastState);
     }
 
     @Override
--- a/src/main/java/org/havenford/controller/RoundTimer.java
+++ b/src/main/java/org/havenford/controller/RoundTimer.java
@@ -5,42 +5,45 @@
 import org.havenford.transport.EventLoop;
 
 /**
- * Decides when rounds are run: with every tick, and soon after one was requested. What comes in together is decided
- * together, and rounds leave most of the time to answers.
+ * Schedules rounds: one at every tick, and one shortly after a request. Requests that arrive together share a round,
+ * and a pause before each requested round leaves most of the processor time to requests.
  */
 final class RoundTimer {
     private static final Duration TICK = Duration.ofMillis(250);
-    /** How long a requested round waits for more to come in. */
+    /** Delay of a requested round, so that events that arrive together are handled in one round. */
     private static final Duration BATCH_DELAY = Duration.ofMillis(4);
 
-    private static final Duration MIN_BETWEEN_ROUNDS = Duration.ofMillis(50);
-    /** Times as long as a round took that the next one waits: with a thousand machines it is answers that use the processor. */
-    private static final int PAUSE_PER_ROUND_DURATION = 12;
+    private static final Duration MIN_ROUND_PAUSE = Duration.ofMillis(50);
+    /**
+     * Pause before a requested round as a multiple of the duration of the last round. With a thousand machines, most of
+     * the processor time is needed to answer requests.
+     */
+    private static final int ROUND_PAUSE_FACTOR = 12;
 
-    /** What is run when the timer fires. */
-    interface Work {
-        /** A tick has come, {@code delay} after its time. */
+    /** Callbacks of the timer. */
+    interface Callbacks {
+        /** Called at the start of each tick; {@code delay} is the time since the tick was due. */
         void tickStarted(Duration delay);
 
-        /** Runs one round of decisions. */
+        /** Runs one round. */
         void runRound();
 
-        /** Runs what follows the round of each tick. */
-        void runPeriodicWork();
+        /** Runs the periodic work after the round of each tick. */
+        void runPeriodicTasks();
     }
 
     private final EventLoop loop;
-    private final Work work;
+    private final Callbacks callbacks;
     private boolean roundRequested;
-    /** No round is requested before this time; the first may be at once. */
-    private Instant pauseUntil = Instant.MIN;
+    /** Earliest time of the next requested round; rounds at ticks ignore it. */
+    private Instant nextRoundNotBefore = Instant.MIN;
 
-    RoundTimer(EventLoop loop, Work work) {
+    RoundTimer(EventLoop loop, Callbacks callbacks) {
         this.loop = loop;
-        this.work = work;
+        this.callbacks = callbacks;
     }
 
-    /** Begins to tick. */
+    /** Starts the ticks. */
     void start() {
         scheduleTick();
     }
@@ -48,19 +51,19 @@
     private void scheduleTick() {
         Instant due = loop.now().plus(TICK);
         loop.after(TICK, () -> {
-            work.tickStarted(Duration.between(due, loop.now()));
+            callbacks.tickStarted(Duration.between(due, loop.now()));
             scheduleTick();
             runRound();
-            work.runPeriodicWork();
+            callbacks.runPeriodicTasks();
         });
     }
 
-    /** Asks for a round soon. */
+    /** Requests a round after the batch delay, or after the pause that follows the last round if that ends later. */
     void requestRound() {
         if (!roundRequested) {
             roundRequested = true;
-            Duration pause = Duration.between(loop.now(), pauseUntil);
-            loop.after(pause.compareTo(BATCH_DELAY) > 0 ? pause : BATCH_DELAY, () -> {
+            Duration pauseLeft = Duration.between(loop.now(), nextRoundNotBefore);
+            loop.after(pauseLeft.compareTo(BATCH_DELAY) > 0 ? pauseLeft : BATCH_DELAY, () -> {
                 if (roundRequested) {
                     runRound();
                 }
@@ -71,9 +74,9 @@
     private void runRound() {
         roundRequested = false;
         Instant start = loop.now();
-        work.runRound();
+        callbacks.runRound();
         Instant end = loop.now();
         long roundNanos = Duration.between(start, end).toNanos();
-        pauseUntil = end.plusNanos(roundNanos * PAUSE_PER_ROUND_DURATION).plus(MIN_BETWEEN_ROUNDS);
+        nextRoundNotBefore = end.plusNanos(roundNanos * ROUND_PAUSE_FACTOR).plus(MIN_ROUND_PAUSE);
     }
 }
--- a/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
@@ -17,39 +17,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Releases jobs whose dependencies are all done, and cancels those of which a dependency is cancelled. Both are conditional
- * on the mod revision of the job's header; claims are as well, so no task starts before the release.
+ * Releases jobs whose dependencies are all done and cancels jobs with a cancelled dependency. Releases, cancellations
+ * and claims are all conditional on the mod revision of the job's header, so no task starts before the job is released.
  */
 public final class JobDependencies {
     private static final Logger LOG = LoggerFactory.getLogger(JobDependencies.class);
-    /** Transactions that cancel dependents; so a wide cascade leaves room in the queue for claims. */
-    private static final int MAX_CANCELLATIONS_UNDER_WAY = 2;
-    /** Cancelling a dependent puts its final state and deletes its header. */
+    /**
+     * Concurrent transactions that cancel dependents; the limit keeps a wide cascade from delaying claims in the queue.
+     */
+    private static final int MAX_PENDING_CANCELLATIONS = 2;
+    /** The cancellation of a dependent puts its final state and deletes its header. */
     private static final int OPERATIONS_PER_CANCELLATION = 2;
 
-    /** What is known of a job's dependencies; of several, the last in this order counts. */
+    /** Status of a job's dependencies, in ascending order of precedence: the combined status is the highest of all. */
     enum DependencyStatus {
-        /** Each of them is done according to its stored final state. */
+        /** All dependencies are done according to their stored final states. */
         DONE,
-        /** Some have not ended; none that is known here is cancelled. */
-        OPEN,
-        /** The final state of one has yet to be read from the store. */
+        /** At least one dependency has not ended, and none is known to be cancelled. */
+        UNFINISHED,
+        /** The final state of at least one dependency has yet to be read from the store. */
         UNKNOWN,
-        /** One, directly or through others, is cancelled: it can never be done, nor can what depends on it. */
+        /** A direct or transitive dependency is cancelled, so the job can never start. */
         CANCELLED
     }
 
     private final CoordinationContext context;
-    private int cancellationsUnderWay;
+    private int pendingCancellations;
 
-    /** Dependencies as seen in the given context. */
+    /** Creates the component in the given context. */
     public JobDependencies(CoordinationContext context) {
         this.context = context;
     }
 
     /**
-     * The status of a job that depends on the given ones. A cancelled header can only end as a cancelled job, and so can a job
-     * that depends on a cancelled one; so {@code CANCELLED} is certain however old our replica is.
+     * Returns the combined status of the given jobs and their transitive dependencies. {@code CANCELLED} is final even
+     * if the replica is stale, because a cancelled job, and any job that depends on it, can only end as cancelled.
      */
     DependencyStatus statusOf(Collection<String> jobIds) {
         DependencyStatus combined = DependencyStatus.DONE;
@@ -58,15 +60,15 @@
         while (!unvisited.isEmpty()) {
             String jobId = unvisited.poll();
             Job job = context.clusterState().job(jobId);
-            DependencyStatus status = job == null ? endedStatus(jobId) : unfinishedStatus(job);
+            DependencyStatus status = job == null ? statusWithoutHeader(jobId) : statusFromHeader(job);
             if (status == DependencyStatus.CANCELLED) {
                 return status;
             }
             combined = status.compareTo(combined) > 0 ? status : combined;
             if (job != null && job.awaitsDependencies()) {
-                for (String further : job.spec().dependencies()) {
-                    if (seen.add(further)) {
-                        unvisited.add(further);
+                for (String dependency : job.spec().dependencies()) {
+                    if (seen.add(dependency)) {
+                        unvisited.add(dependency);
                     }
                 }
             }
@@ -74,40 +76,45 @@
         return combined;
     }
 
-    private static DependencyStatus unfinishedStatus(Job job) {
-        return job.cancelled() ? DependencyStatus.CANCELLED : DependencyStatus.OPEN;
+    private static DependencyStatus statusFromHeader(Job job) {
+        return job.cancelled() ? DependencyStatus.CANCELLED : DependencyStatus.UNFINISHED;
     }
 
-    /** The status of a job whose header is gone, or not here yet; a final state that is not known is read. */
-    private DependencyStatus endedStatus(String jobId) {
-        FinalState state = context.finalStates().known(jobId);
+    /**
+     * Returns the status of a job without a header in the replica, and starts to read its final state if it is not
+     * cached.
+     */
+    private DependencyStatus statusWithoutHeader(String jobId) {
+        FinalState state = context.finalStates().cached(jobId);
         if (state == null) {
-            context.finalStates().read(jobId);
+            context.finalStates().startRead(jobId);
             return DependencyStatus.UNKNOWN;
         }
         return state.status() == FinalState.Status.DONE ? DependencyStatus.DONE : DependencyStatus.CANCELLED;
     }
 
     /**
-     * Whether a job that awaits dependencies may be called pending. A cancellation that our replica does not show yet must be
-     * so young that the time for cancellations is not over; after an outage the replica may lack older ones.
+     * Returns whether a job that awaits dependencies may be reported as pending. A cancellation that is missing from
+     * the replica must be more recent than the cancellation limit. After an outage the replica may lack older ones, so
+     * it must have been verified within half of that limit.
      */
-    boolean isCertainlyPending(Job waiting) {
-        DependencyStatus status = statusOf(waiting.spec().dependencies());
-        return (status == DependencyStatus.OPEN || status == DependencyStatus.DONE)
+    boolean isConfirmedPending(Job job) {
+        DependencyStatus status = statusOf(job.spec().dependencies());
+        return (status == DependencyStatus.UNFINISHED || status == DependencyStatus.DONE)
                 && context.membership()
                         .replicaIsFresherThan(
                                 context.settings().cancellationLimit().dividedBy(2));
     }
 
     /**
-     * When a job could start whose dependencies are all done: the end of the last of them, or now where the version that
-     * ended one did not store it; not before its submission.
+     * Returns when a job whose dependencies are all done became ready to start: at the end of the last dependency, but
+     * not before its submission. It is the present time if the end time of a dependency is unknown, for example because
+     * an earlier version stored its final state without one.
      */
     private Instant releaseTime(Job job) {
         Instant latest = job.submittedAt();
         for (String dependency : job.spec().dependencies()) {
-            FinalState state = context.finalStates().known(dependency);
+            FinalState state = context.finalStates().cached(dependency);
             if (state == null || state.endedAt() == null) {
                 return context.loop().timeOfDay();
             }
@@ -116,7 +123,7 @@
         return latest;
     }
 
-    /** Releases and cancels jobs that this controller is responsible for. */
+    /** Releases or cancels the waiting jobs that this controller is responsible for. */
     public void step() {
         List<Job> toCancel = new ArrayList<>();
         for (String jobId : List.copyOf(context.clusterState().jobsAwaitingDependencies())) {
@@ -124,7 +131,8 @@
             if (job.cancelled()) {
                 continue;
             }
-            // Every member finds out, so that each can answer users and knows the final states at a failover.
+            // Evaluated by every member, not only the responsible one: this loads the final states into the cache,
+            // where they are needed to answer queries and after a failover.
             DependencyStatus status = statusOf(job.spec().dependencies());
             if (context.writer().isLocked(Keys.job(jobId)) || !context.isResponsibleFor(job)) {
                 continue;
@@ -138,7 +146,7 @@
         int jobsPerTransaction =
                 Math.max(1, context.settings().maxTransactionOperations() / OPERATIONS_PER_CANCELLATION);
         for (List<Job> jobs : Lists.partition(toCancel, jobsPerTransaction)) {
-            if (cancellationsUnderWay < MAX_CANCELLATIONS_UNDER_WAY) {
+            if (pendingCancellations < MAX_PENDING_CANCELLATIONS) {
                 cancelDependents(jobs);
             }
         }
@@ -150,12 +158,15 @@
         Instant releasedAt = releaseTime(job);
         Transaction transaction =
                 new Transaction().requireRevision(key, context.modRevision(key)).put(key, job.readyHeader(releasedAt));
-        Runnable onSuccess = () ->
-                context.pipelineMetrics().released(releasedAt, context.loop().timeOfDay());
+        Runnable onSuccess = () -> context.pipelineMetrics()
+                .recordRelease(releasedAt, context.loop().timeOfDay());
         context.writer().commit(transaction, CallPriority.CLAIM, List.of(key), onSuccess);
     }
 
-    /** They were never released, so they hold no task, and with the conditions on their headers none can be claimed any more. */
+    /**
+     * Ends jobs with a cancelled dependency. They were never released, so they have no claims, and the conditions on
+     * their headers make the transaction fail if that has changed.
+     */
     private void cancelDependents(List<Job> jobs) {
         Transaction transaction = new Transaction();
         List<String> keys = new ArrayList<>();
@@ -170,7 +181,7 @@
                     .delete(key);
         }
         LOG.info("cancelled with a dependency: jobs={}", keys);
-        cancellationsUnderWay++;
-        context.writer().commit(transaction, CallPriority.CLAIM, keys, () -> {}, result -> cancellationsUnderWay--);
+        pendingCancellations++;
+        context.writer().commit(transaction, CallPriority.CLAIM, keys, () -> {}, result -> pendingCancellations--);
     }
 }
