--- a/src/main/java/org/havenford/coordination/placement/PlacementRules.java
+++ b/src/main/java/org/havenford/coordination/placement/PlacementRules.java
@@ -4,24 +4,24 @@
 import org.havenford.protocol.MachineType;
 
 /**
- * The one place that says whether a task of a job may start on a machine, given where the job's other tasks are. The
- * planner, preemption, the provisioner, submissions and claims all ask here.
+ * Decides whether a task of a job may start on a machine, given the zones of the job's other tasks. The planner,
+ * preemption, provisioning, submissions and claims all use these rules, so that they agree.
  */
 public final class PlacementRules {
-    /** The answer: allowed, or the first constraint of the job that the start would break. */
+    /** Result of a check: allowed, or the first constraint of the job that the start would violate. */
     public enum Verdict {
         ALLOWED,
         /** The task does not fit an empty machine of this type. */
         TOO_SMALL,
-        /** The job names machine types, and this is none of them. */
+        /** The job is restricted to machine types that do not include this one. */
         WRONG_TYPE,
-        /** The job names another zone. */
+        /** The job is restricted to another zone. */
         WRONG_ZONE,
         /** The job may not use spot machines. */
         SPOT,
-        /** All tasks must be in one zone, and others are, or may be, in another. */
+        /** All tasks of the job must be in one zone, and others are, or may be, in another zone. */
         NOT_TOGETHER,
-        /** Half of the job's tasks are, or may be, in this zone already. */
+        /** At least half of the job's tasks are, or may be, in this zone already. */
         NOT_APART;
 
         /** Whether the task may start. */
@@ -32,7 +32,9 @@
 
     private PlacementRules() {}
 
-    /** What the job says of machines, whatever its other tasks do. */
+    /**
+     * Checks the constraints that do not depend on the job's other tasks: machine type, zone, pricing model and size.
+     */
     public static Verdict checkMachine(JobSpec spec, MachineType type, String zone, boolean spot) {
         if (spec.types() != null && !spec.types().contains(type.name())) {
             return Verdict.WRONG_TYPE;
@@ -46,7 +48,7 @@
         return spec.fits(type) ? Verdict.ALLOWED : Verdict.TOO_SMALL;
     }
 
-    /** What the job says of zones, given its other tasks. */
+    /** Checks the together and apart constraints of a job for a zone, given the zones of its other tasks. */
     public static Verdict checkZone(JobSpec spec, String zone, TaskZones others) {
         if (spec.together() && !others.allIn(zone)) {
             return Verdict.NOT_TOGETHER;
@@ -54,18 +56,18 @@
         return spec.apart() && others.maxTasksIn(zone) >= maxTasksInOneZone(spec) ? Verdict.NOT_APART : Verdict.ALLOWED;
     }
 
-    /** Whether one more task may start on a machine. */
+    /** Checks all constraints of a job for one more task on a machine. */
     public static Verdict checkTask(JobSpec spec, MachineType type, String zone, boolean spot, TaskZones others) {
         Verdict machine = checkMachine(spec, type, zone, spot);
         return machine.allowed() ? checkZone(spec, zone, others) : machine;
     }
 
-    /** Whether it matters to a job where its other tasks are. */
+    /** Whether the job has constraints that depend on the zones of its other tasks. */
     public static boolean dependsOnOtherTasks(JobSpec spec) {
         return spec.together() || spec.apart();
     }
 
-    /** How many tasks of a job that must stay apart one zone may hold. */
+    /** Returns how many tasks of a job that must stay apart may be in one zone: half of them, rounded up. */
     static int maxTasksInOneZone(JobSpec spec) {
         return (spec.taskCount() + 1) / 2;
     }
--- a/src/main/java/org/havenford/coordination/placement/TaskZones.java
+++ b/src/main/java/org/havenford/coordination/placement/TaskZones.java
@@ -8,15 +8,15 @@
 import org.havenford.storage.records.MachineRecord;
 
 /**
- * In which zones tasks of a job are, or may be: a claim counts until it is released, which takes a proof that its task is
- * gone, and so does each task that a round of the planner has placed. A claim on a machine without a record may be in any
- * zone.
+ * Counts the tasks of a job by the zone in which they are, or may be. A claim counts until it is released, which
+ * requires proof that its attempt has ended. Tasks placed in the current planning round count too. A claim on a machine
+ * without a record may be in any zone.
  */
 public final class TaskZones {
     private final Map<String, Integer> byZone = new HashMap<>();
     private int inUnknownZone;
 
-    /** The zones of a job's claims. */
+    /** Counts the claims of a job by zone. */
     public static TaskZones ofClaims(Job job, ClusterState clusterState) {
         TaskZones zones = new TaskZones();
         for (Claim claim : job.claims()) {
@@ -30,17 +30,17 @@
         return zones;
     }
 
-    /** One more task is in a zone. */
+    /** Adds a task in a zone. */
     public void add(String zone) {
         byZone.merge(zone, 1, Integer::sum);
     }
 
-    /** One more task is in a zone that nobody knows. */
+    /** Adds a task in an unknown zone. */
     void addUnknown() {
         inUnknownZone++;
     }
 
-    /** An independent copy. */
+    /** Returns an independent copy. */
     public TaskZones copy() {
         TaskZones copy = new TaskZones();
         copy.byZone.putAll(byZone);
@@ -53,12 +53,12 @@
         return byZone.isEmpty() && inUnknownZone == 0;
     }
 
-    /** Whether there is no task that is, or may be, in another zone. */
+    /** Whether no task is, or may be, in another zone. */
     boolean allIn(String zone) {
         return inUnknownZone == 0 && (byZone.isEmpty() || (byZone.size() == 1 && byZone.containsKey(zone)));
     }
 
-    /** The largest number of tasks that the zone may hold now. */
+    /** Returns the maximum number of tasks that may be in a zone now, with those in unknown zones. */
     int maxTasksIn(String zone) {
         return byZone.getOrDefault(zone, 0) + inUnknownZone;
     }
--- a/src/main/java/org/havenford/coordination/placement/package-info.java
+++ b/src/main/java/org/havenford/coordination/placement/package-info.java
@@ -1,7 +1,7 @@
 /**
  * Constraints on where a task may start.
  *
- * <p>Pure rules over a job, a machine and the zones of the other tasks; no state of its own. Called by jobs, scheduling and
- * provisioning.
+ * <p>The rules are pure functions of a job, a machine and the zones of the job's other tasks. The package keeps no
+ * state; job submission, scheduling and provisioning call it.
  */
 package org.havenford.coordination.placement;
--- a/src/main/java/org/havenford/coordination/scheduling/CandidateFinder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/CandidateFinder.java
@@ -12,7 +12,7 @@
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.MachineRecord;
 
-/** Finds the machines that take tasks of a job, by their owner, the best first. */
+/** Finds the machines on which tasks of a job may be placed. */
 final class CandidateFinder {
     private final ClusterState clusterState;
     private final JobOrder jobOrder;
@@ -24,7 +24,10 @@
         this.scorer = scorer;
     }
 
-    /** Candidates for the tasks of a pass by owner, the best first; empty if there are none. */
+    /**
+     * Returns the candidates for the tasks of a pass by owner, the best first. If one task is pending, only the first
+     * candidate of each owner is in order.
+     */
     Map<String, List<PlacementCandidate>> find(JobPass pass) {
         JobSpec spec = pass.spec();
         PlanningRound round = pass.round();
@@ -58,7 +61,7 @@
 
     private static void bestFirst(List<PlacementCandidate> candidates, boolean onlyOnePending) {
         if (onlyOnePending) {
-            // Hundreds of jobs of one task need no order among all machines.
+            // One task needs the best candidate only; with hundreds of single-task jobs, sorting would be expensive.
             int best = candidates.indexOf(Collections.min(candidates, PlacementCandidate.BEST_FIRST));
             Collections.swap(candidates, 0, best);
         } else {
@@ -82,7 +85,7 @@
                 || !pass.round().contendedTypes.contains(capacity.type.name());
     }
 
-    /** A large machine that others wait for is not taken while there is time to wait for a small one. */
+    /** Whether a job may use a large machine of a contended type, rather than wait longer for a smaller one. */
     private boolean mayTakeContended(Job job, PlanningRound round) {
         return !round.now.isBefore(jobOrder.latestStart(job, round.now).minus(Preemption.PRESSING_BEFORE))
                 || JobPacing.hasWaitedLong(job, round.now);
--- a/src/main/java/org/havenford/coordination/scheduling/CapacityIndex.java
+++ b/src/main/java/org/havenford/coordination/scheduling/CapacityIndex.java
@@ -15,36 +15,36 @@
 import org.havenford.storage.records.MachineRecord;
 
 /**
- * Free capacity of the machines that take tasks, kept from round to round. Only entries of machines that were invalidated
- * since are computed again.
+ * Free capacity of all machines that are up, kept between rounds. Only the entries of invalidated machines are computed
+ * again.
  */
 final class CapacityIndex {
     private final ClusterState clusterState;
     private final UnaryOperator<String> ownerOf;
     private final TreeMap<String, FreeCapacity> byMachine = new TreeMap<>();
     private final Collection<FreeCapacity> all = Collections.unmodifiableCollection(byMachine.values());
-    /** Names of machines whose entry has to be computed again. */
+    /** Names of the machines whose entries must be computed again. */
     private final Set<String> stale = new HashSet<>();
 
     private boolean allStale = true;
 
-    /** An index over a replica; {@code ownerOf} names the controller that owns a machine. */
+    /** Creates an index over a replica; {@code ownerOf} returns the name of the controller that owns a machine. */
     CapacityIndex(ClusterState clusterState, UnaryOperator<String> ownerOf) {
         this.clusterState = clusterState;
         this.ownerOf = ownerOf;
     }
 
-    /** The machine, its claims or what is known of their outcomes have changed. */
+    /** Marks a machine's entry as stale after a change of its record, its claims or their outcomes. */
     void invalidate(String machine) {
         stale.add(machine);
     }
 
-    /** All machines have to be looked at again. */
+    /** Marks all entries as stale. */
     void invalidateAll() {
         allStale = true;
     }
 
-    /** Computes what was invalidated. */
+    /** Computes the stale entries again. */
     void refresh(MachineAvailability availability) {
         if (allStale) {
             allStale = false;
@@ -64,12 +64,14 @@
         stale.clear();
     }
 
-    /** All machines that are up, by name. */
+    /** Returns the entries of all machines that are up, ordered by name. */
     Collection<FreeCapacity> all() {
         return all;
     }
 
-    /** Machines with free capacity that take new tasks, by name; none is reserved. */
+    /**
+     * Returns the machines with free capacity that accept new tasks, ordered by name, and clears their reservations.
+     */
     List<FreeCapacity> open(PlanningSnapshot snapshot) {
         List<FreeCapacity> open = new ArrayList<>();
         for (FreeCapacity capacity : byMachine.values()) {
@@ -91,8 +93,8 @@
                 machine, type, ownerOf.apply(name), availability.images(machine), availability.takesTasksAt(machine));
         for (Claim claim : clusterState.claimsOn(name).values()) {
             Job job = clusterState.job(claim.task().job());
-            // A task known to have ended leaves its capacity at once; its release is written with others, a moment
-            // later.
+            // The capacity of a task known to have ended is free at once. Its release is stored later, in a batch with
+            // others.
             if (job != null && !availability.hasEnded(claim)) {
                 capacity.allocate(job.spec());
                 capacity.claims.add(claim);
--- a/src/main/java/org/havenford/coordination/scheduling/ClaimBatching.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ClaimBatching.java
@@ -8,37 +8,38 @@
 import org.havenford.storage.records.Job;
 
 /**
- * Batches claims while the store is under pressure: plans are made less often, so that one claim takes several tasks of a
- * task range.
+ * Batches claims while the store is under pressure: plans are made less often, so that one transaction claims several
+ * tasks of a task range.
  */
 final class ClaimBatching {
-    /** How often a plan is made under pressure. */
+    /** Interval between plans under pressure. */
     private static final Duration PLAN_INTERVAL_UNDER_PRESSURE = Duration.ofMillis(500);
-    /** Records that are planned for this controller under pressure: more than can be claimed until the next plan. */
+    /** Task ranges planned for this controller under pressure; more than it can claim until the next plan. */
     private static final int MAX_TASK_RANGES_UNDER_PRESSURE = 16;
-    /** Tasks that one claim of a large job of low priority takes at least, unless it has waited for long. */
+    /** Minimum number of tasks in one claim of a large low-priority job, unless the claim was delayed for long. */
     private static final int MIN_LOW_PRIORITY_TASKS = 12;
-    /** How long the claims of a large job of low priority may wait for more tasks. */
+    /** How long claims of a large low-priority job are delayed at most to include more tasks. */
     private static final Duration MAX_LOW_PRIORITY_DELAY = Duration.ofSeconds(3);
 
-    /** When large jobs of low priority began to wait for more free capacity, by job. */
+    /** Since when claims of large low-priority jobs have been delayed, by job id. */
     private final Map<String, Instant> waitingSince = new HashMap<>();
 
-    /** When the plan after the one of {@code start} may be made. */
+    /** Returns the earliest time of the plan that follows the one made at {@code start}. */
     static Instant nextPlan(Instant start, boolean underPressure) {
         return underPressure ? start.plus(PLAN_INTERVAL_UNDER_PRESSURE) : start;
     }
 
-    /** How many task range records this controller can claim until its next plan. */
+    /** Returns how many task ranges are planned at most for this controller in one plan. */
     static int maxTaskRanges(boolean underPressure) {
         return underPressure ? MAX_TASK_RANGES_UNDER_PRESSURE : Integer.MAX_VALUE;
     }
 
     /**
-     * Whether a claim of a large job of low priority waits a moment, so that it takes more tasks of a task range: capacity
-     * comes back task by task, and a transaction for each would keep the store from more urgent work.
+     * Whether a claim of a large low-priority job is delayed to include more tasks of its task range. Capacity becomes
+     * free one task at a time, and a transaction for each would use up the store's rate limits that more urgent work
+     * needs.
      *
-     * @param tasks how many tasks the claim would take now
+     * @param tasks number of tasks that the claim would include now
      */
     boolean isDelayed(Job job, int tasks, Instant now) {
         if (job.spec().priority() != JobSpec.Priority.LOW || job.spec().taskCount() <= MIN_LOW_PRIORITY_TASKS) {
@@ -52,7 +53,7 @@
         return delayed;
     }
 
-    /** A job is over. */
+    /** Discards the state kept for a job that has ended. */
     void jobEnded(Job job) {
         waitingSince.remove(job.id());
     }
--- a/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
@@ -15,11 +15,11 @@
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.TeamQuota.Resources;
 
-/** Puts together the transaction that claims planned tasks of one task range. */
+/** Builds the transaction that claims planned tasks of one task range. */
 final class ClaimBuilder {
-    /** A transaction allows this many conditions for each operation. */
+    /** The store accepts this many conditions in a transaction for each operation that it accepts. */
     private static final int CONDITIONS_PER_OPERATION = 4;
-    /** Conditions on the view, the job, its task range and the team's quota, and some to spare. */
+    /** Conditions kept free for the view, the job, its task range and the team's quota, with a margin. */
     private static final int OTHER_CONDITIONS = 6;
 
     private final CoordinationContext context;
@@ -32,12 +32,12 @@
         this.quotaAllocator = quotaAllocator;
     }
 
-    /** The claim of planned tasks of one task range; empty if none of them can be claimed now. */
+    /** Builds the claim of planned tasks of one task range; empty if none of them can be claimed now. */
     Optional<ClaimDraft> build(List<Placement> planned) {
         Job job = context.clusterState().job(planned.get(0).task().job());
         if (job.awaitsDependencies()) {
-            // The plan leaves it out. That no task starts before its job is released rests on this and on the guard of
-            // the header.
+            // The planner leaves such jobs out. This check, with the condition on the header's revision below,
+            // guarantees that no task starts before the job's dependencies are done.
             return Optional.empty();
         }
         ClaimDraft draft =
@@ -76,14 +76,17 @@
         draft.transaction.requireRevision(key, revision);
     }
 
-    /** Where tasks must stay together or apart, each claim of the job writes its header: so it is seen by the next. */
+    /**
+     * Rewrites the header of a job whose tasks must stay together or apart. Each claim is conditional on the header's
+     * revision, so two concurrent claims of such a job conflict, even on different task ranges.
+     */
     private static void writeHeader(ClaimDraft draft) {
         String header = Keys.job(draft.job.id());
         draft.locks.add(header);
         draft.transaction.put(header, draft.job.header(false));
     }
 
-    /** Takes from the team's quota; for how many of the {@code wanted} tasks. */
+    /** Allocates the team's quota for up to {@code wanted} tasks, and returns the number of tasks it allows. */
     private int takeQuota(ClaimDraft draft, PlatformSettings.Team team, int wanted) {
         int allowed = quotaAllocator.allocate(team, draft.perTask(), wanted, draft.transaction);
         if (draft.transaction.operationCount() > 0) {
@@ -113,7 +116,7 @@
             if (batches.size() + batchesOfMachine.size() > maxBatches || isAnyLocked(batchesOfMachine)) {
                 continue;
             }
-            // A machine that is to be returned changes its batch.
+            // Returning a machine to the cloud changes its batch, so the claim is conditional on the batch's revision.
             for (String batch : batchesOfMachine) {
                 if (batches.add(batch)) {
                     requireRevision(Keys.batch(batch), draft);
--- a/src/main/java/org/havenford/coordination/scheduling/ClaimDraft.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ClaimDraft.java
@@ -17,22 +17,22 @@
 import org.havenford.storage.records.TaskRange;
 import org.havenford.storage.records.TeamQuota.Resources;
 
-/** The claim of tasks of one task range while it is put together. */
+/** A claim of tasks of one task range, with its transaction, while it is being built. */
 final class ClaimDraft {
     final Job job;
     /** Key of the task range record. */
     final String key;
 
     final Transaction transaction = new Transaction();
-    /** Keys that are locked until the transaction has been answered. */
+    /** Keys that are locked until the outcome of the transaction is known. */
     final List<String> locks = new ArrayList<>();
-    /** Outcomes of the same task range that the transaction releases. */
+    /** Outcomes of ended attempts in the same task range, which the transaction stores too. */
     final Map<Claim, AttemptOutcome> outcomes = new HashMap<>();
-    /** Machines that the claimed tasks start on. */
+    /** Machines on which the claimed tasks start. */
     final Set<String> machines = new HashSet<>();
-    /** Whether these are the first tasks of a job that had to wait for other jobs. */
+    /** Whether the job has dependencies and none of its tasks is claimed or done yet. */
     final boolean firstAfterRelease;
-    /** What the claim charges to the team's quota; null for a team without limit. */
+    /** Resources charged to the team's quota; null for a team without a limit. */
     QuotaAllocator.Charge charge;
 
     private final int taskRangeIndex;
@@ -47,7 +47,7 @@
         firstAfterRelease = !job.spec().dependencies().isEmpty() && job.claimCount() == 0 && job.doneCount() == 0;
     }
 
-    /** Begins with the current task range, less the claims whose attempts are known to have ended. */
+    /** Copies the current task range, and applies the known outcomes of attempts that have ended. */
     void releaseEnded(AttemptOutcomes known) {
         TaskRange current = job.taskRange(taskRangeIndex);
         taskRange = current.copy();
@@ -60,7 +60,7 @@
         TaskReleaser.apply(outcomes, taskRange);
     }
 
-    /** The task range as the transaction writes it; null before {@link #releaseEnded}. */
+    /** Returns the task range as the transaction writes it; null before {@link #releaseEnded}. */
     TaskRange taskRange() {
         return taskRange;
     }
@@ -69,19 +69,21 @@
         return claimedTasks;
     }
 
-    /** Adds a claim of one task. */
+    /** Adds a claim of one task, charged to the quota share of {@code account}. */
     void claim(Placement placement, long incarnation, Instant timeOfDay, String account) {
         machines.add(placement.machine());
         taskRange.claim(placement.task().index(), placement.machine(), incarnation, timeOfDay, account);
         claimedTasks++;
     }
 
-    /** What one task of the job uses. */
+    /** Returns the resources that one task of the job uses. */
     Resources perTask() {
         return new Resources(job.spec().cpus(), job.spec().gpus());
     }
 
-    /** Machines of the new claims, one for each; a claim that was kept is the same object as before. */
+    /**
+     * Returns the machine of each new claim. An existing claim is recognized by its identity with the stored object.
+     */
     @SuppressWarnings("ReferenceEquality")
     List<String> claimedMachines() {
         List<String> claimedMachines = new ArrayList<>();
--- a/src/main/java/org/havenford/coordination/scheduling/ClaimQuota.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ClaimQuota.java
@@ -1,9 +1,9 @@
 package org.havenford.coordination.scheduling;
 
 /**
- * How many task range records a controller can claim from now; what is planned for it beyond that would be in vain.
+ * Limit of the task ranges that are planned for a controller; it could not claim more until its next plan.
  *
  * @param controller name of the planning controller
- * @param maxTaskRanges records that it can claim at most until its next plan
+ * @param maxTaskRanges maximum number of task ranges planned for it in one plan
  */
 record ClaimQuota(String controller, int maxTaskRanges) {}
--- a/src/main/java/org/havenford/coordination/scheduling/ClaimsInFlight.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ClaimsInFlight.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.havenford.protocol.JobSpec;
 
-/** Claims whose transaction has not been answered yet, by machine: their capacity is taken already. */
+/** Claims whose transactions have no known outcome yet, by machine. Their capacity already counts as used. */
 final class ClaimsInFlight {
     private final Map<String, List<JobSpec>> byMachine = new HashMap<>();
 
@@ -14,7 +14,7 @@
         byMachine.computeIfAbsent(machine, name -> new ArrayList<>()).add(spec);
     }
 
-    /** The transaction of a claim that was added has been answered. */
+    /** Removes a claim that was added, once the outcome of its transaction is known. */
     void remove(String machine, JobSpec spec) {
         List<JobSpec> onMachine = byMachine.get(machine);
         onMachine.remove(spec);
@@ -23,7 +23,7 @@
         }
     }
 
-    /** For each claim in flight on a machine, the specification of its job. */
+    /** Returns the job specification of each claim in flight on a machine. */
     List<JobSpec> on(String machine) {
         return byMachine.getOrDefault(machine, List.of());
     }
--- a/src/main/java/org/havenford/coordination/scheduling/ControllerMachineAvailability.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ControllerMachineAvailability.java
@@ -8,7 +8,7 @@
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.MachineRecord;
 
-/** Availability of machines as this controller's agents report it, with its own claims in flight. */
+/** Availability of machines according to the agent manager, and the claims that this controller has in flight. */
 final class ControllerMachineAvailability implements MachineAvailability {
     private final AgentManager agentManager;
     private final ClaimsInFlight claimsInFlight;
--- a/src/main/java/org/havenford/coordination/scheduling/FailingJobBackoff.java
+++ b/src/main/java/org/havenford/coordination/scheduling/FailingJobBackoff.java
@@ -7,53 +7,56 @@
 import org.havenford.storage.records.Job;
 
 /**
- * Back-off for jobs whose tasks fail. A job of which several tasks have failed and none was ever done may have been
- * submitted with a mistake: it is retried with one task at a time, with exponential back-off, behind all healthy work. Once
- * a task of it is done, the failures are taken to be the machines' fault.
+ * Applies back-off to jobs whose tasks fail. A job with several failures and no task done may be broken itself: it is
+ * retried one task at a time, with exponential back-off and, after more failures, behind all healthy jobs. Once one of
+ * its tasks is done, its failures are attributed to the machines.
  */
 public final class FailingJobBackoff {
-    /** Failures from which on a job without a success is taken to be one that fails everywhere. */
+    /** Number of failures from which a job without a finished task is assumed to fail on every machine. */
     private static final int SUSPECT_FAILURES = 3;
 
     private static final Duration FIRST_BACKOFF = Duration.ofMillis(500);
     private static final int MAX_DOUBLINGS = 10;
     private static final Duration MAX_BACKOFF = Duration.ofMinutes(1);
-    /** The longest back-off of a job that is known to work. */
+    /** Maximum back-off of a job with at least one task done. */
     private static final Duration MAX_BACKOFF_IF_KNOWN_TO_WORK = Duration.ofSeconds(4);
-    /** Failures from which on a job without a success goes behind all healthy work, except in its service window. */
+    /** Number of failures from which a job without a finished task goes last, except in its service window. */
     private static final int DEPRIORITIZED_FAILURES = 6;
-    /** In each period, in seconds, a job that goes last has one service window, as it might be healthy. */
+    /** A deprioritized job might be healthy, so it has one service window in each period of this length, in seconds. */
     private static final int SERVICE_PERIOD_SECONDS = 60;
 
-    /** Length, in seconds, of the window in which the job is served like any other. */
+    /** Length, in seconds, of the window in which a deprioritized job is placed like any other. */
     private static final int SERVICE_WINDOW_SECONDS = 5;
-    /** Tasks that may run at a time, for each that is done, of a job that works but has failed lately. */
+    /** Concurrent claims per finished task of a job that works but has failed since its last success. */
     private static final int CLAIMS_PER_DONE_TASK = 2;
 
     private record Backoff(int errors, Instant until) {}
 
     private final Map<String, Backoff> backoffs = new HashMap<>();
 
-    /** Whether a job may be one that fails on every machine. */
+    /** Whether a job may be failing on every machine: it has several failures and no finished task. */
     public static boolean isSuspect(Job job) {
         return job.errors() >= SUSPECT_FAILURES && job.doneCount() == 0;
     }
 
-    /** Whether a job is served behind all healthy work at a time of day; all controllers agree on its service windows. */
+    /**
+     * Whether a job is placed after all healthy jobs. Service windows depend only on the time of day and the job's id,
+     * so all controllers apply the same ones.
+     */
     static boolean isDeprioritized(Job job, Instant timeOfDay) {
         boolean suspect = job.errors() >= DEPRIORITIZED_FAILURES && job.doneCount() == 0;
         long second = timeOfDay.getEpochSecond() + job.id().hashCode();
         return suspect && Math.floorMod(second, SERVICE_PERIOD_SECONDS) >= SERVICE_WINDOW_SECONDS;
     }
 
-    /** How many tasks of a job may be claimed at a time. */
+    /** Returns how many tasks of a job may be claimed concurrently. */
     static int maxClaims(Job job) {
         return job.errors() < SUSPECT_FAILURES
                 ? Integer.MAX_VALUE
                 : Math.max(1, CLAIMS_PER_DONE_TASK * job.doneCount());
     }
 
-    /** Whether the tasks of a job have failed so often that the next attempt has to wait; {@code now} is monotonic. */
+    /** Whether the job's next attempt has to wait because of failures; {@code now} is of the monotonic clock. */
     boolean isBackingOff(Job job, Instant now) {
         int errors = job.errors();
         if (errors == 0) {
@@ -68,7 +71,7 @@
         return now.isBefore(backoff.until());
     }
 
-    /** A job is over. */
+    /** Discards the state kept for a job that has ended. */
     void jobEnded(Job job) {
         backoffs.remove(job.id());
     }
--- a/src/main/java/org/havenford/coordination/scheduling/FirstOwnerShortages.java
+++ b/src/main/java/org/havenford/coordination/scheduling/FirstOwnerShortages.java
@@ -5,19 +5,20 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Since when the first owners of task ranges have lacked capacity for them. */
+/** Records since when the preferred owners of task ranges have lacked capacity for them. */
 final class FirstOwnerShortages {
-    /** How long the first owner of a task range may lack capacity before another owner claims some of it. */
+    /** How long the preferred owner of a task range may lack capacity before another owner may claim tasks of it. */
     private static final Duration PATIENCE = Duration.ofMillis(1500);
 
-    /** First and last time that a first owner was seen without capacity, in a row. */
+    /** First and last time of a period in which a preferred owner repeatedly lacked capacity. */
     private record Shortage(Instant first, Instant last) {}
 
     private final Map<String, Shortage> byTaskRange = new HashMap<>();
 
     /**
-     * Notes that the first owner of a task range lacks capacity now; whether it has done so for so long that another owner may
-     * claim some of it.
+     * Records that the preferred owner of a task range lacks capacity now.
+     *
+     * @return whether it has lacked capacity for so long that another owner may claim tasks of the range
      */
     boolean mayBeClaimedByOthers(String taskRangeKey, Instant now) {
         Shortage before = byTaskRange.get(taskRangeKey);
@@ -26,7 +27,7 @@
         return now.isAfter(first.plus(PATIENCE));
     }
 
-    /** Forgets shortages that have not been seen for a while. */
+    /** Removes shortages that were not recorded again recently. */
     void forgetEnded(Instant now) {
         byTaskRange.values().removeIf(shortage -> shortage.last().isBefore(now.minus(PATIENCE)));
     }
--- a/src/main/java/org/havenford/coordination/scheduling/ForeignOwnerPatience.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ForeignOwnerPatience.java
@@ -7,16 +7,16 @@
 import java.util.Set;
 
 /**
- * How long other owners have left task ranges unclaimed that are planned for their machines. An owner that takes too long is
- * passed over for that task range.
+ * Tracks how long other owners leave task ranges unclaimed that are planned for their machines. An owner that takes too
+ * long is passed over for that task range.
  */
 final class ForeignOwnerPatience {
-    /** How long another owner may leave a planned task unclaimed before its machines are left out of the plan. */
+    /** How long an owner may leave a planned task range unclaimed before its machines are left out for that range. */
     private static final Duration PATIENCE = Duration.ofMillis(1500);
-    /** How long a task range that is no longer planned for others is remembered. */
+    /** How long the state of a task range is kept after the range was first planned for its current owner. */
     private static final Duration REMEMBERED = PATIENCE.multipliedBy(4);
 
-    /** The owner that a task range is planned for, and those that have left it unclaimed. */
+    /** The owner that a task range is planned for, and the owners that have left it unclaimed for too long. */
     private static final class Wait {
         private final Set<String> passedOver = new HashSet<>();
         private String owner;
@@ -34,7 +34,7 @@
 
     private final Object2ObjectOpenHashMap<String, Wait> waitByTaskRange = new Object2ObjectOpenHashMap<>();
 
-    /** Tasks of a task range are planned for machines of another owner. */
+    /** Records that tasks of a task range are planned for machines of another owner. */
     void waitFor(String taskRangeKey, String owner, Instant now) {
         waitByTaskRange.computeIfAbsent(taskRangeKey, key -> new Wait()).waitFor(owner, now);
     }
@@ -45,7 +45,7 @@
         return wait != null && wait.passedOver.contains(owner);
     }
 
-    /** Forgets task ranges that are no longer planned for other owners, after a while. */
+    /** Removes expired task ranges that are no longer planned for other owners. */
     void forgetAllBut(Set<String> plannedForOthers, Instant now) {
         waitByTaskRange
                 .entrySet()
--- a/src/main/java/org/havenford/coordination/scheduling/FreeCapacity.java
+++ b/src/main/java/org/havenford/coordination/scheduling/FreeCapacity.java
@@ -12,28 +12,28 @@
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.MachineRecord;
 
-/** Free capacity of a machine; claims that are not confirmed to have ended count as taken. */
+/** Free capacity of a machine. Claims use capacity until their attempts are confirmed to have ended. */
 final class FreeCapacity {
-    /** Amounts are decimal numbers: what differs by less than this is equal. */
+    /** Amounts are floating-point numbers; those that differ by less than this count as equal. */
     static final double EPSILON = 1e-6;
-    /** Part of a pull that is left, on average, when another task has begun it. */
+    /** Average fraction of an image pull that remains when another task has already started it. */
     private static final double REMAINING_PULL_FRACTION = 0.6;
 
     private final Predicate<Instant> takesTasksAt;
     final MachineRecord machine;
     final MachineType type;
-    /** The controller that may claim here. */
+    /** Name of the controller that owns the machine, the only one that claims tasks on it. */
     final String owner;
 
     final Set<String> images;
     final List<Claim> claims = new ArrayList<>();
-    /** Images that claims on this machine may still be pulling. */
+    /** Images that are not cached and that claims on this machine may be pulling. */
     final Set<String> pulling = new HashSet<>(4);
 
     double cpus;
     double gpus;
     double memGb;
-    /** The capacity is kept for work of this priority and above until the next round; null if it is not reserved. */
+    /** Priority for which, and for higher ones, the capacity is reserved until the next round; null if not reserved. */
     JobSpec.Priority reservedFor;
 
     FreeCapacity(
@@ -52,7 +52,7 @@
         memGb = type.memGb();
     }
 
-    /** Whether the machine can be given new tasks at a time of the monotonic clock. */
+    /** Whether the machine accepts new tasks at a time of the monotonic clock. */
     boolean takesTasks(Instant now) {
         return takesTasksAt.test(now);
     }
@@ -62,17 +62,17 @@
         return spec.cpus() <= cpus + EPSILON && spec.gpus() <= gpus + EPSILON && spec.memGb() <= memGb + EPSILON;
     }
 
-    /** Whether the machine is reserved for work that is more urgent than this priority. */
+    /** Whether the machine is reserved for a higher priority than the given one. */
     boolean isReservedAbove(JobSpec.Priority priority) {
         return reservedFor != null && reservedFor.compareTo(priority) < 0;
     }
 
-    /** Whether an image is on the machine or on its way there. */
+    /** Whether the machine has an image cached or may be pulling it. */
     boolean hasOrPulls(String image) {
         return images.contains(image) || pulling.contains(image);
     }
 
-    /** Takes the capacity of one task, which may have to pull its image. */
+    /** Subtracts the capacity of one task, and records its image as being pulled unless it is cached. */
     void allocate(JobSpec spec) {
         cpus -= spec.cpus();
         gpus -= spec.gpus();
@@ -82,14 +82,14 @@
         }
     }
 
-    /** Gives back the capacity of one task. */
+    /** Adds the capacity of one task back. */
     void release(JobSpec spec) {
         cpus += spec.cpus();
         gpus += spec.gpus();
         memGb += spec.memGb();
     }
 
-    /** How many more tasks of a job fit. */
+    /** Returns how many more tasks of a job fit. */
     int slots(JobSpec spec) {
         double slots = cpus / spec.cpus();
         slots = spec.gpus() > 0 ? Math.min(slots, gpus / spec.gpus()) : slots;
@@ -97,7 +97,7 @@
         return (int) (slots + EPSILON);
     }
 
-    /** Seconds until a task that is claimed now has its image; pulls share the machine's bandwidth. */
+    /** Estimates the seconds until a task claimed now has its image; concurrent pulls share the machine's bandwidth. */
     double pullSeconds(JobSpec spec) {
         if (images.contains(spec.image())) {
             return 0;
--- a/src/main/java/org/havenford/coordination/scheduling/JobOrder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/JobOrder.java
@@ -16,28 +16,32 @@
 import org.havenford.storage.records.TeamQuota.Resources;
 
 /**
- * The order in which jobs are served: what has waited too long without a start, then work within its team's guarantee, then
- * by priority, then by the latest start that still meets the objective of the class; last those that seem to fail on every
- * machine.
- * Jobs that wait for others are no part of it.
+ * Orders the jobs for placement: starving jobs first, then jobs within their team's guarantee, then by priority, then
+ * by the latest start that still meets the job's deadline and the service-level objective of its class. Jobs that seem
+ * to fail on every machine come last. Jobs that wait for dependencies are left out.
  */
 final class JobOrder {
-    /** How long after its latest start a job is still taken to meet its deadline: estimates are rough. */
+    /**
+     * How long after its latest start a job is still assumed to meet its deadline, since run times are rough estimates.
+     */
     private static final Duration LATENESS_TOLERANCE = Duration.ofSeconds(2);
-    /** A job that can't meet its deadline any more goes behind those that can for this long at most. */
+    /**
+     * A job that can't meet even its extended deadline is ordered as if it had to start this long after its submission:
+     * after jobs that can still meet their deadlines, but without starving.
+     */
     private static final Duration MAX_DELAY_IF_LATE = Duration.ofMinutes(5);
-    /** A job that has waited this long without a start is starving and goes first, whatever else there is. */
+    /** A job that has waited this long since its release without any task started is starving and goes first. */
     private static final Duration STARVATION_DELAY = Duration.ofSeconds(90);
-    /** Starving jobs that go first at a time. */
+    /** Maximum number of starving jobs that go first at a time. */
     private static final int MAX_STARVING_JOBS = 8;
-    /** Jobs without deadline and objective should start within this. */
+    /** Time after its release within which a job with neither a deadline nor an objective should start. */
     private static final Duration DEFAULT_MAX_WAIT = Duration.ofMinutes(2);
-    /** Shorter runs are taken to last this many seconds. */
+    /** Lower bound of the estimated run time, in seconds. */
     private static final double MIN_RUN_SECONDS = 0.5;
 
     private static final double MILLIS_PER_SECOND = 1e3;
 
-    /** What a job is ordered by, computed once: there may be a thousand jobs. */
+    /** A job with its sort keys, which are computed once per job, as there may be a thousand jobs. */
     private record Ranked(
             Job job,
             boolean deprioritized,
@@ -58,7 +62,12 @@
             .thenComparing(Ranked::latestStart)
             .thenComparing(ranked -> ranked.job().id());
 
-    /** Jobs in the order in which they are served; the first {@code urgent} of them must not stand behind the others. */
+    /**
+     * The jobs with pending tasks, in the order in which they are placed.
+     *
+     * @param jobs all jobs, urgent ones first
+     * @param urgent number of urgent jobs, which must not wait behind the others
+     */
     record Queue(List<Job> jobs, int urgent) {}
 
     private final ClusterState clusterState;
@@ -71,17 +80,17 @@
         this.priorityInheritance = new PriorityInheritance(clusterState);
     }
 
-    /** Priority of a job, its own or that of a job that needs it. */
+    /** Returns the priority of a job: its own, or a higher one of a job that depends on it. */
     JobSpec.Priority priority(Job job) {
         return priorityInheritance.priority(job);
     }
 
-    /** When a job must be done so that it and the jobs that depend on it meet their deadlines; null if there is none. */
+    /** Returns the time by which a job must be done for its own and its dependents' deadlines, or null. */
     Instant deadline(Job job) {
         return priorityInheritance.deadline(job);
     }
 
-    /** Run time of a task in seconds: the median so far, or its owner's estimate. */
+    /** Returns a task's run time in seconds: the median of finished runs, or the user's estimate if there is none. */
     static double runSeconds(Job job) {
         return Math.max(MIN_RUN_SECONDS, run(job).toMillis() / MILLIS_PER_SECOND);
     }
@@ -91,7 +100,7 @@
         return median == null ? job.spec().estimatedDuration() : median;
     }
 
-    /** Jobs with work left, the one to be served first at the front. */
+    /** Returns the jobs with pending tasks, in the order in which they are to be placed. */
     Queue order(Instant now) {
         priorityInheritance.refresh();
         List<Job> open = new ArrayList<>();
@@ -114,8 +123,8 @@
     }
 
     /**
-     * Jobs that have waited too long without a start, and go first for it. Of many at once only those that have waited
-     * longest: hundreds of small jobs would keep urgent work from its turn for as long as they last.
+     * Returns the ids of starving jobs, which go first. Their number is limited to those that have waited longest,
+     * since hundreds of small starving jobs would otherwise delay urgent jobs until all of them have started.
      */
     private static Set<String> starving(List<Job> open, Instant now) {
         List<Job> waited = new ArrayList<>();
@@ -140,7 +149,7 @@
                 latestStart(job, now));
     }
 
-    /** Jobs that fit into their team's guarantee together with the earlier unfinished jobs of the team. */
+    /** Returns the ids of jobs that fit into their team's guarantee along with the team's earlier unfinished jobs. */
     private Set<String> guaranteed(List<Job> open) {
         if (settings.teams().values().stream().noneMatch(team -> team.cpus() > 0)) {
             return Set.of();
@@ -167,7 +176,7 @@
                 && now.isAfter(job.releasedAt().plus(STARVATION_DELAY));
     }
 
-    /** When a task of the job must start so that its deadline and the service-level objective of its class are met. */
+    /** Returns when a task must start to meet the job's deadline and the service-level objective of its class. */
     Instant latestStart(Job job, Instant now) {
         Instant deadline = deadline(job);
         Instant latest = deadline == null ? null : latestStart(job, deadline, now);
@@ -187,7 +196,8 @@
         if (!now.isAfter(latest.plus(LATENESS_TOLERANCE))) {
             return latest;
         }
-        // It can't meet its deadline any more: those that can go before it, but it must not starve.
+        // The deadline can't be met any more. Extending it by half of the allowed time orders the job after jobs that
+        // can still meet theirs, without starving it.
         Duration allowed = Duration.between(job.submittedAt(), deadline);
         Instant late = deadline.plus(allowed.dividedBy(2)).minus(run(job));
         return now.isAfter(late) ? job.submittedAt().plus(MAX_DELAY_IF_LATE) : late;
--- a/src/main/java/org/havenford/coordination/scheduling/JobPacing.java
+++ b/src/main/java/org/havenford/coordination/scheduling/JobPacing.java
@@ -8,20 +8,21 @@
 import org.havenford.storage.records.Job;
 
 /**
- * Decides which jobs are paced, and how many of their tasks run side by side. A job with a deadline whose image takes long to
- * pull against a run is cheaper on few machines that have it: it gets no more than it needs to be in time.
+ * Decides which jobs are paced, and how many of their tasks run concurrently. A job with a deadline whose image pull
+ * takes long compared with a run is cheaper on few machines that have the image, so it gets no more tasks at a time
+ * than it needs to meet its deadline.
  */
 final class JobPacing {
     /**
-     * How long a job with time to spare leaves idle machines alone: large ones that others need, and those that would have
-     * to pull its image first.
+     * How long after its release a job with time to spare leaves idle machines to other jobs: large machines that
+     * others need, and machines that would have to pull its image first.
      */
     private static final Duration IDLE_MACHINE_PATIENCE = Duration.ofSeconds(60);
-    /** Part of a run from which on a pull counts as long. */
+    /** Fraction of a run from which an image pull counts as long. */
     private static final double LONG_PULL_OF_RUN = 0.3;
-    /** Runs may take longer than the median by this factor. */
+    /** Factor by which runs are assumed to exceed the median, as a safety margin. */
     private static final double RUN_MARGIN = 1.15;
-    /** Runs one after the other on each machine for a job that can't be in time any more. */
+    /** Number of consecutive runs per slot that is assumed for a job that can't meet its deadline any more. */
     private static final double RUNS_IF_LATE = 3;
 
     private static final double MILLIS_PER_SECOND = 1e3;
@@ -39,14 +40,17 @@
         return !now.isBefore(job.releasedAt().plus(IDLE_MACHINE_PATIENCE));
     }
 
-    /** Whether a job gets no more machines than it needs for its deadline. */
+    /** Whether a job gets no more concurrent tasks than it needs for its deadline. */
     boolean isPaced(Job job) {
         return jobOrder.deadline(job) != null
                 && jobOrder.priority(job).compareTo(JobSpec.Priority.NORMAL) >= 0
                 && pullSeconds(job.spec()) >= LONG_PULL_OF_RUN * JobOrder.runSeconds(job);
     }
 
-    /** Tasks of a paced job that must run side by side for it to be in time; of one that can't be, a third. */
+    /**
+     * Returns how many tasks of a paced job must run concurrently to meet its deadline, or a third of its remaining
+     * tasks if it can't be met.
+     */
     int tasksNeeded(Job job, Instant now) {
         double runSeconds = JobOrder.runSeconds(job) * RUN_MARGIN;
         double secondsLeft = Duration.between(now, jobOrder.deadline(job)).toMillis() / MILLIS_PER_SECOND
--- a/src/main/java/org/havenford/coordination/scheduling/JobPass.java
+++ b/src/main/java/org/havenford/coordination/scheduling/JobPass.java
@@ -7,12 +7,12 @@
 /**
  * One pass of a planning round over one job.
  *
- * @param job the job whose tasks are placed
- * @param priority its priority, its own or inherited
+ * @param job the job whose pending tasks are placed
+ * @param priority the job's priority, its own or inherited
  * @param round the round that the pass belongs to
- * @param machineFilter machines that the pass considers
- * @param zones zones of the job's other tasks; kept up to date while tasks are placed
- * @param requiredZone zone that all tasks have to start in; null where any zone will do
+ * @param machineFilter which machines the pass considers
+ * @param zones zones of the job's claimed and placed tasks; updated as the pass places tasks
+ * @param requiredZone the zone in which all tasks of the pass must start, or null for any zone
  */
 record JobPass(
         Job job,
@@ -25,7 +25,7 @@
         return job.spec();
     }
 
-    /** Whether a zone is one in which tasks of the pass may start. */
+    /** Whether tasks of the pass may start in a zone. */
     boolean mayUseZone(String zone) {
         return requiredZone == null || requiredZone.equals(zone);
     }
--- a/src/main/java/org/havenford/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/JobPlacer.java
@@ -14,7 +14,7 @@
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.TeamQuota.Resources;
 
-/** Places tasks of one job within its limits; for those that find no machine it reserves capacity or preempts others. */
+/** Places tasks of one job within its limits, and reserves or preempts capacity for tasks that find no machine. */
 final class JobPlacer {
     private final ClusterState clusterState;
     private final PlatformSettings settings;
@@ -37,7 +37,7 @@
         this.preemption = new Preemption(clusterState, jobOrder, capacityIndex);
     }
 
-    /** Places tasks of a job, {@code most} at the most. */
+    /** Places up to {@code most} tasks of a job. */
     void place(Job job, PlanningRound round, MachineFilter machineFilter, int most) {
         JobSpec spec = job.spec();
         int quota = quota(job, round, most);
@@ -61,7 +61,9 @@
         }
     }
 
-    /** How many tasks may be placed: no more than pending, than the team's limit allows and than back-off allows. */
+    /**
+     * Returns how many tasks may be placed, given the pending tasks, the team's limit and the limit for failing jobs.
+     */
     private int quota(Job job, PlanningRound round, int most) {
         JobSpec spec = job.spec();
         int quota = Math.min(most, job.pendingCount() - round.placed(job));
@@ -69,7 +71,7 @@
             Resources used = round.usedByTeam.computeIfAbsent(spec.team(), clusterState::usage);
             quota = Math.min(quota, tasksWithinLimit(settings.teams().get(spec.team()), used, perTask(spec)));
         }
-        // A job that fails everywhere keeps one task going, so that it does not eat the fleet.
+        // Limits the concurrent claims of a job whose tasks keep failing, so that it does not occupy the fleet.
         return Math.min(quota, Math.max(0, FailingJobBackoff.maxClaims(job) - job.claimCount() - round.placed(job)));
     }
 
@@ -102,8 +104,10 @@
     }
 
     /**
-     * Capacity of owners that a task range is not given to this time waits for its tasks all the same: work of lower priority
-     * that took it would only be preempted again. Whether there is any.
+     * Reserves candidates' remaining capacity for tasks that were not placed, for example because their task range is
+     * assigned to another owner in this round. Tasks of lower priority placed there would only be preempted again.
+     *
+     * @return whether any capacity was reserved
      */
     private static boolean reserve(JobPass pass, Map<String, List<PlacementCandidate>> candidatesByOwner, int tasks) {
         JobSpec spec = pass.spec();
@@ -126,7 +130,10 @@
         return any;
     }
 
-    /** The zone in which most tasks of a job that must stay together find capacity; an empty name if none has any. */
+    /**
+     * Returns the zone with capacity for the most tasks of a job that must stay in one zone. The result is an empty
+     * string, which matches no zone, if no zone has capacity.
+     */
     private static String bestZone(JobSpec spec, List<FreeCapacity> open, int pending) {
         Map<String, Integer> slotsByZone = new HashMap<>();
         for (FreeCapacity capacity : open) {
--- a/src/main/java/org/havenford/coordination/scheduling/MachineAvailability.java
+++ b/src/main/java/org/havenford/coordination/scheduling/MachineAvailability.java
@@ -7,23 +7,23 @@
 import org.havenford.storage.records.Claim;
 import org.havenford.storage.records.MachineRecord;
 
-/** What the controller knows of machines and of the claims on them beyond the stored state. */
+/** State of machines, and of the claims on them, that is not in the store or newer than the stored state. */
 interface MachineAvailability {
-    /** The condition of a machine, which may be newer than the recorded one. */
+    /** Returns the condition of a machine, which may be newer than the stored one. */
     MachineRecord.Condition condition(MachineRecord machine);
 
-    /** Images that a machine has cached. */
+    /** Returns the images that a machine has cached. */
     List<String> images(MachineRecord machine);
 
     /**
-     * Whether a machine takes new tasks at a time of the monotonic clock. The planner keeps the answer until the machine
-     * changes.
+     * Returns a predicate that tests whether a machine accepts new tasks at a time of the monotonic clock. The planner
+     * keeps the predicate until the machine's entry is invalidated.
      */
     Predicate<Instant> takesTasksAt(MachineRecord machine);
 
     /** Whether the attempt of a claim is known to have ended although the claim has not been released yet. */
     boolean hasEnded(Claim claim);
 
-    /** For each claim on a machine whose transaction is in flight, the specification of its job. */
+    /** Returns the job specification of each claim on a machine whose transaction is in flight. */
     List<JobSpec> claimsInFlight(String machine);
 }
--- a/src/main/java/org/havenford/coordination/scheduling/MachineFilter.java
+++ b/src/main/java/org/havenford/coordination/scheduling/MachineFilter.java
@@ -1,8 +1,8 @@
 package org.havenford.coordination.scheduling;
 
-/** Machines that one pass of a planning round considers. */
+/** Selects the machines that one pass of a planning round considers. */
 enum MachineFilter {
     ALL,
-    /** Only machines that have the job's image or are pulling it. */
+    /** Only machines that have the job's image cached or may be pulling it. */
     WITH_IMAGE
 }
--- a/src/main/java/org/havenford/coordination/scheduling/OwnerChooser.java
+++ b/src/main/java/org/havenford/coordination/scheduling/OwnerChooser.java
@@ -5,21 +5,21 @@
 import org.havenford.protocol.JobSpec;
 
 /**
- * Chooses the owner whose machines take the tasks of a task range. Each task range has one to begin with, found by its place
- * in the job; another is chosen only when its candidates are clearly better, so that controllers whose copies of the store
- * differ by a moment still agree.
+ * Chooses the owner whose machines run the tasks of a task range. Each task range has a preferred owner, derived from
+ * the job's id and the index of the range. Another owner is chosen only if its candidates are clearly better, so that
+ * controllers whose replicas differ slightly still make the same choice.
  */
 final class OwnerChooser {
-    /** Penalty, in seconds of pulling for each task, of an owner other than the first. */
+    /** Penalty per task for an owner other than the preferred one, in seconds of image pull time. */
     private static final double CHANGE_OF_OWNER_SECONDS = 0.8;
-    /** Penalty, in seconds of pulling, of a task for which an owner has no capacity. */
+    /** Penalty for a task for which an owner has no capacity, in seconds of image pull time. */
     private static final double NO_CAPACITY_SECONDS = 30;
-    /** Keeps the part of a job's hash that is a non-negative index. */
+    /** Reduces the hash code of a job's id to a non-negative index. */
     private static final int HASH_MASK = 0xffff;
 
     private OwnerChooser() {}
 
-    /** The owner that takes up to {@code tasks} tasks of a job's task range; null if none should now. */
+    /** Returns the owner whose machines run up to {@code tasks} tasks of a task range, or null if none should now. */
     static String choose(
             String taskRangeKey,
             int taskRangeIndex,
--- a/src/main/java/org/havenford/coordination/scheduling/Placement.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Placement.java
@@ -2,5 +2,5 @@
 
 import org.havenford.protocol.TaskId;
 
-/** A task and the name of the machine that is to run it. */
+/** A planned assignment of a task to a machine, given by its name. */
 record Placement(TaskId task, String machine) {}
--- a/src/main/java/org/havenford/coordination/scheduling/PlacementGuard.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PlacementGuard.java
@@ -12,15 +12,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Checks planned placements once more before they are claimed. A placement that would break a constraint of its job is
- * never claimed; that there is one means a fault elsewhere, so it is logged as an error.
+ * Checks planned placements again before they are claimed, so that a placement that violates a constraint of its job is
+ * never claimed. Such a placement means that there is a bug elsewhere, so it is logged as an error.
  */
 final class PlacementGuard {
     private static final Logger LOG = LoggerFactory.getLogger(PlacementGuard.class);
 
     private PlacementGuard() {}
 
-    /** Those of the placements of one job that keep to its constraints, beside all its claims and each other. */
+    /** Returns the placements of one job that meet its constraints, given its claims and the placements before them. */
     static List<Placement> permitted(Job job, List<Placement> planned, ClusterState clusterState) {
         TaskZones zones = PlacementRules.dependsOnOtherTasks(job.spec())
                 ? TaskZones.ofClaims(job, clusterState)
@@ -30,7 +30,7 @@
             MachineRecord machine = clusterState.machine(placement.machine());
             MachineType type = machine == null ? null : clusterState.types().get(machine.type());
             if (type == null) {
-                // Gone since the plan was made.
+                // The machine, or its type, has been removed since the plan was made.
                 continue;
             }
             PlacementRules.Verdict verdict =
--- a/src/main/java/org/havenford/coordination/scheduling/PlacementScorer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PlacementScorer.java
@@ -6,33 +6,33 @@
 import org.havenford.storage.records.MachineRecord;
 
 /**
- * Scores a machine for the next task of a job, in seconds of pulling an image; lower is better. Bin packing: among machines
- * that start the task equally soon, the fullest one wins.
+ * Scores a machine for the next task of a job, in seconds of image pull time; lower is better. Packs tasks tightly:
+ * among machines that would start the task equally soon, the fullest one has the lowest score.
  */
 final class PlacementScorer {
-    /** Penalty, in seconds, of a machine larger than needed: it is left to tasks that need one. */
+    /** Penalty, in seconds, for a machine larger than needed, which is left to tasks that need its size. */
     private static final double LARGER_THAN_NEEDED_SECONDS = 2;
-    /** The same while such tasks are waiting. */
+    /** The same penalty while such tasks are pending. */
     private static final double LARGE_AND_CONTENDED_SECONDS = 3;
-    /** Penalty, in seconds, of an on-demand machine, which costs more: it is left to run empty and be returned. */
+    /** Penalty, in seconds, for an on-demand machine, which costs more; left idle, it can be returned to the cloud. */
     private static final double ON_DEMAND_SECONDS = 0.3;
-    /** Penalty, in seconds for each second of running, of a spot machine, which may be interrupted. */
+    /** Penalty, in seconds per second of run time, for a spot machine, which may be interrupted. */
     private static final double SPOT_RISK_PER_SECOND = 0.05;
 
     private static final double MILLIS_PER_SECOND = 1e3;
 
     private final boolean speedFirst;
 
-    /** With {@code speedFirst} an early end counts for more than the price of machines. */
+    /** Creates a scorer; with {@code speedFirst}, early completion matters more than the price of machines. */
     PlacementScorer(boolean speedFirst) {
         this.speedFirst = speedFirst;
     }
 
     /**
-     * The score of a machine.
+     * Returns the score of a machine.
      *
      * @param smallestCpus CPUs of the smallest machine type that fits a task of the job
-     * @param contendedTypes names of machine types that waiting tasks can't do without
+     * @param contendedTypes names of the machine types that are the only usable type of a job with pending tasks
      */
     double score(JobSpec spec, FreeCapacity capacity, double smallestCpus, Set<String> contendedTypes) {
         return capacity.pullSeconds(spec)
@@ -49,8 +49,9 @@
     }
 
     /**
-     * Where money decides, on-demand machines are left to run empty. Where speed does, long tasks without checkpoints keep
-     * away from spot machines: a run that is lost near its end has to be done again in full.
+     * Returns the penalty for the pricing model of a machine. If cost matters, on-demand machines are avoided, so that
+     * they become idle. If speed matters, long tasks without checkpoints avoid spot machines, since a run that is
+     * interrupted near its end has to be repeated in full.
      */
     private double pricingPenalty(JobSpec spec, MachineRecord machine) {
         if (!speedFirst) {
--- a/src/main/java/org/havenford/coordination/scheduling/Plan.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Plan.java
@@ -5,8 +5,10 @@
 import org.havenford.storage.records.Claim;
 
 /**
- * The result of one planning round: what to claim, and which claims to preempt so that more urgent work can start. Both
- * lists grow while the round is planned.
+ * The result of one planning round. Both lists are mutable and filled during the round.
+ *
+ * @param placements tasks to claim, with their machines
+ * @param preempted claims to preempt so that more urgent tasks can start
  */
 record Plan(List<Placement> placements, List<Claim> preempted) {
     static Plan empty() {
--- a/src/main/java/org/havenford/coordination/scheduling/Planner.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Planner.java
@@ -14,9 +14,10 @@
 import org.havenford.storage.records.Job;
 
 /**
- * Decides what should run where, from a snapshot. Every controller plans for the whole fleet and claims only on the
- * machines it owns; since all see the same store, their plans mostly agree, and a guarded claim settles the rest. The
- * tasks of one task range go to machines of one owner at a time, as owners that write one key only get in each other's way.
+ * Assigns pending tasks to machines, based on a snapshot. Every controller plans for the whole fleet, but claims tasks
+ * only on the machines that it owns. All controllers replicate the same store, so their plans mostly agree; where they
+ * differ, the conditional transactions of the claims detect the conflict. The tasks of one task range are placed on
+ * machines of one owner at a time, because owners that write the same key conflict with each other.
  */
 final class Planner {
     private final ClusterState clusterState;
@@ -25,12 +26,12 @@
     private final JobPacing jobPacing;
     private final JobPlacer jobPlacer;
 
-    /** Urgent work is looked at first in each round, however much other work there is to go through. */
+    /** Separate for urgent jobs, which are placed first in each round, however many other jobs there are. */
     private final ResumePoint urgentResumePoint = new ResumePoint();
 
     private final ResumePoint resumePoint = new ResumePoint();
 
-    /** A planner over a replica; {@code ownerOf} names the controller that owns a machine. */
+    /** Creates a planner over a replica; {@code ownerOf} returns the name of the controller that owns a machine. */
     Planner(
             ClusterState clusterState,
             PlatformSettings settings,
@@ -45,20 +46,21 @@
         jobPlacer = new JobPlacer(clusterState, settings, jobOrder, candidateFinder, capacityIndex);
     }
 
-    /** The machine, its claims or what is known of their outcomes have changed. */
+    /** Marks the free capacity of a machine as stale after a change of its record, its claims or their outcomes. */
     void machineChanged(String machine) {
         capacityIndex.invalidate(machine);
     }
 
-    /** All machines have to be looked at again. */
+    /** Marks the free capacity of all machines as stale. */
     void allChanged() {
         capacityIndex.invalidateAll();
     }
 
     /**
-     * Assigns pending tasks in order, until the capacity or the round's time is used up.
+     * Assigns pending tasks in job order, until all jobs were considered, or the round's time budget or this
+     * controller's claim limit is used up.
      *
-     * @param now time of day
+     * @param now the time of day, not of the monotonic clock
      */
     Plan plan(Instant now, PlanningSnapshot snapshot, MachineAvailability availability) {
         capacityIndex.refresh(availability);
@@ -81,7 +83,7 @@
         return round.plan;
     }
 
-    /** Names of machine types that waiting tasks can't do without. */
+    /** Returns the names of the machine types that are the only usable type of a job with pending tasks. */
     private Set<String> contendedTypes(List<Job> waiting) {
         Set<String> contended = new HashSet<>();
         for (Job job : waiting) {
@@ -97,8 +99,10 @@
     }
 
     /**
-     * Places jobs in order, going on where the last round had to {@code stop}; whether it did not have to before all were
-     * placed. One job at least is placed.
+     * Places jobs in order, starting at the job where the last round stopped early. At least one job is considered,
+     * however soon {@code stop} returns true.
+     *
+     * @return whether all jobs were considered
      */
     private boolean placeInOrder(
             List<Job> jobs, List<Job> all, ResumePoint resumeAt, PlanningRound round, BooleanSupplier stop) {
@@ -128,7 +132,7 @@
         jobPlacer.place(job, round, MachineFilter.ALL, most);
     }
 
-    /** Paced jobs keep the machines that have their images, as far as they need them for their deadlines. */
+    /** Places paced jobs on machines that have their images, with no more tasks than their deadlines require. */
     private void placeWhereImagesAre(List<Job> jobs, PlanningRound round) {
         for (Job job : jobs) {
             if (jobPacing.isPaced(job) && !round.snapshot.isBackingOff(job)) {
@@ -138,7 +142,10 @@
         }
     }
 
-    /** What nobody else has taken goes to paced jobs beyond their need; to those that have waited long, wherever it is. */
+    /**
+     * Gives capacity that is left to paced jobs beyond their need. Only jobs that have waited long may use machines
+     * that lack their image.
+     */
     private void placeOnRemainingMachines(List<Job> jobs, PlanningRound round) {
         for (Job job : jobs) {
             boolean takesMore = jobPacing.isPaced(job) && !round.snapshot.isBackingOff(job) && !round.outOfTime();
--- a/src/main/java/org/havenford/coordination/scheduling/PlanningRound.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PlanningRound.java
@@ -16,40 +16,43 @@
 import org.havenford.storage.records.TeamQuota.Resources;
 
 /**
- * What one round of the planner has decided so far, and what it decides on. Everything that a pass counts stands here, so
- * that the next pass counts on from there.
+ * Inputs and intermediate results of one planning round. All counts that limit placements are kept here, so that each
+ * pass continues from the counts of the passes before it.
  */
 final class PlanningRound {
-    /** For jobs to which it does not matter where their other tasks are; never added to. */
+    /** Used for jobs without zone constraints between their tasks; no task is ever added to it. */
     private static final TaskZones ANYWHERE = new TaskZones();
 
     final Instant now;
     final PlanningSnapshot snapshot;
-    /** Machines with free capacity that take new tasks. */
+    /** Machines with free capacity that accept new tasks. */
     final List<FreeCapacity> open;
-    /** Names of machine types that waiting tasks can't do without. */
+    /** Names of the machine types that are the only usable type of a job with pending tasks. */
     final Set<String> contendedTypes;
 
     final Plan plan = Plan.empty();
-    /** What teams use, with what this round has placed for them. */
+    /** Resources that each limited team uses, including the tasks placed in this round. */
     final Map<String, Resources> usedByTeam = new HashMap<>();
-    /** The owner that takes a task range, by the key of the range. */
+    /** The owner whose machines run the tasks of a task range, by the key of the range. */
     final Map<String, String> ownerOf = new HashMap<>();
     /** Tasks placed in this round, by job. */
     final Map<String, Set<TaskId>> taken = new HashMap<>();
-    /** Of jobs that stay together or apart: their claims, and what any pass of this round has placed. */
+    /** Zones of claimed tasks, and of tasks placed in this round, of jobs whose tasks must stay together or apart. */
     final Map<String, TaskZones> zones = new HashMap<>();
 
-    /** Task range records of which some tasks were placed on machines of this controller. */
+    /** Number of task ranges with tasks placed on machines of this controller. */
     int ownRecords;
 
-    /** Whether paced jobs have been given the machines that have their images. */
+    /** Whether paced jobs have already been placed on the machines that have their images. */
     boolean cachedImagesPlaced;
 
-    /** Jobs whose tasks fit no machine: what is as large fits none either, since free capacity only shrinks. */
+    /**
+     * Jobs whose tasks were found to fit no machine. Tasks that are at least as large are not tried again in this
+     * round, since placements only reduce the free capacity.
+     */
     private final List<JobSpec> fitNowhere = new ArrayList<>();
 
-    /** Machines with claims that work of a priority may preempt, found once a round. */
+    /** Machines with claims that a priority may preempt, by that priority; computed once per round. */
     final Map<JobSpec.Priority, List<PreemptibleMachine>> preemptible = new EnumMap<>(JobSpec.Priority.class);
 
     PlanningRound(Instant now, PlanningSnapshot snapshot, List<FreeCapacity> open, Set<String> contendedTypes) {
@@ -59,19 +62,20 @@
         this.contendedTypes = contendedTypes;
     }
 
-    /** Whether the round's time is used up. */
+    /** Whether the round's time budget is used up. */
     boolean outOfTime() {
         return snapshot.outOfTime();
     }
 
-    /** Whether the round's time is used up, or as much is planned as this controller can claim. */
+    /** Whether the time budget is used up, or this controller has as many task ranges as it can claim. */
     boolean outOfTimeOrQuota() {
         return snapshot.outOfTime() || ownRecords >= snapshot.claimQuota().maxTaskRanges();
     }
 
     /**
-     * Where a job's tasks are. A job may be placed in several passes of a round, all of which go into one claim: counted
-     * from the claims alone, a later pass would place what the passes together must not. apart-in-one-round.trace
+     * Returns the zones of a job's tasks. They include the tasks placed in earlier passes of this round: all passes go
+     * into one claim, so with stored claims alone a later pass could break a constraint that each pass keeps by itself.
+     * See apart-in-one-round.trace.
      */
     TaskZones zonesOf(Job job, ClusterState clusterState) {
         return PlacementRules.dependsOnOtherTasks(job.spec())
@@ -79,12 +83,12 @@
                 : ANYWHERE;
     }
 
-    /** Notes that a task of this size fits no machine. */
+    /** Records that a task of this size fits no machine. */
     void noteFitsNowhere(JobSpec spec) {
         fitNowhere.add(spec);
     }
 
-    /** Whether a task that is no larger was found to fit no machine in this round. */
+    /** Whether a task of this or a smaller size was found to fit no machine in this round. */
     boolean fitsNowhere(JobSpec spec) {
         for (JobSpec other : fitNowhere) {
             if (spec.cpus() >= other.cpus() && spec.gpus() >= other.gpus() && spec.memGb() >= other.memGb()) {
@@ -94,7 +98,7 @@
         return false;
     }
 
-    /** How many tasks of a job this round has placed. */
+    /** Returns the number of tasks of a job that were placed in this round. */
     int placed(Job job) {
         return taken.getOrDefault(job.id(), Set.of()).size();
     }
--- a/src/main/java/org/havenford/coordination/scheduling/PlanningSnapshot.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PlanningSnapshot.java
@@ -5,38 +5,38 @@
 import org.havenford.protocol.TaskId;
 import org.havenford.storage.records.Job;
 
-/** What one planning round is told besides the stored state and the machines' availability. */
+/** Inputs of one planning round other than the stored state and the availability of machines. */
 interface PlanningSnapshot {
-    /** Start of the round on the monotonic clock. */
+    /** Returns the start of the round on the monotonic clock. */
     Instant steadyNow();
 
-    /** Whether the round's time is used up. Reads the clock. */
+    /** Whether the round's time budget is used up. Reads the clock on each call. */
     boolean outOfTime();
 
-    /** Controllers that own machines, in the order in which all controllers list them. */
+    /** Returns the controllers that own machines, in the same order on all controllers. */
     List<String> owners();
 
-    /** What this controller can claim until its next plan. */
+    /** Returns the limit of the task ranges that are planned for this controller. */
     ClaimQuota claimQuota();
 
     /**
-     * Whether claims of several controllers conflict so often that each task range is left to its first owner where that has
-     * capacity.
+     * Whether claims of several controllers have conflicted recently. Each task range is then left to its preferred
+     * owner as long as that has capacity.
      */
     boolean isContended();
 
-    /** Whether the tasks of a job have failed so often that its next attempt has to wait. */
+    /** Whether the job's next attempt has to wait because of failures. */
     boolean isBackingOff(Job job);
 
-    /** Whether a task should not be tried again on a machine. */
+    /** Whether a task must not be placed on a machine, because it failed there before. */
     boolean isAvoided(TaskId task, String machine);
 
-    /** Whether an owner has left a task range unclaimed for so long that it is planned for others. */
+    /** Whether an owner has left a task range unclaimed for so long that the range is planned for other owners. */
     boolean isPassedOver(String taskRangeKey, String owner);
 
     /**
-     * Whether the first owner of a task range has lacked capacity for so long that another owner may claim some of it. Asking
-     * records that the first owner lacks capacity now.
+     * Whether the preferred owner of a task range has lacked capacity for so long that another owner may claim tasks of
+     * it. Each call records that the preferred owner lacks capacity now.
      */
     boolean mayBeClaimedByOthers(String taskRangeKey);
 }
--- a/src/main/java/org/havenford/coordination/scheduling/Preemption.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Preemption.java
@@ -13,15 +13,15 @@
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.MachineRecord;
 
-/** Chooses claims to preempt so that more urgent work can start. */
+/** Chooses claims to preempt so that more urgent tasks can start. */
 final class Preemption {
-    /** A job is pressing from so long before its latest start. */
+    /** How long before its latest start a job begins to be pressing. */
     static final Duration PRESSING_BEFORE = Duration.ofSeconds(7);
-    /** So long after its latest start it is too late to preempt others for it. */
+    /** How long after its latest start a job stops being pressing, as it is too late to preempt others for it. */
     private static final Duration PRESSING_AFTER = Duration.ofSeconds(20);
-    /** A claim that is older than this is not preempted, unless it is checkpointed. */
+    /** A claim older than this is not preempted, unless it is of a low-priority job with checkpoints. */
     private static final Duration MAX_LOST_RUN = Duration.ofSeconds(20);
-    /** Time that a preempted task is taken to need until it starts again. */
+    /** Estimated time until a preempted task starts again. */
     private static final Duration RESTART_DELAY = Duration.ofSeconds(25);
 
     private static final int MILLIS_PER_SECOND = 1000;
@@ -30,9 +30,9 @@
             Comparator.comparing(Claim::claimedAt).reversed().thenComparing(Claim::task);
 
     /**
-     * Claims on one machine that make capacity for a task.
+     * Claims on one machine whose preemption frees enough capacity for a task.
      *
-     * @param loss CPU-milliseconds of work that are lost with them
+     * @param loss CPU-milliseconds since the claims were made, as an upper bound of the work that is lost
      */
     private record Victims(FreeCapacity capacity, List<Claim> claims, long loss) {}
 
@@ -49,7 +49,9 @@
         this.capacityIndex = capacityIndex;
     }
 
-    /** Whether a job of high priority is about to miss the start that its class aims at. */
+    /**
+     * Whether a job above normal priority that does not keep failing is close to its latest start, before or after it.
+     */
     boolean isPressing(Job job, Instant now) {
         if (order.priority(job).compareTo(JobSpec.Priority.NORMAL) >= 0 || FailingJobBackoff.isSuspect(job)) {
             return false;
@@ -59,10 +61,10 @@
     }
 
     /**
-     * Finds work of lower priority to preempt, so that {@code tasks} more tasks of a pass can start: as little as possible of
-     * what has been done is lost, and only what can still be in time afterwards is taken. The order does not depend on the
-     * controller that looks, and until the preemption is confirmed the same claims are found again; so controllers and
-     * rounds do not preempt more and more for the same need.
+     * Chooses claims of lower priority to preempt, so that {@code tasks} more tasks of a pass can start. Machines where
+     * the least work is lost come first, and only claims of jobs that can still meet their deadlines afterwards are
+     * chosen. All controllers use the same order, and rounds choose the same claims again until their preemption is
+     * confirmed, so that controllers and rounds do not preempt additional claims for the same tasks.
      */
     void preempt(JobPass pass, int tasks) {
         List<Victims> found = findVictims(pass);
@@ -111,7 +113,7 @@
         capacityIndex.invalidate(capacity.machine.name());
     }
 
-    /** Keeps capacity on a machine for up to {@code most} tasks; for how many. */
+    /** Allocates capacity on a machine for up to {@code most} tasks, and returns for how many. */
     private static int allocate(FreeCapacity capacity, JobSpec spec, int most, TaskZones zones) {
         String zone = capacity.machine.zone();
         int allocated = 0;
@@ -125,7 +127,10 @@
         return allocated;
     }
 
-    /** Searched once a round: there may be dozens of jobs that press, and thousands of claims. */
+    /**
+     * Finds preemptible claims; called once per round and priority, as there may be dozens of jobs and thousands of
+     * claims.
+     */
     private List<PreemptibleMachine> preemptible(JobSpec.Priority byPriority, PlanningRound round) {
         List<PreemptibleMachine> machines = new ArrayList<>();
         for (FreeCapacity capacity : capacityIndex.all()) {
@@ -156,7 +161,7 @@
                 break;
             }
             if (!capacity.claims.contains(claim)) {
-                // Preempted already for a job before this one.
+                // Already chosen for preemption by an earlier pass of this round.
                 continue;
             }
             JobSpec victim = clusterState.job(claim.task().job()).spec();
@@ -176,7 +181,7 @@
                 && spec.memGb() <= memGb + FreeCapacity.EPSILON;
     }
 
-    /** Work of low priority that writes a checkpoint when it is preempted loses little, however long it has run. */
+    /** Whether a job has low priority and checkpoints; such a task loses little work, however long it has run. */
     private boolean isCheckpointedLowPriority(Job job) {
         return order.priority(job) == JobSpec.Priority.LOW
                 && !job.spec().checkpointInterval().isZero();
--- a/src/main/java/org/havenford/coordination/scheduling/PriorityInheritance.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PriorityInheritance.java
@@ -11,11 +11,11 @@
 import org.havenford.storage.records.Job;
 
 /**
- * Priorities and deadlines passed backwards through pipelines: a job has the highest priority of any job that needs it,
- * directly or through others, and has a deadline early enough for the jobs after it to meet theirs.
+ * Propagates priorities and deadlines from jobs to their dependencies: a job inherits the highest priority of all jobs
+ * that depend on it, directly or transitively, and a deadline early enough for them to meet theirs.
  */
 final class PriorityInheritance {
-    /** Priority and deadline of a job, its own or inherited; {@code deadline} is null where there is none. */
+    /** Priority and deadline of a job, its own or inherited; {@code deadline} is null if there is none. */
     record Inherited(JobSpec.Priority priority, Instant deadline) {
         static Inherited own(Job job) {
             return new Inherited(job.spec().priority(), job.deadline());
@@ -30,7 +30,7 @@
 
     private final ClusterState clusterState;
     private boolean computed;
-    /** Count of pipeline changes that {@code inherited} was computed for. */
+    /** Value of {@link ClusterState#pipelineChanges} for which {@code inherited} was computed. */
     private long computedFor;
 
     private Map<String, Inherited> inherited = Map.of();
@@ -49,7 +49,7 @@
         return values == null ? job.deadline() : values.deadline();
     }
 
-    /** Computes everything again if a pipeline has changed since the last call. */
+    /** Computes all inherited values again if a pipeline has changed since the last call. */
     void refresh() {
         if (!computed || computedFor != clusterState.pipelineChanges()) {
             computed = true;
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Visits each waiting job after all waiting jobs that depend on it, in topological order. Submission times don't give
-     * that order, since the clocks of two controllers differ.
+     * Visits each waiting job after all waiting jobs that depend on it, in topological order. Submission times can't
+     * replace that order, since they come from the clocks of different controllers.
      */
     private Map<String, Inherited> compute() {
         List<Job> waiting = waitingJobs();
@@ -89,7 +89,7 @@
         return computedByJob;
     }
 
-    /** How many of the jobs depend on a job directly, by its id. */
+    /** Returns how many of the given jobs depend directly on a job, by the id of that job. */
     private static Map<String, Integer> countDependents(List<Job> jobs) {
         Map<String, Integer> dependents = new HashMap<>();
         for (Job job : jobs) {
@@ -111,7 +111,9 @@
         return waiting;
     }
 
-    /** A waiting job has never run, so the time that it still takes is its owner's estimate. */
+    /**
+     * Propagates priority and deadline to a dependency; a waiting job has never run, so the user's estimate is used.
+     */
     private static void passOn(Job dependent, Job needed, Map<String, Inherited> computedByJob) {
         Inherited inheritable = computedByJob.getOrDefault(dependent.id(), Inherited.own(dependent));
         Instant deadline = inheritable.deadline() == null
--- a/src/main/java/org/havenford/coordination/scheduling/ResumePoint.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ResumePoint.java
@@ -3,7 +3,9 @@
 import java.util.List;
 import org.havenford.storage.records.Job;
 
-/** The job at which the last round ran out of time; the first job if it did not, or that job is over. */
+/**
+ * The job at which the last round stopped early; the first job if it did not, or if that job is no longer in the list.
+ */
 final class ResumePoint {
     private String jobId;
 
@@ -11,7 +13,7 @@
         jobId = job.id();
     }
 
-    /** Index of the job to begin with. Resets the resume point. */
+    /** Returns the index of the job to start with, and resets the resume point. */
     int indexIn(List<Job> jobs) {
         int from = 0;
         for (int i = 0; jobId != null && i < jobs.size(); i++) {
--- a/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
@@ -13,12 +13,15 @@
 import org.havenford.storage.records.Keys;
 
 /**
- * One round of decisions on jobs and tasks: claims, releases, pipelines and shares of the teams' quotas. Every write is
- * guarded by the mod revisions it was decided on. So an unanswered transaction needs no special care: whether it was
- * applied, or comes late, the next one on the same key either fails and is decided again, or has ruled the late one out.
+ * Runs scheduling rounds: each round claims and releases tasks, completes jobs, resolves dependencies and rebalances
+ * the controller's shares of the teams' quotas.
+ *
+ * <p>Every write is conditional on the mod revisions that it was decided on, so a transaction without a response needs
+ * no special handling. If it was applied, the next transaction on the same key conflicts and is decided again. If it
+ * arrives late, it conflicts with the transaction that was applied before it.
  */
 public final class Scheduler {
-    /** Longer rounds are recorded as this long, in microseconds. */
+    /** Upper bound of the recorded round durations, in microseconds; longer rounds are recorded as this value. */
     private static final long MAX_RECORDED_MICROS = 60_000_000L;
 
     private static final int HISTOGRAM_DIGITS = 2;
@@ -33,7 +36,7 @@
     private final JobCompletion jobCompletion;
     private final Histogram roundMicros = new Histogram(MAX_RECORDED_MICROS, HISTOGRAM_DIGITS);
 
-    /** A scheduler that works on the given context. */
+    /** Creates a scheduler over the replica and the store of the given context. */
     public Scheduler(
             CoordinationContext context,
             OperatorSettings operatorSettings,
@@ -50,12 +53,15 @@
         taskReleaser = new TaskReleaser(context, agentManager, jobCompletion);
     }
 
-    /** Durations of the rounds, in microseconds. */
+    /** Returns the histogram of round durations, in microseconds. */
     public Histogram roundMicros() {
         return roundMicros;
     }
 
-    /** Runs a round, if this controller's lease allows it to act. */
+    /**
+     * Runs a round. Does nothing before the replica is loaded, while this controller's membership lease does not allow
+     * it to act, or while a transaction on the view is unfinished.
+     */
     public void step() {
         if (!context.replica().loaded() || !context.membership().mayAnswerAgents()) {
             return;
@@ -76,23 +82,23 @@
         roundMicros.recordValue(Math.min(MAX_RECORDED_MICROS, micros));
     }
 
-    /** A job is over. */
+    /** Discards the state kept for a job that has ended. */
     public void jobEnded(Job last) {
         taskClaimer.jobEnded(last);
     }
 
-    /** This process was paused for a while. */
+    /** Discards what was measured or cached before this process was paused. */
     public void processPaused() {
         taskClaimer.processPaused();
         planner.allChanged();
     }
 
-    /** The machine, its claims or the outcomes of attempts on it have changed. */
+    /** Marks the free capacity of a machine as stale after a change of its record, its claims or their outcomes. */
     public void machineChanged(String machine) {
         planner.machineChanged(machine);
     }
 
-    /** The view or the machine types have changed. */
+    /** Marks the free capacity of all machines as stale after a change of the view or of the machine types. */
     public void allChanged() {
         planner.allChanged();
     }
--- a/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
@@ -19,11 +19,14 @@
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
 
-/** Turns the planner's placements on this controller's machines into claims, one transaction for each task range. */
+/** Claims the tasks that are planned for this controller's machines, in one transaction for each task range. */
 final class TaskClaimer {
-    /** Claims that may be queued for the store's rate limits: beyond, urgent work would stand behind what is not. */
+    /**
+     * Maximum number of claims queued for the store's rate limits; in a longer queue, urgent claims would wait for
+     * others.
+     */
     private static final int MAX_QUEUED_CLAIMS = 3;
-    /** So long after a claim that conflicted with another's, each task range is left to its first owner. */
+    /** How long after a conflict of claims each task range is left to its preferred owner. */
     private static final Duration CONTENTION_PERIOD = Duration.ofSeconds(5);
 
     private final CoordinationContext context;
@@ -39,9 +42,9 @@
     private final ClaimBatching claimBatching = new ClaimBatching();
     private final ClaimBuilder claimBuilder;
 
-    /** Until when each task range is left to its first owner; null before the first conflict. */
+    /** Until when each task range is left to its preferred owner; null before the first conflict. */
     private Instant contendedUntil;
-    /** When the next plan may be made; null before the first. */
+    /** Earliest time of the next plan; null before the first plan. */
     private Instant nextPlan;
 
     TaskClaimer(
@@ -59,7 +62,7 @@
         machineAvailability = new ControllerMachineAvailability(agentManager, claimsInFlight);
     }
 
-    /** Plans, claims what is planned for this controller's machines, and preempts what makes room for more urgent work. */
+    /** Makes a plan, claims the tasks planned for this controller's machines, and preempts the claims that it chose. */
     void step(Instant start) {
         if (nextPlan != null && start.isBefore(nextPlan)) {
             return;
@@ -82,26 +85,27 @@
                 }
             }
             if (context.store().queued(CallPriority.CLAIM) >= MAX_QUEUED_CLAIMS) {
-                // The queue keeps its order; the next round decides anew who is first.
+                // Queued claims are not reordered, so the remaining ones are left to the next plan, which orders them
+                // again.
                 break;
             }
             claimBuilder.build(placements).ifPresent(this::commit);
         }
     }
 
-    /** A job is over. */
+    /** Discards the state kept for a job that has ended. */
     void jobEnded(Job last) {
         failingJobBackoff.jobEnded(last);
         claimBatching.jobEnded(last);
     }
 
-    /** This process was paused: how long others have left task ranges unclaimed meanwhile is not known. */
+    /** Discards measured waiting times, since the state of other owners during the pause of this process is unknown. */
     void processPaused() {
         foreignOwnerPatience.clear();
         firstOwnerShortages.clear();
     }
 
-    /** What the planner is told in one round. Constant but for the clock and the shortages that it asks about. */
+    /** Inputs of one planning round, constant except for the clock and the recorded shortages. */
     private final class Snapshot implements PlanningSnapshot {
         private final Instant start;
         private final Instant deadline;
@@ -164,7 +168,9 @@
         }
     }
 
-    /** Placements on this controller's machines by task range key; what is planned for other owners is waited for. */
+    /**
+     * Returns placements on this controller's machines by task range key, and records those planned for other owners.
+     */
     private Map<String, List<Placement>> ownPlacements(Plan plan, Instant start) {
         Map<String, List<Placement>> own = new LinkedHashMap<>();
         Set<String> foreign = new HashSet<>();
--- a/src/main/java/org/havenford/coordination/scheduling/TaskRangePlacer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskRangePlacer.java
@@ -10,7 +10,7 @@
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.TaskRange;
 
-/** Places the pending tasks of a job, one task range after the other, each on the machines of one owner. */
+/** Places the pending tasks of a job, one task range after another, each on the machines of one owner. */
 final class TaskRangePlacer {
     private final CapacityIndex capacityIndex;
 
@@ -19,9 +19,9 @@
     }
 
     /**
-     * Places {@code quota} tasks at most.
+     * Places up to {@code quota} tasks.
      *
-     * @return tasks within the quota that found no machine
+     * @return the number of pending tasks within the quota that found no machine
      */
     int place(JobPass pass, Map<String, List<PlacementCandidate>> candidatesByOwner, int quota) {
         if (candidatesByOwner.isEmpty()) {
@@ -48,7 +48,11 @@
         return unplaced;
     }
 
-    /** Places up to {@code most} pending tasks of a task range on machines of the owner that takes it; how many. */
+    /**
+     * Places up to {@code most} pending tasks of a task range on machines of its chosen owner.
+     *
+     * @return the number of tasks placed
+     */
     private int placeTaskRange(
             JobPass pass,
             int index,
@@ -75,7 +79,12 @@
         return placed;
     }
 
-    /** Places up to {@code most} tasks on candidates of one owner and removes those that are full; how many it placed. */
+    /**
+     * Places up to {@code most} tasks on candidates of one owner, and removes candidates that have no room for another
+     * task.
+     *
+     * @return the number of tasks placed
+     */
     private int fill(
             JobPass pass, TaskRange taskRange, List<TaskId> pending, int most, List<PlacementCandidate> candidates) {
         int placed = 0;
--- a/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
@@ -22,17 +22,17 @@
 import org.havenford.storage.records.TaskRange;
 
 /**
- * Releases the claims of attempts that have ended. Outcomes are batched by task range, so that tasks of a job that end one
- * after the other do not cost a transaction each.
+ * Releases the claims of attempts that have ended. Outcomes are batched by task range, so that tasks of a job that end
+ * shortly after each other do not need a transaction each.
  */
 final class TaskReleaser {
-    /** How long outcomes of a task range are batched. */
+    /** How long outcomes of a task range are batched, and how often batched outcomes are checked for urgent ones. */
     private static final Duration BATCH_DELAY = Duration.ofMillis(500);
-    /** The same while the store is under pressure. */
+    /** Batch delay while the store is under pressure. */
     private static final Duration BATCH_DELAY_UNDER_PRESSURE = Duration.ofSeconds(4);
-    /** The same where the store allows few changes a second. */
+    /** Batch delay under pressure if the store accepts only few changes per second from each controller. */
     private static final Duration BATCH_DELAY_SCARCE_CHANGES = Duration.ofSeconds(8);
-    /** Under pressure the outcomes of work of low priority are batched this many times as long. */
+    /** Factor by which the batch delay of low-priority jobs is longer under pressure. */
     private static final int LOW_PRIORITY_FACTOR = 2;
 
     private final CoordinationContext context;
@@ -48,7 +48,7 @@
                 context.settings().scarceChanges() ? BATCH_DELAY_SCARCE_CHANGES : BATCH_DELAY_UNDER_PRESSURE;
     }
 
-    /** Releases what was batched for long enough, or what somebody waits for. */
+    /** Stores the outcomes whose batch delay is over, and those that must not wait for it. */
     void step() {
         boolean underPressure = context.store().underPressure();
         Instant now = context.loop().now();
@@ -68,7 +68,7 @@
         }
         agentManager.outcomes().remove(noLongerHeld(ended));
         if (!ended.ended().isEmpty() && (due || isAwaited(ended.ended()))) {
-            // Should it fail, it is decided again as soon as the record is no longer locked.
+            // If the transaction fails, the outcomes are considered again once the record is no longer locked.
             write(ended.key(), ended.ended());
         } else {
             ended.lookedAt(now);
@@ -83,7 +83,7 @@
         return low ? delayUnderPressure.multipliedBy(LOW_PRIORITY_FACTOR) : delayUnderPressure;
     }
 
-    /** Claims that are no longer stored: somebody else has released them. */
+    /** Returns the claims that are no longer stored, because they were released by another transaction. */
     private List<Claim> noLongerHeld(TaskRangeOutcomes ended) {
         Job job = context.clusterState().job(ended.job().id());
         return ended.ended().keySet().stream()
@@ -97,7 +97,10 @@
                 .job(ended.keySet().iterator().next().task().job());
     }
 
-    /** Whether somebody waits for the outcomes: the last of a job's tasks, and those that have to start again. */
+    /**
+     * Whether outcomes are stored without waiting for the batch delay: they are the last ones of a task range whose job
+     * has no pending tasks, the job is cancelled, or a task has to be tried again.
+     */
     private boolean isAwaited(Map<Claim, AttemptOutcome> ended) {
         Job job = jobOf(ended);
         TaskRange taskRange = job.storedTaskRange(
@@ -120,13 +123,13 @@
         });
     }
 
-    /** A duration as a task range takes it: in seconds, negative if it was not seen. */
+    /** Converts a duration to seconds as a task range expects it, negative if the duration was not observed. */
     private static double seconds(Duration duration) {
         return duration == null ? -1 : duration.toMillis() / 1e3;
     }
 
     private void write(String key, Map<Claim, AttemptOutcome> endedNow) {
-        // More of them may end while these are being written.
+        // More attempts may end while the transaction is in flight.
         Map<Claim, AttemptOutcome> ended = new LinkedHashMap<>(endedNow);
         Job job = jobOf(ended);
         int index = job.taskRangeIndex(ended.keySet().iterator().next().task().index());
@@ -146,12 +149,13 @@
         } else {
             JsonObject value = context.toJson(next);
             if (value == null) {
-                // Too large for now, as the version before wrote it; it goes when more of its tasks have ended.
+                // The value exceeds the size limit in every form, as the previous version wrote it larger. It fits once
+                // more of its tasks have ended.
                 return;
             }
             transaction.put(key, value);
         }
-        // Users and pipelines wait for the end of a job; it must not stand behind all claims.
+        // Users and dependent jobs wait for the end of a job, so the last release is not queued behind all claims.
         boolean last = job.pendingCount() == 0 && job.claimCount() == ended.size();
         CallPriority priority = last ? JobCompletion.commitPriority(job) : CallPriority.WORK;
         Runnable afterRelease = onCompletion;
