--- a/src/main/java/org/havenford/coordination/placement/ImagePullTime.java
+++ b/src/main/java/org/havenford/coordination/placement/ImagePullTime.java
@@ -7,9 +7,9 @@
 /** Estimates how long machines take to pull the image of a job. */
 public final class ImagePullTime {
     /** Lower bound of the pull rate, in GB per second, which keeps the estimate finite. */
-    private static final double LOWEST_RATE = 0.01;
+    private static final double MIN_RATE_GB_PER_SECOND = 0.01;
     /** Pull rate, in GB per second, that is assumed for a job that fits no known machine type. */
-    private static final double DEFAULT_RATE = 1;
+    private static final double DEFAULT_RATE_GB_PER_SECOND = 1;
 
     private ImagePullTime() {}
 
@@ -24,11 +24,11 @@
                 .filter(spec::fits)
                 .mapToDouble(MachineType::imagePullGbPerSecond)
                 .max()
-                .orElse(DEFAULT_RATE);
+                .orElse(DEFAULT_RATE_GB_PER_SECOND);
         return secondsAt(spec, rate);
     }
 
     private static double secondsAt(JobSpec spec, double rate) {
-        return spec.imageGb() / Math.max(LOWEST_RATE, rate);
+        return spec.imageGb() / Math.max(MIN_RATE_GB_PER_SECOND, rate);
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/CandidateFinder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/CandidateFinder.java
@@ -36,30 +36,30 @@
             return byOwner;
         }
         double smallestCpus = smallestCpus(spec);
-        double contendedCpusLimit = mayTakeContended(pass.job(), round) ? Double.POSITIVE_INFINITY : smallestCpus;
+        double maxContendedCpus = mayUseContendedTypes(pass.job(), round) ? Double.POSITIVE_INFINITY : smallestCpus;
         boolean anyFits = false;
-        for (FreeCapacity capacity : round.open) {
+        for (FreeCapacity capacity : round.schedulable) {
             if (!capacity.fits(spec)) {
                 continue;
             }
             anyFits = true;
-            if (isEligible(capacity, pass, contendedCpusLimit)) {
+            if (isEligible(capacity, pass, maxContendedCpus)) {
                 double score = scorer.score(spec, capacity, smallestCpus, round.contendedTypes);
                 byOwner.computeIfAbsent(capacity.owner, owner -> new ArrayList<>())
                         .add(new PlacementCandidate(score, capacity));
             }
         }
         if (!anyFits) {
-            round.noteFitsNowhere(spec);
+            round.recordFitsNowhere(spec);
         }
         boolean onlyOnePending = pass.job().pendingCount() == 1;
         for (List<PlacementCandidate> candidates : byOwner.values()) {
-            bestFirst(candidates, onlyOnePending);
+            sortBestFirst(candidates, onlyOnePending);
         }
         return byOwner;
     }
 
-    private static void bestFirst(List<PlacementCandidate> candidates, boolean onlyOnePending) {
+    private static void sortBestFirst(List<PlacementCandidate> candidates, boolean onlyOnePending) {
         if (onlyOnePending) {
             // One task needs the best candidate only; with hundreds of single-task jobs, sorting would be expensive.
             int best = candidates.indexOf(Collections.min(candidates, PlacementCandidate.BEST_FIRST));
@@ -69,7 +69,7 @@
         }
     }
 
-    private static boolean isEligible(FreeCapacity capacity, JobPass pass, double contendedCpusLimit) {
+    private static boolean isEligible(FreeCapacity capacity, JobPass pass, double maxContendedCpus) {
         JobSpec spec = pass.spec();
         MachineRecord machine = capacity.machine;
         if (!PlacementRules.checkTask(spec, capacity.type, machine.zone(), machine.spot(), pass.zones())
@@ -81,13 +81,13 @@
         if (pass.machineFilter() == MachineFilter.WITH_IMAGE && !capacity.hasOrPulls(spec.image())) {
             return false;
         }
-        return capacity.type.cpus() <= contendedCpusLimit
+        return capacity.type.cpus() <= maxContendedCpus
                 || !pass.round().contendedTypes.contains(capacity.type.name());
     }
 
     /** Whether a job may use a large machine of a contended type, rather than wait longer for a smaller one. */
-    private boolean mayTakeContended(Job job, PlanningRound round) {
-        return !round.now.isBefore(jobOrder.latestStart(job, round.now).minus(Preemption.PRESSING_BEFORE))
+    private boolean mayUseContendedTypes(Job job, PlanningRound round) {
+        return !round.now.isBefore(jobOrder.latestStart(job, round.now).minus(Preemption.PREEMPTION_LEAD_TIME))
                 || JobPacing.hasWaitedLong(job, round.now);
     }
 
--- a/src/main/java/org/havenford/coordination/scheduling/CapacityIndex.java
+++ b/src/main/java/org/havenford/coordination/scheduling/CapacityIndex.java
@@ -72,15 +72,15 @@
     /**
      * Returns the machines with free capacity that accept new tasks, ordered by name, and clears their reservations.
      */
-    List<FreeCapacity> open(PlanningSnapshot snapshot) {
-        List<FreeCapacity> open = new ArrayList<>();
+    List<FreeCapacity> schedulable(PlanningSnapshot snapshot) {
+        List<FreeCapacity> schedulable = new ArrayList<>();
         for (FreeCapacity capacity : byMachine.values()) {
-            if (capacity.cpus > FreeCapacity.EPSILON && capacity.takesTasks(snapshot.steadyNow())) {
+            if (capacity.cpus > FreeCapacity.EPSILON && capacity.acceptsTasks(snapshot.monotonicNow())) {
                 capacity.reservedFor = null;
-                open.add(capacity);
+                schedulable.add(capacity);
             }
         }
-        return open;
+        return schedulable;
     }
 
     private FreeCapacity compute(String name, MachineAvailability availability) {
@@ -90,7 +90,7 @@
             return null;
         }
         FreeCapacity capacity = new FreeCapacity(
-                machine, type, ownerOf.apply(name), availability.images(machine), availability.takesTasksAt(machine));
+                machine, type, ownerOf.apply(name), availability.images(machine), availability.acceptsTasksAt(machine));
         for (Claim claim : clusterState.claimsOn(name).values()) {
             Job job = clusterState.job(claim.task().job());
             // The capacity of a task known to have ended is free at once. Its release is stored later, in a batch with
--- a/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
@@ -44,12 +44,12 @@
                 new ClaimDraft(job, job.taskRangeIndex(planned.get(0).task().index()));
         requireRevision(Keys.VIEW, context.membership().viewRevision(), draft);
         requireRevision(Keys.job(job.id()), draft);
-        requireRevision(draft.key, draft);
+        requireRevision(draft.taskRangeKey, draft);
         PlatformSettings.Team team = context.settings().teams().get(job.spec().team());
         boolean limited = team != null && team.limited();
-        int allowed = limited ? takeQuota(draft, team, planned.size()) : planned.size();
+        int allowed = limited ? allocateQuota(draft, team, planned.size()) : planned.size();
         if (PlacementRules.dependsOnOtherTasks(job.spec())) {
-            writeHeader(draft);
+            rewriteHeader(draft);
         }
         if (draft.locks.stream().anyMatch(context.writer()::isLocked)) {
             return Optional.empty();
@@ -61,7 +61,7 @@
         if (taskRange == null) {
             return Optional.empty();
         }
-        draft.transaction.put(draft.key, taskRange);
+        draft.transaction.put(draft.taskRangeKey, taskRange);
         if (limited) {
             charge(draft, team);
         }
@@ -80,14 +80,14 @@
      * Rewrites the header of a job whose tasks must stay together or apart. Each claim is conditional on the header's
      * revision, so two concurrent claims of such a job conflict, even on different task ranges.
      */
-    private static void writeHeader(ClaimDraft draft) {
+    private static void rewriteHeader(ClaimDraft draft) {
         String header = Keys.job(draft.job.id());
         draft.locks.add(header);
         draft.transaction.put(header, draft.job.header(false));
     }
 
     /** Allocates the team's quota for up to {@code wanted} tasks, and returns the number of tasks it allows. */
-    private int takeQuota(ClaimDraft draft, PlatformSettings.Team team, int wanted) {
+    private int allocateQuota(ClaimDraft draft, PlatformSettings.Team team, int wanted) {
         int allowed = quotaAllocator.allocate(team, draft.perTask(), wanted, draft.transaction);
         if (draft.transaction.operationCount() > 0) {
             draft.locks.add(Keys.team(team.name()));
@@ -99,11 +99,16 @@
         Resources taken = draft.perTask().times(draft.claimedTasks());
         long viewRevision = context.membership().viewRevision();
         draft.charge = new QuotaAllocator.Charge(
-                team.name(), taken, draft.job.id(), draft.key, context.modRevision(draft.key), viewRevision);
+                team.name(),
+                taken,
+                draft.job.id(),
+                draft.taskRangeKey,
+                context.modRevision(draft.taskRangeKey),
+                viewRevision);
         quotaAllocator.add(draft.charge);
     }
 
-    private void addClaims(ClaimDraft draft, List<Placement> placements, String account) {
+    private void addClaims(ClaimDraft draft, List<Placement> placements, String quotaHolder) {
         Set<String> batches = new HashSet<>();
         int maxBatches = context.settings().maxTransactionOperations() * CONDITIONS_PER_OPERATION - OTHER_CONDITIONS;
         for (Placement placement : placements) {
@@ -122,7 +127,7 @@
                     requireRevision(Keys.batch(batch), draft);
                 }
             }
-            draft.claim(placement, agent.incarnation(), context.loop().timeOfDay(), account);
+            draft.addClaim(placement, agent.incarnation(), context.loop().timeOfDay(), quotaHolder);
         }
     }
 
--- a/src/main/java/org/havenford/coordination/scheduling/ClaimDraft.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ClaimDraft.java
@@ -21,7 +21,7 @@
 final class ClaimDraft {
     final Job job;
     /** Key of the task range record. */
-    final String key;
+    final String taskRangeKey;
 
     final Transaction transaction = new Transaction();
     /** Keys that are locked until the outcome of the transaction is known. */
@@ -42,17 +42,17 @@
     ClaimDraft(Job job, int taskRangeIndex) {
         this.job = job;
         this.taskRangeIndex = taskRangeIndex;
-        key = Keys.tasks(job.id(), taskRangeIndex);
-        locks.add(key);
+        taskRangeKey = Keys.tasks(job.id(), taskRangeIndex);
+        locks.add(taskRangeKey);
         firstAfterRelease = !job.spec().dependencies().isEmpty() && job.claimCount() == 0 && job.doneCount() == 0;
     }
 
     /** Copies the current task range, and applies the known outcomes of attempts that have ended. */
-    void releaseEnded(AttemptOutcomes known) {
+    void releaseEnded(AttemptOutcomes knownOutcomes) {
         TaskRange current = job.taskRange(taskRangeIndex);
         taskRange = current.copy();
         for (Claim claim : current.claims()) {
-            AttemptOutcome outcome = known.of(claim);
+            AttemptOutcome outcome = knownOutcomes.of(claim);
             if (outcome != null) {
                 outcomes.put(claim, outcome);
             }
@@ -69,10 +69,10 @@
         return claimedTasks;
     }
 
-    /** Adds a claim of one task, charged to the quota share of {@code account}. */
-    void claim(Placement placement, long incarnation, Instant timeOfDay, String account) {
+    /** Adds a claim of one task, charged to the quota share of {@code quotaHolder}. */
+    void addClaim(Placement placement, long incarnation, Instant timeOfDay, String quotaHolder) {
         machines.add(placement.machine());
-        taskRange.claim(placement.task().index(), placement.machine(), incarnation, timeOfDay, account);
+        taskRange.claim(placement.task().index(), placement.machine(), incarnation, timeOfDay, quotaHolder);
         claimedTasks++;
     }
 
--- a/src/main/java/org/havenford/coordination/scheduling/ControllerMachineAvailability.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ControllerMachineAvailability.java
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public Predicate<Instant> takesTasksAt(MachineRecord machine) {
+    public Predicate<Instant> acceptsTasksAt(MachineRecord machine) {
         return agentManager.availability(machine);
     }
 
--- a/src/main/java/org/havenford/coordination/scheduling/FreeCapacity.java
+++ b/src/main/java/org/havenford/coordination/scheduling/FreeCapacity.java
@@ -19,7 +19,7 @@
     /** Average fraction of an image pull that remains when another task has already started it. */
     private static final double REMAINING_PULL_FRACTION = 0.6;
 
-    private final Predicate<Instant> takesTasksAt;
+    private final Predicate<Instant> acceptsTasksAt;
     final MachineRecord machine;
     final MachineType type;
     /** Name of the controller that owns the machine, the only one that claims tasks on it. */
@@ -41,9 +41,9 @@
             MachineType type,
             String owner,
             List<String> images,
-            Predicate<Instant> takesTasksAt) {
+            Predicate<Instant> acceptsTasksAt) {
         this.owner = owner;
-        this.takesTasksAt = takesTasksAt;
+        this.acceptsTasksAt = acceptsTasksAt;
         this.machine = machine;
         this.type = type;
         this.images = Set.copyOf(images);
@@ -53,8 +53,8 @@
     }
 
     /** Whether the machine accepts new tasks at a time of the monotonic clock. */
-    boolean takesTasks(Instant now) {
-        return takesTasksAt.test(now);
+    boolean acceptsTasks(Instant now) {
+        return acceptsTasksAt.test(now);
     }
 
     /** Whether one more task of a job fits. */
--- a/src/main/java/org/havenford/coordination/scheduling/JobOrder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/JobOrder.java
@@ -55,7 +55,7 @@
         }
     }
 
-    private static final Comparator<Ranked> IN_ORDER = Comparator.comparing(Ranked::deprioritized)
+    private static final Comparator<Ranked> PLACEMENT_ORDER = Comparator.comparing(Ranked::deprioritized)
             .thenComparing(ranked -> !ranked.starving())
             .thenComparing(ranked -> !ranked.guaranteed())
             .thenComparing(Ranked::priority)
@@ -66,9 +66,9 @@
      * The jobs with pending tasks, in the order in which they are placed.
      *
      * @param jobs all jobs, urgent ones first
-     * @param urgent number of urgent jobs, which must not wait behind the others
+     * @param urgentCount number of urgent jobs, which must not wait behind the others
      */
-    record Queue(List<Job> jobs, int urgent) {}
+    record OrderedJobs(List<Job> jobs, int urgentCount) {}
 
     private final ClusterState clusterState;
     private final PlatformSettings settings;
@@ -92,43 +92,43 @@
 
     /** Returns a task's run time in seconds: the median of finished runs, or the user's estimate if there is none. */
     static double runSeconds(Job job) {
-        return Math.max(MIN_RUN_SECONDS, run(job).toMillis() / MILLIS_PER_SECOND);
+        return Math.max(MIN_RUN_SECONDS, runTime(job).toMillis() / MILLIS_PER_SECOND);
     }
 
-    private static Duration run(Job job) {
+    private static Duration runTime(Job job) {
         Duration median = job.medianRun();
         return median == null ? job.spec().estimatedDuration() : median;
     }
 
     /** Returns the jobs with pending tasks, in the order in which they are to be placed. */
-    Queue order(Instant now) {
+    OrderedJobs order(Instant now) {
         priorityInheritance.refresh();
-        List<Job> open = new ArrayList<>();
+        List<Job> runnable = new ArrayList<>();
         for (Job job : clusterState.jobs()) {
             if (!job.cancelled() && !job.awaitsDependencies()) {
-                open.add(job);
+                runnable.add(job);
             }
         }
-        Set<String> guaranteed = guaranteed(open);
-        open.removeIf(job -> job.pendingCount() == 0);
-        Set<String> starving = starving(open, now);
+        Set<String> guaranteed = guaranteed(runnable);
+        runnable.removeIf(job -> job.pendingCount() == 0);
+        Set<String> starving = starving(runnable, now);
         List<Ranked> ranked = new ArrayList<>();
-        open.forEach(job -> ranked.add(rank(job, guaranteed, starving, now)));
-        ranked.sort(IN_ORDER);
-        int urgent = 0;
-        while (urgent < ranked.size() && ranked.get(urgent).isUrgent()) {
-            urgent++;
+        runnable.forEach(job -> ranked.add(rank(job, guaranteed, starving, now)));
+        ranked.sort(PLACEMENT_ORDER);
+        int urgentCount = 0;
+        while (urgentCount < ranked.size() && ranked.get(urgentCount).isUrgent()) {
+            urgentCount++;
         }
-        return new Queue(ranked.stream().map(Ranked::job).toList(), urgent);
+        return new OrderedJobs(ranked.stream().map(Ranked::job).toList(), urgentCount);
     }
 
     /**
      * Returns the ids of starving jobs, which go first. Their number is limited to those that have waited longest,
      * since hundreds of small starving jobs would otherwise delay urgent jobs until all of them have started.
      */
-    private static Set<String> starving(List<Job> open, Instant now) {
+    private static Set<String> starving(List<Job> runnable, Instant now) {
         List<Job> waited = new ArrayList<>();
-        for (Job job : open) {
+        for (Job job : runnable) {
             if (isStarving(job, now)) {
                 waited.add(job);
             }
@@ -150,11 +150,11 @@
     }
 
     /** Returns the ids of jobs that fit into their team's guarantee along with the team's earlier unfinished jobs. */
-    private Set<String> guaranteed(List<Job> open) {
+    private Set<String> guaranteed(List<Job> runnable) {
         if (settings.teams().values().stream().noneMatch(team -> team.cpus() > 0)) {
             return Set.of();
         }
-        List<Job> bySubmission = new ArrayList<>(open);
+        List<Job> bySubmission = new ArrayList<>(runnable);
         bySubmission.sort(Comparator.comparing(Job::submittedAt).thenComparing(Job::id));
         Map<String, Resources> used = new HashMap<>();
         Set<String> guaranteed = new HashSet<>();
@@ -192,14 +192,14 @@
     }
 
     private static Instant latestStart(Job job, Instant deadline, Instant now) {
-        Instant latest = deadline.minus(run(job));
+        Instant latest = deadline.minus(runTime(job));
         if (!now.isAfter(latest.plus(LATENESS_TOLERANCE))) {
             return latest;
         }
         // The deadline can't be met any more. Extending it by half of the allowed time orders the job after jobs that
         // can still meet theirs, without starving it.
         Duration allowed = Duration.between(job.submittedAt(), deadline);
-        Instant late = deadline.plus(allowed.dividedBy(2)).minus(run(job));
-        return now.isAfter(late) ? job.submittedAt().plus(MAX_DELAY_IF_LATE) : late;
+        Instant extendedLatest = deadline.plus(allowed.dividedBy(2)).minus(runTime(job));
+        return now.isAfter(extendedLatest) ? job.submittedAt().plus(MAX_DELAY_IF_LATE) : extendedLatest;
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/JobPacing.java
+++ b/src/main/java/org/havenford/coordination/scheduling/JobPacing.java
@@ -17,13 +17,13 @@
      * How long after its release a job with time to spare leaves idle machines to other jobs: large machines that
      * others need, and machines that would have to pull its image first.
      */
-    private static final Duration IDLE_MACHINE_PATIENCE = Duration.ofSeconds(60);
+    private static final Duration IDLE_MACHINE_DELAY = Duration.ofSeconds(60);
     /** Fraction of a run from which an image pull counts as long. */
-    private static final double LONG_PULL_OF_RUN = 0.3;
+    private static final double LONG_PULL_FRACTION = 0.3;
     /** Factor by which runs are assumed to exceed the median, as a safety margin. */
-    private static final double RUN_MARGIN = 1.15;
+    private static final double RUN_TIME_MARGIN = 1.15;
     /** Number of consecutive runs per slot that is assumed for a job that can't meet its deadline any more. */
-    private static final double RUNS_IF_LATE = 3;
+    private static final double CONSECUTIVE_RUNS_IF_LATE = 3;
 
     private static final double MILLIS_PER_SECOND = 1e3;
 
@@ -37,14 +37,14 @@
 
     /** Whether a job has waited so long since its release that it may take any idle machine. */
     static boolean hasWaitedLong(Job job, Instant now) {
-        return !now.isBefore(job.releasedAt().plus(IDLE_MACHINE_PATIENCE));
+        return !now.isBefore(job.releasedAt().plus(IDLE_MACHINE_DELAY));
     }
 
     /** Whether a job gets no more concurrent tasks than it needs for its deadline. */
     boolean isPaced(Job job) {
         return jobOrder.deadline(job) != null
                 && jobOrder.priority(job).compareTo(JobSpec.Priority.NORMAL) >= 0
-                && pullSeconds(job.spec()) >= LONG_PULL_OF_RUN * JobOrder.runSeconds(job);
+                && pullSeconds(job.spec()) >= LONG_PULL_FRACTION * JobOrder.runSeconds(job);
     }
 
     /**
@@ -52,10 +52,11 @@
      * tasks if it can't be met.
      */
     int tasksNeeded(Job job, Instant now) {
-        double runSeconds = JobOrder.runSeconds(job) * RUN_MARGIN;
+        double runSeconds = JobOrder.runSeconds(job) * RUN_TIME_MARGIN;
         double secondsLeft = Duration.between(now, jobOrder.deadline(job)).toMillis() / MILLIS_PER_SECOND
                 - pullSeconds(job.spec()) * (job.claimCount() == 0 ? 1 : 0);
-        double runsPerMachine = secondsLeft < runSeconds ? RUNS_IF_LATE : Math.floor(secondsLeft / runSeconds);
+        double runsPerMachine =
+                secondsLeft < runSeconds ? CONSECUTIVE_RUNS_IF_LATE : Math.floor(secondsLeft / runSeconds);
         return (int) Math.ceil((job.spec().taskCount() - job.doneCount()) / runsPerMachine);
     }
 
--- a/src/main/java/org/havenford/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/JobPlacer.java
@@ -37,26 +37,26 @@
         this.preemption = new Preemption(clusterState, jobOrder, capacityIndex);
     }
 
-    /** Places up to {@code most} tasks of a job. */
-    void place(Job job, PlanningRound round, MachineFilter machineFilter, int most) {
+    /** Places up to {@code maxTasks} tasks of a job. */
+    void place(Job job, PlanningRound round, MachineFilter machineFilter, int maxTasks) {
         JobSpec spec = job.spec();
-        int quota = quota(job, round, most);
+        int quota = quota(job, round, maxTasks);
         if (quota <= 0) {
             return;
         }
         TaskZones zones = round.zonesOf(job, clusterState);
         String requiredZone =
-                spec.together() && zones.isEmpty() ? bestZone(spec, round.open, job.pendingCount()) : null;
+                spec.together() && zones.isEmpty() ? bestZone(spec, round.schedulable, job.pendingCount()) : null;
         JobPass pass = new JobPass(job, jobOrder.priority(job), round, machineFilter, zones, requiredZone);
         Map<String, List<PlacementCandidate>> candidatesByOwner = candidateFinder.find(pass);
-        Set<TaskId> taken = round.taken.computeIfAbsent(job.id(), id -> new HashSet<>());
-        int takenBefore = taken.size();
+        Set<TaskId> placedTasks = round.placedTasks.computeIfAbsent(job.id(), id -> new HashSet<>());
+        int placedBefore = placedTasks.size();
         int unplaced = taskRangePlacer.place(pass, candidatesByOwner, quota);
         if (unplaced > 0 && machineFilter == MachineFilter.ALL && !FailingJobBackoff.isSuspect(job)) {
-            makeRoom(pass, candidatesByOwner, unplaced);
+            reserveOrPreempt(pass, candidatesByOwner, unplaced);
         }
         if (isLimited(spec)) {
-            Resources placed = perTask(spec).times(taken.size() - takenBefore);
+            Resources placed = perTask(spec).times(placedTasks.size() - placedBefore);
             round.usedByTeam.merge(spec.team(), placed, Resources::plus);
         }
     }
@@ -64,15 +64,16 @@
     /**
      * Returns how many tasks may be placed, given the pending tasks, the team's limit and the limit for failing jobs.
      */
-    private int quota(Job job, PlanningRound round, int most) {
+    private int quota(Job job, PlanningRound round, int maxTasks) {
         JobSpec spec = job.spec();
-        int quota = Math.min(most, job.pendingCount() - round.placed(job));
+        int quota = Math.min(maxTasks, job.pendingCount() - round.placedCount(job));
         if (isLimited(spec)) {
             Resources used = round.usedByTeam.computeIfAbsent(spec.team(), clusterState::usage);
             quota = Math.min(quota, tasksWithinLimit(settings.teams().get(spec.team()), used, perTask(spec)));
         }
         // Limits the concurrent claims of a job whose tasks keep failing, so that it does not occupy the fleet.
-        return Math.min(quota, Math.max(0, FailingJobBackoff.maxClaims(job) - job.claimCount() - round.placed(job)));
+        return Math.min(
+                quota, Math.max(0, FailingJobBackoff.maxClaims(job) - job.claimCount() - round.placedCount(job)));
     }
 
     private boolean isLimited(JobSpec spec) {
@@ -95,10 +96,10 @@
         return (int) Math.max(0, Math.min(Integer.MAX_VALUE, Math.floor(tasks)));
     }
 
-    /** Reserves capacity for tasks that found no machine, or else preempts claims for them if the job is pressing. */
-    private void makeRoom(JobPass pass, Map<String, List<PlacementCandidate>> candidatesByOwner, int tasks) {
+    /** Reserves capacity for tasks that found no machine, or else preempts claims for them if the job may do so. */
+    private void reserveOrPreempt(JobPass pass, Map<String, List<PlacementCandidate>> candidatesByOwner, int tasks) {
         boolean reserved = reserve(pass, candidatesByOwner, tasks);
-        if (!reserved && preemption.isPressing(pass.job(), pass.round().now)) {
+        if (!reserved && preemption.mayPreempt(pass.job(), pass.round().now)) {
             preemption.preempt(pass, tasks);
         }
     }
@@ -134,9 +135,9 @@
      * Returns the zone with capacity for the most tasks of a job that must stay in one zone. The result is an empty
      * string, which matches no zone, if no zone has capacity.
      */
-    private static String bestZone(JobSpec spec, List<FreeCapacity> open, int pending) {
+    private static String bestZone(JobSpec spec, List<FreeCapacity> schedulable, int pending) {
         Map<String, Integer> slotsByZone = new HashMap<>();
-        for (FreeCapacity capacity : open) {
+        for (FreeCapacity capacity : schedulable) {
             String zone = capacity.machine.zone();
             boolean allowed = PlacementRules.checkMachine(spec, capacity.type, zone, capacity.machine.spot())
                     .allowed();
--- a/src/main/java/org/havenford/coordination/scheduling/MachineAvailability.java
+++ b/src/main/java/org/havenford/coordination/scheduling/MachineAvailability.java
@@ -19,7 +19,7 @@
      * Returns a predicate that tests whether a machine accepts new tasks at a time of the monotonic clock. The planner
      * keeps the predicate until the machine's entry is invalidated.
      */
-    Predicate<Instant> takesTasksAt(MachineRecord machine);
+    Predicate<Instant> acceptsTasksAt(MachineRecord machine);
 
     /** Whether the attempt of a claim is known to have ended although the claim has not been released yet. */
     boolean hasEnded(Claim claim);
--- a/src/main/java/org/havenford/coordination/scheduling/OwnerChooser.java
+++ b/src/main/java/org/havenford/coordination/scheduling/OwnerChooser.java
@@ -11,9 +11,9 @@
  */
 final class OwnerChooser {
     /** Penalty per task for an owner other than the preferred one, in seconds of image pull time. */
-    private static final double CHANGE_OF_OWNER_SECONDS = 0.8;
+    private static final double OTHER_OWNER_PENALTY_SECONDS = 0.8;
     /** Penalty for a task for which an owner has no capacity, in seconds of image pull time. */
-    private static final double NO_CAPACITY_SECONDS = 30;
+    private static final double NO_CAPACITY_PENALTY_SECONDS = 30;
     /** Reduces the hash code of a job's id to a non-negative index. */
     private static final int HASH_MASK = 0xffff;
 
@@ -30,9 +30,9 @@
         List<String> owners = snapshot.owners();
         String best = null;
         double leastCost = Double.MAX_VALUE;
-        int first = (spec.id().hashCode() & HASH_MASK) + taskRangeIndex;
+        int preferredIndex = (spec.id().hashCode() & HASH_MASK) + taskRangeIndex;
         for (int i = 0; i < owners.size(); i++) {
-            String owner = owners.get((first + i) % owners.size());
+            String owner = owners.get((preferredIndex + i) % owners.size());
             List<PlacementCandidate> candidates = candidatesByOwner.getOrDefault(owner, List.of());
             if (candidates.isEmpty() || snapshot.isPassedOver(taskRangeKey, owner)) {
                 continue;
@@ -40,7 +40,7 @@
             if (snapshot.isContended()) {
                 return i == 0 || snapshot.mayBeClaimedByOthers(taskRangeKey) ? owner : null;
             }
-            double cost = cost(spec, candidates, tasks) + (i == 0 ? 0 : CHANGE_OF_OWNER_SECONDS * tasks);
+            double cost = cost(spec, candidates, tasks) + (i == 0 ? 0 : OTHER_OWNER_PENALTY_SECONDS * tasks);
             if (cost < leastCost) {
                 leastCost = cost;
                 best = owner;
@@ -60,6 +60,6 @@
             cost += placed * candidate.score();
             left -= placed;
         }
-        return cost + left * NO_CAPACITY_SECONDS;
+        return cost + left * NO_CAPACITY_PENALTY_SECONDS;
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/Planner.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Planner.java
@@ -26,7 +26,7 @@
     private final JobPacing jobPacing;
     private final JobPlacer jobPlacer;
 
-    /** Separate for urgent jobs, which are placed first in each round, however many other jobs there are. */
+    /** Resume point of urgent jobs, which are placed first in each round, however many other jobs there are. */
     private final ResumePoint urgentResumePoint = new ResumePoint();
 
     private final ResumePoint resumePoint = new ResumePoint();
@@ -47,12 +47,12 @@
     }
 
     /** Marks the free capacity of a machine as stale after a change of its record, its claims or their outcomes. */
-    void machineChanged(String machine) {
+    void invalidateMachine(String machine) {
         capacityIndex.invalidate(machine);
     }
 
     /** Marks the free capacity of all machines as stale. */
-    void allChanged() {
+    void invalidateAllMachines() {
         capacityIndex.invalidateAll();
     }
 
@@ -67,26 +67,27 @@
         if (capacityIndex.all().isEmpty()) {
             return Plan.empty();
         }
-        JobOrder.Queue queue = jobOrder.order(now);
-        List<Job> jobs = queue.jobs();
+        JobOrder.OrderedJobs ordered = jobOrder.order(now);
+        List<Job> jobs = ordered.jobs();
         if (jobs.isEmpty()) {
             return Plan.empty();
         }
-        PlanningRound round = new PlanningRound(now, snapshot, capacityIndex.open(snapshot), contendedTypes(jobs));
-        List<Job> urgent = jobs.subList(0, queue.urgent());
-        List<Job> others = jobs.subList(queue.urgent(), jobs.size());
+        PlanningRound round =
+                new PlanningRound(now, snapshot, capacityIndex.schedulable(snapshot), contendedTypes(jobs));
+        List<Job> urgent = jobs.subList(0, ordered.urgentCount());
+        List<Job> others = jobs.subList(ordered.urgentCount(), jobs.size());
         boolean allPlaced = placeInOrder(urgent, jobs, urgentResumePoint, round, round::outOfTime)
                 && placeInOrder(others, jobs, resumePoint, round, round::outOfTimeOrQuota);
-        if (allPlaced && round.cachedImagesPlaced) {
+        if (allPlaced && round.cachedImagePassDone) {
             placeOnRemainingMachines(jobs, round);
         }
         return round.plan;
     }
 
     /** Returns the names of the machine types that are the only usable type of a job with pending tasks. */
-    private Set<String> contendedTypes(List<Job> waiting) {
+    private Set<String> contendedTypes(List<Job> jobs) {
         Set<String> contended = new HashSet<>();
-        for (Job job : waiting) {
+        for (Job job : jobs) {
             JobSpec spec = job.spec();
             List<MachineType> usable = clusterState.types().values().stream()
                     .filter(type -> (spec.types() == null || spec.types().contains(type.name())) && spec.fits(type))
@@ -114,30 +115,30 @@
                 return false;
             }
             if (!round.snapshot.isBackingOff(job)) {
-                placeInTime(job, all, round);
+                placeJob(job, all, round);
             }
         }
         return true;
     }
 
-    private void placeInTime(Job job, List<Job> all, PlanningRound round) {
-        int most = Integer.MAX_VALUE;
+    private void placeJob(Job job, List<Job> all, PlanningRound round) {
+        int maxTasks = Integer.MAX_VALUE;
         if (jobPacing.isPaced(job)) {
-            if (!round.cachedImagesPlaced) {
-                round.cachedImagesPlaced = true;
-                placeWhereImagesAre(all, round);
+            if (!round.cachedImagePassDone) {
+                round.cachedImagePassDone = true;
+                placeOnMachinesWithImages(all, round);
             }
-            most = jobPacing.tasksNeeded(job, round.now) - job.claimCount() - round.placed(job);
+            maxTasks = jobPacing.tasksNeeded(job, round.now) - job.claimCount() - round.placedCount(job);
         }
-        jobPlacer.place(job, round, MachineFilter.ALL, most);
+        jobPlacer.place(job, round, MachineFilter.ALL, maxTasks);
     }
 
     /** Places paced jobs on machines that have their images, with no more tasks than their deadlines require. */
-    private void placeWhereImagesAre(List<Job> jobs, PlanningRound round) {
+    private void placeOnMachinesWithImages(List<Job> jobs, PlanningRound round) {
         for (Job job : jobs) {
             if (jobPacing.isPaced(job) && !round.snapshot.isBackingOff(job)) {
-                int most = jobPacing.tasksNeeded(job, round.now) - job.claimCount();
-                jobPlacer.place(job, round, MachineFilter.WITH_IMAGE, most);
+                int maxTasks = jobPacing.tasksNeeded(job, round.now) - job.claimCount();
+                jobPlacer.place(job, round, MachineFilter.WITH_IMAGE, maxTasks);
             }
         }
     }
--- a/src/main/java/org/havenford/coordination/scheduling/PlanningRound.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PlanningRound.java
@@ -21,12 +21,12 @@
  */
 final class PlanningRound {
     /** Used for jobs without zone constraints between their tasks; no task is ever added to it. */
-    private static final TaskZones ANYWHERE = new TaskZones();
+    private static final TaskZones NO_TASK_ZONES = new TaskZones();
 
     final Instant now;
     final PlanningSnapshot snapshot;
     /** Machines with free capacity that accept new tasks. */
-    final List<FreeCapacity> open;
+    final List<FreeCapacity> schedulable;
     /** Names of the machine types that are the only usable type of a job with pending tasks. */
     final Set<String> contendedTypes;
 
@@ -34,17 +34,17 @@
     /** Resources that each limited team uses, including the tasks placed in this round. */
     final Map<String, Resources> usedByTeam = new HashMap<>();
     /** The owner whose machines run the tasks of a task range, by the key of the range. */
-    final Map<String, String> ownerOf = new HashMap<>();
+    final Map<String, String> ownerByTaskRange = new HashMap<>();
     /** Tasks placed in this round, by job. */
-    final Map<String, Set<TaskId>> taken = new HashMap<>();
+    final Map<String, Set<TaskId>> placedTasks = new HashMap<>();
     /** Zones of claimed tasks, and of tasks placed in this round, of jobs whose tasks must stay together or apart. */
-    final Map<String, TaskZones> zones = new HashMap<>();
+    final Map<String, TaskZones> zonesByJob = new HashMap<>();
 
     /** Number of task ranges with tasks placed on machines of this controller. */
-    int ownRecords;
+    int ownTaskRanges;
 
     /** Whether paced jobs have already been placed on the machines that have their images. */
-    boolean cachedImagesPlaced;
+    boolean cachedImagePassDone;
 
     /**
      * Jobs whose tasks were found to fit no machine. Tasks that are at least as large are not tried again in this
@@ -53,12 +53,12 @@
     private final List<JobSpec> fitNowhere = new ArrayList<>();
 
     /** Machines with claims that a priority may preempt, by that priority; computed once per round. */
-    final Map<JobSpec.Priority, List<PreemptibleMachine>> preemptible = new EnumMap<>(JobSpec.Priority.class);
+    final Map<JobSpec.Priority, List<PreemptibleMachine>> preemptibleByPriority = new EnumMap<>(JobSpec.Priority.class);
 
-    PlanningRound(Instant now, PlanningSnapshot snapshot, List<FreeCapacity> open, Set<String> contendedTypes) {
+    PlanningRound(Instant now, PlanningSnapshot snapshot, List<FreeCapacity> schedulable, Set<String> contendedTypes) {
         this.now = now;
         this.snapshot = snapshot;
-        this.open = open;
+        this.schedulable = schedulable;
         this.contendedTypes = contendedTypes;
     }
 
@@ -69,7 +69,7 @@
 
     /** Whether the time budget is used up, or this controller has as many task ranges as it can claim. */
     boolean outOfTimeOrQuota() {
-        return snapshot.outOfTime() || ownRecords >= snapshot.claimQuota().maxTaskRanges();
+        return snapshot.outOfTime() || ownTaskRanges >= snapshot.claimQuota().maxTaskRanges();
     }
 
     /**
@@ -79,12 +79,12 @@
      */
     TaskZones zonesOf(Job job, ClusterState clusterState) {
         return PlacementRules.dependsOnOtherTasks(job.spec())
-                ? zones.computeIfAbsent(job.id(), id -> TaskZones.ofClaims(job, clusterState))
-                : ANYWHERE;
+                ? zonesByJob.computeIfAbsent(job.id(), id -> TaskZones.ofClaims(job, clusterState))
+                : NO_TASK_ZONES;
     }
 
     /** Records that a task of this size fits no machine. */
-    void noteFitsNowhere(JobSpec spec) {
+    void recordFitsNowhere(JobSpec spec) {
         fitNowhere.add(spec);
     }
 
@@ -99,7 +99,7 @@
     }
 
     /** Returns the number of tasks of a job that were placed in this round. */
-    int placed(Job job) {
-        return taken.getOrDefault(job.id(), Set.of()).size();
+    int placedCount(Job job) {
+        return placedTasks.getOrDefault(job.id(), Set.of()).size();
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/PlanningSnapshot.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PlanningSnapshot.java
@@ -8,7 +8,7 @@
 /** Inputs of one planning round other than the stored state and the availability of machines. */
 interface PlanningSnapshot {
     /** Returns the start of the round on the monotonic clock. */
-    Instant steadyNow();
+    Instant monotonicNow();
 
     /** Whether the round's time budget is used up. Reads the clock on each call. */
     boolean outOfTime();
--- a/src/main/java/org/havenford/coordination/scheduling/Preemption.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Preemption.java
@@ -15,12 +15,12 @@
 
 /** Chooses claims to preempt so that more urgent tasks can start. */
 final class Preemption {
-    /** How long before its latest start a job begins to be pressing. */
-    static final Duration PRESSING_BEFORE = Duration.ofSeconds(7);
-    /** How long after its latest start a job stops being pressing, as it is too late to preempt others for it. */
-    private static final Duration PRESSING_AFTER = Duration.ofSeconds(20);
+    /** How long before its latest start a job may begin to preempt others. */
+    static final Duration PREEMPTION_LEAD_TIME = Duration.ofSeconds(7);
+    /** How long after its latest start a job may preempt others; after that it is too late. */
+    private static final Duration MAX_PREEMPTION_LATENESS = Duration.ofSeconds(20);
     /** A claim older than this is not preempted, unless it is of a low-priority job with checkpoints. */
-    private static final Duration MAX_LOST_RUN = Duration.ofSeconds(20);
+    private static final Duration MAX_LOST_RUN_TIME = Duration.ofSeconds(20);
     /** Estimated time until a preempted task starts again. */
     private static final Duration RESTART_DELAY = Duration.ofSeconds(25);
 
@@ -40,24 +40,25 @@
             .thenComparing(victims -> victims.capacity().machine.name());
 
     private final ClusterState clusterState;
-    private final JobOrder order;
+    private final JobOrder jobOrder;
     private final CapacityIndex capacityIndex;
 
-    Preemption(ClusterState clusterState, JobOrder order, CapacityIndex capacityIndex) {
+    Preemption(ClusterState clusterState, JobOrder jobOrder, CapacityIndex capacityIndex) {
         this.clusterState = clusterState;
-        this.order = order;
+        this.jobOrder = jobOrder;
         this.capacityIndex = capacityIndex;
     }
 
     /**
-     * Whether a job above normal priority that does not keep failing is close to its latest start, before or after it.
+     * Whether claims may be preempted for a job: its priority is above normal, it is not failing repeatedly, and it is
+     * close to its latest start, before or after it.
      */
-    boolean isPressing(Job job, Instant now) {
-        if (order.priority(job).compareTo(JobSpec.Priority.NORMAL) >= 0 || FailingJobBackoff.isSuspect(job)) {
+    boolean mayPreempt(Job job, Instant now) {
+        if (jobOrder.priority(job).compareTo(JobSpec.Priority.NORMAL) >= 0 || FailingJobBackoff.isSuspect(job)) {
             return false;
         }
-        Instant latest = order.latestStart(job, now);
-        return now.isAfter(latest.minus(PRESSING_BEFORE)) && now.isBefore(latest.plus(PRESSING_AFTER));
+        Instant latest = jobOrder.latestStart(job, now);
+        return now.isAfter(latest.minus(PREEMPTION_LEAD_TIME)) && now.isBefore(latest.plus(MAX_PREEMPTION_LATENESS));
     }
 
     /**
@@ -68,18 +69,18 @@
      */
     void preempt(JobPass pass, int tasks) {
         List<Victims> found = findVictims(pass);
-        int made = 0;
-        TaskZones zonesWithMade = pass.zones().copy();
+        int allocated = 0;
+        TaskZones zonesWithAllocated = pass.zones().copy();
         for (Victims victims : found) {
-            if (made >= tasks) {
+            if (allocated >= tasks) {
                 return;
             }
             String zone = victims.capacity().machine.zone();
-            if (!PlacementRules.checkZone(pass.spec(), zone, zonesWithMade).allowed()) {
+            if (!PlacementRules.checkZone(pass.spec(), zone, zonesWithAllocated).allowed()) {
                 continue;
             }
             release(victims, pass.round());
-            made += allocate(victims.capacity(), pass.spec(), tasks - made, zonesWithMade);
+            allocated += allocate(victims.capacity(), pass.spec(), tasks - allocated, zonesWithAllocated);
         }
     }
 
@@ -87,8 +88,8 @@
         JobSpec spec = pass.spec();
         PlanningRound round = pass.round();
         List<Victims> found = new ArrayList<>();
-        for (PreemptibleMachine preemptible :
-                round.preemptible.computeIfAbsent(pass.priority(), priority -> preemptible(priority, round))) {
+        for (PreemptibleMachine preemptible : round.preemptibleByPriority.computeIfAbsent(
+                pass.priority(), priority -> preemptible(priority, round))) {
             FreeCapacity capacity = preemptible.capacity();
             MachineRecord machine = capacity.machine;
             boolean allowed = PlacementRules.checkTask(
@@ -113,11 +114,11 @@
         capacityIndex.invalidate(capacity.machine.name());
     }
 
-    /** Allocates capacity on a machine for up to {@code most} tasks, and returns for how many. */
-    private static int allocate(FreeCapacity capacity, JobSpec spec, int most, TaskZones zones) {
+    /** Allocates capacity on a machine for up to {@code maxTasks} tasks, and returns for how many. */
+    private static int allocate(FreeCapacity capacity, JobSpec spec, int maxTasks, TaskZones zones) {
         String zone = capacity.machine.zone();
         int allocated = 0;
-        while (allocated < most
+        while (allocated < maxTasks
                 && capacity.fits(spec)
                 && PlacementRules.checkZone(spec, zone, zones).allowed()) {
             capacity.allocate(spec);
@@ -141,7 +142,7 @@
                     claims.add(claim);
                 }
             }
-            if (claims != null && capacity.takesTasks(round.snapshot.steadyNow())) {
+            if (claims != null && capacity.acceptsTasks(round.snapshot.monotonicNow())) {
                 claims.sort(YOUNGEST_FIRST);
                 machines.add(new PreemptibleMachine(capacity, claims));
             }
@@ -183,20 +184,20 @@
 
     /** Whether a job has low priority and checkpoints; such a task loses little work, however long it has run. */
     private boolean isCheckpointedLowPriority(Job job) {
-        return order.priority(job) == JobSpec.Priority.LOW
+        return jobOrder.priority(job) == JobSpec.Priority.LOW
                 && !job.spec().checkpointInterval().isZero();
     }
 
     private boolean isPreemptible(Claim claim, JobSpec.Priority byPriority, Instant now) {
         Job job = clusterState.job(claim.task().job());
-        if (job == null || job.cancelled() || order.priority(job).compareTo(byPriority) <= 0) {
+        if (job == null || job.cancelled() || jobOrder.priority(job).compareTo(byPriority) <= 0) {
             return false;
         }
-        boolean losesMuch = claim.claimedAt().plus(MAX_LOST_RUN).isBefore(now);
+        boolean losesMuch = claim.claimedAt().plus(MAX_LOST_RUN_TIME).isBefore(now);
         if (losesMuch && !isCheckpointedLowPriority(job)) {
             return false;
         }
-        Instant deadline = order.deadline(job);
+        Instant deadline = jobOrder.deadline(job);
         if (deadline == null) {
             return true;
         }
--- a/src/main/java/org/havenford/coordination/scheduling/FirstOwnerShortages.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PreferredOwnerShortages.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /** Records since when the preferred owners of task ranges have lacked capacity for them. */
-final class FirstOwnerShortages {
+final class PreferredOwnerShortages {
     /** How long the preferred owner of a task range may lack capacity before another owner may claim tasks of it. */
-    private static final Duration PATIENCE = Duration.ofMillis(1500);
+    private static final Duration MAX_SHORTAGE = Duration.ofMillis(1500);
 
     /** First and last time of a period in which a preferred owner repeatedly lacked capacity. */
     private record Shortage(Instant first, Instant last) {}
@@ -24,12 +24,12 @@
         Shortage before = byTaskRange.get(taskRangeKey);
         Instant first = before == null ? now : before.first();
         byTaskRange.put(taskRangeKey, new Shortage(first, now));
-        return now.isAfter(first.plus(PATIENCE));
+        return now.isAfter(first.plus(MAX_SHORTAGE));
     }
 
     /** Removes shortages that were not recorded again recently. */
-    void forgetEnded(Instant now) {
-        byTaskRange.values().removeIf(shortage -> shortage.last().isBefore(now.minus(PATIENCE)));
+    void removeExpired(Instant now) {
+        byTaskRange.values().removeIf(shortage -> shortage.last().isBefore(now.minus(MAX_SHORTAGE)));
     }
 
     void clear() {
--- a/src/main/java/org/havenford/coordination/scheduling/PriorityInheritance.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PriorityInheritance.java
@@ -31,7 +31,7 @@
     private final ClusterState clusterState;
     private boolean computed;
     /** Value of {@link ClusterState#pipelineChanges} for which {@code inherited} was computed. */
-    private long computedFor;
+    private long computedForChanges;
 
     private Map<String, Inherited> inherited = Map.of();
 
@@ -51,9 +51,9 @@
 
     /** Computes all inherited values again if a pipeline has changed since the last call. */
     void refresh() {
-        if (!computed || computedFor != clusterState.pipelineChanges()) {
+        if (!computed || computedForChanges != clusterState.pipelineChanges()) {
             computed = true;
-            computedFor = clusterState.pipelineChanges();
+            computedForChanges = clusterState.pipelineChanges();
             inherited = compute();
         }
     }
@@ -65,24 +65,24 @@
     private Map<String, Inherited> compute() {
         List<Job> waiting = waitingJobs();
         Map<String, Integer> unvisitedDependents = countDependents(waiting);
-        ArrayDeque<Job> visitable = new ArrayDeque<>();
+        ArrayDeque<Job> ready = new ArrayDeque<>();
         for (Job job : waiting) {
             if (!unvisitedDependents.containsKey(job.id())) {
-                visitable.add(job);
+                ready.add(job);
             }
         }
         Map<String, Inherited> computedByJob = new HashMap<>();
-        while (!visitable.isEmpty()) {
-            Job dependent = visitable.poll();
+        while (!ready.isEmpty()) {
+            Job dependent = ready.poll();
             for (String id : dependent.spec().dependencies()) {
                 Job needed = clusterState.job(id);
                 boolean last = unvisitedDependents.merge(id, -1, Integer::sum) == 0;
                 if (needed == null) {
                     continue;
                 }
-                passOn(dependent, needed, computedByJob);
+                propagate(dependent, needed, computedByJob);
                 if (last && needed.awaitsDependencies() && !needed.cancelled()) {
-                    visitable.add(needed);
+                    ready.add(needed);
                 }
             }
         }
@@ -114,12 +114,12 @@
     /**
      * Propagates priority and deadline to a dependency; a waiting job has never run, so the user's estimate is used.
      */
-    private static void passOn(Job dependent, Job needed, Map<String, Inherited> computedByJob) {
-        Inherited inheritable = computedByJob.getOrDefault(dependent.id(), Inherited.own(dependent));
-        Instant deadline = inheritable.deadline() == null
+    private static void propagate(Job dependent, Job needed, Map<String, Inherited> computedByJob) {
+        Inherited ofDependent = computedByJob.getOrDefault(dependent.id(), Inherited.own(dependent));
+        Instant deadline = ofDependent.deadline() == null
                 ? null
-                : inheritable.deadline().minus(dependent.spec().estimatedDuration());
+                : ofDependent.deadline().minus(dependent.spec().estimatedDuration());
         Inherited before = computedByJob.getOrDefault(needed.id(), Inherited.own(needed));
-        computedByJob.put(needed.id(), before.with(inheritable.priority(), deadline));
+        computedByJob.put(needed.id(), before.with(ofDependent.priority(), deadline));
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
@@ -83,23 +83,23 @@
     }
 
     /** Discards the state kept for a job that has ended. */
-    public void jobEnded(Job last) {
-        taskClaimer.jobEnded(last);
+    public void jobEnded(Job job) {
+        taskClaimer.jobEnded(job);
     }
 
     /** Discards what was measured or cached before this process was paused. */
     public void processPaused() {
         taskClaimer.processPaused();
-        planner.allChanged();
+        planner.invalidateAllMachines();
     }
 
     /** Marks the free capacity of a machine as stale after a change of its record, its claims or their outcomes. */
     public void machineChanged(String machine) {
-        planner.machineChanged(machine);
+        planner.invalidateMachine(machine);
     }
 
     /** Marks the free capacity of all machines as stale after a change of the view or of the machine types. */
     public void allChanged() {
-        planner.allChanged();
+        planner.invalidateAllMachines();
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
@@ -34,8 +34,8 @@
     private final Planner planner;
     private final Duration planningBudget;
     private final QuotaAllocator quotaAllocator;
-    private final ForeignOwnerPatience foreignOwnerPatience = new ForeignOwnerPatience();
-    private final FirstOwnerShortages firstOwnerShortages = new FirstOwnerShortages();
+    private final UnclaimedRangeTracker unclaimedRangeTracker = new UnclaimedRangeTracker();
+    private final PreferredOwnerShortages preferredOwnerShortages = new PreferredOwnerShortages();
     private final ClaimsInFlight claimsInFlight = new ClaimsInFlight();
     private final MachineAvailability machineAvailability;
     private final FailingJobBackoff failingJobBackoff = new FailingJobBackoff();
@@ -70,7 +70,7 @@
         nextPlan = ClaimBatching.nextPlan(start, context.store().underPressure());
         Plan plan = planner.plan(context.loop().timeOfDay(), new Snapshot(start), machineAvailability);
         Map<String, List<Placement>> own = ownPlacements(plan, start);
-        firstOwnerShortages.forgetEnded(start);
+        preferredOwnerShortages.removeExpired(start);
         claimInOrder(own.values(), start);
         plan.preempted().forEach(agentManager::preempt);
     }
@@ -94,15 +94,15 @@
     }
 
     /** Discards the state kept for a job that has ended. */
-    void jobEnded(Job last) {
-        failingJobBackoff.jobEnded(last);
-        claimBatching.jobEnded(last);
+    void jobEnded(Job job) {
+        failingJobBackoff.jobEnded(job);
+        claimBatching.jobEnded(job);
     }
 
     /** Discards measured waiting times, since the state of other owners during the pause of this process is unknown. */
     void processPaused() {
-        foreignOwnerPatience.clear();
-        firstOwnerShortages.clear();
+        unclaimedRangeTracker.clear();
+        preferredOwnerShortages.clear();
     }
 
     /** Inputs of one planning round, constant except for the clock and the recorded shortages. */
@@ -123,7 +123,7 @@
         }
 
         @Override
-        public Instant steadyNow() {
+        public Instant monotonicNow() {
             return start;
         }
 
@@ -159,12 +159,12 @@
 
         @Override
         public boolean isPassedOver(String taskRangeKey, String owner) {
-            return foreignOwnerPatience.isPassedOver(taskRangeKey, owner);
+            return unclaimedRangeTracker.isPassedOver(taskRangeKey, owner);
         }
 
         @Override
         public boolean mayBeClaimedByOthers(String taskRangeKey) {
-            return firstOwnerShortages.mayBeClaimedByOthers(taskRangeKey, start);
+            return preferredOwnerShortages.mayBeClaimedByOthers(taskRangeKey, start);
         }
     }
 
@@ -182,10 +182,10 @@
             if (context.node().equals(owner)) {
                 own.computeIfAbsent(key, k -> new ArrayList<>()).add(placement);
             } else if (foreign.add(key) && !context.store().underPressure()) {
-                foreignOwnerPatience.waitFor(key, owner, start);
+                unclaimedRangeTracker.recordPlanned(key, owner, start);
             }
         }
-        foreignOwnerPatience.forgetAllBut(foreign, start);
+        unclaimedRangeTracker.removeExpired(foreign, start);
         return own;
     }
 
@@ -198,11 +198,11 @@
                         draft.transaction,
                         CallPriority.CLAIM,
                         draft.locks,
-                        () -> claimed(draft),
-                        result -> answered(draft, claimedMachines, result.outcome()));
+                        () -> onCommitted(draft),
+                        result -> onOutcome(draft, claimedMachines, result.outcome()));
     }
 
-    private void claimed(ClaimDraft draft) {
+    private void onCommitted(ClaimDraft draft) {
         agentManager.outcomes().remove(draft.outcomes.keySet());
         context.loop().after(Duration.ZERO, () -> draft.machines.forEach(agentManager::sendCommands));
         if (draft.firstAfterRelease) {
@@ -211,8 +211,8 @@
         }
     }
 
-    private void answered(ClaimDraft draft, List<String> claimedMachines, StoreOutcome outcome) {
-        claimedMachines.forEach(machine -> noLongerInFlight(machine, draft.job.spec()));
+    private void onOutcome(ClaimDraft draft, List<String> claimedMachines, StoreOutcome outcome) {
+        claimedMachines.forEach(machine -> removeInFlight(machine, draft.job.spec()));
         if (draft.charge != null && outcome != StoreOutcome.UNKNOWN) {
             quotaAllocator.remove(draft.charge);
         }
@@ -221,8 +221,8 @@
         }
     }
 
-    private void noLongerInFlight(String machine, JobSpec spec) {
+    private void removeInFlight(String machine, JobSpec spec) {
         claimsInFlight.remove(machine, spec);
-        planner.machineChanged(machine);
+        planner.invalidateMachine(machine);
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/TaskRangePlacer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskRangePlacer.java
@@ -28,7 +28,7 @@
             return quota;
         }
         Job job = pass.job();
-        Set<TaskId> taken = pass.round().taken.get(job.id());
+        Set<TaskId> placedTasks = pass.round().placedTasks.get(job.id());
         int left = quota;
         int unplaced = 0;
         for (int i = 0; i < job.taskRangeCount() && left > 0; i++) {
@@ -37,7 +37,7 @@
                 continue;
             }
             List<TaskId> pending = taskRange.pending();
-            pending.removeAll(taken);
+            pending.removeAll(placedTasks);
             if (pending.isEmpty()) {
                 continue;
             }
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Places up to {@code most} pending tasks of a task range on machines of its chosen owner.
+     * Places up to {@code maxTasks} pending tasks of a task range on machines of its chosen owner.
      *
      * @return the number of tasks placed
      */
@@ -58,38 +58,42 @@
             int index,
             TaskRange taskRange,
             List<TaskId> pending,
-            int most,
+            int maxTasks,
             Map<String, List<PlacementCandidate>> candidatesByOwner) {
         PlanningRound round = pass.round();
         String key = Keys.tasks(pass.job().id(), index);
-        String owner = round.ownerOf.get(key);
+        String owner = round.ownerByTaskRange.get(key);
         if (owner == null) {
-            int tasks = Math.min(most, pending.size());
+            int tasks = Math.min(maxTasks, pending.size());
             owner = OwnerChooser.choose(key, index, pass.spec(), candidatesByOwner, tasks, round.snapshot);
         }
         List<PlacementCandidate> candidates = owner == null ? null : candidatesByOwner.get(owner);
         if (candidates == null) {
             return 0;
         }
-        round.ownerOf.put(key, owner);
-        int placed = fill(pass, taskRange, pending, most, candidates);
+        round.ownerByTaskRange.put(key, owner);
+        int placed = placeOnCandidates(pass, taskRange, pending, maxTasks, candidates);
         if (placed > 0 && owner.equals(round.snapshot.claimQuota().controller())) {
-            round.ownRecords++;
+            round.ownTaskRanges++;
         }
         return placed;
     }
 
     /**
-     * Places up to {@code most} tasks on candidates of one owner, and removes candidates that have no room for another
-     * task.
+     * Places up to {@code maxTasks} tasks on candidates of one owner, and removes candidates that have no room for
+     * another task.
      *
      * @return the number of tasks placed
      */
-    private int fill(
-            JobPass pass, TaskRange taskRange, List<TaskId> pending, int most, List<PlacementCandidate> candidates) {
+    private int placeOnCandidates(
+            JobPass pass,
+            TaskRange taskRange,
+            List<TaskId> pending,
+            int maxTasks,
+            List<PlacementCandidate> candidates) {
         int placed = 0;
         for (TaskId task : pending) {
-            if (placed >= most) {
+            if (placed >= maxTasks) {
                 break;
             }
             for (PlacementCandidate candidate : candidates) {
@@ -127,6 +131,6 @@
             pass.zones().add(capacity.machine.zone());
         }
         round.plan.placements().add(new Placement(task, machine));
-        round.taken.get(spec.id()).add(task);
+        round.placedTasks.get(spec.id()).add(task);
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
@@ -31,7 +31,7 @@
     /** Batch delay while the store is under pressure. */
     private static final Duration BATCH_DELAY_UNDER_PRESSURE = Duration.ofSeconds(4);
     /** Batch delay under pressure if the store accepts only few changes per second from each controller. */
-    private static final Duration BATCH_DELAY_SCARCE_CHANGES = Duration.ofSeconds(8);
+    private static final Duration BATCH_DELAY_LOW_WRITE_RATE = Duration.ofSeconds(8);
     /** Factor by which the batch delay of low-priority jobs is longer under pressure. */
     private static final int LOW_PRIORITY_FACTOR = 2;
 
@@ -45,7 +45,7 @@
         this.agentManager = agentManager;
         this.jobCompletion = jobCompletion;
         delayUnderPressure =
-                context.settings().scarceChanges() ? BATCH_DELAY_SCARCE_CHANGES : BATCH_DELAY_UNDER_PRESSURE;
+                context.settings().scarceChanges() ? BATCH_DELAY_LOW_WRITE_RATE : BATCH_DELAY_UNDER_PRESSURE;
     }
 
     /** Stores the outcomes whose batch delay is over, and those that must not wait for it. */
@@ -54,20 +54,20 @@
         Instant now = context.loop().now();
         for (TaskRangeOutcomes ended : agentManager.outcomes().records()) {
             if (!context.writer().isLocked(ended.key())) {
-                step(ended, underPressure, now);
+                releaseIfDue(ended, underPressure, now);
             }
         }
     }
 
-    private void step(TaskRangeOutcomes ended, boolean underPressure, Instant now) {
+    private void releaseIfDue(TaskRangeOutcomes ended, boolean underPressure, Instant now) {
         boolean due = now.isAfter(ended.gatheredSince(now).plus(batchDelay(ended, underPressure)));
         boolean dueForCheck =
                 ended.lookedAt() == null || now.isAfter(ended.lookedAt().plus(BATCH_DELAY));
         if (!due && !dueForCheck) {
             return;
         }
-        agentManager.outcomes().remove(noLongerHeld(ended));
-        if (!ended.ended().isEmpty() && (due || isAwaited(ended.ended()))) {
+        agentManager.outcomes().remove(noLongerStored(ended));
+        if (!ended.ended().isEmpty() && (due || isUrgent(ended.ended()))) {
             // If the transaction fails, the outcomes are considered again once the record is no longer locked.
             write(ended.key(), ended.ended());
         } else {
@@ -84,7 +84,7 @@
     }
 
     /** Returns the claims that are no longer stored, because they were released by another transaction. */
-    private List<Claim> noLongerHeld(TaskRangeOutcomes ended) {
+    private List<Claim> noLongerStored(TaskRangeOutcomes ended) {
         Job job = context.clusterState().job(ended.job().id());
         return ended.ended().keySet().stream()
                 .filter(claim ->
@@ -101,7 +101,7 @@
      * Whether outcomes are stored without waiting for the batch delay: they are the last ones of a task range whose job
      * has no pending tasks, the job is cancelled, or a task has to be tried again.
      */
-    private boolean isAwaited(Map<Claim, AttemptOutcome> ended) {
+    private boolean isUrgent(Map<Claim, AttemptOutcome> ended) {
         Job job = jobOf(ended);
         TaskRange taskRange = job.storedTaskRange(
                 job.taskRangeIndex(ended.keySet().iterator().next().task().index()));
@@ -133,12 +133,12 @@
         Map<Claim, AttemptOutcome> ended = new LinkedHashMap<>(endedNow);
         Job job = jobOf(ended);
         int index = job.taskRangeIndex(ended.keySet().iterator().next().task().index());
-        TaskRange next = job.storedTaskRange(index).copy();
-        apply(ended, next);
+        TaskRange updated = job.storedTaskRange(index).copy();
+        apply(ended, updated);
         Transaction transaction = new Transaction()
                 .requireRevision(Keys.VIEW, context.membership().viewRevision())
                 .requireRevision(key, context.modRevision(key));
-        boolean completesJob = job.taskRangeCount() == 1 && next.complete() && !job.cancelled();
+        boolean completesJob = job.taskRangeCount() == 1 && updated.complete() && !job.cancelled();
         List<String> locks = new ArrayList<>(List.of(key));
         Runnable onCompletion = () -> {};
         if (completesJob) {
@@ -147,7 +147,7 @@
             transaction.delete(key);
             onCompletion = jobCompletion.addCompletion(job, FinalState.Status.DONE, transaction, locks);
         } else {
-            JsonObject value = context.toJson(next);
+            JsonObject value = context.toJson(updated);
             if (value == null) {
                 // The value exceeds the size limit in every form, as the previous version wrote it larger. It fits once
                 // more of its tasks have ended.
@@ -156,8 +156,8 @@
             transaction.put(key, value);
         }
         // Users and dependent jobs wait for the end of a job, so the last release is not queued behind all claims.
-        boolean last = job.pendingCount() == 0 && job.claimCount() == ended.size();
-        CallPriority priority = last ? JobCompletion.commitPriority(job) : CallPriority.WORK;
+        boolean isLastRelease = job.pendingCount() == 0 && job.claimCount() == ended.size();
+        CallPriority priority = isLastRelease ? JobCompletion.commitPriority(job) : CallPriority.WORK;
         Runnable afterRelease = onCompletion;
         context.writer().commit(transaction, priority, locks, () -> {
             agentManager.outcomes().remove(ended.keySet());
--- a/src/main/java/org/havenford/coordination/scheduling/ForeignOwnerPatience.java
+++ b/src/main/java/org/havenford/coordination/scheduling/UnclaimedRangeTracker.java
@@ -10,11 +10,11 @@
  * Tracks how long other owners leave task ranges unclaimed that are planned for their machines. An owner that takes too
  * long is passed over for that task range.
  */
-final class ForeignOwnerPatience {
+final class UnclaimedRangeTracker {
     /** How long an owner may leave a planned task range unclaimed before its machines are left out for that range. */
-    private static final Duration PATIENCE = Duration.ofMillis(1500);
+    private static final Duration CLAIM_TIMEOUT = Duration.ofMillis(1500);
     /** How long the state of a task range is kept after the range was first planned for its current owner. */
-    private static final Duration REMEMBERED = PATIENCE.multipliedBy(4);
+    private static final Duration RETENTION = CLAIM_TIMEOUT.multipliedBy(4);
 
     /** The owner that a task range is planned for, and the owners that have left it unclaimed for too long. */
     private static final class Wait {
@@ -22,11 +22,11 @@
         private String owner;
         private Instant since;
 
-        void waitFor(String otherOwner, Instant now) {
-            if (!otherOwner.equals(owner)) {
-                owner = otherOwner;
+        void recordPlanned(String plannedOwner, Instant now) {
+            if (!plannedOwner.equals(owner)) {
+                owner = plannedOwner;
                 since = now;
-            } else if (now.isAfter(since.plus(PATIENCE))) {
+            } else if (now.isAfter(since.plus(CLAIM_TIMEOUT))) {
                 passedOver.add(owner);
             }
         }
@@ -35,8 +35,8 @@
     private final Object2ObjectOpenHashMap<String, Wait> waitByTaskRange = new Object2ObjectOpenHashMap<>();
 
     /** Records that tasks of a task range are planned for machines of another owner. */
-    void waitFor(String taskRangeKey, String owner, Instant now) {
-        waitByTaskRange.computeIfAbsent(taskRangeKey, key -> new Wait()).waitFor(owner, now);
+    void recordPlanned(String taskRangeKey, String owner, Instant now) {
+        waitByTaskRange.computeIfAbsent(taskRangeKey, key -> new Wait()).recordPlanned(owner, now);
     }
 
     /** Whether an owner has left a task range unclaimed for too long. */
@@ -46,11 +46,11 @@
     }
 
     /** Removes expired task ranges that are no longer planned for other owners. */
-    void forgetAllBut(Set<String> plannedForOthers, Instant now) {
+    void removeExpired(Set<String> plannedForOthers, Instant now) {
         waitByTaskRange
                 .entrySet()
                 .removeIf(entry -> !plannedForOthers.contains(entry.getKey())
-                        && now.isAfter(entry.getValue().since.plus(REMEMBERED)));
+                        && now.isAfter(entry.getValue().since.plus(RETENTION)));
     }
 
     void clear() {
--- a/src/test/java/org/havenford/coordination/scheduling/PlannerPlacementTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/PlannerPlacementTest.java
@@ -103,7 +103,7 @@
     /** All owners claim at once, and nothing holds a job back. */
     private final class UnconstrainedSnapshot implements PlanningSnapshot {
         @Override
-        public Instant steadyNow() {
+        public Instant monotonicNow() {
             return NOW;
         }
 
@@ -161,7 +161,7 @@
         }
 
         @Override
-        public Predicate<Instant> takesTasksAt(MachineRecord machine) {
+        public Predicate<Instant> acceptsTasksAt(MachineRecord machine) {
             return now -> true;
         }
 
