--- a/src/test/java/org/havenford/coordination/placement/PlacementRulesTest.java
+++ b/src/test/java/org/havenford/coordination/placement/PlacementRulesTest.java
@@ -13,7 +13,7 @@
 import org.havenford.testing.JobSamples;
 import org.junit.jupiter.api.Test;
 
-/** Each constraint of a job alone and beside others, with tasks that are, or may be, elsewhere. */
+/** Tests each placement constraint alone and combined, with other tasks in known and unknown zones. */
 class PlacementRulesTest {
     private static final MachineType SMALL = type("small", 4);
     private static final MachineType LARGE = type("large", 16);
@@ -22,12 +22,12 @@
         return new MachineType(name, cpus, 0, 32, 40, 0.5, 1, 0.3, Duration.ofSeconds(30), List.of("a", "b", "c"));
     }
 
-    /** A job of two CPUs a task; {@code constraints} are fields of its submission. */
+    /** A job with two CPUs per task; {@code constraints} may hold together, apart, onDemand, zone and types. */
     private static JobSpec spec(int tasks, Map<String, Object> constraints) throws Exception {
         JsonObject json = JobSamples.submission("j-1", tasks, 2);
         json.addProperty("together", constraints.containsKey("together"));
         json.addProperty("apart", constraints.containsKey("apart"));
-        json.addProperty("borrowed", !constraints.containsKey("ordinary"));
+        json.addProperty("borrowed", !constraints.containsKey("onDemand"));
         if (constraints.containsKey("zone")) {
             json.addProperty("hall", (String) constraints.get("zone"));
         }
@@ -56,32 +56,35 @@
     }
 
     @Test
-    void aTaskMustFitTheType() throws Exception {
+    void taskMustFitMachineType() throws Exception {
         MachineType tiny = type("tiny", 1);
         assertEquals(Verdict.TOO_SMALL, check(spec(1, Map.of()), tiny, "a", false));
         assertEquals(Verdict.ALLOWED, check(spec(1, Map.of()), SMALL, "a", true));
     }
 
     @Test
-    void namedTypes() throws Exception {
+    void restrictsMachineTypes() throws Exception {
         JobSpec large = spec(1, Map.of("types", List.of("large")));
         assertEquals(Verdict.WRONG_TYPE, check(large, SMALL, "a", false));
         assertEquals(Verdict.ALLOWED, check(large, LARGE, "a", false));
-        assertEquals(Verdict.WRONG_TYPE, check(spec(1, Map.of("types", List.of())), LARGE, "a", false), "none named");
+        assertEquals(
+                Verdict.WRONG_TYPE,
+                check(spec(1, Map.of("types", List.of())), LARGE, "a", false),
+                "empty set of types");
     }
 
     @Test
-    void namedZone() throws Exception {
+    void restrictsZone() throws Exception {
         JobSpec inB = spec(1, Map.of("zone", "b"));
         assertEquals(Verdict.WRONG_ZONE, check(inB, SMALL, "a", false));
         assertEquals(Verdict.ALLOWED, check(inB, SMALL, "b", false));
     }
 
     @Test
-    void spotMachines() throws Exception {
-        JobSpec ordinary = spec(1, Map.of("ordinary", true));
-        assertEquals(Verdict.SPOT, check(ordinary, SMALL, "a", true));
-        assertEquals(Verdict.ALLOWED, check(ordinary, SMALL, "a", false));
+    void restrictsSpotMachines() throws Exception {
+        JobSpec onDemandOnly = spec(1, Map.of("onDemand", true));
+        assertEquals(Verdict.SPOT, check(onDemandOnly, SMALL, "a", true));
+        assertEquals(Verdict.ALLOWED, check(onDemandOnly, SMALL, "a", false));
     }
 
     @Test
@@ -90,7 +93,7 @@
         assertEquals(Verdict.ALLOWED, check(together, SMALL, "a", false));
         assertEquals(Verdict.ALLOWED, check(together, SMALL, "a", false, "a", "a"));
         assertEquals(Verdict.NOT_TOGETHER, check(together, SMALL, "b", false, "a"));
-        assertEquals(Verdict.NOT_TOGETHER, check(together, SMALL, "a", false, "a", "b"), "split by a fault before");
+        assertEquals(Verdict.NOT_TOGETHER, check(together, SMALL, "a", false, "a", "b"), "already split between zones");
         assertEquals(Verdict.NOT_TOGETHER, check(together, SMALL, "a", false, "a", "unknown"));
         assertEquals(Verdict.NOT_TOGETHER, check(together, SMALL, "a", false, "unknown"));
     }
@@ -105,7 +108,7 @@
         assertEquals(Verdict.ALLOWED, check(spec(1, Map.of("apart", true)), SMALL, "a", false), "one of one");
     }
 
-    /** All tasks in one zone and no more than half of them at a time: they run in turns. */
+    /** Both constraints leave one zone with at most half of the tasks at a time. */
     @Test
     void togetherAndApart() throws Exception {
         JobSpec both = spec(4, Map.of("together", true, "apart", true));
@@ -115,8 +118,8 @@
     }
 
     @Test
-    void whatAJobSaysOfMachinesComesFirst() throws Exception {
-        JobSpec all = spec(4, Map.of("types", List.of("large"), "zone", "a", "ordinary", true, "apart", true));
+    void machineConstraintsAreCheckedFirst() throws Exception {
+        JobSpec all = spec(4, Map.of("types", List.of("large"), "zone", "a", "onDemand", true, "apart", true));
         assertEquals(Verdict.WRONG_TYPE, check(all, SMALL, "b", true, "a", "a"));
         assertEquals(Verdict.WRONG_ZONE, check(all, LARGE, "b", true, "a", "a"));
         assertEquals(Verdict.SPOT, check(all, LARGE, "a", true, "a", "a"));
--- a/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
@@ -22,7 +22,10 @@
 import org.havenford.testing.QuietObserver;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that fail everywhere, jobs that fail by bad luck, and machines on which both fail. */
+/**
+ * Jobs that fail on every machine must not displace healthy jobs, trigger rentals or make machines look faulty; jobs
+ * that are known to work are retried soon, and their failures count against the machine.
+ */
 class FailingJobBackoffTest {
     private static final Instant NOW = Instant.ofEpochSecond(1_700_000_000L);
     private static final String TYPES =
@@ -43,10 +46,10 @@
         clusterState.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
     }
 
-    private Job submit(String id, String urgency, int submittedAgo) {
+    private Job submit(String id, String urgency, int submittedSecondsAgo) {
         JsonObject header = JobSamples.submission(id, 32, 2);
         header.addProperty("urgency", urgency);
-        header.addProperty("_at", NOW.minusSeconds(submittedAgo).toEpochMilli());
+        header.addProperty("_at", NOW.minusSeconds(submittedSecondsAgo).toEpochMilli());
         header.addProperty("_chunk", 16);
         clusterState.changed(Keys.job(id), header, ++stamp);
         return clusterState.job(id);
@@ -70,9 +73,11 @@
         }
     }
 
-    /** However urgent it is and however long it waits, it takes nothing from sound work but a short turn each minute. */
+    /**
+     * Guards against an urgent, long-waiting broken job that goes first outside its service window of 5 s per minute.
+     */
     @Test
-    void whatFailsEverywhereGoesLast() throws Exception {
+    void jobFailingEverywhereIsDeprioritized() throws Exception {
         submit("j-1", "urgent", 300);
         submit("j-2", "low", 5);
         fail("j-1", 8);
@@ -88,12 +93,12 @@
     }
 
     @Test
-    void oneTaskAtATimeUntilOneIsDone() {
+    void runsOneTaskAtATimeUntilOneIsDone() {
         submit("j-1", "normal", 10);
         fail("j-1", 8);
         assertTrue(FailingJobBackoff.isSuspect(clusterState.job("j-1")));
         assertEquals(1, FailingJobBackoff.maxClaims(clusterState.job("j-1")));
-        // A success in one record does not take back the failures noted in the other.
+        // A success in one task range does not reset the failures counted in the other.
         attempt("j-1", 20, false);
         attempt("j-1", 21, false);
         attempt("j-1", 22, false);
@@ -103,25 +108,25 @@
     }
 
     @Test
-    void retriesBackOffPerJob() {
-        FailingJobBackoff failing = new FailingJobBackoff();
+    void backsOffRetriesPerJob() {
+        FailingJobBackoff backoff = new FailingJobBackoff();
         submit("j-1", "normal", 10);
-        assertFalse(failing.isBackingOff(clusterState.job("j-1"), NOW));
+        assertFalse(backoff.isBackingOff(clusterState.job("j-1"), NOW));
         fail("j-1", 8);
-        assertTrue(failing.isBackingOff(clusterState.job("j-1"), NOW));
-        assertTrue(failing.isBackingOff(clusterState.job("j-1"), NOW.plusSeconds(59)));
-        assertFalse(failing.isBackingOff(clusterState.job("j-1"), NOW.plusSeconds(61)));
+        assertTrue(backoff.isBackingOff(clusterState.job("j-1"), NOW));
+        assertTrue(backoff.isBackingOff(clusterState.job("j-1"), NOW.plusSeconds(59)));
+        assertFalse(backoff.isBackingOff(clusterState.job("j-1"), NOW.plusSeconds(61)));
         attempt("j-1", 20, true);
         attempt("j-1", 9, false);
-        assertTrue(failing.isBackingOff(clusterState.job("j-1"), NOW.plusSeconds(61)));
+        assertTrue(backoff.isBackingOff(clusterState.job("j-1"), NOW.plusSeconds(61)));
         assertFalse(
-                failing.isBackingOff(clusterState.job("j-1"), NOW.plusSeconds(66)),
-                "a job that works waits a moment only");
+                backoff.isBackingOff(clusterState.job("j-1"), NOW.plusSeconds(66)),
+                "the back-off of a job that works is at most 4 s");
     }
 
-    /** Rentals: a dozen broken jobs ask for no more than two tasks' machines, and for one machine that none has tried. */
+    /** Guards against renting machines for broken jobs: a dozen of them demand two tasks on at most two machines. */
     @Test
-    void brokenJobsDriveNoRentals() throws Exception {
+    void brokenJobsTriggerNoRentals() throws Exception {
         for (int i = 0; i < 12; i++) {
             submit("j-" + i, "urgent", 300);
             fail("j-" + i, 8);
@@ -137,7 +142,7 @@
     }
 
     @Test
-    void brokenJobsBlameNoMachine() {
+    void brokenJobsMarkNoMachineFaulty() {
         for (String id : List.of("j-1", "j-2", "j-3")) {
             submit(id, "normal", 10);
             fail(id, 2);
@@ -146,16 +151,16 @@
         assertFalse(faultDetector.isFaulty("host-1"));
         Job cancelled = clusterState.job("j-1");
         faultDetector.jobEnded(new Job(cancelled.spec(), cancelled.submittedAt(), 16, true));
-        assertFalse(faultDetector.isFaulty("host-1"), "a cancelled job proves nothing");
+        assertFalse(faultDetector.isFaulty("host-1"), "a cancelled job is no evidence against a machine");
         attempt("j-2", 4, true);
-        assertFalse(faultDetector.isFaulty("host-1"), "one job is not enough");
+        assertFalse(faultDetector.isFaulty("host-1"), "failures of one job that works are not enough");
         faultDetector.jobEnded(clusterState.job("j-3"));
-        assertTrue(faultDetector.isFaulty("host-1"), "one works elsewhere, the other was done to its end");
+        assertTrue(faultDetector.isFaulty("host-1"), "one job has a finished task, the other has completed");
         assertFalse(faultDetector.isFaulty("host-2"));
     }
 
     @Test
-    void aSuccessClearsAMachine() {
+    void successResetsFailuresOfMachine() {
         submit("j-1", "normal", 10);
         submit("j-2", "normal", 10);
         attempt("j-1", 0, true);
--- a/src/test/java/org/havenford/coordination/scheduling/PipelineDecisionsTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/PipelineDecisionsTest.java
@@ -19,7 +19,7 @@
 import org.havenford.testing.QuietObserver;
 import org.junit.jupiter.api.Test;
 
-/** What the decisions make of jobs that await others. */
+/** Effects of dependencies between jobs on placement order, demand, starvation, priorities and deadlines. */
 class PipelineDecisionsTest {
     private static final Instant NOW = Instant.ofEpochSecond(1_700_000_000L);
     private static final String SETTINGS =
@@ -36,9 +36,14 @@
         clusterState.setObserver(new QuietObserver());
     }
 
-    /** A stored header; {@code readyAgo} is negative for a job that was not released. */
+    /** Builds a stored header; {@code releasedSecondsAgo} is negative for a job that was not released. */
     private JsonObject header(
-            String id, String team, String urgency, long submittedAgo, List<String> awaits, long readyAgo) {
+            String id,
+            String team,
+            String urgency,
+            long submittedSecondsAgo,
+            List<String> awaits,
+            long releasedSecondsAgo) {
         JsonObject json = JobSamples.submission(id, 1, 8);
         json.addProperty("crew", team);
         json.addProperty("urgency", urgency);
@@ -46,10 +51,10 @@
         JsonArray names = new JsonArray();
         awaits.forEach(names::add);
         json.add("awaits", names);
-        json.addProperty("_at", NOW.minusSeconds(submittedAgo).toEpochMilli());
+        json.addProperty("_at", NOW.minusSeconds(submittedSecondsAgo).toEpochMilli());
         json.addProperty("_chunk", 16);
-        if (readyAgo >= 0) {
-            json.addProperty("_ready", NOW.minusSeconds(readyAgo).toEpochMilli());
+        if (releasedSecondsAgo >= 0) {
+            json.addProperty("_ready", NOW.minusSeconds(releasedSecondsAgo).toEpochMilli());
         }
         return json;
     }
@@ -58,7 +63,7 @@
         clusterState.changed(Keys.job(header.get("nameId").getAsString()), header, ++stamp);
     }
 
-    private static JsonObject due(JsonObject header, double seconds) {
+    private static JsonObject withDeadline(JsonObject header, double seconds) {
         header.addProperty("airtimeS", seconds);
         return header;
     }
@@ -68,19 +73,19 @@
         return order.order(now).jobs().stream().map(Job::id).toList();
     }
 
-    /** A waiting job of the same team, submitted earlier, would use up the guarantee of 8 CPUs. */
+    /** Guards against an earlier job of the team that still waits for dependencies using up the guarantee of 8 CPUs. */
     @Test
-    void aWaitingJobHasNoPartOfGuaranteeAndOrder() throws Exception {
+    void waitingJobIsLeftOutOfGuaranteeAndOrder() throws Exception {
         put(header("j-1", "red", "urgent", 60, List.of("j-9"), -1));
         put(header("j-2", "red", "low", 30, List.of(), -1));
         put(header("j-3", "blue", "urgent", 50, List.of(), -1));
-        assertEquals(List.of("j-2", "j-3"), order(NOW), "what is within the guarantee goes first");
+        assertEquals(List.of("j-2", "j-3"), order(NOW), "jobs within the guarantee go first");
         put(header("j-1", "red", "urgent", 60, List.of("j-9"), 0));
-        assertEquals(List.of("j-1", "j-3", "j-2"), order(NOW), "the released job now takes the guarantee");
+        assertEquals(List.of("j-1", "j-3", "j-2"), order(NOW), "the released job now uses the guarantee");
     }
 
     @Test
-    void aWaitingJobHasNoPartOfDemandAndOfTheTeamsLimitThere() throws Exception {
+    void waitingJobIsLeftOutOfDemandAndItsTeamLimit() throws Exception {
         PlatformSettings settings = PlatformSettings.parse(SETTINGS);
         put(header("j-1", "red", "normal", 60, List.of("j-9"), -1));
         put(header("j-2", "red", "normal", 50, List.of(), -1));
@@ -92,33 +97,36 @@
         assertTrue(demands.stream().allMatch(d -> d.tasks() == 1), demands::toString);
     }
 
-    /** Submitted long ago, a job starves only when it has waited for so long since its release. */
+    /** Guards against a job that counts as starving because of the time that it waited for its dependencies. */
     @Test
-    void starvationCountsFromTheRelease() throws Exception {
+    void starvationCountsFromRelease() throws Exception {
         put(header("j-1", "blue", "low", 600, List.of("j-9"), 10));
         put(header("j-2", "blue", "urgent", 5, List.of(), -1));
         assertEquals(List.of("j-2", "j-1"), order(NOW));
         assertEquals(List.of("j-1", "j-2"), order(NOW.plusSeconds(82)));
     }
 
-    /** Both times are in the header, so every controller and every successor reads the same. */
+    /** Both times are stored in the header, so all controllers, and those that take over, read the same values. */
     @Test
-    void timesSurviveATakeOver() throws Exception {
-        JsonObject stored = due(header("j-1", "blue", "low", 600, List.of("j-9"), 10), 700);
+    void timesSurviveFailover() throws Exception {
+        JsonObject stored = withDeadline(header("j-1", "blue", "low", 600, List.of("j-9"), 10), 700);
         Job read = Job.parse(Job.parse(stored).header(false));
         assertEquals(NOW.minusSeconds(10), read.releasedAt());
         assertEquals(NOW.plusSeconds(100), read.deadline(), "the deadline counts from the submission");
         assertFalse(read.awaitsDependencies());
     }
 
-    /** Through a chain and a diamond, also when the clocks of accepting controllers put the later job first. */
+    /**
+     * Covers a chain and a diamond of dependencies, with submission times that contradict the dependency order, as they
+     * do if the clocks of the accepting controllers differ.
+     */
     @Test
-    void priorityAndDeadlinePassBackwards() {
+    void dependenciesInheritPriorityAndDeadline() {
         put(header("j-1", "blue", "low", 10, List.of(), -1));
         put(header("j-2", "blue", "low", 11, List.of("j-1"), -1));
         put(header("j-3", "blue", "normal", 12, List.of("j-1"), -1));
-        put(due(header("j-4", "blue", "urgent", 13, List.of("j-2", "j-3"), -1), 113));
-        put(due(header("j-5", "blue", "low", 10, List.of("j-3"), -1), 60));
+        put(withDeadline(header("j-4", "blue", "urgent", 13, List.of("j-2", "j-3"), -1), 113));
+        put(withDeadline(header("j-5", "blue", "low", 10, List.of("j-3"), -1), 60));
         PriorityInheritance priorityInheritance = new PriorityInheritance(clusterState);
         priorityInheritance.refresh();
         Job first = clusterState.job("j-1");
@@ -126,18 +134,17 @@
         assertEquals(
                 NOW.plusSeconds(30),
                 priorityInheritance.deadline(first),
-                "due of j-5 at 50, less two estimates of 10 s");
+                "deadline of j-5 at 50 s, less two estimates of 10 s");
         assertEquals(NOW.plusSeconds(90), priorityInheritance.deadline(clusterState.job("j-2")));
         assertEquals(NOW.plusSeconds(40), priorityInheritance.deadline(clusterState.job("j-3")));
         assertEquals(Priority.URGENT, priorityInheritance.priority(clusterState.job("j-2")));
         clusterState.changed(Keys.job("j-5"), null, ++stamp);
         priorityInheritance.refresh();
         assertEquals(
-                NOW.plusSeconds(80),
-                priorityInheritance.deadline(first),
-                "worked out anew when a job of the pipeline goes");
-        put(due(header("j-6", "blue", "low", 0, List.of("j-1"), -1), 15));
+                NOW.plusSeconds(80), priorityInheritance.deadline(first), "recomputed when a job of the pipeline ends");
+        put(withDeadline(header("j-6", "blue", "low", 0, List.of("j-1"), -1), 15));
         priorityInheritance.refresh();
-        assertEquals(NOW.plusSeconds(5), priorityInheritance.deadline(first), "and when one is submitted later");
+        assertEquals(
+                NOW.plusSeconds(5), priorityInheritance.deadline(first), "recomputed when a job is submitted later");
     }
 }
--- a/src/test/java/org/havenford/coordination/scheduling/PlannerPlacementTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/PlannerPlacementTest.java
@@ -31,7 +31,7 @@
 import org.havenford.testing.QuietObserver;
 import org.junit.jupiter.api.Test;
 
-/** One round of the planner, and whether what it places keeps to each job's constraints together with what is claimed. */
+/** Checks that the placements of one planning round, together with existing claims, meet each job's constraints. */
 class PlannerPlacementTest {
     private static final Instant NOW = Instant.ofEpochSecond(1_700_000_000L);
     private static final String SETTINGS = "{\"node_name\":\"n\",\"location\":\"a\",\"bind\":\"n:1\","
@@ -43,17 +43,17 @@
     private static final String TYPES = "{\"rigs\":["
             + "{\"name\":\"small\",\"vcpus\":4,\"memGb\":32,\"fetchGbPerS\":0.5,\"halls\":[\"a\",\"b\",\"c\"]},"
             + "{\"name\":\"large\",\"vcpus\":16,\"memGb\":64,\"fetchGbPerS\":0.5,\"halls\":[\"a\",\"b\",\"c\"]}]}";
-    /** Tasks in a record, so that larger jobs have several. */
-    private static final int TASKS_IN_RECORD = 4;
+    /** Tasks per task range; small, so that larger jobs have several ranges. */
+    private static final int TASK_RANGE_SIZE = 4;
 
-    private static final int DRAWN_JOBS = 8;
-    private static final int DRAWN_SNAPSHOTS = 400;
+    private static final int RANDOM_JOBS = 8;
+    private static final int RANDOM_SNAPSHOTS = 400;
 
     private final ClusterState clusterState = new ClusterState();
     private final Map<String, List<String>> images = new HashMap<>();
     private final List<String> owners = new ArrayList<>(List.of("n"));
     private long revision;
-    private int machines;
+    private int nextMachineNumber;
 
     PlannerPlacementTest() {
         clusterState.setObserver(new QuietObserver());
@@ -61,7 +61,7 @@
     }
 
     private String machine(String type, String zone, boolean spot, String... cached) {
-        String name = String.format("host-%06d", machines++);
+        String name = String.format("host-%06d", nextMachineNumber++);
         MachineBatch batch = MachineBatch.of("b-" + name, type, zone, spot, NOW.minusSeconds(300), List.of(name));
         clusterState.changed(Keys.batch(batch.name()), batch.toJson(), ++revision);
         images.put(name, List.of(cached));
@@ -71,12 +71,12 @@
     private static JsonObject job(String id, int tasks, double cpus) {
         JsonObject json = JobSamples.submission(id, tasks, cpus);
         json.addProperty("_at", NOW.minusSeconds(1).toEpochMilli());
-        json.addProperty("_chunk", TASKS_IN_RECORD);
+        json.addProperty("_chunk", TASK_RANGE_SIZE);
         return json;
     }
 
-    /** With time to spare and an image that takes long against a run, a job is placed in several passes of one round. */
-    private static JsonObject withTimeAndLongImage(JsonObject job) {
+    /** Adds a late deadline and a large image, so that the job is placed in several passes of one round. */
+    private static JsonObject withLateDeadlineAndLargeImage(JsonObject job) {
         job.addProperty("airtimeS", 160.0);
         job.addProperty("imageGb", 10.0);
         return job;
@@ -97,10 +97,10 @@
     private Plan plan() throws Exception {
         Planner planner =
                 new Planner(clusterState, PlatformSettings.parse(SETTINGS), OperatorSettings.DEFAULTS, this::owner);
-        return planner.plan(NOW, new UnconstrainedSnapshot(), new AllUp());
+        return planner.plan(NOW, new UnconstrainedSnapshot(), new AllMachinesUp());
     }
 
-    /** All owners claim at once, and nothing holds a job back. */
+    /** A snapshot without time limit, contention, back-off or excluded machines. */
     private final class UnconstrainedSnapshot implements PlanningSnapshot {
         @Override
         public Instant monotonicNow() {
@@ -148,8 +148,8 @@
         }
     }
 
-    /** All machines are up and take tasks; no claim has ended or is in flight. */
-    private final class AllUp implements MachineAvailability {
+    /** All machines are up and accept tasks; no claim has ended or is in flight. */
+    private final class AllMachinesUp implements MachineAvailability {
         @Override
         public MachineRecord.Condition condition(MachineRecord machine) {
             return MachineRecord.Condition.UP;
@@ -180,8 +180,8 @@
         return owners.get(Math.floorMod(machine.hashCode(), owners.size()));
     }
 
-    /** Tasks of a job by zone, claimed or placed. */
-    private Map<String, Integer> byZone(String id, Plan plan) {
+    /** Counts the claimed and the placed tasks of a job by zone. */
+    private Map<String, Integer> tasksByZone(String id, Plan plan) {
         Map<String, Integer> zones = new TreeMap<>();
         for (Claim claim : clusterState.job(id).claims()) {
             MachineRecord machine = clusterState.machine(claim.machine());
@@ -200,51 +200,59 @@
         return job;
     }
 
-    /** The first pass places a task, the last fills up where its image is on its way: both count. */
+    /**
+     * Guards against counting the tasks of one pass only: the first pass places a task, and the last one adds tasks to
+     * the machine that is pulling the image.
+     */
     @Test
-    void apartHoldsOverAllPassesOfARound() throws Exception {
+    void apartHoldsOverAllPassesOfRound() throws Exception {
         machine("large", "a", false);
         machine("large", "b", false);
-        submit(withTimeAndLongImage(with(job("j-1", 4, 4), "apart")));
-        Map<String, Integer> zones = byZone("j-1", plan());
+        submit(withLateDeadlineAndLargeImage(with(job("j-1", 4, 4), "apart")));
+        Map<String, Integer> zones = tasksByZone("j-1", plan());
         assertFalse(zones.isEmpty());
         assertTrue(zones.values().stream().allMatch(n -> n <= 2), zones::toString);
     }
 
-    /** Zone a has most room at first; when the first pass has taken some, it is zone b, which has the image. */
+    /**
+     * Guards against choosing the zone again in each pass: zone a has the most capacity at first, but zone b, which has
+     * the image, has more after the first pass.
+     */
     @Test
-    void theZoneOfAJobThatStaysTogetherIsChosenOnceARound() throws Exception {
+    void zoneOfTogetherJobIsChosenOncePerRound() throws Exception {
         machine("large", "a", false);
         for (int i = 0; i < 3; i++) {
             machine("small", "b", false, "img");
         }
-        submit(withTimeAndLongImage(with(job("j-1", 4, 4), "together")));
-        Map<String, Integer> zones = byZone("j-1", plan());
+        submit(withLateDeadlineAndLargeImage(with(job("j-1", 4, 4), "together")));
+        Map<String, Integer> zones = tasksByZone("j-1", plan());
         assertEquals(1, zones.size(), zones::toString);
     }
 
-    /** A claim on a machine that is in no record may be in any zone. */
+    /** A claim on a machine without a record may be in any zone. */
     @Test
-    void tasksInAnUnknownZoneLeaveNoZoneToAJobThatStaysTogether() throws Exception {
+    void unknownZoneLeavesNoZoneForTogetherJob() throws Exception {
         machine("large", "a", false);
         submit(with(job("j-1", 3, 1), "together"));
         claim("j-1", 0, "host-999999");
         assertEquals(List.of(), plan().placements());
         claim("j-1", 1, machine("small", "b", false));
-        assertEquals(List.of(), plan().placements(), "not even where another task is");
+        assertEquals(List.of(), plan().placements(), "not even in the zone of another task");
     }
 
     @Test
-    void tasksInAnUnknownZoneCountInEachZoneOfAJobThatStaysApart() throws Exception {
+    void unknownZoneCountsInEachZoneOfApartJob() throws Exception {
         machine("large", "a", false);
         submit(with(job("j-1", 4, 1), "apart"));
         claim("j-1", 0, "host-999999");
         assertEquals(1, plan().placements().size());
     }
 
-    /** What a faulty plan would place wrongly is not claimed; the rest is. */
+    /**
+     * Placements that violate a constraint, as a faulty plan would have them, are rejected; the others are permitted.
+     */
     @Test
-    void theGuardLetsNoWrongPlacementBeClaimed() {
+    void guardRejectsPlacementsThatViolateConstraints() {
         String inA = machine("large", "a", false);
         String inB = machine("large", "b", false);
         String spotInA = machine("small", "a", true);
@@ -252,10 +260,10 @@
         claim("j-1", 0, inA);
         assertEquals(List.of(1, 3), permitted("j-1", inA, inA, inB));
         submit(with(job("j-2", 4, 1), "together"));
-        assertEquals(List.of(1, 3), permitted("j-2", inA, inB, inA), "the first placement decides");
-        JsonObject ordinaryInB = job("j-3", 4, 1);
-        ordinaryInB.addProperty("hall", "b");
-        submit(ordinaryInB);
+        assertEquals(List.of(1, 3), permitted("j-2", inA, inB, inA), "the first placement determines the zone");
+        JsonObject restrictedToB = job("j-3", 4, 1);
+        restrictedToB.addProperty("hall", "b");
+        submit(restrictedToB);
         assertEquals(List.of(2), permitted("j-3", inA, inB, spotInA, "host-999999"));
         JsonObject onlyLarge = job("j-4", 4, 1);
         JsonArray types = new JsonArray();
@@ -266,7 +274,9 @@
         assertEquals(List.of(1), permitted("j-4", inA, spotInA));
     }
 
-    /** Task 1 is planned for the first machine, task 2 for the second and so on; the tasks that may be claimed. */
+    /**
+     * Plans task 1 for the first machine, task 2 for the second and so on, and returns the tasks that are permitted.
+     */
     private List<Integer> permitted(String id, String... planned) {
         List<Placement> placements = new ArrayList<>();
         for (int i = 0; i < planned.length; i++) {
@@ -277,47 +287,50 @@
                 .toList();
     }
 
-    /** Snapshots drawn from seeds, all five constraints alone and together, some tasks claimed before. */
+    /**
+     * Snapshots generated from seeds, with all five constraints alone and combined, and with some tasks already
+     * claimed.
+     */
     @Test
-    void placementsOfDrawnSnapshotsKeepToAllConstraints() throws Exception {
-        for (long seed = 1; seed <= DRAWN_SNAPSHOTS; seed++) {
+    void placementsOfRandomSnapshotsMeetAllConstraints() throws Exception {
+        for (long seed = 1; seed <= RANDOM_SNAPSHOTS; seed++) {
             PlannerPlacementTest snapshot = new PlannerPlacementTest();
-            snapshot.draw(new SplittableRandom(seed));
-            snapshot.assertAllInPlace("seed " + seed, snapshot.plan());
+            snapshot.populate(new SplittableRandom(seed));
+            snapshot.assertConstraintsMet("seed " + seed, snapshot.plan());
         }
     }
 
-    private void draw(SplittableRandom random) {
+    private void populate(SplittableRandom random) {
         if (random.nextBoolean()) {
             owners.add("o");
         }
-        int drawnMachines = 6 + random.nextInt(20);
-        for (int i = 0; i < drawnMachines; i++) {
-            drawMachine(random);
+        int machineCount = 6 + random.nextInt(20);
+        for (int i = 0; i < machineCount; i++) {
+            addRandomMachine(random);
         }
-        for (int i = 0; i < DRAWN_JOBS; i++) {
+        for (int i = 0; i < RANDOM_JOBS; i++) {
             String id = "j-" + i;
-            submit(drawJob(id, random));
+            submit(randomJob(id, random));
             if (random.nextInt(3) == 0) {
-                claimSomewhere(clusterState.job(id).spec(), random);
+                claimFirstTask(clusterState.job(id).spec(), random);
             }
         }
     }
 
-    private void drawMachine(SplittableRandom random) {
+    private void addRandomMachine(SplittableRandom random) {
         String type = random.nextInt(3) == 0 ? "large" : "small";
-        String zone = drawZone(random);
+        String zone = randomZone(random);
         boolean spot = random.nextBoolean();
         String[] cached = random.nextInt(3) == 0 ? new String[] {"img-" + random.nextInt(3)} : new String[0];
         machine(type, zone, spot, cached);
     }
 
-    private static JsonObject drawJob(String id, SplittableRandom random) {
+    private static JsonObject randomJob(String id, SplittableRandom random) {
         JsonObject json = job(id, 1 + random.nextInt(14), 1 + random.nextInt(4));
         json.addProperty("reel", "img-" + random.nextInt(3));
-        drawConstraints(json, random);
+        addRandomConstraints(json, random);
         if (random.nextInt(3) > 0) {
-            withTimeAndLongImage(json);
+            withLateDeadlineAndLargeImage(json);
         }
         if (random.nextInt(4) == 0) {
             json.addProperty("urgency", "urgent");
@@ -325,12 +338,12 @@
         return json;
     }
 
-    private static void drawConstraints(JsonObject json, SplittableRandom random) {
+    private static void addRandomConstraints(JsonObject json, SplittableRandom random) {
         json.addProperty("together", random.nextInt(3) == 0);
         json.addProperty("apart", random.nextInt(3) == 0);
         json.addProperty("borrowed", random.nextInt(4) > 0);
         if (random.nextInt(4) == 0) {
-            json.addProperty("hall", drawZone(random));
+            json.addProperty("hall", randomZone(random));
         }
         if (random.nextInt(4) == 0) {
             JsonArray types = new JsonArray();
@@ -339,7 +352,7 @@
         }
     }
 
-    /** What a job says of machines, worked out apart from the code that is tested. */
+    /** Whether a job's constraints allow a machine; implemented independently of the tested code. */
     private boolean allows(JobSpec spec, MachineRecord machine) {
         return (spec.types() == null || spec.types().contains(machine.type()))
                 && (spec.zone() == null || spec.zone().equals(machine.zone()))
@@ -347,12 +360,12 @@
                 && spec.cpus() <= clusterState.types().get(machine.type()).cpus();
     }
 
-    private static String drawZone(SplittableRandom random) {
+    private static String randomZone(SplittableRandom random) {
         return List.of("a", "b", "c").get(random.nextInt(3));
     }
 
-    /** A first task, on a machine that the job allows. */
-    private void claimSomewhere(JobSpec spec, SplittableRandom random) {
+    /** Claims the first task of a job on an idle machine that the job allows. */
+    private void claimFirstTask(JobSpec spec, SplittableRandom random) {
         List<MachineRecord> allowed = new ArrayList<>();
         for (MachineRecord machine : clusterState.machines()) {
             if (allows(spec, machine) && clusterState.claimsOn(machine.name()).isEmpty()) {
@@ -365,7 +378,7 @@
         }
     }
 
-    private void assertAllInPlace(String seed, Plan plan) {
+    private void assertConstraintsMet(String seed, Plan plan) {
         for (Placement placement : plan.placements()) {
             MachineRecord machine = clusterState.machine(placement.machine());
             JobSpec spec = clusterState.job(placement.task().job()).spec();
@@ -373,7 +386,7 @@
         }
         for (Job job : clusterState.jobs()) {
             JobSpec spec = job.spec();
-            Map<String, Integer> zones = byZone(job.id(), plan);
+            Map<String, Integer> zones = tasksByZone(job.id(), plan);
             assertTrue(!spec.together() || zones.size() <= 1, () -> seed + ": together " + job.id() + " " + zones);
             boolean apart = zones.values().stream().allMatch(n -> n <= (spec.taskCount() + 1) / 2);
             assertTrue(
