--- a/src/main/java/org/havenford/coordination/scheduling/CandidateFinder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/CandidateFinder.java
@@ -12,7 +12,7 @@
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.MachineRecord;
 
-/** Finds the machines that take tasks of a job, by their owner, the best first. */
+/** Finds the machines on which tasks of a job may be placed. */
 final class CandidateFinder {
     private final ClusterState clusterState;
     private final JobOrder jobOrder;
@@ -24,7 +24,10 @@
         this.scorer = scorer;
     }
 
-    /** Candidates for the tasks of a pass by owner, the best first; empty if there are none. */
+    /**
+     * Returns the candidates for the tasks of a pass by owner, the best first. If one task is pending, only the first
+     * candidate of each owner is in order.
+     */
     Map<String, List<PlacementCandidate>> find(JobPass pass) {
         JobSpec spec = pass.spec();
         PlanningRound round = pass.round();
@@ -33,32 +36,32 @@
             return byOwner;
         }
         double smallestCpus = smallestCpus(spec);
-        double contendedCpusLimit = mayTakeContended(pass.job(), round) ? Double.POSITIVE_INFINITY : smallestCpus;
+        double maxContendedCpus = mayUseContendedTypes(pass.job(), round) ? Double.POSITIVE_INFINITY : smallestCpus;
         boolean anyFits = false;
-        for (FreeCapacity capacity : round.open) {
+        for (FreeCapacity capacity : round.schedulable) {
             if (!capacity.fits(spec)) {
                 continue;
             }
             anyFits = true;
-            if (isEligible(capacity, pass, contendedCpusLimit)) {
+            if (isEligible(capacity, pass, maxContendedCpus)) {
                 double score = scorer.score(spec, capacity, smallestCpus, round.contendedTypes);
                 byOwner.computeIfAbsent(capacity.owner, owner -> new ArrayList<>())
                         .add(new PlacementCandidate(score, capacity));
             }
         }
         if (!anyFits) {
-            round.noteFitsNowhere(spec);
+            round.recordFitsNowhere(spec);
         }
         boolean onlyOnePending = pass.job().pendingCount() == 1;
         for (List<PlacementCandidate> candidates : byOwner.values()) {
-            bestFirst(candidates, onlyOnePending);
+            sortBestFirst(candidates, onlyOnePending);
         }
         return byOwner;
     }
 
-    private static void bestFirst(List<PlacementCandidate> candidates, boolean onlyOnePending) {
+    private static void sortBestFirst(List<PlacementCandidate> candidates, boolean onlyOnePending) {
         if (onlyOnePending) {
-            // Hundreds of jobs of one task need no order among all machines.
+            // One task needs the best candidate only; with hundreds of single-task jobs, sorting would be expensive.
             int best = candidates.indexOf(Collections.min(candidates, PlacementCandidate.BEST_FIRST));
             Collections.swap(candidates, 0, best);
         } else {
@@ -66,7 +69,7 @@
         }
     }
 
-    private static boolean isEligible(FreeCapacity capacity, JobPass pass, double contendedCpusLimit) {
+    private static boolean isEligible(FreeCapacity capacity, JobPass pass, double maxContendedCpus) {
         JobSpec spec = pass.spec();
         MachineRecord machine = capacity.machine;
         if (!PlacementRules.checkTask(spec, capacity.type, machine.zone(), machine.spot(), pass.zones())
@@ -78,13 +81,13 @@
         if (pass.machineFilter() == MachineFilter.WITH_IMAGE && !capacity.hasOrPulls(spec.image())) {
             return false;
         }
-        return capacity.type.cpus() <= contendedCpusLimit
+        return capacity.type.cpus() <= maxContendedCpus
                 || !pass.round().contendedTypes.contains(capacity.type.name());
     }
 
-    /** A large machine that others wait for is not taken while there is time to wait for a small one. */
-    private boolean mayTakeContended(Job job, PlanningRound round) {
-        return !round.now.isBefore(jobOrder.latestStart(job, round.now).minus(Preemption.PRESSING_BEFORE))
+    /** Whether a job may use a large machine of a contended type, rather than wait longer for a smaller one. */
+    private boolean mayUseContendedTypes(Job job, PlanningRound round) {
+        return !round.now.isBefore(jobOrder.latestStart(job, round.now).minus(Preemption.PREEMPTION_LEAD_TIME))
                 || JobPacing.hasWaitedLong(job, round.now);
     }
 
--- a/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
@@ -15,11 +15,11 @@
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.TeamQuota.Resources;
 
-/** Puts together the transaction that claims planned tasks of one task range. */
+/** Builds the transaction that claims planned tasks of one task range. */
 final class ClaimBuilder {
-    /** A transaction allows this many conditions for each operation. */
+    /** The store accepts this many conditions in a transaction for each operation that it accepts. */
     private static final int CONDITIONS_PER_OPERATION = 4;
-    /** Conditions on the view, the job, its task range and the team's quota, and some to spare. */
+    /** Conditions kept free for the view, the job, its task range and the team's quota, with a margin. */
     private static final int OTHER_CONDITIONS = 6;
 
     private final CoordinationContext context;
@@ -32,24 +32,24 @@
         this.quotaAllocator = quotaAllocator;
     }
 
-    /** The claim of planned tasks of one task range; empty if none of them can be claimed now. */
+    /** Builds the claim of planned tasks of one task range; empty if none of them can be claimed now. */
     Optional<ClaimDraft> build(List<Placement> planned) {
         Job job = context.clusterState().job(planned.get(0).task().job());
         if (job.awaitsDependencies()) {
-            // The plan leaves it out. That no task starts before its job is released rests on this and on the guard of
-            // the header.
+            // The planner leaves such jobs out. This check, with the condition on the header's revision below,
+            // guarantees that no task starts before the job's dependencies are done.
             return Optional.empty();
         }
         ClaimDraft draft =
                 new ClaimDraft(job, job.taskRangeIndex(planned.get(0).task().index()));
         requireRevision(Keys.VIEW, context.membership().viewRevision(), draft);
         requireRevision(Keys.job(job.id()), draft);
-        requireRevision(draft.key, draft);
+        requireRevision(draft.taskRangeKey, draft);
         PlatformSettings.Team team = context.settings().teams().get(job.spec().team());
         boolean limited = team != null && team.limited();
-        int allowed = limited ? takeQuota(draft, team, planned.size()) : planned.size();
+        int allowed = limited ? allocateQuota(draft, team, planned.size()) : planned.size();
         if (PlacementRules.dependsOnOtherTasks(job.spec())) {
-            writeHeader(draft);
+            rewriteHeader(draft);
         }
         if (draft.locks.stream().anyMatch(context.writer()::isLocked)) {
             return Optional.empty();
@@ -61,7 +61,7 @@
         if (taskRange == null) {
             return Optional.empty();
         }
-        draft.transaction.put(draft.key, taskRange);
+        draft.transaction.put(draft.taskRangeKey, taskRange);
         if (limited) {
             charge(draft, team);
         }
@@ -76,15 +76,18 @@
         draft.transaction.requireRevision(key, revision);
     }
 
-    /** Where tasks must stay together or apart, each claim of the job writes its header: so it is seen by the next. */
-    private static void writeHeader(ClaimDraft draft) {
+    /**
+     * Rewrites the header of a job whose tasks must stay together or apart. Each claim is conditional on the header's
+     * revision, so two concurrent claims of such a job conflict, even on different task ranges.
+     */
+    private static void rewriteHeader(ClaimDraft draft) {
         String header = Keys.job(draft.job.id());
         draft.locks.add(header);
         draft.transaction.put(header, draft.job.header(false));
     }
 
-    /** Takes from the team's quota; for how many of the {@code wanted} tasks. */
-    private int takeQuota(ClaimDraft draft, PlatformSettings.Team team, int wanted) {
+    /** Allocates the team's quota for up to {@code wanted} tasks, and returns the number of tasks it allows. */
+    private int allocateQuota(ClaimDraft draft, PlatformSettings.Team team, int wanted) {
         int allowed = quotaAllocator.allocate(team, draft.perTask(), wanted, draft.transaction);
         if (draft.transaction.operationCount() > 0) {
             draft.locks.add(Keys.team(team.name()));
@@ -96,11 +99,16 @@
         Resources taken = draft.perTask().times(draft.claimedTasks());
         long viewRevision = context.membership().viewRevision();
         draft.charge = new QuotaAllocator.Charge(
-                team.name(), taken, draft.job.id(), draft.key, context.modRevision(draft.key), viewRevision);
+                team.name(),
+                taken,
+                draft.job.id(),
+                draft.taskRangeKey,
+                context.modRevision(draft.taskRangeKey),
+                viewRevision);
         quotaAllocator.add(draft.charge);
     }
 
-    private void addClaims(ClaimDraft draft, List<Placement> placements, String account) {
+    private void addClaims(ClaimDraft draft, List<Placement> placements, String quotaHolder) {
         Set<String> batches = new HashSet<>();
         int maxBatches = context.settings().maxTransactionOperations() * CONDITIONS_PER_OPERATION - OTHER_CONDITIONS;
         for (Placement placement : placements) {
@@ -113,13 +121,13 @@
             if (batches.size() + batchesOfMachine.size() > maxBatches || isAnyLocked(batchesOfMachine)) {
                 continue;
             }
-            // A machine that is to be returned changes its batch.
+            // Returning a machine to the cloud changes its batch, so the claim is conditional on the batch's revision.
             for (String batch : batchesOfMachine) {
                 if (batches.add(batch)) {
                     requireRevision(Keys.batch(batch), draft);
                 }
             }
-            draft.claim(placement, agent.incarnation(), context.loop().timeOfDay(), account);
+            draft.addClaim(placement, agent.incarnation(), context.loop().timeOfDay(), quotaHolder);
         }
     }
 
--- a/src/main/java/org/havenford/coordination/scheduling/OwnerChooser.java
+++ b/src/main/java/org/havenford/coordination/scheduling/OwnerChooser.java
@@ -5,21 +5,21 @@
 import org.havenford.protocol.JobSpec;
 
 /**
- * Chooses the owner whose machines take the tasks of a task range. Each task range has one to begin with, found by its place
- * in the job; another is chosen only when its candidates are clearly better, so that controllers whose copies of the store
- * differ by a moment still agree.
+ * Chooses the owner whose machines run the tasks of a task range. Each task range has a preferred owner, derived from
+ * the job's id and the index of the range. Another owner is chosen only if its candidates are clearly better, so that
+ * controllers whose replicas differ slightly still make the same choice.
  */
 final class OwnerChooser {
-    /** Penalty, in seconds of pulling for each task, of an owner other than the first. */
-    private static final double CHANGE_OF_OWNER_SECONDS = 0.8;
-    /** Penalty, in seconds of pulling, of a task for which an owner has no capacity. */
-    private static final double NO_CAPACITY_SECONDS = 30;
-    /** Keeps the part of a job's hash that is a non-negative index. */
+    /** Penalty per task for an owner other than the preferred one, in seconds of image pull time. */
+    private static final double OTHER_OWNER_PENALTY_SECONDS = 0.8;
+    /** Penalty for a task for which an owner has no capacity, in seconds of image pull time. */
+    private static final double NO_CAPACITY_PENALTY_SECONDS = 30;
+    /** Reduces the hash code of a job's id to a non-negative index. */
     private static final int HASH_MASK = 0xffff;
 
     private OwnerChooser() {}
 
-    /** The owner that takes up to {@code tasks} tasks of a job's task range; null if none should now. */
+    /** Returns the owner whose machines run up to {@code tasks} tasks of a task range, or null if none should now. */
     static String choose(
             String taskRangeKey,
             int taskRangeIndex,
@@ -30,9 +30,9 @@
         List<String> owners = snapshot.owners();
         String best = null;
         double leastCost = Double.MAX_VALUE;
-        int first = (spec.id().hashCode() & HASH_MASK) + taskRangeIndex;
+        int preferredIndex = (spec.id().hashCode() & HASH_MASK) + taskRangeIndex;
         for (int i = 0; i < owners.size(); i++) {
-            String owner = owners.get((first + i) % owners.size());
+            String owner = owners.get((preferredIndex + i) % owners.size());
             List<PlacementCandidate> candidates = candidatesByOwner.getOrDefault(owner, List.of());
             if (candidates.isEmpty() || snapshot.isPassedOver(taskRangeKey, owner)) {
                 continue;
@@ -40,7 +40,7 @@
             if (snapshot.isContended()) {
                 return i == 0 || snapshot.mayBeClaimedByOthers(taskRangeKey) ? owner : null;
             }
-            double cost = cost(spec, candidates, tasks) + (i == 0 ? 0 : CHANGE_OF_OWNER_SECONDS * tasks);
+            double cost = cost(spec, candidates, tasks) + (i == 0 ? 0 : OTHER_OWNER_PENALTY_SECONDS * tasks);
             if (cost < leastCost) {
                 leastCost = cost;
                 best = owner;
@@ -60,6 +60,6 @@
             cost += placed * candidate.score();
             left -= placed;
         }
-        return cost + left * NO_CAPACITY_SECONDS;
+        return cost + left * NO_CAPACITY_PENALTY_SECONDS;
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/Planner.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Planner.java
@@ -14,9 +14,10 @@
 import org.havenford.storage.records.Job;
 
 /**
- * Decides what should run where, from a snapshot. Every controller plans for the whole fleet and claims only on the
- * machines it owns; since all see the same store, their plans mostly agree, and a guarded claim settles the rest. The
- * tasks of one task range go to machines of one owner at a time, as owners that write one key only get in each other's way.
+ * Assigns pending tasks to machines, based on a snapshot. Every controller plans for the whole fleet, but claims tasks
+ * only on the machines that it owns. All controllers replicate the same store, so their plans mostly agree; where they
+ * differ, the conditional transactions of the claims detect the conflict. The tasks of one task range are placed on
+ * machines of one owner at a time, because owners that write the same key conflict with each other.
  */
 final class Planner {
     private final ClusterState clusterState;
@@ -25,12 +26,12 @@
     private final JobPacing jobPacing;
     private final JobPlacer jobPlacer;
 
-    /** Urgent work is looked at first in each round, however much other work there is to go through. */
+    /** Resume point of urgent jobs, which are placed first in each round, however many other jobs there are. */
     private final ResumePoint urgentResumePoint = new ResumePoint();
 
     private final ResumePoint resumePoint = new ResumePoint();
 
-    /** A planner over a replica; {@code ownerOf} names the controller that owns a machine. */
+    /** Creates a planner over a replica; {@code ownerOf} returns the name of the controller that owns a machine. */
     Planner(
             ClusterState clusterState,
             PlatformSettings settings,
@@ -45,46 +46,48 @@
         jobPlacer = new JobPlacer(clusterState, settings, jobOrder, candidateFinder, capacityIndex);
     }
 
-    /** The machine, its claims or what is known of their outcomes have changed. */
-    void machineChanged(String machine) {
+    /** Marks the free capacity of a machine as stale after a change of its record, its claims or their outcomes. */
+    void invalidateMachine(String machine) {
         capacityIndex.invalidate(machine);
     }
 
-    /** All machines have to be looked at again. */
-    void allChanged() {
+    /** Marks the free capacity of all machines as stale. */
+    void invalidateAllMachines() {
         capacityIndex.invalidateAll();
     }
 
     /**
-     * Assigns pending tasks in order, until the capacity or the round's time is used up.
+     * Assigns pending tasks in job order, until all jobs were considered, or the round's time budget or this
+     * controller's claim limit is used up.
      *
-     * @param now time of day
+     * @param now the time of day, not of the monotonic clock
      */
     Plan plan(Instant now, PlanningSnapshot snapshot, MachineAvailability availability) {
         capacityIndex.refresh(availability);
         if (capacityIndex.all().isEmpty()) {
             return Plan.empty();
         }
-        JobOrder.Queue queue = jobOrder.order(now);
-        List<Job> jobs = queue.jobs();
+        JobOrder.OrderedJobs ordered = jobOrder.order(now);
+        List<Job> jobs = ordered.jobs();
         if (jobs.isEmpty()) {
             return Plan.empty();
         }
-        PlanningRound round = new PlanningRound(now, snapshot, capacityIndex.open(snapshot), contendedTypes(jobs));
-        List<Job> urgent = jobs.subList(0, queue.urgent());
-        List<Job> others = jobs.subList(queue.urgent(), jobs.size());
+        PlanningRound round =
+                new PlanningRound(now, snapshot, capacityIndex.schedulable(snapshot), contendedTypes(jobs));
+        List<Job> urgent = jobs.subList(0, ordered.urgentCount());
+        List<Job> others = jobs.subList(ordered.urgentCount(), jobs.size());
         boolean allPlaced = placeInOrder(urgent, jobs, urgentResumePoint, round, round::outOfTime)
                 && placeInOrder(others, jobs, resumePoint, round, round::outOfTimeOrQuota);
-        if (allPlaced && round.cachedImagesPlaced) {
+        if (allPlaced && round.cachedImagePassDone) {
             placeOnRemainingMachines(jobs, round);
         }
         return round.plan;
     }
 
-    /** Names of machine types that waiting tasks can't do without. */
-    private Set<String> contendedTypes(List<Job> waiting) {
+    /** Returns the names of the machine types that are the only usable type of a job with pending tasks. */
+    private Set<String> contendedTypes(List<Job> jobs) {
         Set<String> contended = new HashSet<>();
-        for (Job job : waiting) {
+        for (Job job : jobs) {
             JobSpec spec = job.spec();
             List<MachineType> usable = clusterState.types().values().stream()
                     .filter(type -> (spec.types() == null || spec.types().contains(type.name())) && spec.fits(type))
@@ -97,8 +100,10 @@
     }
 
     /**
-     * Places jobs in order, going on where the last round had to {@code stop}; whether it did not have to before all were
-     * placed. One job at least is placed.
+     * Places jobs in order, starting at the job where the last round stopped early. At least one job is considered,
+     * however soon {@code stop} returns true.
+     *
+     * @return whether all jobs were considered
      */
     private boolean placeInOrder(
             List<Job> jobs, List<Job> all, ResumePoint resumeAt, PlanningRound round, BooleanSupplier stop) {
@@ -110,35 +115,38 @@
                 return false;
             }
             if (!round.snapshot.isBackingOff(job)) {
-                placeInTime(job, all, round);
+                placeJob(job, all, round);
             }
         }
         return true;
     }
 
-    private void placeInTime(Job job, List<Job> all, PlanningRound round) {
-        int most = Integer.MAX_VALUE;
+    private void placeJob(Job job, List<Job> all, PlanningRound round) {
+        int maxTasks = Integer.MAX_VALUE;
         if (jobPacing.isPaced(job)) {
-            if (!round.cachedImagesPlaced) {
-                round.cachedImagesPlaced = true;
-                placeWhereImagesAre(all, round);
+            if (!round.cachedImagePassDone) {
+                round.cachedImagePassDone = true;
+                placeOnMachinesWithImages(all, round);
             }
-            most = jobPacing.tasksNeeded(job, round.now) - job.claimCount() - round.placed(job);
+            maxTasks = jobPacing.tasksNeeded(job, round.now) - job.claimCount() - round.placedCount(job);
         }
-        jobPlacer.place(job, round, MachineFilter.ALL, most);
+        jobPlacer.place(job, round, MachineFilter.ALL, maxTasks);
     }
 
-    /** Paced jobs keep the machines that have their images, as far as they need them for their deadlines. */
-    private void placeWhereImagesAre(List<Job> jobs, PlanningRound round) {
+    /** Places paced jobs on machines that have their images, with no more tasks than their deadlines require. */
+    private void placeOnMachinesWithImages(List<Job> jobs, PlanningRound round) {
         for (Job job : jobs) {
             if (jobPacing.isPaced(job) && !round.snapshot.isBackingOff(job)) {
-                int most = jobPacing.tasksNeeded(job, round.now) - job.claimCount();
-                jobPlacer.place(job, round, MachineFilter.WITH_IMAGE, most);
+                int maxTasks = jobPacing.tasksNeeded(job, round.now) - job.claimCount();
+                jobPlacer.place(job, round, MachineFilter.WITH_IMAGE, maxTasks);
             }
         }
     }
 
-    /** What nobody else has taken goes to paced jobs beyond their need; to those that have waited long, wherever it is. */
+    /**
+     * Gives capacity that is left to paced jobs beyond their need. Only jobs that have waited long may use machines
+     * that lack their image.
+     */
     private void placeOnRemainingMachines(List<Job> jobs, PlanningRound round) {
         for (Job job : jobs) {
             boolean takesMore = jobPacing.isPaced(job) && !round.snapshot.isBackingOff(job) && !round.outOfTime();
--- a/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
@@ -19,11 +19,14 @@
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
 
-/** Turns the planner's placements on this controller's machines into claims, one transaction for each task range. */
+/** Claims the tasks that are planned for this controller's machines, in one transaction for each task range. */
 final class TaskClaimer {
-    /** Claims that may be queued for the store's rate limits: beyond, urgent work would stand behind what is not. */
+    /**
+     * Maximum number of claims queued for the store's rate limits; in a longer queue, urgent claims would wait for
+     * others.
+     */
     private static final int MAX_QUEUED_CLAIMS = 3;
-    /** So long after a claim that conflicted with another's, each task range is left to its first owner. */
+    /** How long after a conflict of claims each task range is left to its preferred owner. */
     private static final Duration CONTENTION_PERIOD = Duration.ofSeconds(5);
 
     private final CoordinationContext context;
@@ -31,17 +34,17 @@
     private final Planner planner;
     private final Duration planningBudget;
     private final QuotaAllocator quotaAllocator;
-    private final ForeignOwnerPatience foreignOwnerPatience = new ForeignOwnerPatience();
-    private final FirstOwnerShortages firstOwnerShortages = new FirstOwnerShortages();
+    private final UnclaimedRangeTracker unclaimedRangeTracker = new UnclaimedRangeTracker();
+    private final PreferredOwnerShortages preferredOwnerShortages = new PreferredOwnerShortages();
     private final ClaimsInFlight claimsInFlight = new ClaimsInFlight();
     private final MachineAvailability machineAvailability;
     private final FailingJobBackoff failingJobBackoff = new FailingJobBackoff();
     private final ClaimBatching claimBatching = new ClaimBatching();
     private final ClaimBuilder claimBuilder;
 
-    /** Until when each task range is left to its first owner; null before the first conflict. */
+    /** Until when each task range is left to its preferred owner; null before the first conflict. */
     private Instant contendedUntil;
-    /** When the next plan may be made; null before the first. */
+    /** Earliest time of the next plan; null before the first plan. */
     private Instant nextPlan;
 
     TaskClaimer(
@@ -59,7 +62,7 @@
         machineAvailability = new ControllerMachineAvailability(agentManager, claimsInFlight);
     }
 
-    /** Plans, claims what is planned for this controller's machines, and preempts what makes room for more urgent work. */
+    /** Makes a plan, claims the tasks planned for this controller's machines, and preempts the claims that it chose. */
     void step(Instant start) {
         if (nextPlan != null && start.isBefore(nextPlan)) {
             return;
@@ -67,7 +70,7 @@
         nextPlan = ClaimBatching.nextPlan(start, context.store().underPressure());
         Plan plan = planner.plan(context.loop().timeOfDay(), new Snapshot(start), machineAvailability);
         Map<String, List<Placement>> own = ownPlacements(plan, start);
-        firstOwnerShortages.forgetEnded(start);
+        preferredOwnerShortages.removeExpired(start);
         claimInOrder(own.values(), start);
         plan.preempted().forEach(agentManager::preempt);
     }
@@ -82,26 +85,27 @@
                 }
             }
             if (context.store().queued(CallPriority.CLAIM) >= MAX_QUEUED_CLAIMS) {
-                // The queue keeps its order; the next round decides anew who is first.
+                // Queued claims are not reordered, so the remaining ones are left to the next plan, which orders them
+                // again.
                 break;
             }
             claimBuilder.build(placements).ifPresent(this::commit);
         }
     }
 
-    /** A job is over. */
-    void jobEnded(Job last) {
-        failingJobBackoff.jobEnded(last);
-        claimBatching.jobEnded(last);
+    /** Discards the state kept for a job that has ended. */
+    void jobEnded(Job job) {
+        failingJobBackoff.jobEnded(job);
+        claimBatching.jobEnded(job);
     }
 
-    /** This process was paused: how long others have left task ranges unclaimed meanwhile is not known. */
+    /** Discards measured waiting times, since the state of other owners during the pause of this process is unknown. */
     void processPaused() {
-        foreignOwnerPatience.clear();
-        firstOwnerShortages.clear();
+        unclaimedRangeTracker.clear();
+        preferredOwnerShortages.clear();
     }
 
-    /** What the planner is told in one round. Constant but for the clock and the shortages that it asks about. */
+    /** Inputs of one planning round, constant except for the clock and the recorded shortages. */
     private final class Snapshot implements PlanningSnapshot {
         private final Instant start;
         private final Instant deadline;
@@ -119,7 +123,7 @@
         }
 
         @Override
-        public Instant steadyNow() {
+        public Instant monotonicNow() {
             return start;
         }
 
@@ -155,16 +159,18 @@
 
         @Override
         public boolean isPassedOver(String taskRangeKey, String owner) {
-            return foreignOwnerPatience.isPassedOver(taskRangeKey, owner);
+            return unclaimedRangeTracker.isPassedOver(taskRangeKey, owner);
         }
 
         @Override
         public boolean mayBeClaimedByOthers(String taskRangeKey) {
-            return firstOwnerShortages.mayBeClaimedByOthers(taskRangeKey, start);
+            return preferredOwnerShortages.mayBeClaimedByOthers(taskRangeKey, start);
         }
     }
 
-    /** Placements on this controller's machines by task range key; what is planned for other owners is waited for. */
+    /**
+     * Returns placements on this controller's machines by task range key, and records those planned for other owners.
+     */
     private Map<String, List<Placement>> ownPlacements(Plan plan, Instant start) {
         Map<String, List<Placement>> own = new LinkedHashMap<>();
         Set<String> foreign = new HashSet<>();
@@ -176,10 +182,10 @@
             if (context.node().equals(owner)) {
                 own.computeIfAbsent(key, k -> new ArrayList<>()).add(placement);
             } else if (foreign.add(key) && !context.store().underPressure()) {
-                foreignOwnerPatience.waitFor(key, owner, start);
+                unclaimedRangeTracker.recordPlanned(key, owner, start);
             }
         }
-        foreignOwnerPatience.forgetAllBut(foreign, start);
+        unclaimedRangeTracker.removeExpired(foreign, start);
         return own;
     }
 
@@ -192,11 +198,11 @@
                         draft.transaction,
                         CallPriority.CLAIM,
                         draft.locks,
-                        () -> claimed(draft),
-                        result -> answered(draft, claimedMachines, result.outcome()));
+                        () -> onCommitted(draft),
+                        result -> onOutcome(draft, claimedMachines, result.outcome()));
     }
 
-    private void claimed(ClaimDraft draft) {
+    private void onCommitted(ClaimDraft draft) {
         agentManager.outcomes().remove(draft.outcomes.keySet());
         context.loop().after(Duration.ZERO, () -> draft.machines.forEach(agentManager::sendCommands));
         if (draft.firstAfterRelease) {
@@ -205,8 +211,8 @@
         }
     }
 
-    private void answered(ClaimDraft draft, List<String> claimedMachines, StoreOutcome outcome) {
-        claimedMachines.forEach(machine -> noLongerInFlight(machine, draft.job.spec()));
+    private void onOutcome(ClaimDraft draft, List<String> claimedMachines, StoreOutcome outcome) {
+        claimedMachines.forEach(machine -> removeInFlight(machine, draft.job.spec()));
         if (draft.charge != null && outcome != StoreOutcome.UNKNOWN) {
             quotaAllocator.remove(draft.charge);
         }
@@ -215,8 +221,8 @@
         }
     }
 
-    private void noLongerInFlight(String machine, JobSpec spec) {
+    private void removeInFlight(String machine, JobSpec spec) {
         claimsInFlight.remove(machine, spec);
-        planner.machineChanged(machine);
+        planner.invalidateMachine(machine);
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/TaskRangePlacer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskRangePlacer.java
@@ -10,7 +10,7 @@
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.TaskRange;
 
-/** Places the pending tasks of a job, one task range after the other, each on the machines of one owner. */
+/** Places the pending tasks of a job, one task range after another, each on the machines of one owner. */
 final class TaskRangePlacer {
     private final CapacityIndex capacityIndex;
 
@@ -19,16 +19,16 @@
     }
 
     /**
-     * Places {@code quota} tasks at most.
+     * Places up to {@code quota} tasks.
      *
-     * @return tasks within the quota that found no machine
+     * @return the number of pending tasks within the quota that found no machine
      */
     int place(JobPass pass, Map<String, List<PlacementCandidate>> candidatesByOwner, int quota) {
         if (candidatesByOwner.isEmpty()) {
             return quota;
         }
         Job job = pass.job();
-        Set<TaskId> taken = pass.round().taken.get(job.id());
+        Set<TaskId> placedTasks = pass.round().placedTasks.get(job.id());
         int left = quota;
         int unplaced = 0;
         for (int i = 0; i < job.taskRangeCount() && left > 0; i++) {
@@ -37,7 +37,7 @@
                 continue;
             }
             List<TaskId> pending = taskRange.pending();
-            pending.removeAll(taken);
+            pending.removeAll(placedTasks);
             if (pending.isEmpty()) {
                 continue;
             }
@@ -48,39 +48,52 @@
         return unplaced;
     }
 
-    /** Places up to {@code most} pending tasks of a task range on machines of the owner that takes it; how many. */
+    /**
+     * Places up to {@code maxTasks} pending tasks of a task range on machines of its chosen owner.
+     *
+     * @return the number of tasks placed
+     */
     private int placeTaskRange(
             JobPass pass,
             int index,
             TaskRange taskRange,
             List<TaskId> pending,
-            int most,
+            int maxTasks,
             Map<String, List<PlacementCandidate>> candidatesByOwner) {
         PlanningRound round = pass.round();
         String key = Keys.tasks(pass.job().id(), index);
-        String owner = round.ownerOf.get(key);
+        String owner = round.ownerByTaskRange.get(key);
         if (owner == null) {
-            int tasks = Math.min(most, pending.size());
+            int tasks = Math.min(maxTasks, pending.size());
             owner = OwnerChooser.choose(key, index, pass.spec(), candidatesByOwner, tasks, round.snapshot);
         }
         List<PlacementCandidate> candidates = owner == null ? null : candidatesByOwner.get(owner);
         if (candidates == null) {
             return 0;
         }
-        round.ownerOf.put(key, owner);
-        int placed = fill(pass, taskRange, pending, most, candidates);
+        round.ownerByTaskRange.put(key, owner);
+        int placed = placeOnCandidates(pass, taskRange, pending, maxTasks, candidates);
         if (placed > 0 && owner.equals(round.snapshot.claimQuota().controller())) {
-            round.ownRecords++;
+            round.ownTaskRanges++;
         }
         return placed;
     }
 
-    /** Places up to {@code most} tasks on candidates of one owner and removes those that are full; how many it placed. */
-    private int fill(
-            JobPass pass, TaskRange taskRange, List<TaskId> pending, int most, List<PlacementCandidate> candidates) {
+    /**
+     * Places up to {@code maxTasks} tasks on candidates of one owner, and removes candidates that have no room for
+     * another task.
+     *
+     * @return the number of tasks placed
+     */
+    private int placeOnCandidates(
+            JobPass pass,
+            TaskRange taskRange,
+            List<TaskId> pending,
+            int maxTasks,
+            List<PlacementCandidate> candidates) {
         int placed = 0;
         for (TaskId task : pending) {
-            if (placed >= most) {
+            if (placed >= maxTasks) {
                 break;
             }
             for (PlacementCandidate candidate : candidates) {
@@ -118,6 +131,6 @@
             pass.zones().add(capacity.machine.zone());
         }
         round.plan.placements().add(new Placement(task, machine));
-        round.taken.get(spec.id()).add(task);
+        round.placedTasks.get(spec.id()).add(task);
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
@@ -22,17 +22,17 @@
 import org.havenford.storage.records.TaskRange;
 
 /**
- * Releases the claims of attempts that have ended. Outcomes are batched by task range, so that tasks of a job that end one
- * after the other do not cost a transaction each.
+ * Releases the claims of attempts that have ended. Outcomes are batched by task range, so that tasks of a job that end
+ * shortly after each other do not need a transaction each.
  */
 final class TaskReleaser {
-    /** How long outcomes of a task range are batched. */
+    /** How long outcomes of a task range are batched, and how often batched outcomes are checked for urgent ones. */
     private static final Duration BATCH_DELAY = Duration.ofMillis(500);
-    /** The same while the store is under pressure. */
+    /** Batch delay while the store is under pressure. */
     private static final Duration BATCH_DELAY_UNDER_PRESSURE = Duration.ofSeconds(4);
-    /** The same where the store allows few changes a second. */
-    private static final Duration BATCH_DELAY_SCARCE_CHANGES = Duration.ofSeconds(8);
-    /** Under pressure the outcomes of work of low priority are batched this many times as long. */
+    /** Batch delay under pressure if the store accepts only few changes per second from each controller. */
+    private static final Duration BATCH_DELAY_LOW_WRITE_RATE = Duration.ofSeconds(8);
+    /** Factor by which the batch delay of low-priority jobs is longer under pressure. */
     private static final int LOW_PRIORITY_FACTOR = 2;
 
     private final CoordinationContext context;
@@ -45,30 +45,30 @@
         this.agentManager = agentManager;
         this.jobCompletion = jobCompletion;
         delayUnderPressure =
-                context.settings().scarceChanges() ? BATCH_DELAY_SCARCE_CHANGES : BATCH_DELAY_UNDER_PRESSURE;
+                context.settings().scarceChanges() ? BATCH_DELAY_LOW_WRITE_RATE : BATCH_DELAY_UNDER_PRESSURE;
     }
 
-    /** Releases what was batched for long enough, or what somebody waits for. */
+    /** Stores the outcomes whose batch delay is over, and those that must not wait for it. */
     void step() {
         boolean underPressure = context.store().underPressure();
         Instant now = context.loop().now();
         for (TaskRangeOutcomes ended : agentManager.outcomes().records()) {
             if (!context.writer().isLocked(ended.key())) {
-                step(ended, underPressure, now);
+                releaseIfDue(ended, underPressure, now);
             }
         }
     }
 
-    private void step(TaskRangeOutcomes ended, boolean underPressure, Instant now) {
+    private void releaseIfDue(TaskRangeOutcomes ended, boolean underPressure, Instant now) {
         boolean due = now.isAfter(ended.gatheredSince(now).plus(batchDelay(ended, underPressure)));
         boolean dueForCheck =
                 ended.lookedAt() == null || now.isAfter(ended.lookedAt().plus(BATCH_DELAY));
         if (!due && !dueForCheck) {
             return;
         }
-        agentManager.outcomes().remove(noLongerHeld(ended));
-        if (!ended.ended().isEmpty() && (due || isAwaited(ended.ended()))) {
-            // Should it fail, it is decided again as soon as the record is no longer locked.
+        agentManager.outcomes().remove(noLongerStored(ended));
+        if (!ended.ended().isEmpty() && (due || isUrgent(ended.ended()))) {
+            // If the transaction fails, the outcomes are considered again once the record is no longer locked.
             write(ended.key(), ended.ended());
         } else {
             ended.lookedAt(now);
@@ -83,8 +83,8 @@
         return low ? delayUnderPressure.multipliedBy(LOW_PRIORITY_FACTOR) : delayUnderPressure;
     }
 
-    /** Claims that are no longer stored: somebody else has released them. */
-    private List<Claim> noLongerHeld(TaskRangeOutcomes ended) {
+    /** Returns the claims that are no longer stored, because they were released by another transaction. */
+    private List<Claim> noLongerStored(TaskRangeOutcomes ended) {
         Job job = context.clusterState().job(ended.job().id());
         return ended.ended().keySet().stream()
                 .filter(claim ->
@@ -97,8 +97,11 @@
                 .job(ended.keySet().iterator().next().task().job());
     }
 
-    /** Whether somebody waits for the outcomes: the last of a job's tasks, and those that have to start again. */
-    private boolean isAwaited(Map<Claim, AttemptOutcome> ended) {
+    /**
+     * Whether outcomes are stored without waiting for the batch delay: they are the last ones of a task range whose job
+     * has no pending tasks, the job is cancelled, or a task has to be tried again.
+     */
+    private boolean isUrgent(Map<Claim, AttemptOutcome> ended) {
         Job job = jobOf(ended);
         TaskRange taskRange = job.storedTaskRange(
                 job.taskRangeIndex(ended.keySet().iterator().next().task().index()));
@@ -120,22 +123,22 @@
         });
     }
 
-    /** A duration as a task range takes it: in seconds, negative if it was not seen. */
+    /** Converts a duration to seconds as a task range expects it, negative if the duration was not observed. */
     private static double seconds(Duration duration) {
         return duration == null ? -1 : duration.toMillis() / 1e3;
     }
 
     private void write(String key, Map<Claim, AttemptOutcome> endedNow) {
-        // More of them may end while these are being written.
+        // More attempts may end while the transaction is in flight.
         Map<Claim, AttemptOutcome> ended = new LinkedHashMap<>(endedNow);
         Job job = jobOf(ended);
         int index = job.taskRangeIndex(ended.keySet().iterator().next().task().index());
-        TaskRange next = job.storedTaskRange(index).copy();
-        apply(ended, next);
+        TaskRange updated = job.storedTaskRange(index).copy();
+        apply(ended, updated);
         Transaction transaction = new Transaction()
                 .requireRevision(Keys.VIEW, context.membership().viewRevision())
                 .requireRevision(key, context.modRevision(key));
-        boolean completesJob = job.taskRangeCount() == 1 && next.complete() && !job.cancelled();
+        boolean completesJob = job.taskRangeCount() == 1 && updated.complete() && !job.cancelled();
         List<String> locks = new ArrayList<>(List.of(key));
         Runnable onCompletion = () -> {};
         if (completesJob) {
@@ -144,16 +147,17 @@
             transaction.delete(key);
             onCompletion = jobCompletion.addCompletion(job, FinalState.Status.DONE, transaction, locks);
         } else {
-            JsonObject value = context.toJson(next);
+            JsonObject value = context.toJson(updated);
             if (value == null) {
-                // Too large for now, as the version before wrote it; it goes when more of its tasks have ended.
+                // The value exceeds the size limit in every form, as the previous version wrote it larger. It fits once
+                // more of its tasks have ended.
                 return;
             }
             transaction.put(key, value);
         }
-        // Users and pipelines wait for the end of a job; it must not stand behind all claims.
-        boolean last = job.pendingCount() == 0 && job.claimCount() == ended.size();
-        CallPriority priority = last ? JobCompletion.commitPriority(job) : CallPriority.WORK;
+        // Users and dependent jobs wait for the end of a job, so the last release is not queued behind all claims.
+        boolean isLastRelease = job.pendingCount() == 0 && job.claimCount() == ended.size();
+        CallPriority priority = isLastRelease ? JobCompletion.commitPriority(job) : CallPriority.WORK;
         Runnable afterRelease = onCompletion;
         context.writer().commit(transaction, priority, locks, () -> {
             agentManager.outcomes().remove(ended.keySet());
