--- a/src/main/java/org/havenford/coordination/provisioning/BootMonitor.java
+++ b/src/main/java/org/havenford/coordination/provisioning/BootMonitor.java
@@ -10,15 +10,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs machines that are overdue or were given up, grouped by type and zone: when the first is overdue, then at growing
- * intervals, and once none is overdue any more.
+ * Logs machines that are overdue to boot, grouped by type and zone. Each group is logged when its first machine becomes
+ * overdue, then at doubling intervals, and once more when none is overdue. Also counts the machines that were given up.
  */
 final class BootMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(BootMonitor.class);
     private static final Duration FIRST_INTERVAL = Duration.ofSeconds(30);
     private static final Duration MAX_INTERVAL = Duration.ofMinutes(8);
 
-    /** Machines that are reported together. */
+    /** The type and zone by which overdue machines are grouped in the log. */
     private record Group(String type, String zone) {}
 
     private record LastReport(Instant nextAt, Duration interval) {}
@@ -27,7 +27,7 @@
     private int overdueNow;
     private int givenUp;
 
-    /** Reports the machines that are overdue now, by offer. */
+    /** Logs the currently overdue machines, given as counts by offer. */
     void reportOverdue(Map<InstanceOffer, Integer> overdueByOffer, BootTimeEstimator bootTimeEstimator, Instant now) {
         Map<Group, Integer> overdueByGroup = new HashMap<>();
         Map<Group, Duration> expectedByGroup = new HashMap<>();
@@ -63,12 +63,15 @@
                 expected.toSeconds());
     }
 
-    /** A machine that did not come up is returned. */
+    /** Counts a machine that is returned before it has come up. */
     void countGivenUp() {
         givenUp++;
     }
 
-    /** Numbers for the statistics that are logged each minute: machines overdue now, and given up since the last call. */
+    /**
+     * Returns a fragment of the statistics line that is logged every minute: the machines that are overdue now, and
+     * those given up since the last call.
+     */
     String summary() {
         String text = "overdue=" + overdueNow + " givenUp=" + givenUp;
         givenUp = 0;
--- a/src/main/java/org/havenford/coordination/provisioning/BootTimeEstimator.java
+++ b/src/main/java/org/havenford/coordination/provisioning/BootTimeEstimator.java
@@ -13,41 +13,44 @@
 import org.havenford.storage.records.MachineRecord.Condition;
 
 /**
- * Estimates how long launched machines take until they report, and which are overdue. The estimate follows from the machine's
- * type and from the recent boots of that type in its zone. An offer of which several machines are overdue, and none has come
- * up that was launched as late as they, fails to boot: a few of its machines are requested at a time until one comes up. All
- * but the recent boot times follows from the records, so a successor decides alike.
+ * Estimates how long a launched machine takes until its first report, and detects machines that are overdue. The
+ * estimate is based on the nominal boot time of the machine's type and on the recent boots of the same offer.
+ *
+ * <p>An offer fails to boot if several of its machines are overdue and none that was launched with the oldest of them
+ * or later has come up. It is then requested only in small numbers until one of its machines comes up. Apart from the
+ * recent boot times, all results are derived from stored records, so the next provisioning leader reaches the same
+ * decisions after a failover.
  */
 final class BootTimeEstimator {
-    /** Times its nominal boot time that a machine usually takes at the most. */
+    /** Multiple of the nominal boot time within which a machine usually reports. */
     private static final double USUAL_BOOT_FACTOR = 1.6;
-    /** Times the second longest of the recent boots that a machine may take. */
+    /** Multiple of the second longest recent boot that a machine may take. */
     private static final double RECENT_BOOT_FACTOR = 1.25;
-    /** Times its nominal boot time after which a machine is overdue, however long recent boots took. */
+    /** Upper bound of the estimate, as a multiple of the nominal boot time, regardless of the recent boots. */
     private static final double MAX_BOOT_FACTOR = 3;
-    /** A machine needs this long to report and to be put on record as up. */
+    /** Allowance for the machine's first report and for storing its condition as up. */
     private static final Duration REPORT_DELAY = Duration.ofSeconds(5);
-    /** Boot time of a type that is not known. */
+    /** Nominal boot time assumed for an unknown machine type. */
     private static final Duration DEFAULT_BOOT_TIME = Duration.ofSeconds(60);
-    /** After so many times its nominal boot time, and a margin, a machine is given up. */
+    /** Multiple of the nominal boot time that, plus a fixed margin, is the boot timeout. */
     private static final int GIVE_UP_FACTOR = 3;
 
     private static final Duration GIVE_UP_MARGIN = Duration.ofSeconds(20);
     private static final int MAX_RECENT_BOOTS = 16;
     private static final int MIN_RECENT_BOOTS = 3;
-    /** Overdue machines of one offer from which on it may count as failing to boot. */
+    /** Minimum number of overdue machines for an offer to be considered failing to boot. */
     private static final int MIN_OVERDUE_TO_FAIL = 2;
-    /** Time between two trials of an offer that fails to boot, in nominal boot times. */
+    /** Interval between retries of an offer that fails to boot, as a multiple of the nominal boot time. */
     private static final double RETRY_FACTOR = 1.0;
 
-    /** What is known of the boots of one offer's machines. */
+    /** Boot statistics of the machines of one offer. */
     private static final class OfferBoots {
         private int overdue;
-        /** When the oldest overdue machine was launched; null while none is overdue. */
+        /** Launch time of the oldest overdue machine; null if none is overdue. */
         private Instant oldestOverdue;
-        /** When the last machine was launched. */
+        /** Launch time of the most recently launched machine. */
         private Instant lastLaunched;
-        /** When the last of the machines that came up was launched; null while none has. */
+        /** Latest launch time among the machines that have come up; null if none has. */
         private Instant lastLaunchedThatCameUp;
 
         void addLaunched(Instant launched) {
@@ -79,21 +82,21 @@
     private final Map<String, Instant> bootingSince = new HashMap<>();
     private final Map<InstanceOffer, ArrayDeque<Duration>> recentBoots = new HashMap<>();
     private Map<InstanceOffer, OfferBoots> bootsByOffer = Map.of();
-    /** Time of day of the last update. */
+    /** Wall-clock time of the last update, which all later queries refer to. */
     private Instant now;
 
     BootTimeEstimator(ClusterState clusterState) {
         this.clusterState = clusterState;
     }
 
-    /** Forgets the boot times from before this controller became the provisioner. */
+    /** Discards all boot times; called when this controller becomes the provisioning leader. */
     void reset() {
         bootingSince.clear();
         recentBoots.clear();
         bootsByOffer = Map.of();
     }
 
-    /** Takes in the present condition of all machines; called before the first estimate. */
+    /** Updates the statistics from the current condition of all machines. Must be called before any other query. */
     void update(Instant timeOfDay) {
         now = timeOfDay;
         recordBootTimes();
@@ -111,7 +114,7 @@
         bootsByOffer = updated;
     }
 
-    /** Takes in the boot times of the machines that were booting and are up now. */
+    /** Records the boot times of machines that have come up since the last update. */
     private void recordBootTimes() {
         for (MachineRecord machine : clusterState.machines()) {
             if (machine.condition() == Condition.BOOTING) {
@@ -137,14 +140,14 @@
         return Duration.ofMillis((long) (duration.toMillis() * factor));
     }
 
-    /** The boot time estimate: time from launch within which a machine of an offer should be up. */
+    /** Returns the time after launch within which a machine of the offer should be up. */
     Duration expectedBootTime(InstanceOffer offer) {
         Duration nominal = nominalBootTime(offer.kind().type());
         Duration usual = scaled(nominal, USUAL_BOOT_FACTOR);
         List<Duration> boots = new ArrayList<>(recentBoots.getOrDefault(offer, new ArrayDeque<>()));
         if (boots.size() >= MIN_RECENT_BOOTS) {
             boots.sort(null);
-            // One boot that took far longer than the others says nothing of the next.
+            // The longest boot is ignored, since a single outlier does not predict the next boots.
             Duration longest = scaled(boots.get(boots.size() - 2), RECENT_BOOT_FACTOR);
             usual = longest.compareTo(usual) > 0 ? longest : usual;
         }
@@ -156,13 +159,16 @@
         return Duration.between(clusterState.rentedAt(machine.name()), now);
     }
 
-    /** Whether a machine that boots should have been up by now: then it counts no longer as on its way. */
+    /**
+     * Returns whether a booting machine has exceeded its expected boot time. An overdue machine no longer counts as
+     * present.
+     */
     boolean isOverdue(MachineRecord machine) {
         return machine.condition() == Condition.BOOTING
                 && timeSinceLaunch(machine).compareTo(expectedBootTime(InstanceOffer.of(machine))) > 0;
     }
 
-    /** Whether a machine that boots is given up, since its boot time is over by far. */
+    /** Returns whether a booting machine has exceeded its boot timeout and should be returned. */
     boolean isGivenUp(MachineRecord machine) {
         Duration patience =
                 nominalBootTime(machine.type()).multipliedBy(GIVE_UP_FACTOR).plus(GIVE_UP_MARGIN);
@@ -170,20 +176,23 @@
                 && timeSinceLaunch(machine).compareTo(patience) > 0;
     }
 
-    /** Whether machines of an offer don't come up at present: some are overdue, and none has come up that was launched as late. */
+    /**
+     * Returns whether machines of an offer currently fail to boot: several are overdue, and none that was launched with
+     * the oldest of them or later has come up.
+     */
     boolean isFailingToBoot(InstanceOffer offer) {
         OfferBoots boots = bootsByOffer.get(offer);
         return boots != null && boots.isFailing();
     }
 
-    /** Whether an offer that fails to boot may be requested again: some time after the last launch. */
+    /** Returns whether the retry interval of an offer that fails to boot has passed since its last launch. */
     boolean mayRetry(InstanceOffer offer) {
         OfferBoots boots = bootsByOffer.get(offer);
         Duration interval = scaled(nominalBootTime(offer.kind().type()), RETRY_FACTOR);
         return boots == null || !now.isBefore(boots.lastLaunched.plus(interval));
     }
 
-    /** Numbers of overdue machines, by offer; offers without any are left out. */
+    /** Returns the number of overdue machines by offer, without the offers that have none. */
     Map<InstanceOffer, Integer> overdueByOffer() {
         Map<InstanceOffer, Integer> overdue = new HashMap<>();
         bootsByOffer.forEach((offer, boots) -> {
--- a/src/main/java/org/havenford/coordination/provisioning/CapacityDemand.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CapacityDemand.java
@@ -12,23 +12,23 @@
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.MachineType;
 
-/** How many machines of each kind the unfinished work asks for: spreads the tasks over the kinds, cheapest first. */
+/** Computes the number of machines of each kind that a set of task demands requires, using the cheapest kinds first. */
 public final class CapacityDemand {
-    /** A demand and the number of types it can be met with, counted once: there may be a thousand jobs. */
+    /** A demand and the number of types that fit it. The number is computed once, as there may be a thousand jobs. */
     private record RankedDemand(TaskDemand demand, int fittingTypes) {}
 
-    /** Times its price that a type counts with for a job that has other types, while some job has no other. */
+    /** Cost multiplier of a contended type for jobs that can also use other types. */
     private static final double CONTENDED_COST_FACTOR = 1.5;
-    /** So many kinds, one type as spot and as ordinary instance, leave a job no other type. */
+    /** Each type has two kinds, spot and on-demand. A job with more kinds than that can use several types. */
     private static final int KINDS_OF_ONE_TYPE = 2;
-    /** Fewer tasks than this are a rounding error. */
+    /** Numbers of tasks up to this one are rounding errors and count as zero. */
     private static final double NO_TASKS = 1e-9;
 
     private final Map<String, MachineType> types;
     private final Predicate<InstanceKind> exhausted;
     private final InstanceCounts present;
     private final Object2DoubleOpenHashMap<InstanceKind> machines = new Object2DoubleOpenHashMap<>();
-    /** Types that some job can't do without. */
+    /** Types that are the only fitting type of at least one job. */
     private final Set<String> contendedTypes = new HashSet<>();
 
     private boolean otherMachineRequested;
@@ -40,8 +40,9 @@
     }
 
     /**
-     * Machines by kind, not in whole numbers. The jobs with the least choice go first. A kind that the cloud has refused
-     * everywhere ({@code exhausted}) counts only with the machines that are {@code present}.
+     * Returns the required machines by kind, as fractional numbers. Jobs with the fewest fitting types are assigned
+     * first. A kind that the cloud has recently refused in all its zones ({@code exhausted}) is used only up to the
+     * number of machines that are {@code present}.
      */
     public static Object2DoubleOpenHashMap<InstanceKind> machines(
             List<TaskDemand> taskDemands,
@@ -55,7 +56,7 @@
         return capacity.machines;
     }
 
-    /** The demands with the least choice of types first; notes the types that some job can't do without. */
+    /** Sorts the demands by ascending number of fitting types, and collects the contended types. */
     private List<RankedDemand> rankByChoice(List<TaskDemand> taskDemands) {
         List<RankedDemand> ranked = new ArrayList<>();
         for (TaskDemand demand : taskDemands) {
@@ -79,8 +80,9 @@
     private void add(TaskDemand demand) {
         List<InstanceKind> kinds = kindsByCost(demand.spec());
         if (demand.needsAnotherMachine() && !otherMachineRequested) {
-            // Its tasks have failed on the machines that there are, and may be avoiding them. One more for all such
-            // jobs: most of them were submitted with a mistake. lone-faulty-machine.trace
+            // The job's tasks have failed on existing machines and may be excluded from them. Only one extra machine is
+            // added for all such jobs, since most of them fail because of an error in their submission. See
+            // lone-faulty-machine.trace.
             otherMachineRequested = true;
             kinds.stream().filter(exhausted.negate()).findFirst().ifPresent(kind -> machines.addTo(kind, 1));
         }
@@ -101,13 +103,15 @@
             return Math.min(needed, Math.max(0, present.get(kind) - machines.getDouble(kind)));
         }
         if (demand.isUnplaceable()) {
-            // A small part of a machine would be rounded down to none for good. lone-ordinary-task.trace
+            // A small fraction of a machine would always be rounded down to zero. See lone-ordinary-task.trace.
             return Math.max(needed, 1 - machines.getDouble(kind));
         }
         return needed;
     }
 
-    /** Kinds that a job may use, the cheapest first; a type that others can't do without is dearer than its price. */
+    /**
+     * Returns the kinds that a job may use, in ascending order of cost per task, with a surcharge on contended types.
+     */
     private List<InstanceKind> kindsByCost(JobSpec spec) {
         List<InstanceKind> kinds = new ArrayList<>();
         for (MachineType type : types.values()) {
--- a/src/main/java/org/havenford/coordination/provisioning/CloudClient.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudClient.java
@@ -7,10 +7,10 @@
 import org.havenford.transport.EventLoop;
 import org.havenford.transport.HttpCalls;
 
-/** Calls to the cloud's API, kept below its limit of calls per second. */
+/** Client of the cloud's API that stays below the API's rate limit. */
 public final class CloudClient {
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(4);
-    /** Share of the limit that is used: the cloud counts in its own time. */
+    /** Share of the rate limit that is used. The rest is a margin, as the cloud counts the calls by its own clock. */
     private static final double USED_SHARE_OF_LIMIT = 0.8;
 
     private final EventLoop loop;
@@ -18,7 +18,7 @@
     private final String address;
     private final TokenBucket rateLimit;
 
-    /** A client of the cloud at the address in the settings, within its request rate. */
+    /** Creates a client with the cloud's address and rate limit from the platform settings. */
     public CloudClient(EventLoop loop, HttpCalls calls, PlatformSettings settings) {
         this.loop = loop;
         this.calls = calls;
@@ -26,7 +26,10 @@
         this.rateLimit = new TokenBucket(settings.cloudRequestsPerSecond() * USED_SHARE_OF_LIMIT, 1, loop.now());
     }
 
-    /** Sends a request if the limit allows one now; returns whether it was sent. {@code body} is null where there is none. */
+    /**
+     * Sends a request if the rate limit currently allows one, and returns whether it was sent. A null {@code body}
+     * means a request without a body.
+     */
     boolean tryCall(String method, String path, String body, Consumer<HttpCalls.Reply> whenAnswered) {
         if (!rateLimit.has(1, loop.now())) {
             return false;
--- a/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
@@ -15,26 +15,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The cloud's list of our machines, read at intervals. The list lags, so it never proves that a machine is gone. Listed
- * machines that are in no record are adopted.
+ * Reads the cloud's list of this deployment's machines at regular intervals. The list lags behind, so a machine's
+ * absence from it does not prove that the machine is gone. Listed machines without a record in the store are adopted.
  */
 final class CloudInventory {
     private static final Logger LOG = LoggerFactory.getLogger(CloudInventory.class);
     private static final Duration LIST_INTERVAL = Duration.ofSeconds(3);
     private static final int PAGE_SIZE = 500;
     private static final Duration PAGE_RETRY_DELAY = Duration.ofMillis(100);
-    /** How long it is kept when a machine was listed or returned. */
+    /** How long the times at which machines were listed or returned are kept. */
     private static final Duration RETENTION = Duration.ofMinutes(10);
 
     private final ProvisioningContext context;
     private final UnrecordedMachineAdoption adoption;
     private final Map<String, Instant> lastListed = new HashMap<>();
-    /** Machines whose return the cloud has confirmed, and when. */
+    /** Times at which the cloud confirmed the return of machines. */
     private final Map<String, Instant> returned = new HashMap<>();
 
     private final Set<String> failed = new HashSet<>();
     private final DueTime listDue = new DueTime();
-    /** When the last list that was read to its end was asked for; null before. */
+    /** When the first page of the last complete list was requested; null if no list has been completed. */
     private Instant lastFullList;
 
     private boolean listing;
@@ -44,13 +44,13 @@
         this.adoption = new UnrecordedMachineAdoption(context);
     }
 
-    /** Forgets what was listed before this controller became the provisioner. */
+    /** Discards the lists read so far; called when this controller becomes the provisioning leader. */
     void reset() {
         lastListed.clear();
         lastFullList = null;
     }
 
-    /** Asks the cloud for the list when it is due. */
+    /** Starts reading the list if the next read is due and none is in progress. */
     void step(Instant now) {
         if (listing || !listDue.isReached(now)) {
             return;
@@ -60,19 +60,20 @@
         requestPage(now, "", new HashMap<>());
     }
 
-    /** Whether the cloud lists a machine as failed. */
+    /** Returns whether the last complete list showed a machine as failed. */
     boolean isFailed(String machine) {
         return failed.contains(machine);
     }
 
-    /** The cloud has confirmed that machines were returned. */
+    /** Records machines whose return the cloud has confirmed. */
     void returned(List<String> machines) {
         machines.forEach(machine -> returned.put(machine, context.loop().now()));
     }
 
     /**
-     * Whether a machine that has been silent since a moment is no longer listed. Once listed, a machine stays listed until it
-     * is gone. The list may lag by twice its usual lag, and it is no proof: the return that follows is.
+     * Returns whether a machine that has been silent since {@code silentSince} has disappeared from the list. A listed
+     * machine stays listed until it is gone. The list may lag by up to twice its configured lag. Absence
+     * alone does not prove that the machine is gone; the cloud's reply to the return request that follows does.
      */
     boolean isNoLongerListed(String machine, Instant silentSince) {
         Instant seen = lastListed.get(machine);
@@ -87,7 +88,8 @@
     private void requestPage(Instant askedAt, String after, Map<String, ListedMachine> all) {
         String path = "/machines?limit=" + PAGE_SIZE + (after.isEmpty() ? "" : "&since=" + after);
         if (!context.cloud().tryCall("GET", path, null, reply -> onPage(askedAt, after, all, reply))) {
-            // A long list takes more calls than may go out at once. Given up, it would never be read to its end.
+            // A long list needs more calls than the rate limit allows at once, so the page is retried: starting over
+            // would never complete the list.
             context.loop().after(PAGE_RETRY_DELAY, () -> requestPage(askedAt, after, all));
         }
     }
--- a/src/main/java/org/havenford/coordination/provisioning/DueTime.java
+++ b/src/main/java/org/havenford/coordination/provisioning/DueTime.java
@@ -2,22 +2,22 @@
 
 import java.time.Instant;
 
-/** When something that recurs is due again; it is due at once to begin with. */
+/** The time at which a recurring action is due next. The action is due immediately until it is first postponed. */
 final class DueTime {
-    /** Null while due at once. */
+    /** Null if the action is due immediately. */
     private Instant next;
 
-    /** Whether it is due. */
+    /** Returns whether the action is due at {@code now}. */
     boolean isReached(Instant now) {
         return next == null || !now.isBefore(next);
     }
 
-    /** It is not due before {@code time}. */
+    /** Postpones the action until {@code time}. */
     void postponeTo(Instant time) {
         next = time;
     }
 
-    /** It is due at once. */
+    /** Makes the action due immediately. */
     void reset() {
         next = null;
     }
--- a/src/main/java/org/havenford/coordination/provisioning/FleetSizeTarget.java
+++ b/src/main/java/org/havenford/coordination/provisioning/FleetSizeTarget.java
@@ -7,44 +7,49 @@
 import org.havenford.protocol.MachineType;
 
 /**
- * How many machines of each kind are wanted: the need of the moment, and averages over a window that keep the fleet from
- * following every burst.
+ * Computes the target number of machines of each kind from the current demand and from moving averages, which keep the
+ * fleet size from following every burst.
  */
 final class FleetSizeTarget {
+    /** Window of the average that keeps machines for the next burst. */
     private static final Duration AVERAGE_WINDOW = Duration.ofSeconds(90);
-    /** Window of the average that ordinary machines follow. */
+    /** Window of the average that determines the number of on-demand machines under {@link ScalingGoal#COST}. */
     private static final Duration SUSTAINED_WINDOW = Duration.ofSeconds(8);
-    /** So small a part of a machine is not requested. */
+    /** Fractions of a machine up to this size are not rounded up to a whole machine. */
     private static final double IGNORED_PART = 0.05;
 
     private final ScalingGoal goal;
     private final double spareShare;
     private final Object2DoubleOpenHashMap<InstanceKind> average = new Object2DoubleOpenHashMap<>();
     private final Object2DoubleOpenHashMap<InstanceKind> sustained = new Object2DoubleOpenHashMap<>();
-    /** Null until the first demand is taken in. */
+    /** Time of the last update of the averages; null if there has been none since the last reset. */
     private Instant averagedAt;
 
-    /** Spot machines are kept beyond their average by {@code spareShare} of it. */
+    /** Creates a target that adds {@code spareShare} to the average as spare capacity for the next burst. */
     FleetSizeTarget(ScalingGoal goal, double spareShare) {
         this.goal = goal;
         this.spareShare = spareShare;
     }
 
-    /** The next demand counts in full: what came before was another controller's. */
+    /**
+     * Makes the averages restart from the next demand. Called when this controller becomes the provisioning leader, as
+     * its averages do not include the demand during the previous leader's time.
+     */
     void reset() {
         averagedAt = null;
     }
 
-    /** Whole machines for a need that is not a whole number. */
+    /** Rounds a fractional number of machines up, ignoring a negligible fraction. */
     static int wholeMachines(double need) {
         return (int) Math.ceil(need - IGNORED_PART);
     }
 
     /**
-     * The wanted numbers. The average follows what could be used at once, so that the next burst finds room; the need of the
-     * moment is what is needed in time, unless speed comes first, so that a burst does not fill the fleet with machines that
-     * come up too late for it. A kind that the cloud has refused everywhere ({@code exhausted}) counts with the machines that
-     * are {@code present}.
+     * Updates the averages and returns the target numbers. The long-term average follows the demand of running all
+     * tasks at once, so that capacity for the next burst is kept. The current demand is what the jobs need to be in
+     * time, so that a burst does not launch machines that boot too late for it; under {@link ScalingGoal#SPEED} it is
+     * the demand of all tasks at once as well. For a kind that the cloud has recently refused in all its zones
+     * ({@code exhausted}), the average is limited to the machines that are {@code present}.
      */
     InstanceCounts wanted(
             Instant now,
@@ -62,7 +67,8 @@
                 double need = (goal == ScalingGoal.SPEED ? demand.allAtOnce() : demand.asNeeded()).getDouble(kind);
                 average.addTo(kind, (demand.allAtOnce().getDouble(kind) - average.getDouble(kind)) * averageWeight);
                 if (exhausted.test(kind)) {
-                    // A need that can't be met must not hold on to machines of another kind in its place.
+                    // Surplus is computed per type, so a target for machines of this kind that are unavailable would
+                    // retain machines of the type's other kind.
                     average.put(kind, Math.min(average.getDouble(kind), present.get(kind)));
                 }
                 sustained.addTo(kind, (need - sustained.getDouble(kind)) * sustainedWeight);
@@ -73,8 +79,9 @@
     }
 
     /**
-     * Spot machines are kept for work that has not come yet. Ordinary ones cost three times as much: they are requested for a
-     * need that lasts longer than they take to boot.
+     * Returns the target for one kind, as a fractional number. Spot machines, and under {@link ScalingGoal#SPEED} all
+     * machines, are also kept for work that has not arrived yet. On-demand machines cost three times as much, so they
+     * otherwise follow the sustained demand: they are requested only for demand that lasts longer than their boot time.
      */
     private double machinesWanted(InstanceKind kind, double need) {
         return goal == ScalingGoal.SPEED || kind.spot()
@@ -82,7 +89,7 @@
                 : sustained.getDouble(kind);
     }
 
-    /** Weight of the present value in an average over a window. */
+    /** Returns the weight of the current value in a moving average over {@code window}. */
     private double weight(Instant now, Duration window) {
         return Math.min(1, Duration.between(averagedAt, now).toMillis() / (double) window.toMillis());
     }
--- a/src/main/java/org/havenford/coordination/provisioning/IdleMachines.java
+++ b/src/main/java/org/havenford/coordination/provisioning/IdleMachines.java
@@ -11,11 +11,12 @@
 import org.havenford.storage.records.MachineRecord;
 import org.havenford.storage.records.MachineRecord.Condition;
 
-/** Keeps since when machines have been idle, and tells which have been idle for the idle period. */
+/** Tracks since when machines have been idle, and finds those idle for longer than the idle period. */
 final class IdleMachines {
     /**
-     * Times as long that machines stay idle where speed comes first: long enough for the next burst. Not for ever, since a
-     * thousand machines without work still report, and cost most of the processor time of a quiet hour.
+     * Multiple of the configured idle period that applies under {@link ScalingGoal#SPEED}, so that machines are kept
+     * until the next burst. The period is limited because idle machines still report: a thousand of them account for
+     * most of the controller's CPU time in a quiet hour.
      */
     private static final int IDLE_FACTOR_FOR_SPEED = 6;
 
@@ -24,7 +25,10 @@
     private final Duration idlePeriod;
     private final Map<String, Instant> idleSince = new HashMap<>();
 
-    /** Machines may be returned after {@code configuredPeriod} without a claim; after a longer time if speed comes first. */
+    /**
+     * Creates a tracker whose idle period is {@code configuredPeriod}, or a multiple of it under
+     * {@link ScalingGoal#SPEED}.
+     */
     IdleMachines(ClusterState clusterState, Duration configuredPeriod, ScalingGoal goal) {
         this.clusterState = clusterState;
         this.configuredPeriod = configuredPeriod;
@@ -32,10 +36,10 @@
                 goal == ScalingGoal.SPEED ? configuredPeriod.multipliedBy(IDLE_FACTOR_FOR_SPEED) : configuredPeriod;
     }
 
-    /** Starts anew: this controller has become the provisioner. */
+    /** Restarts the tracking; called when this controller becomes the provisioning leader. */
     void reset(Instant now) {
         idleSince.clear();
-        // The predecessor knew since when machines have been idle; half the period is a fair estimate.
+        // The times known to the previous leader are lost; half the configured period is assumed instead.
         Instant estimated = now.minus(configuredPeriod.dividedBy(2));
         for (MachineRecord machine : clusterState.machines()) {
             if (isIdle(machine, clusterState)) {
@@ -44,13 +48,13 @@
         }
     }
 
-    /** Whether a machine is up and nothing is claimed on it. */
+    /** Returns whether a machine is up and has no claims. */
     static boolean isIdle(MachineRecord machine, ClusterState clusterState) {
         return machine.condition() == Condition.UP
                 && clusterState.claimsOn(machine.name()).isEmpty();
     }
 
-    /** Machines that have been idle for longer than the idle period: ordinary ones first, then the longest idle. */
+    /** Returns the machines idle for longer than the idle period: on-demand ones first, then by longest idle time. */
     List<MachineRecord> idleForPeriod(Instant now) {
         List<MachineRecord> idle = new ArrayList<>();
         for (MachineRecord machine : clusterState.machines()) {
--- a/src/main/java/org/havenford/coordination/provisioning/InstanceKind.java
+++ b/src/main/java/org/havenford/coordination/provisioning/InstanceKind.java
@@ -3,14 +3,14 @@
 import org.havenford.storage.records.InstanceRequest;
 import org.havenford.storage.records.MachineRecord;
 
-/** A machine type, as a spot instance or as an ordinary one. */
+/** A machine type together with its purchase option: spot or on-demand. */
 public record InstanceKind(String type, boolean spot) {
-    /** The kind of a machine on record. */
+    /** Returns the kind of a recorded machine. */
     static InstanceKind of(MachineRecord machine) {
         return new InstanceKind(machine.type(), machine.spot());
     }
 
-    /** The kind that an instance request asks for. */
+    /** Returns the kind of the machines in an instance request. */
     static InstanceKind of(InstanceRequest request) {
         return new InstanceKind(request.type(), request.spot());
     }
--- a/src/main/java/org/havenford/coordination/provisioning/InstanceOffer.java
+++ b/src/main/java/org/havenford/coordination/provisioning/InstanceOffer.java
@@ -4,19 +4,19 @@
 import org.havenford.storage.records.InstanceRequest;
 import org.havenford.storage.records.MachineRecord;
 
-/** An instance kind in one zone: what one request to the cloud can ask for. */
+/** An instance kind in one zone. Each instance request to the cloud is for exactly one offer. */
 record InstanceOffer(InstanceKind kind, String zone) {
-    /** The offer that a machine on record came from. */
+    /** Returns the offer of a recorded machine. */
     static InstanceOffer of(MachineRecord machine) {
         return new InstanceOffer(InstanceKind.of(machine), machine.zone());
     }
 
-    /** The offer that a machine in the cloud's list came from. */
+    /** Returns the offer of a machine in the cloud's list. */
     static InstanceOffer of(ListedMachine machine) {
         return new InstanceOffer(new InstanceKind(machine.type(), machine.spot()), machine.zone());
     }
 
-    /** The offer that an instance request asks for. */
+    /** Returns the offer of the machines in an instance request. */
     static InstanceOffer of(InstanceRequest request) {
         return new InstanceOffer(InstanceKind.of(request), request.zone());
     }
--- a/src/main/java/org/havenford/coordination/provisioning/InstanceRequestPlanner.java
+++ b/src/main/java/org/havenford/coordination/provisioning/InstanceRequestPlanner.java
@@ -12,16 +12,16 @@
 import org.havenford.storage.records.MachineRecord;
 import org.havenford.storage.records.MachineRecord.Condition;
 
-/** Decides which instances are requested for the machines that are missing, and in which zones. */
+/** Plans instance requests for the machines that are missing, and chooses their zones. */
 final class InstanceRequestPlanner {
-    /** Machines of one offer that are to be requested. */
+    /** A number of machines to request from one offer. */
     record PlannedRequest(InstanceOffer offer, int count) {}
 
-    /** The cloud's limit of machines in one call. */
+    /** The cloud's limit on the number of machines in one request. */
     private static final int MAX_MACHINES_PER_REQUEST = 50;
-    /** Instance requests that are open at a time. */
+    /** Maximum number of instance requests that are open at the same time. */
     private static final int MAX_OPEN_REQUESTS = 3;
-    /** Machines that are requested at a time of an offer whose machines don't come up. */
+    /** Maximum number of machines in one request for an offer that fails to boot. */
     private static final int MACHINES_PER_TRIAL = 2;
 
     private final ClusterState clusterState;
@@ -35,7 +35,10 @@
         this.bootTimeEstimator = bootTimeEstimator;
     }
 
-    /** The requests to make, in this order. {@code boundToZones} is the need that can only be met in a certain zone. */
+    /**
+     * Returns the requests to make, in order. {@code boundToZones} is the demand of the jobs that may run in one zone
+     * only; it is planned first.
+     */
     List<PlannedRequest> plan(
             Instant now,
             InstanceCounts wanted,
@@ -53,7 +56,7 @@
         return planned;
     }
 
-    /** First what can't be met elsewhere. */
+    /** Plans requests for the demand that can only be met in certain zones. */
     private void planForZones(
             Object2DoubleOpenHashMap<InstanceOffer> boundToZones,
             InstanceCounts missing,
@@ -76,7 +79,7 @@
         }
     }
 
-    /** Machines that are up, boot or have been requested, by offer. */
+    /** Returns the number of machines that are up, booting or requested, by offer. */
     private Map<InstanceOffer, Integer> presentByOffer() {
         Map<InstanceOffer, Integer> present = new HashMap<>();
         for (MachineRecord machine : clusterState.machines()) {
@@ -91,7 +94,9 @@
         return present;
     }
 
-    /** In the zones that have the fewest machines; a need that is large is spread over the zones. */
+    /**
+     * Plans requests for one kind, preferring the zones with the fewest machines. Large numbers are spread over zones.
+     */
     private void planForKind(InstanceKind kind, int missing, Instant now, List<PlannedRequest> planned) {
         if (missing <= 0) {
             return;
@@ -110,7 +115,10 @@
         }
     }
 
-    /** Zones that did not refuse the kind lately: those where machines come up first, then those with the fewest machines. */
+    /**
+     * Returns the zones that have not recently refused the kind, in order of preference: first those where the kind
+     * does not fail to boot, then by ascending number of machines of the type.
+     */
     private List<String> zonesByMachines(InstanceKind kind, Instant now) {
         Map<String, Integer> machinesByZone = new HashMap<>();
         for (MachineRecord machine : clusterState.machines()) {
@@ -128,7 +136,10 @@
         return zones;
     }
 
-    /** Machines of an offer that may be requested at once: few, and at intervals, where they don't come up. */
+    /**
+     * Returns the maximum number of machines in the next request for an offer. If the offer fails to boot, the number
+     * is small, and zero until the retry interval has passed and no request for the offer is open.
+     */
     private int maxMachines(InstanceOffer offer) {
         if (!bootTimeEstimator.isFailingToBoot(offer)) {
             return MAX_MACHINES_PER_REQUEST;
--- a/src/main/java/org/havenford/coordination/provisioning/MachineBatchChange.java
+++ b/src/main/java/org/havenford/coordination/provisioning/MachineBatchChange.java
@@ -11,7 +11,7 @@
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.MachineBatch;
 
-/** Changes of the batches that machines are in, collected for one transaction. */
+/** Collects changes to machine batches for one transaction. */
 final class MachineBatchChange {
     private final ClusterState clusterState;
     private final int maxBatches;
@@ -19,21 +19,21 @@
     private final TreeMap<String, MachineBatch> changed = new TreeMap<>();
     private final List<String> machines = new ArrayList<>();
 
-    /** At most {@code maxBatches} are changed, and none for which {@code isInFlight} says that it is being written. */
+    /** Creates a change of at most {@code maxBatches} batches that excludes batches with a write in flight. */
     MachineBatchChange(ClusterState clusterState, int maxBatches, Predicate<String> isInFlight) {
         this.clusterState = clusterState;
         this.maxBatches = maxBatches;
         this.isInFlight = isInFlight;
     }
 
-    /** Whether there is room for the machine's batches, and none of them is being written. */
+    /** Returns whether the machine's batches fit in the transaction and none of them has a write in flight. */
     private boolean hasRoomFor(String machine) {
         Set<String> batches = clusterState.batchesOf(machine);
         long added = batches.stream().filter(name -> !changed.containsKey(name)).count();
         return !batches.isEmpty() && batches.stream().noneMatch(isInFlight) && changed.size() + added <= maxBatches;
     }
 
-    /** Changes the service state of a machine; returns whether the transaction had room for it. */
+    /** Adds a change of a machine's service state, and returns whether it could be added. */
     boolean mark(String machine, MachineBatch.ServiceState service) {
         if (!hasRoomFor(machine)) {
             return false;
@@ -46,7 +46,7 @@
         return true;
     }
 
-    /** Removes the record of a machine, if the transaction has room for it. */
+    /** Adds the removal of a machine from its batches, if it can be added. */
     void remove(String machine) {
         if (hasRoomFor(machine)) {
             for (String name : clusterState.batchesOf(machine)) {
@@ -61,17 +61,17 @@
         return changed.isEmpty();
     }
 
-    /** Batches that are changed. */
+    /** Returns the names of the changed batches. */
     Set<String> batches() {
         return changed.keySet();
     }
 
-    /** Machines whose service state is changed. */
+    /** Returns the machines whose service state is changed. */
     List<String> machines() {
         return machines;
     }
 
-    /** The transaction, on condition that none of the batches has changed since it was read. */
+    /** Builds the transaction, guarded by the revisions of the batches in {@code replica}. */
     Transaction transaction(StoreReplica replica) {
         Transaction transaction = new Transaction();
         changed.forEach((name, batch) -> {
--- a/src/main/java/org/havenford/coordination/provisioning/MachineTypeRefresher.java
+++ b/src/main/java/org/havenford/coordination/provisioning/MachineTypeRefresher.java
@@ -12,25 +12,25 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads the machine types that the cloud offers, and stores them when they have changed. */
+/** Fetches the machine types from the cloud at regular intervals, and stores them if they have changed. */
 final class MachineTypeRefresher {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeRefresher.class);
     private static final Duration REFRESH_INTERVAL = Duration.ofSeconds(45);
-    /** Until the types are known. */
+    /** Refresh interval as long as no types are known. */
     private static final Duration RETRY_INTERVAL = Duration.ofSeconds(1);
 
     private static final Duration REPLY_TIMEOUT = Duration.ofSeconds(5);
 
     private final ProvisioningContext context;
     private final DueTime refreshDue = new DueTime();
-    /** The value that this process stored last; empty before. */
+    /** The types last stored by this process, as JSON text; empty if it has stored none. */
     private String storedTypes = "";
 
     MachineTypeRefresher(ProvisioningContext context) {
         this.context = context;
     }
 
-    /** Asks the cloud for the types when they are due. */
+    /** Requests the types from the cloud if a refresh is due. */
     void step(Instant now) {
         if (refreshDue.isReached(now) && context.cloud().tryCall("GET", "/machine_types", null, this::onReply)) {
             refreshDue.postponeTo(now.plus(REPLY_TIMEOUT));
@@ -59,7 +59,7 @@
             if (ok) {
                 storedTypes = text;
             } else {
-                // The view has just changed, so the types were not stored: they are read again.
+                // The write failed, for instance because the view has changed, so the types are fetched again.
                 refreshDue.reset();
             }
         });
--- a/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
+++ b/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
@@ -13,8 +13,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Scales the fleet out and in; active on the leader for provisioning alone. All that must survive a failover is in the store:
- * an instance request before each launch, and the condition RETURNING before each return.
+ * Scales the fleet out and in. It is active only on the provisioning leader. Intents are stored before they are carried
+ * out, so that they survive a failover: an instance request before each launch, and the service state RETIRING or
+ * RETURNING before each return.
  */
 public final class Provisioner {
     private static final Logger LOG = LoggerFactory.getLogger(Provisioner.class);
@@ -34,7 +35,7 @@
     private final DueTime sizingDue = new DueTime();
     private boolean active;
 
-    /** A provisioner that acts once this member is the leader for provisioning. */
+    /** Creates a provisioner that becomes active when this member is the provisioning leader. */
     public Provisioner(ProvisioningContext context) {
         this.context = context;
         this.goal = context.operator().speedFirst(context.settings()) ? ScalingGoal.SPEED : ScalingGoal.COST;
@@ -53,7 +54,10 @@
         this.target = new FleetSizeTarget(goal, context.operator().spareShare());
     }
 
-    /** Compares the demand with the fleet, and requests or returns machines. */
+    /**
+     * Sends stored instance requests and machine returns to the cloud, and adjusts the fleet size to the demand at
+     * regular intervals. Does nothing unless this controller is the provisioning leader.
+     */
     public void step() {
         if (!isLeader()) {
             active = false;
@@ -77,12 +81,12 @@
         }
     }
 
-    /** Machines that don't come up, for the statistics that are logged each minute; null where the provisioner is not active. */
+    /** Returns the boot statistics for the line logged every minute, or null if the provisioner is not active. */
     public String summary() {
         return active ? bootMonitor.summary() : null;
     }
 
-    /** This process was paused: what it knew of idle and silent machines is out of date. */
+    /** Handles a pause of this process: outdated in-memory state, such as idle times, is reset at the next step. */
     public void processPaused() {
         active = false;
     }
@@ -131,7 +135,7 @@
         return TaskDemandEstimator.estimate(context.clusterState(), context.settings(), timeOfDay, pace);
     }
 
-    /** Machines that are up or silent, boot in time, or have been requested. */
+    /** Counts the machines that are up, silent, booting and not overdue, or requested. */
     private InstanceCounts presentMachines() {
         InstanceCounts present = new InstanceCounts();
         for (MachineRecord machine : context.clusterState().machines()) {
--- a/src/main/java/org/havenford/coordination/provisioning/ProvisioningContext.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ProvisioningContext.java
@@ -14,7 +14,7 @@
 import org.havenford.storage.records.MachineRecord;
 import org.havenford.transport.EventLoop;
 
-/** What the parts of the provisioner share: the replica that decisions are read from, the cloud, and writes to the store. */
+/** Shared dependencies of the provisioning classes: cluster state, cloud client, settings and writes to the store. */
 public final class ProvisioningContext {
     private final CoordinationContext coordination;
     private final CloudClient cloudClient;
@@ -22,7 +22,7 @@
     private final Runnable wake;
     private long namesGiven;
 
-    /** The context of one controller; {@code wake} runs after each write, whether or not it was committed. */
+    /** Creates the context of one controller. {@code wake} runs after each write, whether or not it was committed. */
     public ProvisioningContext(
             CoordinationContext coordination,
             CloudClient cloudClient,
@@ -62,19 +62,19 @@
         return coordination.membership();
     }
 
-    /** For how long a machine has been in its condition. */
+    /** Returns how long a machine has been in its current condition. */
     Duration timeInCondition(MachineRecord machine) {
         return Duration.between(machine.since(), loop().timeOfDay());
     }
 
-    /** A name that no other controller and no other incarnation of this one gives. */
+    /** Returns a name that is unique across all controllers and all incarnations of this one. */
     String uniqueName(String prefix) {
         namesGiven++;
         return prefix + "-" + membership().view().epoch() + "-"
                 + membership().view().members().get(settings().node()) + "-" + namesGiven;
     }
 
-    /** Commits a transaction under the present view; {@code whenDone} is told whether it was committed. */
+    /** Commits a transaction guarded by the current view; {@code whenDone} receives whether it was committed. */
     void write(Transaction transaction, Consumer<Boolean> whenDone) {
         transaction.requireRevision(Keys.VIEW, membership().viewRevision());
         coordination.store().commit(transaction, CallPriority.WORK, result -> {
--- a/src/main/java/org/havenford/coordination/provisioning/ReturnReason.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ReturnReason.java
@@ -1,17 +1,17 @@
 package org.havenford.coordination.provisioning;
 
-/** Why a machine is returned to the cloud. */
+/** Reason for returning a machine to the cloud. */
 enum ReturnReason {
     /** The cloud lists the machine as failed. */
     FAILED_IN_CLOUD,
-    /** It has not reported within several times its nominal boot time. */
+    /** The machine has not reported within its boot timeout. */
     BOOT_TIMEOUT,
-    /** Its owner found it faulty, and it holds no claim any more. */
+    /** The machine's owner has marked it as faulty, and no claims are left on it. */
     FAULTY,
-    /** It has been silent for longer than the operator allows. */
+    /** The machine has been silent for longer than the operator settings allow. */
     SILENT_TOO_LONG,
-    /** It is silent and the cloud no longer lists it. */
+    /** The machine is silent and the cloud no longer lists it. */
     SILENT_AND_UNLISTED,
-    /** It has been idle for the idle period, and there are more machines of its type than wanted. */
+    /** The machine has been idle for longer than the idle period, and its type has more machines than wanted. */
     SURPLUS
 }
--- a/src/main/java/org/havenford/coordination/provisioning/ScaleIn.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ScaleIn.java
@@ -20,14 +20,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Returns machines to the cloud: those that are unfit, and idle ones beyond the wanted number. The intent is stored before
- * each return, so that a successor carries it out; the cloud's confirmation proves that a machine is gone.
+ * Returns unfit machines and surplus idle machines to the cloud. The intent is stored before each return, so that the
+ * next provisioning leader completes it after a failover. A machine is known to be gone once the cloud has confirmed
+ * the return.
  */
 final class ScaleIn {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
-    /** The cloud's limit of machines in one call. */
+    /** The cloud's limit on the number of machines in one return request. */
     private static final int MAX_MACHINES_PER_RETURN = 100;
-    /** Surplus machines are gathered, since each change of a batch fails the claims under way on its other machines. */
+    /**
+     * Interval at which surplus machines are marked. They are marked in groups, since each write to a batch fails the
+     * claims in flight on all machines of that batch.
+     */
     private static final Duration SURPLUS_INTERVAL = Duration.ofSeconds(2);
 
     private static final Duration REMOVAL_INTERVAL = Duration.ofSeconds(1);
@@ -39,11 +43,11 @@
     private final UnfitMachineDetector unfitMachineDetector;
     private final IdleMachines idleMachines;
     private final BootMonitor bootMonitor;
-    /** Machines of which a change of their batch, or their return, is under way. */
+    /** Machines with a batch write or a return request in flight. */
     private final Set<String> inFlight = new HashSet<>();
-    /** Batches that are being written. */
+    /** Batches with a write in flight. */
     private final Set<String> batchesInFlight = new HashSet<>();
-    /** Machines whose return the cloud has confirmed, and that are still on record. */
+    /** Machines whose return the cloud has confirmed, and whose records have not been removed yet. */
     private final Set<String> confirmedReturns = new LinkedHashSet<>();
 
     private final DueTime surplusDue = new DueTime();
@@ -64,7 +68,7 @@
         this.bootMonitor = bootMonitor;
     }
 
-    /** Starts anew: this controller has become the provisioner. */
+    /** Resets the in-memory state; called when this controller becomes the provisioning leader. */
     void reset(Instant now) {
         unfitMachineDetector.reset(now);
         inFlight.clear();
@@ -92,7 +96,7 @@
         });
     }
 
-    /** Marks machines that are of no use to be returned. */
+    /** Marks unfit machines for return. */
     void markUnfit(Instant now) {
         Set<String> silentZones = unfitMachineDetector.silentZones();
         MachineBatchChange change = newChange();
@@ -115,7 +119,7 @@
         LOG.info("returning machine to the cloud: machine={} reason={}", machine.name(), reason);
     }
 
-    /** Marks idle machines beyond the wanted number to be returned, once they have been idle for the idle period. */
+    /** Marks surplus machines for return if they have been idle for longer than the idle period. */
     void retireSurplus(Instant now, InstanceCounts wanted, InstanceCounts present) {
         List<MachineRecord> idle = idleMachines.idleForPeriod(now);
         if (!surplusDue.isReached(now)) {
@@ -125,7 +129,8 @@
         MachineBatchChange change = newChange();
         Map<String, Integer> retiredByType = new HashMap<>();
         for (MachineRecord machine : idle) {
-            // Decided by type: what spot machines can't give just now is not to be returned because they might.
+            // Surplus is computed per type: on-demand machines that stand in for spot machines currently unavailable
+            // must not be returned because spot machines are wanted instead.
             String type = machine.type();
             int surplus = present.ofType(type) - wanted.ofType(type) - retiredByType.getOrDefault(type, 0);
             if (surplus > 0
@@ -138,12 +143,13 @@
         write(change);
     }
 
-    /** What becomes of a machine that may be marked to be returned. */
+    /** What to do next with a machine, given its stored condition. */
     private enum ReturnDecision {
-        /** It is not marked, or the store may know more of it than our replica does. */
+        /** Do nothing: the machine is not marked, or the replica may not include all claims on it yet. */
         WAIT,
+        /** Return the machine to the cloud. */
         RETURN,
-        /** It was idle when it was marked, and has got a claim. */
+        /** Put the machine back in service: a claim on it was committed before it was marked. */
         BACK_IN_SERVICE
     }
 
@@ -154,19 +160,20 @@
         if (machine.condition() != Condition.RETIRING || !batchesAreCurrent(machine)) {
             return ReturnDecision.WAIT;
         }
-        // A claim does not change the record, so one may have come first without our knowing.
+        // A claim does not change the batch, so another controller may have committed one before the machine was
+        // marked. The replica includes all such claims now.
         boolean claimed = !context.clusterState().claimsOn(machine.name()).isEmpty();
         return claimed ? ReturnDecision.BACK_IN_SERVICE : ReturnDecision.RETURN;
     }
 
-    /** Whether our replica has passed the last change of all batches that a machine is in. */
+    /** Returns whether the replica has reached the last known change of each of a machine's batches. */
     private boolean batchesAreCurrent(MachineRecord machine) {
         return context.clusterState().batchesOf(machine.name()).stream()
                 .allMatch(name ->
                         context.replica().revision() >= context.replica().modRevision(Keys.batch(name)));
     }
 
-    /** Returns the machines that are marked for it. */
+    /** Requests the return of marked machines, and removes the records of machines that were returned. */
     void returnMachines() {
         List<MachineRecord> returning = new ArrayList<>();
         MachineBatchChange backInService = newChange();
@@ -204,7 +211,7 @@
         inFlight.removeAll(names);
         inventory.returned(names);
         machines.forEach(machine -> capacityRefusals.available(InstanceOffer.of(machine)));
-        // By now the machines and all on them are gone. The records' absence tells the owners so.
+        // The machines and everything on them are gone. Their owners are informed by the removal of the records.
         confirmedReturns.addAll(names);
     }
 
--- a/src/main/java/org/havenford/coordination/provisioning/ScaleOut.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ScaleOut.java
@@ -17,8 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Requests instances from the cloud. The instance request is stored before the cloud is called, under a name that the cloud
- * takes as an idempotency key: so a successor calls again without launching twice.
+ * Requests instances from the cloud. Each instance request is stored before the cloud is called, and its name is passed
+ * to the cloud as an idempotency key. After a failover, the next provisioning leader can repeat the call without
+ * launching machines twice.
  */
 final class ScaleOut {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
@@ -29,7 +30,7 @@
 
     private final ProvisioningContext context;
     private final CapacityRefusals capacityRefusals;
-    /** Instance requests that the cloud has been called with, or whose outcome is being written. */
+    /** Instance requests with a call to the cloud or a write of their outcome in flight. */
     private final Set<String> inFlight = new HashSet<>();
 
     private boolean writing;
@@ -39,13 +40,13 @@
         this.capacityRefusals = capacityRefusals;
     }
 
-    /** Starts anew: this controller has become the provisioner. */
+    /** Resets the in-memory state; called when this controller becomes the provisioning leader. */
     void reset() {
         inFlight.clear();
         writing = false;
     }
 
-    /** Stores instance requests, unless earlier ones are still being written. */
+    /** Stores the planned instance requests, unless an earlier write is still in flight. */
     void storeRequests(List<PlannedRequest> planned) {
         Transaction transaction = new Transaction();
         planned.forEach(request -> store(request, transaction));
@@ -68,7 +69,7 @@
         transaction.requireRevision(Keys.instanceRequest(name), 0).put(Keys.instanceRequest(name), request.toJson());
     }
 
-    /** Calls the cloud with the stored instance requests. */
+    /** Sends the stored instance requests that are not in flight to the cloud. */
     void sendRequests() {
         for (InstanceRequest request : List.copyOf(context.clusterState().instanceRequests())) {
             if (inFlight.contains(request.name())) {
@@ -112,7 +113,7 @@
         recordBatch(request, machines);
     }
 
-    /** The batch of machines takes the request's place in one transaction. */
+    /** Replaces an instance request by a batch of its launched machines, in one transaction. */
     private void recordBatch(InstanceRequest request, List<String> machines) {
         Transaction transaction = deletionOf(request);
         List<String> unrecorded = machines.stream()
--- a/src/main/java/org/havenford/coordination/provisioning/ScalingGoal.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ScalingGoal.java
@@ -1,9 +1,9 @@
 package org.havenford.coordination.provisioning;
 
-/** What comes first when the fleet is sized. */
+/** The goal that takes precedence when the fleet is sized. */
 enum ScalingGoal {
-    /** Tasks start as soon as possible: machines are requested for all work that is left, and are kept longer. */
+    /** Start tasks as soon as possible: request machines for all unfinished tasks, and keep idle machines longer. */
     SPEED,
-    /** Tasks are in time at the lowest cost. */
+    /** Finish jobs in time at the lowest cost. */
     COST
 }
--- a/src/main/java/org/havenford/coordination/provisioning/TaskDemand.java
+++ b/src/main/java/org/havenford/coordination/provisioning/TaskDemand.java
@@ -2,24 +2,26 @@
 
 import org.havenford.protocol.JobSpec;
 
-/** Tasks of one job that should be able to run at the same time; {@code tasks} need not be a whole number. */
+/** The number of tasks of one job that should be able to run at the same time, which may be fractional. */
 public record TaskDemand(JobSpec spec, double tasks, Startability startability) {
-    /** Whether the present fleet seems able to run a task of the job. */
+    /** Whether the current fleet appears able to run tasks of the job. */
     public enum Startability {
-        /** The job has running tasks, or has not waited for long. */
+        /** The job has claims, has nothing to place, or has not waited long. */
         STARTABLE,
-        /** The present fleet does not take the job: it needs a whole machine to begin with. */
+        /** No task could be placed on the current fleet for a while: the job needs at least one whole machine. */
         UNPLACEABLE,
-        /** As {@link #UNPLACEABLE}, after failures: the job needs another machine than those that there are. */
+        /**
+         * Like {@link #UNPLACEABLE}, but tasks of the job have failed: it needs a machine other than the current ones.
+         */
         UNPLACEABLE_AFTER_FAILURES
     }
 
-    /** Whether the present fleet does not take the job. */
+    /** Returns whether the job cannot be placed on the current fleet. */
     boolean isUnplaceable() {
         return startability != Startability.STARTABLE;
     }
 
-    /** Whether the job needs a machine that its tasks have not failed on. */
+    /** Returns whether the job needs a new machine because its tasks have failed on current ones. */
     boolean needsAnotherMachine() {
         return startability == Startability.UNPLACEABLE_AFTER_FAILURES;
     }
--- a/src/main/java/org/havenford/coordination/provisioning/TaskDemandEstimator.java
+++ b/src/main/java/org/havenford/coordination/provisioning/TaskDemandEstimator.java
@@ -17,26 +17,27 @@
 
 /** Estimates how many tasks of each unfinished job should be able to run at the same time. */
 public final class TaskDemandEstimator {
-    /** How much of a job's work counts. */
+    /** How many of a job's unfinished tasks are counted. */
     public enum Pace {
-        /** All tasks that are left, at once. */
+        /** All unfinished tasks, as if they were to run at the same time. */
         ALL_AT_ONCE,
         /**
-         * No more than the job needs: one with a deadline can run its tasks one after the other while there is time, and one
-         * without need not have a machine boot for a task that an earlier one will have made room for by then.
+         * No more tasks than the job needs to be in time. A job with a deadline can run tasks one after the other as
+         * long as the time suffices. A job without one needs no new machine for a task if earlier tasks free capacity
+         * for it before such a machine has booted.
          */
         AS_NEEDED
     }
 
-    /** A job without a running task for this long after its release is stuck: the present fleet does not take it. */
+    /** A job with pending tasks and no claims is considered unplaceable this long after its release. */
     private static final Duration STUCK_AFTER = Duration.ofSeconds(30);
-    /** Jobs that seem to fail everywhere, of those that fit the same types, that machines are requested for. */
+    /** Maximum number of suspect jobs counted per set of fitting types; a suspect job may fail on every machine. */
     private static final int MAX_SUSPECT_JOBS = 2;
-    /** Part of the wait that a class allows that is used to run its tasks one after the other. */
+    /** Share of a job class's permitted start delay that is used to run tasks one after the other. */
     private static final double WAIT_USED = 0.5;
-    /** Part of the time to a deadline that tasks are planned to run in. */
+    /** Share of the time to a deadline in which tasks are planned to run. */
     private static final double DEADLINE_USED = 0.8;
-    /** Boot time in seconds that is assumed of a job that fits no known machine type. */
+    /** Boot time in seconds assumed for a job that fits no known machine type. */
     private static final double DEFAULT_BOOT_SECONDS = 60;
 
     private static final double MIN_RUN_SECONDS = 1;
@@ -55,7 +56,7 @@
         this.pace = pace;
     }
 
-    /** The demand of each job that may run now, in the order of the jobs. */
+    /** Returns the demand of each job that may run now, in the order of {@link ClusterState#jobs}. */
     public static List<TaskDemand> estimate(
             ClusterState clusterState, PlatformSettings settings, Instant timeOfDay, Pace pace) {
         TaskDemandEstimator estimator = new TaskDemandEstimator(clusterState, settings, timeOfDay, pace);
@@ -79,7 +80,7 @@
         return new TaskDemand(spec, tasks, startability(job, tasks));
     }
 
-    /** Tasks that must run side by side for the job to be in time. */
+    /** Returns the number of tasks that must run concurrently for the job to be in time. */
     private double neededTasks(Job job, double tasksLeft) {
         JobSpec spec = job.spec();
         double runSeconds = runSeconds(job);
@@ -87,7 +88,7 @@
         if (secondsLeft >= runSeconds) {
             return tasksLeft / Math.max(1, Math.floor(secondsLeft * DEADLINE_USED / runSeconds));
         }
-        // Where starts may wait, tasks can follow each other on fewer machines.
+        // Discounts tasks that can use the capacity freed while a machine boots, or within the permitted start delay.
         double waitSeconds = allowedWaitSeconds(spec);
         return tasksLeft
                 * runSeconds
@@ -101,7 +102,7 @@
         return Math.max(MIN_RUN_SECONDS, seconds(expected));
     }
 
-    /** Seconds to the job's deadline once a machine has its image; 0 without a deadline. */
+    /** Returns the seconds to the job's deadline minus the fastest image pull; 0 if the job has no deadline. */
     private double secondsToDeadline(Job job) {
         if (job.deadline() == null) {
             return 0;
@@ -110,7 +111,10 @@
                 - ImagePullTime.fastestSeconds(job.spec(), clusterState.types().values());
     }
 
-    /** Seconds within which the class's tasks should start; 0 where no objective says so. */
+    /**
+     * Returns the start delay in seconds that the objectives of the job's class permit; 0 if there is no such
+     * objective.
+     */
     private double allowedWaitSeconds(JobSpec spec) {
         return settings.objectives().stream()
                 .filter(objective -> objective.kind().equals("wait")
@@ -129,7 +133,7 @@
                 .orElse(DEFAULT_BOOT_SECONDS);
     }
 
-    /** A job that seems to fail everywhere counts with one task, and only the first few of those of the same types do. */
+    /** Limits a suspect job to one task, or to none if enough suspect jobs with the same fitting types are counted. */
     private double limitSuspect(JobSpec spec, double tasks) {
         int suspects = suspectsByTypes.merge(fittingTypes(spec), 1, Integer::sum);
         return suspects <= MAX_SUSPECT_JOBS ? Math.min(tasks, 1) : 0;
@@ -145,7 +149,7 @@
         return String.join(",", types);
     }
 
-    /** No more tasks than the team's limit leaves beside those of its earlier jobs. */
+    /** Limits the tasks of a job to what its team's CPU limit leaves after the team's earlier jobs. */
     private double limitToQuota(JobSpec spec, double tasks) {
         PlatformSettings.Team team = settings.teams().get(spec.team());
         if (team == null || team.cpusMax() <= 0) {
--- a/src/main/java/org/havenford/coordination/provisioning/TaskPacking.java
+++ b/src/main/java/org/havenford/coordination/provisioning/TaskPacking.java
@@ -4,14 +4,14 @@
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.MachineType;
 
-/** How many tasks of a job fit on a machine, and what one task costs there. */
+/** Computes how many tasks of a job fit on a machine and what each of them costs. */
 final class TaskPacking {
-    /** Rounding errors of the division are not to cost a task. */
+    /** Added before rounding down, so that a rounding error of the division does not lose a task. */
     private static final double ROUNDING_ERROR = 1e-9;
 
     private TaskPacking() {}
 
-    /** Tasks of a job that fit on one empty machine of a type. */
+    /** Returns the number of tasks of a job that fit on an empty machine of a type. */
     static int tasksPerMachine(JobSpec spec, MachineType type) {
         double tasks = type.cpus() / spec.cpus();
         if (spec.gpus() > 0) {
@@ -23,7 +23,7 @@
         return (int) Math.floor(tasks + ROUNDING_ERROR);
     }
 
-    /** Price of one task: its share of the machine while it pulls its image and runs. */
+    /** Returns the relative cost of one task: its share of the machine's price for the image pull and the run. */
     static double costPerTask(JobSpec spec, MachineType type, boolean spot) {
         double seconds = spec.estimatedDuration().toMillis() / 1e3 + ImagePullTime.seconds(spec, type);
         return type.hourly(spot) / tasksPerMachine(spec, type) * seconds;
--- a/src/main/java/org/havenford/coordination/provisioning/UnfitMachineDetector.java
+++ b/src/main/java/org/havenford/coordination/provisioning/UnfitMachineDetector.java
@@ -9,13 +9,11 @@
 import org.havenford.storage.records.MachineRecord;
 import org.havenford.storage.records.MachineRecord.Condition;
 
-/** Decides which machines are of no use and should be returned, and why. */
+/** Detects machines that are unfit for use and should be returned to the cloud. */
 final class UnfitMachineDetector {
-    /** A new provisioner first lets the owners report what they hear of machines that boot. */
+    /** Time after becoming the leader in which no boot times out, so that owners can report machines that came up. */
     private static final Duration STABILIZATION_PERIOD = Duration.ofSeconds(20);
-    /**
-     * Times as long that machines are waited for whose zone is silent as a whole: a network partition takes about a minute.
-     */
+    /** Multiple of the silence limit that applies in a silent zone, since a network partition lasts about a minute. */
     private static final int SILENT_ZONE_FACTOR = 3;
 
     private final ProvisioningContext context;
@@ -29,14 +27,14 @@
         this.bootTimeEstimator = bootTimeEstimator;
     }
 
-    /** Starts the stabilization period; called before any decision. This controller has become the provisioner. */
+    /** Starts the stabilization period; called when this controller becomes the provisioning leader. */
     void reset(Instant now) {
         activeSince = now;
     }
 
     /**
-     * Zones of which at least half the machines are silent: it is the zone that can't be reached, and its machines will be
-     * back together.
+     * Returns the zones in which at least half of the machines that have booted are silent. Such a zone is presumably
+     * unreachable as a whole, and its machines are expected to report again once it is reachable.
      */
     Set<String> silentZones() {
         Map<String, Integer> silent = new HashMap<>();
@@ -53,7 +51,7 @@
         return silent.keySet();
     }
 
-    /** Why a machine should be returned; empty if it should not. */
+    /** Returns the reason for returning a machine, or empty if it should be kept. */
     Optional<ReturnReason> reasonToReturn(MachineRecord machine, Set<String> silentZones, Instant now) {
         if (inventory.isFailed(machine.name()) && machine.condition() != Condition.RETURNING) {
             return Optional.of(ReturnReason.FAILED_IN_CLOUD);
--- a/src/main/java/org/havenford/coordination/provisioning/UnrecordedMachineAdoption.java
+++ b/src/main/java/org/havenford/coordination/provisioning/UnrecordedMachineAdoption.java
@@ -15,11 +15,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes machines that the cloud lists and that are in no record into the store. */
+/** Adds records to the store for machines that the cloud lists and that have none. */
 final class UnrecordedMachineAdoption {
     private static final Logger LOG = LoggerFactory.getLogger(UnrecordedMachineAdoption.class);
     private static final String BATCH_NAME_PREFIX = "l";
-    /** A listed machine without a record is adopted once it is older than any reply to an instance request may be late. */
+    /** Minimum age for adoption; longer than the reply to an instance request can be delayed. */
     private static final Duration MIN_AGE = Duration.ofSeconds(10);
 
     private final ProvisioningContext context;
@@ -29,8 +29,9 @@
     }
 
     /**
-     * Adopts machines without a record: of an instance request that was carried out late, or whose reply was lost.
-     * Nothing is adopted while an instance request is open, nor a machine whose return the cloud has confirmed.
+     * Adopts machines without a record. They stem from an instance request that the cloud carried out late, or whose
+     * reply was lost. No machine is adopted while an instance request is open, and none whose return the cloud has
+     * confirmed.
      */
     void adoptUnrecorded(Collection<ListedMachine> listed, Set<String> returned) {
         if (!context.clusterState().instanceRequests().isEmpty()) {
--- a/src/main/java/org/havenford/coordination/provisioning/ZoneDemand.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ZoneDemand.java
@@ -10,13 +10,14 @@
 import org.havenford.protocol.JobSpec;
 import org.havenford.protocol.MachineType;
 
-/** How many machines the jobs that are bound to one zone need there. */
+/** Computes the machines required in each zone by the jobs that may run in that zone only. */
 final class ZoneDemand {
     private ZoneDemand() {}
 
     /**
-     * Machines by offer: for each job that is bound to a zone, of the cheapest kind that it allows and that was not refused
-     * there lately. The number of machines elsewhere says nothing of them. bound-to-an-empty-zone.trace
+     * Returns the required machines by offer, as fractional numbers. Each job that is bound to a zone uses the cheapest
+     * offer in that zone that it allows and that the cloud has not recently {@code refused}. This demand is computed
+     * apart from the total, because machines in other zones cannot meet it. See bound-to-an-empty-zone.trace.
      */
     static Object2DoubleOpenHashMap<InstanceOffer> machines(
             List<TaskDemand> taskDemands, Map<String, MachineType> types, Predicate<InstanceOffer> refused) {
@@ -33,7 +34,7 @@
         return machines;
     }
 
-    /** What the cloud offers in the job's zone that its tasks may run on. */
+    /** Returns the offers in the job's zone that its tasks may run on. */
     private static List<InstanceOffer> offersInZone(JobSpec spec, Map<String, MachineType> types) {
         List<InstanceOffer> offers = new ArrayList<>();
         for (MachineType type : types.values()) {
@@ -53,7 +54,10 @@
         return TaskPacking.costPerTask(spec, types.get(kind.type()), kind.spot());
     }
 
-    /** A small part of a machine would be rounded down to none for good. lone-ordinary-task.trace */
+    /**
+     * Returns the machines of one kind for a demand. An unplaceable job requires at least one whole machine, because a
+     * small fraction would always be rounded down to zero. See lone-ordinary-task.trace.
+     */
     private static double machinesFor(TaskDemand demand, InstanceKind kind, Map<String, MachineType> types) {
         double machines = demand.tasks() / TaskPacking.tasksPerMachine(demand.spec(), types.get(kind.type()));
         return demand.isUnplaceable() ? Math.max(1, machines) : machines;
--- a/src/main/java/org/havenford/coordination/provisioning/package-info.java
+++ b/src/main/java/org/havenford/coordination/provisioning/package-info.java
@@ -1,7 +1,8 @@
 /**
  * Scales the fleet out and in through the cloud.
  *
- * <p>It owns the averaged demand, refusals and boot times seen by this process; instance requests and machines are records of
- * the store. Only the first active member of the view acts. Called by the controller.
+ * <p>Instance requests and machines are records in the store. Averaged demand, capacity refusals and recent boot times
+ * are kept in memory only. Only the provisioning leader, which is the first active member of the view, acts. The entry
+ * point is {@link Provisioner#step}, called by the controller.
  */
 package org.havenford.coordination.provisioning;
