--- a/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
@@ -72,8 +72,8 @@
 
     /**
      * Returns whether a machine that has been silent since {@code silentSince} has disappeared from the list. A listed
-     * machine stays listed until it is gone. The list may lag by up to twice its configured lag. Absence
-     * alone does not prove that the machine is gone; the cloud's reply to the return request that follows does.
+     * machine stays listed until it is gone. The list may lag by up to twice its configured lag. Absence alone
+     * does not prove that the machine is gone; the cloud's reply to the return request that follows does.
      */
     boolean isNoLongerListed(String machine, Instant silentSince) {
         Instant seen = lastListed.get(machine);
--- a/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
+++ b/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
@@ -86,7 +86,7 @@
         return active ? bootMonitor.summary() : null;
     }
 
-    /** Handles a pause of this process: outdated in-memory state, such as idle times, is reset at the next step. */
+    /** Handles a pause of this process: the next step resets in-memory state that may be outdated, such as idle times. */
     public void processPaused() {
         active = false;
     }
