--- a/src/main/java/org/havenford/coordination/provisioning/BootMonitor.java
+++ b/src/main/java/org/havenford/coordination/provisioning/BootMonitor.java
@@ -24,21 +24,21 @@
     private record LastReport(Instant nextAt, Duration interval) {}
 
     private final Map<Group, LastReport> lastReports = new HashMap<>();
-    private int overdueNow;
+    private int overdueCount;
     private int givenUp;
 
     /** Logs the currently overdue machines, given as counts by offer. */
     void reportOverdue(Map<InstanceOffer, Integer> overdueByOffer, BootTimeEstimator bootTimeEstimator, Instant now) {
         Map<Group, Integer> overdueByGroup = new HashMap<>();
         Map<Group, Duration> expectedByGroup = new HashMap<>();
-        overdueByOffer.forEach((offer, number) -> {
+        overdueByOffer.forEach((offer, count) -> {
             Group group = new Group(offer.kind().type(), offer.zone());
-            overdueByGroup.merge(group, number, Integer::sum);
+            overdueByGroup.merge(group, count, Integer::sum);
             expectedByGroup.put(group, bootTimeEstimator.expectedBootTime(offer));
         });
-        overdueNow =
+        overdueCount =
                 overdueByGroup.values().stream().mapToInt(Integer::intValue).sum();
-        overdueByGroup.forEach((group, number) -> report(group, number, expectedByGroup.get(group), now));
+        overdueByGroup.forEach((group, count) -> report(group, count, expectedByGroup.get(group), now));
         Set<Group> recovered = new HashSet<>(lastReports.keySet());
         recovered.removeAll(overdueByGroup.keySet());
         for (Group group : recovered) {
@@ -47,7 +47,7 @@
         }
     }
 
-    private void report(Group group, int number, Duration expected, Instant now) {
+    private void report(Group group, int count, Duration expected, Instant now) {
         LastReport last = lastReports.get(group);
         if (last != null && now.isBefore(last.nextAt())) {
             return;
@@ -57,7 +57,7 @@
         lastReports.put(group, new LastReport(now.plus(interval), interval));
         LOG.warn(
                 "machines are overdue to boot: machines={} type={} zone={} expectedSeconds={}",
-                number,
+                count,
                 group.type(),
                 group.zone(),
                 expected.toSeconds());
@@ -73,7 +73,7 @@
      * those given up since the last call.
      */
     String summary() {
-        String text = "overdue=" + overdueNow + " givenUp=" + givenUp;
+        String text = "overdue=" + overdueCount + " givenUp=" + givenUp;
         givenUp = 0;
         return text;
     }
--- a/src/main/java/org/havenford/coordination/provisioning/BootTimeEstimator.java
+++ b/src/main/java/org/havenford/coordination/provisioning/BootTimeEstimator.java
@@ -23,7 +23,7 @@
  */
 final class BootTimeEstimator {
     /** Multiple of the nominal boot time within which a machine usually reports. */
-    private static final double USUAL_BOOT_FACTOR = 1.6;
+    private static final double TYPICAL_BOOT_FACTOR = 1.6;
     /** Multiple of the second longest recent boot that a machine may take. */
     private static final double RECENT_BOOT_FACTOR = 1.25;
     /** Upper bound of the estimate, as a multiple of the nominal boot time, regardless of the recent boots. */
@@ -33,44 +33,44 @@
     /** Nominal boot time assumed for an unknown machine type. */
     private static final Duration DEFAULT_BOOT_TIME = Duration.ofSeconds(60);
     /** Multiple of the nominal boot time that, plus a fixed margin, is the boot timeout. */
-    private static final int GIVE_UP_FACTOR = 3;
+    private static final int BOOT_TIMEOUT_FACTOR = 3;
 
-    private static final Duration GIVE_UP_MARGIN = Duration.ofSeconds(20);
+    private static final Duration BOOT_TIMEOUT_MARGIN = Duration.ofSeconds(20);
     private static final int MAX_RECENT_BOOTS = 16;
     private static final int MIN_RECENT_BOOTS = 3;
     /** Minimum number of overdue machines for an offer to be considered failing to boot. */
     private static final int MIN_OVERDUE_TO_FAIL = 2;
     /** Interval between retries of an offer that fails to boot, as a multiple of the nominal boot time. */
-    private static final double RETRY_FACTOR = 1.0;
+    private static final double RETRY_INTERVAL_FACTOR = 1.0;
 
     /** Boot statistics of the machines of one offer. */
-    private static final class OfferBoots {
+    private static final class OfferBootStats {
         private int overdue;
         /** Launch time of the oldest overdue machine; null if none is overdue. */
-        private Instant oldestOverdue;
+        private Instant oldestOverdueLaunch;
         /** Launch time of the most recently launched machine. */
-        private Instant lastLaunched;
+        private Instant lastLaunch;
         /** Latest launch time among the machines that have come up; null if none has. */
-        private Instant lastLaunchedThatCameUp;
+        private Instant lastSuccessfulLaunch;
 
-        void addLaunched(Instant launched) {
-            lastLaunched = later(lastLaunched, launched);
+        void recordLaunch(Instant launchedAt) {
+            lastLaunch = later(lastLaunch, launchedAt);
         }
 
-        void addOverdue(Instant launched) {
+        void recordOverdue(Instant launchedAt) {
             overdue++;
-            if (oldestOverdue == null || launched.isBefore(oldestOverdue)) {
-                oldestOverdue = launched;
+            if (oldestOverdueLaunch == null || launchedAt.isBefore(oldestOverdueLaunch)) {
+                oldestOverdueLaunch = launchedAt;
             }
         }
 
-        void addCameUp(Instant launched) {
-            lastLaunchedThatCameUp = later(lastLaunchedThatCameUp, launched);
+        void recordCameUp(Instant launchedAt) {
+            lastSuccessfulLaunch = later(lastSuccessfulLaunch, launchedAt);
         }
 
         boolean isFailing() {
             return overdue >= MIN_OVERDUE_TO_FAIL
-                    && (lastLaunchedThatCameUp == null || lastLaunchedThatCameUp.isBefore(oldestOverdue));
+                    && (lastSuccessfulLaunch == null || lastSuccessfulLaunch.isBefore(oldestOverdueLaunch));
         }
 
         private static Instant later(Instant known, Instant other) {
@@ -81,9 +81,9 @@
     private final ClusterState clusterState;
     private final Map<String, Instant> bootingSince = new HashMap<>();
     private final Map<InstanceOffer, ArrayDeque<Duration>> recentBoots = new HashMap<>();
-    private Map<InstanceOffer, OfferBoots> bootsByOffer = Map.of();
+    private Map<InstanceOffer, OfferBootStats> bootStatsByOffer = Map.of();
     /** Wall-clock time of the last update, which all later queries refer to. */
-    private Instant now;
+    private Instant updatedAt;
 
     BootTimeEstimator(ClusterState clusterState) {
         this.clusterState = clusterState;
@@ -93,25 +93,26 @@
     void reset() {
         bootingSince.clear();
         recentBoots.clear();
-        bootsByOffer = Map.of();
+        bootStatsByOffer = Map.of();
     }
 
     /** Updates the statistics from the current condition of all machines. Must be called before any other query. */
     void update(Instant timeOfDay) {
-        now = timeOfDay;
+        updatedAt = timeOfDay;
         recordBootTimes();
-        Map<InstanceOffer, OfferBoots> updated = new HashMap<>();
+        Map<InstanceOffer, OfferBootStats> updatedStats = new HashMap<>();
         for (MachineRecord machine : clusterState.machines()) {
-            OfferBoots boots = updated.computeIfAbsent(InstanceOffer.of(machine), offer -> new OfferBoots());
-            Instant launched = clusterState.rentedAt(machine.name());
-            boots.addLaunched(launched);
+            OfferBootStats stats =
+                    updatedStats.computeIfAbsent(InstanceOffer.of(machine), offer -> new OfferBootStats());
+            Instant launchedAt = clusterState.rentedAt(machine.name());
+            stats.recordLaunch(launchedAt);
             if (machine.condition() != Condition.BOOTING) {
-                boots.addCameUp(launched);
+                stats.recordCameUp(launchedAt);
             } else if (isOverdue(machine)) {
-                boots.addOverdue(launched);
+                stats.recordOverdue(launchedAt);
             }
         }
-        bootsByOffer = updated;
+        bootStatsByOffer = updatedStats;
     }
 
     /** Records the boot times of machines that have come up since the last update. */
@@ -122,7 +123,7 @@
             } else if (machine.condition() == Condition.UP && bootingSince.containsKey(machine.name())) {
                 ArrayDeque<Duration> boots =
                         recentBoots.computeIfAbsent(InstanceOffer.of(machine), offer -> new ArrayDeque<>());
-                boots.addLast(Duration.between(bootingSince.remove(machine.name()), now));
+                boots.addLast(Duration.between(bootingSince.remove(machine.name()), updatedAt));
                 if (boots.size() > MAX_RECENT_BOOTS) {
                     boots.removeFirst();
                 }
@@ -143,20 +144,20 @@
     /** Returns the time after launch within which a machine of the offer should be up. */
     Duration expectedBootTime(InstanceOffer offer) {
         Duration nominal = nominalBootTime(offer.kind().type());
-        Duration usual = scaled(nominal, USUAL_BOOT_FACTOR);
+        Duration expected = scaled(nominal, TYPICAL_BOOT_FACTOR);
         List<Duration> boots = new ArrayList<>(recentBoots.getOrDefault(offer, new ArrayDeque<>()));
         if (boots.size() >= MIN_RECENT_BOOTS) {
             boots.sort(null);
             // The longest boot is ignored, since a single outlier does not predict the next boots.
-            Duration longest = scaled(boots.get(boots.size() - 2), RECENT_BOOT_FACTOR);
-            usual = longest.compareTo(usual) > 0 ? longest : usual;
+            Duration recentBound = scaled(boots.get(boots.size() - 2), RECENT_BOOT_FACTOR);
+            expected = recentBound.compareTo(expected) > 0 ? recentBound : expected;
         }
-        Duration most = scaled(nominal, MAX_BOOT_FACTOR);
-        return (usual.compareTo(most) > 0 ? most : usual).plus(REPORT_DELAY);
+        Duration upperBound = scaled(nominal, MAX_BOOT_FACTOR);
+        return (expected.compareTo(upperBound) > 0 ? upperBound : expected).plus(REPORT_DELAY);
     }
 
     private Duration timeSinceLaunch(MachineRecord machine) {
-        return Duration.between(clusterState.rentedAt(machine.name()), now);
+        return Duration.between(clusterState.rentedAt(machine.name()), updatedAt);
     }
 
     /**
@@ -169,11 +170,12 @@
     }
 
     /** Returns whether a booting machine has exceeded its boot timeout and should be returned. */
-    boolean isGivenUp(MachineRecord machine) {
-        Duration patience =
-                nominalBootTime(machine.type()).multipliedBy(GIVE_UP_FACTOR).plus(GIVE_UP_MARGIN);
+    boolean hasTimedOut(MachineRecord machine) {
+        Duration timeout = nominalBootTime(machine.type())
+                .multipliedBy(BOOT_TIMEOUT_FACTOR)
+                .plus(BOOT_TIMEOUT_MARGIN);
         return machine.condition() == Condition.BOOTING
-                && timeSinceLaunch(machine).compareTo(patience) > 0;
+                && timeSinceLaunch(machine).compareTo(timeout) > 0;
     }
 
     /**
@@ -181,23 +183,23 @@
      * the oldest of them or later has come up.
      */
     boolean isFailingToBoot(InstanceOffer offer) {
-        OfferBoots boots = bootsByOffer.get(offer);
-        return boots != null && boots.isFailing();
+        OfferBootStats stats = bootStatsByOffer.get(offer);
+        return stats != null && stats.isFailing();
     }
 
     /** Returns whether the retry interval of an offer that fails to boot has passed since its last launch. */
-    boolean mayRetry(InstanceOffer offer) {
-        OfferBoots boots = bootsByOffer.get(offer);
-        Duration interval = scaled(nominalBootTime(offer.kind().type()), RETRY_FACTOR);
-        return boots == null || !now.isBefore(boots.lastLaunched.plus(interval));
+    boolean isRetryDue(InstanceOffer offer) {
+        OfferBootStats stats = bootStatsByOffer.get(offer);
+        Duration interval = scaled(nominalBootTime(offer.kind().type()), RETRY_INTERVAL_FACTOR);
+        return stats == null || !updatedAt.isBefore(stats.lastLaunch.plus(interval));
     }
 
     /** Returns the number of overdue machines by offer, without the offers that have none. */
     Map<InstanceOffer, Integer> overdueByOffer() {
         Map<InstanceOffer, Integer> overdue = new HashMap<>();
-        bootsByOffer.forEach((offer, boots) -> {
-            if (boots.overdue > 0) {
-                overdue.put(offer, boots.overdue);
+        bootStatsByOffer.forEach((offer, stats) -> {
+            if (stats.overdue > 0) {
+                overdue.put(offer, stats.overdue);
             }
         });
         return overdue;
--- a/src/main/java/org/havenford/coordination/provisioning/CapacityDemand.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CapacityDemand.java
@@ -20,18 +20,18 @@
     /** Cost multiplier of a contended type for jobs that can also use other types. */
     private static final double CONTENDED_COST_FACTOR = 1.5;
     /** Each type has two kinds, spot and on-demand. A job with more kinds than that can use several types. */
-    private static final int KINDS_OF_ONE_TYPE = 2;
+    private static final int KINDS_PER_TYPE = 2;
     /** Numbers of tasks up to this one are rounding errors and count as zero. */
-    private static final double NO_TASKS = 1e-9;
+    private static final double TASK_EPSILON = 1e-9;
 
     private final Map<String, MachineType> types;
     private final Predicate<InstanceKind> exhausted;
     private final InstanceCounts present;
-    private final Object2DoubleOpenHashMap<InstanceKind> machines = new Object2DoubleOpenHashMap<>();
+    private final Object2DoubleOpenHashMap<InstanceKind> machinesByKind = new Object2DoubleOpenHashMap<>();
     /** Types that are the only fitting type of at least one job. */
     private final Set<String> contendedTypes = new HashSet<>();
 
-    private boolean otherMachineRequested;
+    private boolean extraMachineAdded;
 
     private CapacityDemand(Map<String, MachineType> types, Predicate<InstanceKind> exhausted, InstanceCounts present) {
         this.types = types;
@@ -50,14 +50,14 @@
             Predicate<InstanceKind> exhausted,
             InstanceCounts present) {
         CapacityDemand capacity = new CapacityDemand(types, exhausted, present);
-        for (RankedDemand ranked : capacity.rankByChoice(taskDemands)) {
-            capacity.add(ranked.demand());
+        for (RankedDemand ranked : capacity.rankByFittingTypes(taskDemands)) {
+            capacity.addDemand(ranked.demand());
         }
-        return capacity.machines;
+        return capacity.machinesByKind;
     }
 
     /** Sorts the demands by ascending number of fitting types, and collects the contended types. */
-    private List<RankedDemand> rankByChoice(List<TaskDemand> taskDemands) {
+    private List<RankedDemand> rankByFittingTypes(List<TaskDemand> taskDemands) {
         List<RankedDemand> ranked = new ArrayList<>();
         for (TaskDemand demand : taskDemands) {
             if (demand.tasks() <= 0) {
@@ -73,26 +73,26 @@
             ranked.add(new RankedDemand(demand, fittingTypes.size()));
         }
         ranked.sort(Comparator.comparingInt(RankedDemand::fittingTypes)
-                .thenComparing(demand -> demand.demand().spec().id()));
+                .thenComparing(ranking -> ranking.demand().spec().id()));
         return ranked;
     }
 
-    private void add(TaskDemand demand) {
+    private void addDemand(TaskDemand demand) {
         List<InstanceKind> kinds = kindsByCost(demand.spec());
-        if (demand.needsAnotherMachine() && !otherMachineRequested) {
+        if (demand.needsAnotherMachine() && !extraMachineAdded) {
             // The job's tasks have failed on existing machines and may be excluded from them. Only one extra machine is
             // added for all such jobs, since most of them fail because of an error in their submission. See
             // lone-faulty-machine.trace.
-            otherMachineRequested = true;
-            kinds.stream().filter(exhausted.negate()).findFirst().ifPresent(kind -> machines.addTo(kind, 1));
+            extraMachineAdded = true;
+            kinds.stream().filter(exhausted.negate()).findFirst().ifPresent(kind -> machinesByKind.addTo(kind, 1));
         }
         double tasks = demand.tasks();
         for (InstanceKind kind : kinds) {
             int tasksPerMachine = TaskPacking.tasksPerMachine(demand.spec(), types.get(kind.type()));
             double needed = limitToAvailable(demand, kind, tasks / tasksPerMachine);
-            machines.addTo(kind, needed);
+            machinesByKind.addTo(kind, needed);
             tasks -= needed * tasksPerMachine;
-            if (tasks <= NO_TASKS) {
+            if (tasks <= TASK_EPSILON) {
                 break;
             }
         }
@@ -100,11 +100,11 @@
 
     private double limitToAvailable(TaskDemand demand, InstanceKind kind, double needed) {
         if (exhausted.test(kind)) {
-            return Math.min(needed, Math.max(0, present.get(kind) - machines.getDouble(kind)));
+            return Math.min(needed, Math.max(0, present.get(kind) - machinesByKind.getDouble(kind)));
         }
         if (demand.isUnplaceable()) {
             // A small fraction of a machine would always be rounded down to zero. See lone-ordinary-task.trace.
-            return Math.max(needed, 1 - machines.getDouble(kind));
+            return Math.max(needed, 1 - machinesByKind.getDouble(kind));
         }
         return needed;
     }
@@ -121,15 +121,15 @@
                 }
             }
         }
-        boolean hasOtherTypes = kinds.size() > KINDS_OF_ONE_TYPE;
+        boolean hasOtherTypes = kinds.size() > KINDS_PER_TYPE;
         kinds.sort(Comparator.comparingDouble(kind -> weightedCost(spec, kind, hasOtherTypes)));
         return kinds;
     }
 
     private double weightedCost(JobSpec spec, InstanceKind kind, boolean hasOtherTypes) {
-        boolean avoided = hasOtherTypes && contendedTypes.contains(kind.type());
+        boolean contended = hasOtherTypes && contendedTypes.contains(kind.type());
         return TaskPacking.costPerTask(spec, types.get(kind.type()), kind.spot())
-                * (avoided ? CONTENDED_COST_FACTOR : 1);
+                * (contended ? CONTENDED_COST_FACTOR : 1);
     }
 
     private static boolean isAllowed(JobSpec spec, MachineType type, boolean spot) {
--- a/src/main/java/org/havenford/coordination/provisioning/CapacityRefusals.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CapacityRefusals.java
@@ -13,23 +13,23 @@
     private final Map<InstanceOffer, Instant> refusedAt = new HashMap<>();
 
     /** Records that the cloud launched fewer machines than requested, or none. */
-    void refused(InstanceOffer offer, Instant now) {
+    void recordRefusal(InstanceOffer offer, Instant now) {
         refusedAt.put(offer, now);
     }
 
     /** Clears the refusal of an offer, which has capacity again because one of its machines was returned. */
-    void available(InstanceOffer offer) {
+    void clearRefusal(InstanceOffer offer) {
         refusedAt.remove(offer);
     }
 
     /** Returns whether the cloud refused an offer within the refusal period. */
-    boolean wasRefusedLately(InstanceOffer offer, Instant now) {
-        Instant time = refusedAt.get(offer);
-        return time != null && now.isBefore(time.plus(REFUSAL_PERIOD));
+    boolean wasRecentlyRefused(InstanceOffer offer, Instant now) {
+        Instant refusal = refusedAt.get(offer);
+        return refusal != null && now.isBefore(refusal.plus(REFUSAL_PERIOD));
     }
 
     /** Returns whether the cloud recently refused an instance kind in every zone of its type. */
-    boolean isRefusedEverywhere(InstanceKind kind, MachineType type, Instant now) {
-        return type.zones().stream().allMatch(zone -> wasRefusedLately(new InstanceOffer(kind, zone), now));
+    boolean isRefusedInAllZones(InstanceKind kind, MachineType type, Instant now) {
+        return type.zones().stream().allMatch(zone -> wasRecentlyRefused(new InstanceOffer(kind, zone), now));
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/CloudClient.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudClient.java
@@ -11,7 +11,7 @@
 public final class CloudClient {
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(4);
     /** Share of the rate limit that is used. The rest is a margin, as the cloud counts the calls by its own clock. */
-    private static final double USED_SHARE_OF_LIMIT = 0.8;
+    private static final double RATE_LIMIT_SHARE = 0.8;
 
     private final EventLoop loop;
     private final HttpCalls calls;
@@ -23,19 +23,19 @@
         this.loop = loop;
         this.calls = calls;
         this.address = settings.cloudAddress();
-        this.rateLimit = new TokenBucket(settings.cloudRequestsPerSecond() * USED_SHARE_OF_LIMIT, 1, loop.now());
+        this.rateLimit = new TokenBucket(settings.cloudRequestsPerSecond() * RATE_LIMIT_SHARE, 1, loop.now());
     }
 
     /**
      * Sends a request if the rate limit currently allows one, and returns whether it was sent. A null {@code body}
      * means a request without a body.
      */
-    boolean tryCall(String method, String path, String body, Consumer<HttpCalls.Reply> whenAnswered) {
+    boolean tryCall(String method, String path, String body, Consumer<HttpCalls.Reply> onReply) {
         if (!rateLimit.has(1, loop.now())) {
             return false;
         }
         rateLimit.take(1);
-        calls.call(address, method, path, body, CALL_TIMEOUT, whenAnswered);
+        calls.call(address, method, path, body, CALL_TIMEOUT, onReply);
         return true;
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
@@ -30,14 +30,14 @@
     private final UnrecordedMachineAdoption adoption;
     private final Map<String, Instant> lastListed = new HashMap<>();
     /** Times at which the cloud confirmed the return of machines. */
-    private final Map<String, Instant> returned = new HashMap<>();
+    private final Map<String, Instant> returnedAt = new HashMap<>();
 
-    private final Set<String> failed = new HashSet<>();
+    private final Set<String> failedMachines = new HashSet<>();
     private final DueTime listDue = new DueTime();
     /** When the first page of the last complete list was requested; null if no list has been completed. */
-    private Instant lastFullList;
+    private Instant lastCompleteListAt;
 
-    private boolean listing;
+    private boolean listInProgress;
 
     CloudInventory(ProvisioningContext context) {
         this.context = context;
@@ -47,27 +47,27 @@
     /** Discards the lists read so far; called when this controller becomes the provisioning leader. */
     void reset() {
         lastListed.clear();
-        lastFullList = null;
+        lastCompleteListAt = null;
     }
 
     /** Starts reading the list if the next read is due and none is in progress. */
     void step(Instant now) {
-        if (listing || !listDue.isReached(now)) {
+        if (listInProgress || !listDue.isReached(now)) {
             return;
         }
-        listing = true;
+        listInProgress = true;
         listDue.postponeTo(now.plus(LIST_INTERVAL));
         requestPage(now, "", new HashMap<>());
     }
 
     /** Returns whether the last complete list showed a machine as failed. */
     boolean isFailed(String machine) {
-        return failed.contains(machine);
+        return failedMachines.contains(machine);
     }
 
     /** Records machines whose return the cloud has confirmed. */
-    void returned(List<String> machines) {
-        machines.forEach(machine -> returned.put(machine, context.loop().now()));
+    void recordReturned(List<String> machines) {
+        machines.forEach(machine -> returnedAt.put(machine, context.loop().now()));
     }
 
     /**
@@ -76,60 +76,62 @@
      * does not prove that the machine is gone; the cloud's reply to the return request that follows does.
      */
     boolean isNoLongerListed(String machine, Instant silentSince) {
-        Instant seen = lastListed.get(machine);
-        Instant settled = silentSince.plus(context.settings().cloudListLag().multipliedBy(2));
-        return seen != null
-                && seen.isBefore(settled)
-                && lastFullList != null
-                && lastFullList.isAfter(settled)
-                && !lastFullList.equals(seen);
+        Instant lastSeenAt = lastListed.get(machine);
+        Instant lagElapsedAt =
+                silentSince.plus(context.settings().cloudListLag().multipliedBy(2));
+        return lastSeenAt != null
+                && lastSeenAt.isBefore(lagElapsedAt)
+                && lastCompleteListAt != null
+                && lastCompleteListAt.isAfter(lagElapsedAt)
+                && !lastCompleteListAt.equals(lastSeenAt);
     }
 
-    private void requestPage(Instant askedAt, String after, Map<String, ListedMachine> all) {
-        String path = "/machines?limit=" + PAGE_SIZE + (after.isEmpty() ? "" : "&since=" + after);
-        if (!context.cloud().tryCall("GET", path, null, reply -> onPage(askedAt, after, all, reply))) {
+    private void requestPage(Instant requestedAt, String afterName, Map<String, ListedMachine> listed) {
+        String path = "/machines?limit=" + PAGE_SIZE + (afterName.isEmpty() ? "" : "&since=" + afterName);
+        if (!context.cloudClient().tryCall("GET", path, null, reply -> onPage(requestedAt, afterName, listed, reply))) {
             // A long list needs more calls than the rate limit allows at once, so the page is retried: starting over
             // would never complete the list.
-            context.loop().after(PAGE_RETRY_DELAY, () -> requestPage(askedAt, after, all));
+            context.loop().after(PAGE_RETRY_DELAY, () -> requestPage(requestedAt, afterName, listed));
         }
     }
 
-    private void onPage(Instant askedAt, String after, Map<String, ListedMachine> all, HttpCalls.Reply reply) {
+    private void onPage(
+            Instant requestedAt, String afterName, Map<String, ListedMachine> listed, HttpCalls.Reply reply) {
         if (!reply.ok()) {
-            listing = false;
+            listInProgress = false;
             return;
         }
         try {
             CloudMessages.Page page = CloudMessages.machinePage(reply.body());
-            String last = after;
+            String lastName = afterName;
             for (ListedMachine machine : page.machines()) {
-                all.put(machine.machine(), machine);
-                last = machine.machine();
+                listed.put(machine.machine(), machine);
+                lastName = machine.machine();
             }
-            if (page.more() && !last.equals(after)) {
-                requestPage(askedAt, last, all);
+            if (page.more() && !lastName.equals(afterName)) {
+                requestPage(requestedAt, lastName, listed);
             } else {
-                listing = false;
-                onFullList(askedAt, all);
+                listInProgress = false;
+                onCompleteList(requestedAt, listed);
             }
         } catch (MalformedMessageException e) {
-            listing = false;
+            listInProgress = false;
             LOG.warn("unreadable machine list from the cloud: error=\"{}\"", e.getMessage());
         }
     }
 
-    private void onFullList(Instant askedAt, Map<String, ListedMachine> all) {
-        lastFullList = askedAt;
-        failed.clear();
-        for (ListedMachine machine : all.values()) {
-            lastListed.put(machine.machine(), askedAt);
+    private void onCompleteList(Instant requestedAt, Map<String, ListedMachine> listed) {
+        lastCompleteListAt = requestedAt;
+        failedMachines.clear();
+        for (ListedMachine machine : listed.values()) {
+            lastListed.put(machine.machine(), requestedAt);
             if (machine.status() == CloudMessages.Status.FAILED) {
-                failed.add(machine.machine());
+                failedMachines.add(machine.machine());
             }
         }
-        adoption.adoptUnrecorded(all.values(), returned.keySet());
-        Instant oldest = askedAt.minus(RETENTION);
+        adoption.adoptUnrecorded(listed.values(), returnedAt.keySet());
+        Instant oldest = requestedAt.minus(RETENTION);
         lastListed.values().removeIf(time -> time.isBefore(oldest));
-        returned.values().removeIf(time -> time.isBefore(oldest));
+        returnedAt.values().removeIf(time -> time.isBefore(oldest));
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/DueTime.java
+++ b/src/main/java/org/havenford/coordination/provisioning/DueTime.java
@@ -5,20 +5,20 @@
 /** The time at which a recurring action is due next. The action is due immediately until it is first postponed. */
 final class DueTime {
     /** Null if the action is due immediately. */
-    private Instant next;
+    private Instant nextAt;
 
     /** Returns whether the action is due at {@code now}. */
     boolean isReached(Instant now) {
-        return next == null || !now.isBefore(next);
+        return nextAt == null || !now.isBefore(nextAt);
     }
 
     /** Postpones the action until {@code time}. */
     void postponeTo(Instant time) {
-        next = time;
+        nextAt = time;
     }
 
     /** Makes the action due immediately. */
     void reset() {
-        next = null;
+        nextAt = null;
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/FleetSizeTarget.java
+++ b/src/main/java/org/havenford/coordination/provisioning/FleetSizeTarget.java
@@ -16,14 +16,14 @@
     /** Window of the average that determines the number of on-demand machines under {@link ScalingGoal#COST}. */
     private static final Duration SUSTAINED_WINDOW = Duration.ofSeconds(8);
     /** Fractions of a machine up to this size are not rounded up to a whole machine. */
-    private static final double IGNORED_PART = 0.05;
+    private static final double NEGLIGIBLE_FRACTION = 0.05;
 
     private final ScalingGoal goal;
     private final double spareShare;
     private final Object2DoubleOpenHashMap<InstanceKind> average = new Object2DoubleOpenHashMap<>();
     private final Object2DoubleOpenHashMap<InstanceKind> sustained = new Object2DoubleOpenHashMap<>();
     /** Time of the last update of the averages; null if there has been none since the last reset. */
-    private Instant averagedAt;
+    private Instant lastUpdatedAt;
 
     /** Creates a target that adds {@code spareShare} to the average as spare capacity for the next burst. */
     FleetSizeTarget(ScalingGoal goal, double spareShare) {
@@ -36,12 +36,12 @@
      * its averages do not include the demand during the previous leader's time.
      */
     void reset() {
-        averagedAt = null;
+        lastUpdatedAt = null;
     }
 
     /** Rounds a fractional number of machines up, ignoring a negligible fraction. */
-    static int wholeMachines(double need) {
-        return (int) Math.ceil(need - IGNORED_PART);
+    static int wholeMachines(double machines) {
+        return (int) Math.ceil(machines - NEGLIGIBLE_FRACTION);
     }
 
     /**
@@ -57,22 +57,22 @@
             MachineDemand demand,
             Predicate<InstanceKind> exhausted,
             InstanceCounts present) {
-        double averageWeight = averagedAt == null ? 1 : weight(now, AVERAGE_WINDOW);
-        double sustainedWeight = averagedAt == null ? 0 : weight(now, SUSTAINED_WINDOW);
-        averagedAt = now;
+        double averageWeight = lastUpdatedAt == null ? 1 : weight(now, AVERAGE_WINDOW);
+        double sustainedWeight = lastUpdatedAt == null ? 0 : weight(now, SUSTAINED_WINDOW);
+        lastUpdatedAt = now;
         InstanceCounts wanted = new InstanceCounts();
         for (MachineType type : types) {
             for (boolean spot : new boolean[] {true, false}) {
                 InstanceKind kind = new InstanceKind(type.name(), spot);
-                double need = (goal == ScalingGoal.SPEED ? demand.allAtOnce() : demand.asNeeded()).getDouble(kind);
+                double required = (goal == ScalingGoal.SPEED ? demand.allAtOnce() : demand.asNeeded()).getDouble(kind);
                 average.addTo(kind, (demand.allAtOnce().getDouble(kind) - average.getDouble(kind)) * averageWeight);
                 if (exhausted.test(kind)) {
                     // Surplus is computed per type, so a target for machines of this kind that are unavailable would
                     // retain machines of the type's other kind.
                     average.put(kind, Math.min(average.getDouble(kind), present.get(kind)));
                 }
-                sustained.addTo(kind, (need - sustained.getDouble(kind)) * sustainedWeight);
-                wanted.add(kind, wholeMachines(machinesWanted(kind, need)));
+                sustained.addTo(kind, (required - sustained.getDouble(kind)) * sustainedWeight);
+                wanted.add(kind, wholeMachines(targetFor(kind, required)));
             }
         }
         return wanted;
@@ -83,14 +83,14 @@
      * machines, are also kept for work that has not arrived yet. On-demand machines cost three times as much, so they
      * otherwise follow the sustained demand: they are requested only for demand that lasts longer than their boot time.
      */
-    private double machinesWanted(InstanceKind kind, double need) {
+    private double targetFor(InstanceKind kind, double required) {
         return goal == ScalingGoal.SPEED || kind.spot()
-                ? Math.max(need, average.getDouble(kind) * (1 + spareShare))
+                ? Math.max(required, average.getDouble(kind) * (1 + spareShare))
                 : sustained.getDouble(kind);
     }
 
     /** Returns the weight of the current value in a moving average over {@code window}. */
     private double weight(Instant now, Duration window) {
-        return Math.min(1, Duration.between(averagedAt, now).toMillis() / (double) window.toMillis());
+        return Math.min(1, Duration.between(lastUpdatedAt, now).toMillis() / (double) window.toMillis());
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/IdleMachines.java
+++ b/src/main/java/org/havenford/coordination/provisioning/IdleMachines.java
@@ -40,10 +40,10 @@
     void reset(Instant now) {
         idleSince.clear();
         // The times known to the previous leader are lost; half the configured period is assumed instead.
-        Instant estimated = now.minus(configuredPeriod.dividedBy(2));
+        Instant assumedSince = now.minus(configuredPeriod.dividedBy(2));
         for (MachineRecord machine : clusterState.machines()) {
             if (isIdle(machine, clusterState)) {
-                idleSince.put(machine.name(), estimated);
+                idleSince.put(machine.name(), assumedSince);
             }
         }
     }
@@ -55,7 +55,7 @@
     }
 
     /** Returns the machines idle for longer than the idle period: on-demand ones first, then by longest idle time. */
-    List<MachineRecord> idleForPeriod(Instant now) {
+    List<MachineRecord> idleLongerThanPeriod(Instant now) {
         List<MachineRecord> idle = new ArrayList<>();
         for (MachineRecord machine : clusterState.machines()) {
             if (!isIdle(machine, clusterState)) {
--- a/src/main/java/org/havenford/coordination/provisioning/InstanceRequestPlanner.java
+++ b/src/main/java/org/havenford/coordination/provisioning/InstanceRequestPlanner.java
@@ -22,7 +22,7 @@
     /** Maximum number of instance requests that are open at the same time. */
     private static final int MAX_OPEN_REQUESTS = 3;
     /** Maximum number of machines in one request for an offer that fails to boot. */
-    private static final int MACHINES_PER_TRIAL = 2;
+    private static final int MAX_MACHINES_PER_RETRY = 2;
 
     private final ClusterState clusterState;
     private final CapacityRefusals capacityRefusals;
@@ -36,18 +36,18 @@
     }
 
     /**
-     * Returns the requests to make, in order. {@code boundToZones} is the demand of the jobs that may run in one zone
+     * Returns the requests to make, in order. {@code zoneDemand} is the demand of the jobs that may run in one zone
      * only; it is planned first.
      */
     List<PlannedRequest> plan(
             Instant now,
             InstanceCounts wanted,
             InstanceCounts present,
-            Object2DoubleOpenHashMap<InstanceOffer> boundToZones) {
+            Object2DoubleOpenHashMap<InstanceOffer> zoneDemand) {
         List<PlannedRequest> planned = new ArrayList<>();
         InstanceCounts missing = new InstanceCounts();
         wanted.kinds().forEach(kind -> missing.add(kind, wanted.get(kind) - present.get(kind)));
-        planForZones(boundToZones, missing, planned);
+        planZoneBoundDemand(zoneDemand, missing, planned);
         List<InstanceKind> kinds = new ArrayList<>(wanted.kinds());
         kinds.sort(Comparator.comparing(InstanceKind::spot).reversed().thenComparing(InstanceKind::type));
         for (InstanceKind kind : kinds) {
@@ -57,21 +57,19 @@
     }
 
     /** Plans requests for the demand that can only be met in certain zones. */
-    private void planForZones(
-            Object2DoubleOpenHashMap<InstanceOffer> boundToZones,
-            InstanceCounts missing,
-            List<PlannedRequest> planned) {
-        if (boundToZones.isEmpty()) {
+    private void planZoneBoundDemand(
+            Object2DoubleOpenHashMap<InstanceOffer> zoneDemand, InstanceCounts missing, List<PlannedRequest> planned) {
+        if (zoneDemand.isEmpty()) {
             return;
         }
         Map<InstanceOffer, Integer> present = presentByOffer();
-        List<InstanceOffer> offers = new ArrayList<>(boundToZones.keySet());
+        List<InstanceOffer> offers = new ArrayList<>(zoneDemand.keySet());
         offers.sort(Comparator.comparing(InstanceOffer::zone)
                 .thenComparing(offer -> offer.kind().type())
                 .thenComparing(offer -> offer.kind().spot()));
         for (InstanceOffer offer : offers) {
-            int needed = FleetSizeTarget.wholeMachines(boundToZones.getDouble(offer));
-            int count = Math.min(needed - present.getOrDefault(offer, 0), maxMachines(offer));
+            int needed = FleetSizeTarget.wholeMachines(zoneDemand.getDouble(offer));
+            int count = Math.min(needed - present.getOrDefault(offer, 0), maxRequestSize(offer));
             if (count > 0 && mayRequestMore(planned)) {
                 planned.add(new PlannedRequest(offer, count));
                 missing.add(offer.kind(), -count);
@@ -83,8 +81,8 @@
     private Map<InstanceOffer, Integer> presentByOffer() {
         Map<InstanceOffer, Integer> present = new HashMap<>();
         for (MachineRecord machine : clusterState.machines()) {
-            boolean stays = machine.condition() == Condition.UP || machine.condition() == Condition.BOOTING;
-            if (stays) {
+            boolean isPresent = machine.condition() == Condition.UP || machine.condition() == Condition.BOOTING;
+            if (isPresent) {
                 present.merge(InstanceOffer.of(machine), 1, Integer::sum);
             }
         }
@@ -101,16 +99,17 @@
         if (missing <= 0) {
             return;
         }
-        int left = missing;
-        List<String> zones = zonesByMachines(kind, now);
-        for (int i = 0; i < zones.size() && left > 0 && mayRequestMore(planned); i++) {
-            int zonesLeft = zones.size() - i;
-            int evenShare = (left + zonesLeft - 1) / zonesLeft;
+        int remaining = missing;
+        List<String> zones = zonesByPreference(kind, now);
+        for (int i = 0; i < zones.size() && remaining > 0 && mayRequestMore(planned); i++) {
+            int remainingZones = zones.size() - i;
+            int evenShare = (remaining + remainingZones - 1) / remainingZones;
             InstanceOffer offer = new InstanceOffer(kind, zones.get(i));
-            int count = Math.min(maxMachines(offer), left <= MAX_MACHINES_PER_REQUEST / 2 ? left : evenShare);
+            int count =
+                    Math.min(maxRequestSize(offer), remaining <= MAX_MACHINES_PER_REQUEST / 2 ? remaining : evenShare);
             if (count > 0) {
                 planned.add(new PlannedRequest(offer, count));
-                left -= count;
+                remaining -= count;
             }
         }
     }
@@ -119,7 +118,7 @@
      * Returns the zones that have not recently refused the kind, in order of preference: first those where the kind
      * does not fail to boot, then by ascending number of machines of the type.
      */
-    private List<String> zonesByMachines(InstanceKind kind, Instant now) {
+    private List<String> zonesByPreference(InstanceKind kind, Instant now) {
         Map<String, Integer> machinesByZone = new HashMap<>();
         for (MachineRecord machine : clusterState.machines()) {
             if (machine.type().equals(kind.type())) {
@@ -128,7 +127,7 @@
         }
         List<String> zones =
                 new ArrayList<>(clusterState.types().get(kind.type()).zones());
-        zones.removeIf(zone -> capacityRefusals.wasRefusedLately(new InstanceOffer(kind, zone), now));
+        zones.removeIf(zone -> capacityRefusals.wasRecentlyRefused(new InstanceOffer(kind, zone), now));
         zones.sort(
                 Comparator.comparing((String zone) -> bootTimeEstimator.isFailingToBoot(new InstanceOffer(kind, zone)))
                         .thenComparing(zone -> machinesByZone.getOrDefault(zone, 0))
@@ -140,13 +139,13 @@
      * Returns the maximum number of machines in the next request for an offer. If the offer fails to boot, the number
      * is small, and zero until the retry interval has passed and no request for the offer is open.
      */
-    private int maxMachines(InstanceOffer offer) {
+    private int maxRequestSize(InstanceOffer offer) {
         if (!bootTimeEstimator.isFailingToBoot(offer)) {
             return MAX_MACHINES_PER_REQUEST;
         }
-        boolean isRequested = clusterState.instanceRequests().stream()
+        boolean hasOpenRequest = clusterState.instanceRequests().stream()
                 .anyMatch(request -> InstanceOffer.of(request).equals(offer));
-        return !isRequested && bootTimeEstimator.mayRetry(offer) ? MACHINES_PER_TRIAL : 0;
+        return !hasOpenRequest && bootTimeEstimator.isRetryDue(offer) ? MAX_MACHINES_PER_RETRY : 0;
     }
 
     private boolean mayRequestMore(List<PlannedRequest> planned) {
--- a/src/main/java/org/havenford/coordination/provisioning/MachineBatchChange.java
+++ b/src/main/java/org/havenford/coordination/provisioning/MachineBatchChange.java
@@ -15,32 +15,37 @@
 final class MachineBatchChange {
     private final ClusterState clusterState;
     private final int maxBatches;
-    private final Predicate<String> isInFlight;
-    private final TreeMap<String, MachineBatch> changed = new TreeMap<>();
+    private final Predicate<String> isWriteInFlight;
+    private final TreeMap<String, MachineBatch> changedBatches = new TreeMap<>();
     private final List<String> machines = new ArrayList<>();
 
     /** Creates a change of at most {@code maxBatches} batches that excludes batches with a write in flight. */
-    MachineBatchChange(ClusterState clusterState, int maxBatches, Predicate<String> isInFlight) {
+    MachineBatchChange(ClusterState clusterState, int maxBatches, Predicate<String> isWriteInFlight) {
         this.clusterState = clusterState;
         this.maxBatches = maxBatches;
-        this.isInFlight = isInFlight;
+        this.isWriteInFlight = isWriteInFlight;
     }
 
     /** Returns whether the machine's batches fit in the transaction and none of them has a write in flight. */
-    private boolean hasRoomFor(String machine) {
+    private boolean canInclude(String machine) {
         Set<String> batches = clusterState.batchesOf(machine);
-        long added = batches.stream().filter(name -> !changed.containsKey(name)).count();
-        return !batches.isEmpty() && batches.stream().noneMatch(isInFlight) && changed.size() + added <= maxBatches;
+        long additionalBatches = batches.stream()
+                .filter(name -> !changedBatches.containsKey(name))
+                .count();
+        return !batches.isEmpty()
+                && batches.stream().noneMatch(isWriteInFlight)
+                && changedBatches.size() + additionalBatches <= maxBatches;
     }
 
     /** Adds a change of a machine's service state, and returns whether it could be added. */
-    boolean mark(String machine, MachineBatch.ServiceState service) {
-        if (!hasRoomFor(machine)) {
+    boolean setServiceState(String machine, MachineBatch.ServiceState serviceState) {
+        if (!canInclude(machine)) {
             return false;
         }
         for (String name : clusterState.batchesOf(machine)) {
-            changed.put(
-                    name, changed.getOrDefault(name, clusterState.batch(name)).with(machine, service));
+            changedBatches.put(
+                    name,
+                    changedBatches.getOrDefault(name, clusterState.batch(name)).with(machine, serviceState));
         }
         machines.add(machine);
         return true;
@@ -48,22 +53,24 @@
 
     /** Adds the removal of a machine from its batches, if it can be added. */
     void remove(String machine) {
-        if (hasRoomFor(machine)) {
+        if (canInclude(machine)) {
             for (String name : clusterState.batchesOf(machine)) {
-                changed.put(
+                changedBatches.put(
                         name,
-                        changed.getOrDefault(name, clusterState.batch(name)).without(List.of(machine)));
+                        changedBatches
+                                .getOrDefault(name, clusterState.batch(name))
+                                .without(List.of(machine)));
             }
         }
     }
 
     boolean isEmpty() {
-        return changed.isEmpty();
+        return changedBatches.isEmpty();
     }
 
     /** Returns the names of the changed batches. */
     Set<String> batches() {
-        return changed.keySet();
+        return changedBatches.keySet();
     }
 
     /** Returns the machines whose service state is changed. */
@@ -74,7 +81,7 @@
     /** Builds the transaction, guarded by the revisions of the batches in {@code replica}. */
     Transaction transaction(StoreReplica replica) {
         Transaction transaction = new Transaction();
-        changed.forEach((name, batch) -> {
+        changedBatches.forEach((name, batch) -> {
             String key = Keys.batch(name);
             transaction.requireRevision(key, replica.modRevision(key));
             if (batch.machines().isEmpty()) {
--- a/src/main/java/org/havenford/coordination/provisioning/MachineTypeRefresher.java
+++ b/src/main/java/org/havenford/coordination/provisioning/MachineTypeRefresher.java
@@ -32,7 +32,7 @@
 
     /** Requests the types from the cloud if a refresh is due. */
     void step(Instant now) {
-        if (refreshDue.isReached(now) && context.cloud().tryCall("GET", "/machine_types", null, this::onReply)) {
+        if (refreshDue.isReached(now) && context.cloudClient().tryCall("GET", "/machine_types", null, this::onReply)) {
             refreshDue.postponeTo(now.plus(REPLY_TIMEOUT));
         }
     }
--- a/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
+++ b/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
@@ -30,7 +30,7 @@
     private final ScaleIn scaleIn;
     private final BootTimeEstimator bootTimeEstimator;
     private final BootMonitor bootMonitor = new BootMonitor();
-    private final FleetSizeTarget target;
+    private final FleetSizeTarget fleetSizeTarget;
     private final ScalingGoal goal;
     private final DueTime sizingDue = new DueTime();
     private boolean active;
@@ -38,7 +38,7 @@
     /** Creates a provisioner that becomes active when this member is the provisioning leader. */
     public Provisioner(ProvisioningContext context) {
         this.context = context;
-        this.goal = context.operator().speedFirst(context.settings()) ? ScalingGoal.SPEED : ScalingGoal.COST;
+        this.goal = context.operatorSettings().speedFirst(context.settings()) ? ScalingGoal.SPEED : ScalingGoal.COST;
         this.machineTypes = new MachineTypeRefresher(context);
         this.inventory = new CloudInventory(context);
         this.bootTimeEstimator = new BootTimeEstimator(context.clusterState());
@@ -49,9 +49,11 @@
                 inventory,
                 capacityRefusals,
                 new UnfitMachineDetector(context, inventory, bootTimeEstimator),
-                new IdleMachines(context.clusterState(), context.operator().idleBeforeReturn(), goal),
+                new IdleMachines(
+                        context.clusterState(), context.operatorSettings().idleBeforeReturn(), goal),
                 bootMonitor);
-        this.target = new FleetSizeTarget(goal, context.operator().spareShare());
+        this.fleetSizeTarget =
+                new FleetSizeTarget(goal, context.operatorSettings().spareShare());
     }
 
     /**
@@ -76,7 +78,7 @@
             sizingDue.postponeTo(now.plus(SIZING_INTERVAL));
             bootTimeEstimator.update(context.loop().timeOfDay());
             bootMonitor.reportOverdue(bootTimeEstimator.overdueByOffer(), bootTimeEstimator, now);
-            scaleIn.markUnfit(now);
+            scaleIn.markUnfitMachines(now);
             adjustFleetSize(now);
         }
     }
@@ -86,7 +88,7 @@
         return active ? bootMonitor.summary() : null;
     }
 
-    /** Handles a pause of this process: the next step resets in-memory state that may be outdated, such as idle times. */
+    /** Handles a pause of this process: the next step resets state that may be outdated, such as idle times. */
     public void processPaused() {
         active = false;
     }
@@ -103,32 +105,32 @@
         bootTimeEstimator.reset();
         scaleOut.reset();
         scaleIn.reset(now);
-        target.reset();
+        fleetSizeTarget.reset();
         sizingDue.reset();
     }
 
     private void adjustFleetSize(Instant now) {
         ClusterState clusterState = context.clusterState();
-        InstanceCounts present = presentMachines();
+        InstanceCounts present = countPresentMachines();
         Instant timeOfDay = context.loop().timeOfDay();
-        List<TaskDemand> allTasks = taskDemands(timeOfDay, Pace.ALL_AT_ONCE);
-        List<TaskDemand> neededTasks = taskDemands(timeOfDay, Pace.AS_NEEDED);
-        MachineDemand demand =
-                new MachineDemand(machinesFor(allTasks, now, present), machinesFor(neededTasks, now, present));
-        InstanceCounts wanted =
-                target.wanted(now, clusterState.types().values(), demand, kind -> isExhausted(kind, now), present);
+        List<TaskDemand> allTaskDemands = taskDemands(timeOfDay, Pace.ALL_AT_ONCE);
+        List<TaskDemand> neededTaskDemands = taskDemands(timeOfDay, Pace.AS_NEEDED);
+        MachineDemand demand = new MachineDemand(
+                requiredMachines(allTaskDemands, now, present), requiredMachines(neededTaskDemands, now, present));
+        InstanceCounts wanted = fleetSizeTarget.wanted(
+                now, clusterState.types().values(), demand, kind -> isExhausted(kind, now), present);
         if (LOG.isDebugEnabled()) {
             LOG.debug(
                     "fleet size: present={} idle={} wanted={} asNeeded={} allAtOnce={}",
                     present,
-                    idleMachines(),
+                    countIdleMachines(),
                     wanted,
                     demand.asNeeded(),
                     demand.allAtOnce());
         }
-        List<TaskDemand> zoneTasks = goal == ScalingGoal.SPEED ? allTasks : neededTasks;
-        scaleOut.storeRequests(requestPlanner.plan(now, wanted, present, boundToZones(zoneTasks, now)));
-        scaleIn.retireSurplus(now, wanted, present);
+        List<TaskDemand> zoneTaskDemands = goal == ScalingGoal.SPEED ? allTaskDemands : neededTaskDemands;
+        scaleOut.storeRequests(requestPlanner.plan(now, wanted, present, zoneDemand(zoneTaskDemands, now)));
+        scaleIn.retireSurplusMachines(now, wanted, present);
     }
 
     private List<TaskDemand> taskDemands(Instant timeOfDay, Pace pace) {
@@ -136,7 +138,7 @@
     }
 
     /** Counts the machines that are up, silent, booting and not overdue, or requested. */
-    private InstanceCounts presentMachines() {
+    private InstanceCounts countPresentMachines() {
         InstanceCounts present = new InstanceCounts();
         for (MachineRecord machine : context.clusterState().machines()) {
             if (countsAsPresent(machine)) {
@@ -157,7 +159,7 @@
         };
     }
 
-    private InstanceCounts idleMachines() {
+    private InstanceCounts countIdleMachines() {
         InstanceCounts idle = new InstanceCounts();
         for (MachineRecord machine : context.clusterState().machines()) {
             if (IdleMachines.isIdle(machine, context.clusterState())) {
@@ -168,18 +170,18 @@
     }
 
     private boolean isExhausted(InstanceKind kind, Instant now) {
-        return capacityRefusals.isRefusedEverywhere(
+        return capacityRefusals.isRefusedInAllZones(
                 kind, context.clusterState().types().get(kind.type()), now);
     }
 
-    private Object2DoubleOpenHashMap<InstanceKind> machinesFor(
+    private Object2DoubleOpenHashMap<InstanceKind> requiredMachines(
             List<TaskDemand> demands, Instant now, InstanceCounts present) {
         return CapacityDemand.machines(
                 demands, context.clusterState().types(), kind -> isExhausted(kind, now), present);
     }
 
-    private Object2DoubleOpenHashMap<InstanceOffer> boundToZones(List<TaskDemand> demands, Instant now) {
+    private Object2DoubleOpenHashMap<InstanceOffer> zoneDemand(List<TaskDemand> demands, Instant now) {
         return ZoneDemand.machines(
-                demands, context.clusterState().types(), offer -> capacityRefusals.wasRefusedLately(offer, now));
+                demands, context.clusterState().types(), offer -> capacityRefusals.wasRecentlyRefused(offer, now));
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/ProvisioningContext.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ProvisioningContext.java
@@ -19,26 +19,26 @@
     private final CoordinationContext coordination;
     private final CloudClient cloudClient;
     private final OperatorSettings operatorSettings;
-    private final Runnable wake;
-    private long namesGiven;
+    private final Runnable afterWrite;
+    private long issuedNames;
 
-    /** Creates the context of one controller. {@code wake} runs after each write, whether or not it was committed. */
+    /** Creates the context of one controller; {@code afterWrite} runs after each write, whether or not it committed. */
     public ProvisioningContext(
             CoordinationContext coordination,
             CloudClient cloudClient,
             OperatorSettings operatorSettings,
-            Runnable wake) {
+            Runnable afterWrite) {
         this.coordination = coordination;
         this.cloudClient = cloudClient;
         this.operatorSettings = operatorSettings;
-        this.wake = wake;
+        this.afterWrite = afterWrite;
     }
 
     EventLoop loop() {
         return coordination.loop();
     }
 
-    CloudClient cloud() {
+    CloudClient cloudClient() {
         return cloudClient;
     }
 
@@ -46,7 +46,7 @@
         return coordination.settings();
     }
 
-    OperatorSettings operator() {
+    OperatorSettings operatorSettings() {
         return operatorSettings;
     }
 
@@ -69,20 +69,20 @@
 
     /** Returns a name that is unique across all controllers and all incarnations of this one. */
     String uniqueName(String prefix) {
-        namesGiven++;
+        issuedNames++;
         return prefix + "-" + membership().view().epoch() + "-"
-                + membership().view().members().get(settings().node()) + "-" + namesGiven;
+                + membership().view().members().get(settings().node()) + "-" + issuedNames;
     }
 
-    /** Commits a transaction guarded by the current view; {@code whenDone} receives whether it was committed. */
-    void write(Transaction transaction, Consumer<Boolean> whenDone) {
+    /** Commits a transaction guarded by the current view; {@code onResult} receives whether it was committed. */
+    void write(Transaction transaction, Consumer<Boolean> onResult) {
         transaction.requireRevision(Keys.VIEW, membership().viewRevision());
         coordination.store().commit(transaction, CallPriority.WORK, result -> {
             if (result.ok()) {
                 replica().applyCommitted(transaction, result.revision());
             }
-            whenDone.accept(result.ok());
-            wake.run();
+            onResult.accept(result.ok());
+            afterWrite.run();
         });
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/ScaleIn.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ScaleIn.java
@@ -44,7 +44,7 @@
     private final IdleMachines idleMachines;
     private final BootMonitor bootMonitor;
     /** Machines with a batch write or a return request in flight. */
-    private final Set<String> inFlight = new HashSet<>();
+    private final Set<String> machinesInFlight = new HashSet<>();
     /** Batches with a write in flight. */
     private final Set<String> batchesInFlight = new HashSet<>();
     /** Machines whose return the cloud has confirmed, and whose records have not been removed yet. */
@@ -71,7 +71,7 @@
     /** Resets the in-memory state; called when this controller becomes the provisioning leader. */
     void reset(Instant now) {
         unfitMachineDetector.reset(now);
-        inFlight.clear();
+        machinesInFlight.clear();
         batchesInFlight.clear();
         confirmedReturns.clear();
         surplusDue.reset();
@@ -89,23 +89,23 @@
             return;
         }
         batchesInFlight.addAll(change.batches());
-        inFlight.addAll(change.machines());
+        machinesInFlight.addAll(change.machines());
         context.write(change.transaction(context.replica()), ok -> {
             batchesInFlight.removeAll(change.batches());
-            inFlight.removeAll(change.machines());
+            machinesInFlight.removeAll(change.machines());
         });
     }
 
     /** Marks unfit machines for return. */
-    void markUnfit(Instant now) {
+    void markUnfitMachines(Instant now) {
         Set<String> silentZones = unfitMachineDetector.silentZones();
         MachineBatchChange change = newChange();
         for (MachineRecord machine : context.clusterState().machines()) {
-            if (inFlight.contains(machine.name())) {
+            if (machinesInFlight.contains(machine.name())) {
                 continue;
             }
             Optional<ReturnReason> reason = unfitMachineDetector.reasonToReturn(machine, silentZones, now);
-            if (reason.isPresent() && change.mark(machine.name(), MachineBatch.ServiceState.RETURNING)) {
+            if (reason.isPresent() && change.setServiceState(machine.name(), MachineBatch.ServiceState.RETURNING)) {
                 logReturn(machine, reason.get());
                 if (machine.condition() == Condition.BOOTING) {
                     bootMonitor.countGivenUp();
@@ -120,8 +120,8 @@
     }
 
     /** Marks surplus machines for return if they have been idle for longer than the idle period. */
-    void retireSurplus(Instant now, InstanceCounts wanted, InstanceCounts present) {
-        List<MachineRecord> idle = idleMachines.idleForPeriod(now);
+    void retireSurplusMachines(Instant now, InstanceCounts wanted, InstanceCounts present) {
+        List<MachineRecord> idle = idleMachines.idleLongerThanPeriod(now);
         if (!surplusDue.isReached(now)) {
             return;
         }
@@ -134,8 +134,8 @@
             String type = machine.type();
             int surplus = present.ofType(type) - wanted.ofType(type) - retiredByType.getOrDefault(type, 0);
             if (surplus > 0
-                    && !inFlight.contains(machine.name())
-                    && change.mark(machine.name(), MachineBatch.ServiceState.RETIRING)) {
+                    && !machinesInFlight.contains(machine.name())
+                    && change.setServiceState(machine.name(), MachineBatch.ServiceState.RETIRING)) {
                 logReturn(machine, ReturnReason.SURPLUS);
                 retiredByType.merge(type, 1, Integer::sum);
             }
@@ -178,14 +178,14 @@
         List<MachineRecord> returning = new ArrayList<>();
         MachineBatchChange backInService = newChange();
         for (MachineRecord machine : context.clusterState().machines()) {
-            if (inFlight.contains(machine.name()) || confirmedReturns.contains(machine.name())) {
+            if (machinesInFlight.contains(machine.name()) || confirmedReturns.contains(machine.name())) {
                 continue;
             }
             ReturnDecision decision = decide(machine);
             if (decision == ReturnDecision.RETURN && returning.size() < MAX_MACHINES_PER_RETURN) {
                 returning.add(machine);
             } else if (decision == ReturnDecision.BACK_IN_SERVICE) {
-                backInService.mark(machine.name(), MachineBatch.ServiceState.IN_SERVICE);
+                backInService.setServiceState(machine.name(), MachineBatch.ServiceState.IN_SERVICE);
             }
         }
         write(backInService);
@@ -198,19 +198,20 @@
     private void requestReturn(List<MachineRecord> machines) {
         List<String> names = machines.stream().map(MachineRecord::name).toList();
         String body = CloudMessages.returnRequestBody(names);
-        if (context.cloud().tryCall("POST", "/machines/return", body, reply -> onReturnReply(machines, names, reply))) {
-            inFlight.addAll(names);
+        if (context.cloudClient()
+                .tryCall("POST", "/machines/return", body, reply -> onReturnReply(machines, names, reply))) {
+            machinesInFlight.addAll(names);
         }
     }
 
     private void onReturnReply(List<MachineRecord> machines, List<String> names, HttpCalls.Reply reply) {
         if (!reply.ok()) {
-            context.loop().after(RETRY_DELAY, () -> inFlight.removeAll(names));
+            context.loop().after(RETRY_DELAY, () -> machinesInFlight.removeAll(names));
             return;
         }
-        inFlight.removeAll(names);
-        inventory.returned(names);
-        machines.forEach(machine -> capacityRefusals.available(InstanceOffer.of(machine)));
+        machinesInFlight.removeAll(names);
+        inventory.recordReturned(names);
+        machines.forEach(machine -> capacityRefusals.clearRefusal(InstanceOffer.of(machine)));
         // The machines and everything on them are gone. Their owners are informed by the removal of the records.
         confirmedReturns.addAll(names);
     }
--- a/src/main/java/org/havenford/coordination/provisioning/ScaleOut.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ScaleOut.java
@@ -31,9 +31,9 @@
     private final ProvisioningContext context;
     private final CapacityRefusals capacityRefusals;
     /** Instance requests with a call to the cloud or a write of their outcome in flight. */
-    private final Set<String> inFlight = new HashSet<>();
+    private final Set<String> requestsInFlight = new HashSet<>();
 
-    private boolean writing;
+    private boolean writeInFlight;
 
     ScaleOut(ProvisioningContext context, CapacityRefusals capacityRefusals) {
         this.context = context;
@@ -42,21 +42,21 @@
 
     /** Resets the in-memory state; called when this controller becomes the provisioning leader. */
     void reset() {
-        inFlight.clear();
-        writing = false;
+        requestsInFlight.clear();
+        writeInFlight = false;
     }
 
     /** Stores the planned instance requests, unless an earlier write is still in flight. */
     void storeRequests(List<PlannedRequest> planned) {
         Transaction transaction = new Transaction();
-        planned.forEach(request -> store(request, transaction));
-        if (transaction.operationCount() > 0 && !writing) {
-            writing = true;
-            context.write(transaction, ok -> writing = false);
+        planned.forEach(request -> addToTransaction(request, transaction));
+        if (transaction.operationCount() > 0 && !writeInFlight) {
+            writeInFlight = true;
+            context.write(transaction, ok -> writeInFlight = false);
         }
     }
 
-    private void store(PlannedRequest planned, Transaction transaction) {
+    private void addToTransaction(PlannedRequest planned, Transaction transaction) {
         String name = context.uniqueName(REQUEST_NAME_PREFIX);
         InstanceOffer offer = planned.offer();
         InstanceRequest request = new InstanceRequest(
@@ -72,13 +72,13 @@
     /** Sends the stored instance requests that are not in flight to the cloud. */
     void sendRequests() {
         for (InstanceRequest request : List.copyOf(context.clusterState().instanceRequests())) {
-            if (inFlight.contains(request.name())) {
+            if (requestsInFlight.contains(request.name())) {
                 continue;
             }
             String body = CloudMessages.instanceRequestBody(
                     request.name(), request.type(), request.zone(), request.spot(), request.count());
-            if (context.cloud().tryCall("POST", "/machines", body, reply -> onReply(request, reply))) {
-                inFlight.add(request.name());
+            if (context.cloudClient().tryCall("POST", "/machines", body, reply -> onReply(request, reply))) {
+                requestsInFlight.add(request.name());
             }
         }
     }
@@ -92,11 +92,12 @@
                 LOG.warn("unreadable reply of the cloud to an instance request: error=\"{}\"", e.getMessage());
             }
         } else if (reply.status() == STATUS_NO_CAPACITY || reply.status() == STATUS_BAD_REQUEST) {
-            capacityRefusals.refused(InstanceOffer.of(request), context.loop().now());
+            capacityRefusals.recordRefusal(
+                    InstanceOffer.of(request), context.loop().now());
             complete(request, deletionOf(request));
             return;
         }
-        context.loop().after(RETRY_DELAY, () -> inFlight.remove(request.name()));
+        context.loop().after(RETRY_DELAY, () -> requestsInFlight.remove(request.name()));
     }
 
     private void onLaunched(InstanceRequest request, List<String> machines) {
@@ -108,7 +109,8 @@
                 request.zone(),
                 request.spot());
         if (machines.size() < request.count()) {
-            capacityRefusals.refused(InstanceOffer.of(request), context.loop().now());
+            capacityRefusals.recordRefusal(
+                    InstanceOffer.of(request), context.loop().now());
         }
         recordBatch(request, machines);
     }
@@ -136,6 +138,6 @@
     }
 
     private void complete(InstanceRequest request, Transaction transaction) {
-        context.write(transaction, ok -> inFlight.remove(request.name()));
+        context.write(transaction, ok -> requestsInFlight.remove(request.name()));
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/TaskDemandEstimator.java
+++ b/src/main/java/org/havenford/coordination/provisioning/TaskDemandEstimator.java
@@ -30,13 +30,13 @@
     }
 
     /** A job with pending tasks and no claims is considered unplaceable this long after its release. */
-    private static final Duration STUCK_AFTER = Duration.ofSeconds(30);
+    private static final Duration UNPLACEABLE_AFTER = Duration.ofSeconds(30);
     /** Maximum number of suspect jobs counted per set of fitting types; a suspect job may fail on every machine. */
-    private static final int MAX_SUSPECT_JOBS = 2;
+    private static final int MAX_SUSPECTS_PER_TYPE_SET = 2;
     /** Share of a job class's permitted start delay that is used to run tasks one after the other. */
-    private static final double WAIT_USED = 0.5;
+    private static final double USED_DELAY_SHARE = 0.5;
     /** Share of the time to a deadline in which tasks are planned to run. */
-    private static final double DEADLINE_USED = 0.8;
+    private static final double USED_DEADLINE_SHARE = 0.8;
     /** Boot time in seconds assumed for a job that fits no known machine type. */
     private static final double DEFAULT_BOOT_SECONDS = 60;
 
@@ -46,8 +46,8 @@
     private final PlatformSettings settings;
     private final Instant timeOfDay;
     private final Pace pace;
-    private final Map<String, Double> cpusByTeam = new HashMap<>();
-    private final Map<String, Integer> suspectsByTypes = new HashMap<>();
+    private final Map<String, Double> usedCpusByTeam = new HashMap<>();
+    private final Map<String, Integer> suspectCountByTypes = new HashMap<>();
 
     private TaskDemandEstimator(ClusterState clusterState, PlatformSettings settings, Instant timeOfDay, Pace pace) {
         this.clusterState = clusterState;
@@ -71,8 +71,10 @@
 
     private TaskDemand demandOf(Job job) {
         JobSpec spec = job.spec();
-        double tasksLeft = spec.taskCount() - job.doneCount();
-        double tasks = pace == Pace.AS_NEEDED ? Math.max(neededTasks(job, tasksLeft), job.claimCount()) : tasksLeft;
+        double unfinishedTasks = spec.taskCount() - job.doneCount();
+        double tasks = pace == Pace.AS_NEEDED
+                ? Math.max(concurrentTasksNeeded(job, unfinishedTasks), job.claimCount())
+                : unfinishedTasks;
         if (FailingJobBackoff.isSuspect(job)) {
             tasks = limitSuspect(spec, tasks);
         }
@@ -81,19 +83,19 @@
     }
 
     /** Returns the number of tasks that must run concurrently for the job to be in time. */
-    private double neededTasks(Job job, double tasksLeft) {
+    private double concurrentTasksNeeded(Job job, double unfinishedTasks) {
         JobSpec spec = job.spec();
         double runSeconds = runSeconds(job);
         double secondsLeft = secondsToDeadline(job);
         if (secondsLeft >= runSeconds) {
-            return tasksLeft / Math.max(1, Math.floor(secondsLeft * DEADLINE_USED / runSeconds));
+            return unfinishedTasks / Math.max(1, Math.floor(secondsLeft * USED_DEADLINE_SHARE / runSeconds));
         }
         // Discounts tasks that can use the capacity freed while a machine boots, or within the permitted start delay.
-        double waitSeconds = allowedWaitSeconds(spec);
-        return tasksLeft
+        double delaySeconds = permittedDelaySeconds(spec);
+        return unfinishedTasks
                 * runSeconds
                 / (runSeconds + shortestBootSeconds(spec))
-                / (1 + WAIT_USED * Math.min(1, waitSeconds / runSeconds));
+                / (1 + USED_DELAY_SHARE * Math.min(1, delaySeconds / runSeconds));
     }
 
     private static double runSeconds(Job job) {
@@ -115,7 +117,7 @@
      * Returns the start delay in seconds that the objectives of the job's class permit; 0 if there is no such
      * objective.
      */
-    private double allowedWaitSeconds(JobSpec spec) {
+    private double permittedDelaySeconds(JobSpec spec) {
         return settings.objectives().stream()
                 .filter(objective -> objective.kind().equals("wait")
                         && objective.jobClass().equals(spec.jobClass())
@@ -135,8 +137,8 @@
 
     /** Limits a suspect job to one task, or to none if enough suspect jobs with the same fitting types are counted. */
     private double limitSuspect(JobSpec spec, double tasks) {
-        int suspects = suspectsByTypes.merge(fittingTypes(spec), 1, Integer::sum);
-        return suspects <= MAX_SUSPECT_JOBS ? Math.min(tasks, 1) : 0;
+        int suspects = suspectCountByTypes.merge(fittingTypes(spec), 1, Integer::sum);
+        return suspects <= MAX_SUSPECTS_PER_TYPE_SET ? Math.min(tasks, 1) : 0;
     }
 
     private String fittingTypes(JobSpec spec) {
@@ -155,18 +157,18 @@
         if (team == null || team.cpusMax() <= 0) {
             return tasks;
         }
-        double usedCpus = cpusByTeam.getOrDefault(spec.team(), 0.0);
+        double usedCpus = usedCpusByTeam.getOrDefault(spec.team(), 0.0);
         double limited = Math.min(tasks, Math.max(0, (team.cpusMax() - usedCpus) / spec.cpus()));
-        cpusByTeam.put(spec.team(), usedCpus + limited * spec.cpus());
+        usedCpusByTeam.put(spec.team(), usedCpus + limited * spec.cpus());
         return limited;
     }
 
     private Startability startability(Job job, double tasks) {
-        boolean stuck = job.pendingCount() > 0
+        boolean unplaceable = job.pendingCount() > 0
                 && job.claimCount() == 0
                 && tasks > 0
-                && timeOfDay.isAfter(job.releasedAt().plus(STUCK_AFTER));
-        if (!stuck) {
+                && timeOfDay.isAfter(job.releasedAt().plus(UNPLACEABLE_AFTER));
+        if (!unplaceable) {
             return Startability.STARTABLE;
         }
         return job.errors() > 0 ? Startability.UNPLACEABLE_AFTER_FAILURES : Startability.UNPLACEABLE;
--- a/src/main/java/org/havenford/coordination/provisioning/TaskPacking.java
+++ b/src/main/java/org/havenford/coordination/provisioning/TaskPacking.java
@@ -7,7 +7,7 @@
 /** Computes how many tasks of a job fit on a machine and what each of them costs. */
 final class TaskPacking {
     /** Added before rounding down, so that a rounding error of the division does not lose a task. */
-    private static final double ROUNDING_ERROR = 1e-9;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private TaskPacking() {}
 
@@ -20,7 +20,7 @@
         if (spec.memGb() > 0) {
             tasks = Math.min(tasks, type.memGb() / spec.memGb());
         }
-        return (int) Math.floor(tasks + ROUNDING_ERROR);
+        return (int) Math.floor(tasks + ROUNDING_TOLERANCE);
     }
 
     /** Returns the relative cost of one task: its share of the machine's price for the image pull and the run. */
--- a/src/main/java/org/havenford/coordination/provisioning/UnfitMachineDetector.java
+++ b/src/main/java/org/havenford/coordination/provisioning/UnfitMachineDetector.java
@@ -38,16 +38,16 @@
      */
     Set<String> silentZones() {
         Map<String, Integer> silent = new HashMap<>();
-        Map<String, Integer> reporting = new HashMap<>();
+        Map<String, Integer> booted = new HashMap<>();
         for (MachineRecord machine : context.clusterState().machines()) {
             if (machine.condition() == Condition.SILENT) {
                 silent.merge(machine.zone(), 1, Integer::sum);
             }
             if (machine.condition() != Condition.BOOTING) {
-                reporting.merge(machine.zone(), 1, Integer::sum);
+                booted.merge(machine.zone(), 1, Integer::sum);
             }
         }
-        silent.entrySet().removeIf(entry -> entry.getValue() * 2 < reporting.get(entry.getKey()));
+        silent.entrySet().removeIf(entry -> entry.getValue() * 2 < booted.get(entry.getKey()));
         return silent.keySet();
     }
 
@@ -57,7 +57,7 @@
             return Optional.of(ReturnReason.FAILED_IN_CLOUD);
         }
         return switch (machine.condition()) {
-            case BOOTING -> bootTimedOut(machine, now) ? Optional.of(ReturnReason.BOOT_TIMEOUT) : Optional.empty();
+            case BOOTING -> hasBootTimedOut(machine, now) ? Optional.of(ReturnReason.BOOT_TIMEOUT) : Optional.empty();
             case FAULTY -> hasClaims(machine) ? Optional.empty() : Optional.of(ReturnReason.FAULTY);
             case SILENT -> reasonToReturnSilent(machine, silentZones, now);
             default -> Optional.empty();
@@ -68,18 +68,18 @@
         return !context.clusterState().claimsOn(machine.name()).isEmpty();
     }
 
-    private boolean bootTimedOut(MachineRecord machine, Instant now) {
+    private boolean hasBootTimedOut(MachineRecord machine, Instant now) {
         if (now.isBefore(activeSince.plus(STABILIZATION_PERIOD)) || hasClaims(machine)) {
             return false;
         }
-        return bootTimeEstimator.isGivenUp(machine);
+        return bootTimeEstimator.hasTimedOut(machine);
     }
 
     private Optional<ReturnReason> reasonToReturnSilent(MachineRecord machine, Set<String> silentZones, Instant now) {
         int factor = silentZones.contains(machine.zone()) ? SILENT_ZONE_FACTOR : 1;
-        Duration patience = context.operator().silentBeforeReturn().multipliedBy(factor);
+        Duration silenceLimit = context.operatorSettings().silentBeforeReturn().multipliedBy(factor);
         Duration silentFor = context.timeInCondition(machine);
-        if (silentFor.compareTo(context.settings().agentLease().plus(patience)) > 0) {
+        if (silentFor.compareTo(context.settings().agentLease().plus(silenceLimit)) > 0) {
             return Optional.of(ReturnReason.SILENT_TOO_LONG);
         }
         return inventory.isNoLongerListed(machine.name(), now.minus(silentFor))
--- a/src/test/java/org/havenford/coordination/provisioning/BootTimeEstimatorTest.java
+++ b/src/test/java/org/havenford/coordination/provisioning/BootTimeEstimatorTest.java
@@ -70,9 +70,9 @@
         assertFalse(overdue(machine), "1.5 times its nominal time is usual");
         times.update(at(40));
         assertTrue(overdue(machine));
-        assertFalse(times.isGivenUp(clusterState.machine(machine)));
+        assertFalse(times.hasTimedOut(clusterState.machine(machine)));
         times.update(at(81));
-        assertTrue(times.isGivenUp(clusterState.machine(machine)));
+        assertTrue(times.hasTimedOut(clusterState.machine(machine)));
     }
 
     /** Where machines were seen to take longer, the next are waited for longer; in the other zone nothing has changed. */
@@ -101,10 +101,10 @@
         assertTrue(times.isFailingToBoot(ZONE_A));
         assertFalse(times.isFailingToBoot(ZONE_B), "one that was rented with them is up");
         assertEquals(Map.of(ZONE_A, 5, ZONE_B, 4), times.overdueByOffer());
-        assertTrue(times.mayRetry(ZONE_A));
+        assertTrue(times.isRetryDue(ZONE_A));
         List<String> tried = rent(ZONE_A, 45, 2);
         times.update(at(46));
-        assertFalse(times.mayRetry(ZONE_A), "not again at once");
+        assertFalse(times.isRetryDue(ZONE_A), "not again at once");
         up(tried.get(0), 60);
         times.update(at(60));
         assertFalse(times.isFailingToBoot(ZONE_A), "a machine rented later than those is up");
