--- a/src/test/java/org/havenford/coordination/provisioning/BootTimeEstimatorTest.java
+++ b/src/test/java/org/havenford/coordination/provisioning/BootTimeEstimatorTest.java
@@ -18,7 +18,7 @@
 import org.havenford.testing.QuietObserver;
 import org.junit.jupiter.api.Test;
 
-/** Which rented machines are overdue, and which offers are in trouble. A boot takes 20 s by its type. */
+/** Detection of overdue machines and of offers that fail to boot. The nominal boot time of the machine type is 20 s. */
 class BootTimeEstimatorTest {
     private static final Instant START = Instant.ofEpochSecond(1_700_000_000L);
     private static final String TYPES =
@@ -27,97 +27,97 @@
     private static final InstanceOffer ZONE_B = new InstanceOffer(new InstanceKind("large", true), "b");
 
     private final ClusterState clusterState = new ClusterState();
-    private final BootTimeEstimator times = new BootTimeEstimator(clusterState);
-    private long stamp;
-    private int batches;
+    private final BootTimeEstimator estimator = new BootTimeEstimator(clusterState);
+    private long revision;
+    private int batchCount;
 
     BootTimeEstimatorTest() {
         clusterState.setObserver(new QuietObserver());
-        clusterState.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
+        clusterState.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++revision);
     }
 
     private static Instant at(double second) {
         return START.plusMillis((long) (second * 1000));
     }
 
-    /** Rents machines; their names begin with the batch's. */
-    private List<String> rent(InstanceOffer offer, double second, int number) {
-        String batch = "r-" + batches++;
+    /** Records a batch of launched machines, and returns their names, which start with the batch name. */
+    private List<String> launch(InstanceOffer offer, double second, int count) {
+        String batch = "r-" + batchCount++;
         List<String> names =
-                IntStream.range(0, number).mapToObj(i -> batch + "-" + i).toList();
-        MachineBatch rented = MachineBatch.of(batch, offer.kind().type(), offer.zone(), true, at(second), names);
-        clusterState.changed(Keys.batch(batch), rented.toJson(), ++stamp);
+                IntStream.range(0, count).mapToObj(i -> batch + "-" + i).toList();
+        MachineBatch launched = MachineBatch.of(batch, offer.kind().type(), offer.zone(), true, at(second), names);
+        clusterState.changed(Keys.batch(batch), launched.toJson(), ++revision);
         return names;
     }
 
-    private void up(String machine, double second) {
+    private void reportUp(String machine, double second) {
         TreeMap<String, MachineStatuses.Status> all =
                 new TreeMap<>(Map.of(machine, new MachineStatuses.Status(Condition.UP, List.of())));
         clusterState.changed(
-                Keys.machineStatuses("n", batches + machine.hashCode()),
+                Keys.machineStatuses("n", batchCount + machine.hashCode()),
                 new MachineStatuses(at(second), all).toJson(8192),
-                ++stamp);
+                ++revision);
     }
 
-    private boolean overdue(String machine) {
-        return times.isOverdue(clusterState.machine(machine));
+    private boolean isOverdue(String machine) {
+        return estimator.isOverdue(clusterState.machine(machine));
     }
 
     @Test
-    void overdueByItsType() {
-        String machine = rent(ZONE_A, 0, 1).get(0);
-        times.update(at(30));
-        assertFalse(overdue(machine), "1.5 times its nominal time is usual");
-        times.update(at(40));
-        assertTrue(overdue(machine));
-        assertFalse(times.hasTimedOut(clusterState.machine(machine)));
-        times.update(at(81));
-        assertTrue(times.hasTimedOut(clusterState.machine(machine)));
+    void machineIsOverdueAfterTheUsualBootTimeOfItsType() {
+        String machine = launch(ZONE_A, 0, 1).get(0);
+        estimator.update(at(30));
+        assertFalse(isOverdue(machine), "1.5 times the nominal boot time is usual");
+        estimator.update(at(40));
+        assertTrue(isOverdue(machine));
+        assertFalse(estimator.hasTimedOut(clusterState.machine(machine)));
+        estimator.update(at(81));
+        assertTrue(estimator.hasTimedOut(clusterState.machine(machine)));
     }
 
-    /** Where machines were seen to take longer, the next are waited for longer; in the other zone nothing has changed. */
+    /** Slow boots in one zone extend the expected boot time there, up to a limit, but not in the other zone. */
     @Test
-    void overdueByWhatWasSeen() {
-        List<String> slow = rent(ZONE_A, 0, 4);
-        times.update(at(1));
-        slow.forEach(machine -> up(machine, 44));
-        times.update(at(44));
-        String next = rent(ZONE_A, 50, 1).get(0);
-        String other = rent(ZONE_B, 50, 1).get(0);
-        times.update(at(95));
-        assertFalse(overdue(next));
-        assertTrue(overdue(other));
-        times.update(at(116));
-        assertTrue(overdue(next), "three times the nominal time is too long in any case");
+    void slowRecentBootsExtendTheExpectedBootTimeInTheirZone() {
+        List<String> slow = launch(ZONE_A, 0, 4);
+        estimator.update(at(1));
+        slow.forEach(machine -> reportUp(machine, 44));
+        estimator.update(at(44));
+        String next = launch(ZONE_A, 50, 1).get(0);
+        String other = launch(ZONE_B, 50, 1).get(0);
+        estimator.update(at(95));
+        assertFalse(isOverdue(next));
+        assertTrue(isOverdue(other));
+        estimator.update(at(116));
+        assertTrue(isOverdue(next), "more than three times the nominal boot time is always overdue");
     }
 
     @Test
-    void anOfferWhoseMachinesDoNotComeUpIsInTrouble() {
-        rent(ZONE_A, 0, 5);
-        List<String> elsewhere = rent(ZONE_B, 0, 5);
-        times.update(at(20));
-        up(elsewhere.get(0), 20);
-        times.update(at(45));
-        assertTrue(times.isFailingToBoot(ZONE_A));
-        assertFalse(times.isFailingToBoot(ZONE_B), "one that was rented with them is up");
-        assertEquals(Map.of(ZONE_A, 5, ZONE_B, 4), times.overdueByOffer());
-        assertTrue(times.isRetryDue(ZONE_A));
-        List<String> tried = rent(ZONE_A, 45, 2);
-        times.update(at(46));
-        assertFalse(times.isRetryDue(ZONE_A), "not again at once");
-        up(tried.get(0), 60);
-        times.update(at(60));
-        assertFalse(times.isFailingToBoot(ZONE_A), "a machine rented later than those is up");
+    void offerFailsToBootWhileNoneOfItsMachinesComesUp() {
+        launch(ZONE_A, 0, 5);
+        List<String> elsewhere = launch(ZONE_B, 0, 5);
+        estimator.update(at(20));
+        reportUp(elsewhere.get(0), 20);
+        estimator.update(at(45));
+        assertTrue(estimator.isFailingToBoot(ZONE_A));
+        assertFalse(estimator.isFailingToBoot(ZONE_B), "a machine launched with the overdue ones is up");
+        assertEquals(Map.of(ZONE_A, 5, ZONE_B, 4), estimator.overdueByOffer());
+        assertTrue(estimator.isRetryDue(ZONE_A));
+        List<String> retried = launch(ZONE_A, 45, 2);
+        estimator.update(at(46));
+        assertFalse(estimator.isRetryDue(ZONE_A), "the retry interval has not passed");
+        reportUp(retried.get(0), 60);
+        estimator.update(at(60));
+        assertFalse(estimator.isFailingToBoot(ZONE_A), "a machine launched after the overdue ones is up");
     }
 
-    /** A successor has seen no boots, and judges from the records alike. */
+    /** After a failover, an estimator that has observed no boots reaches the same result from the records. */
     @Test
-    void aSuccessorJudgesAlike() {
-        rent(ZONE_A, 0, 5);
-        times.update(at(45));
+    void newLeaderDetectsFailingOfferFromRecordsAlone() {
+        launch(ZONE_A, 0, 5);
+        estimator.update(at(45));
         BootTimeEstimator successor = new BootTimeEstimator(clusterState);
         successor.update(at(45));
         assertTrue(successor.isFailingToBoot(ZONE_A));
-        assertEquals(times.overdueByOffer(), successor.overdueByOffer());
+        assertEquals(estimator.overdueByOffer(), successor.overdueByOffer());
     }
 }
