--- a/src/main/java/org/havenford/coordination/provisioning/BootMonitor.java
+++ b/src/main/java/org/havenford/coordination/provisioning/BootMonitor.java
@@ -10,35 +10,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs machines that are overdue or were given up, grouped by type and zone: when the first is overdue, then at growing
- * intervals, and once none is overdue any more.
+ * Logs machines that are overdue to boot, grouped by type and zone. Each group is logged when its first machine becomes
+ * overdue, then at doubling intervals, and once more when none is overdue. Also counts the machines that were given up.
  */
 final class BootMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(BootMonitor.class);
     private static final Duration FIRST_INTERVAL = Duration.ofSeconds(30);
     private static final Duration MAX_INTERVAL = Duration.ofMinutes(8);
 
-    /** Machines that are reported together. */
+    /** The type and zone by which overdue machines are grouped in the log. */
     private record Group(String type, String zone) {}
 
     private record LastReport(Instant nextAt, Duration interval) {}
 
     private final Map<Group, LastReport> lastReports = new HashMap<>();
-    private int overdueNow;
+    private int overdueCount;
     private int givenUp;
 
-    /** Reports the machines that are overdue now, by offer. */
+    /** Logs the currently overdue machines, given as counts by offer. */
     void reportOverdue(Map<InstanceOffer, Integer> overdueByOffer, BootTimeEstimator bootTimeEstimator, Instant now) {
         Map<Group, Integer> overdueByGroup = new HashMap<>();
         Map<Group, Duration> expectedByGroup = new HashMap<>();
-        overdueByOffer.forEach((offer, number) -> {
+        overdueByOffer.forEach((offer, count) -> {
             Group group = new Group(offer.kind().type(), offer.zone());
-            overdueByGroup.merge(group, number, Integer::sum);
+            overdueByGroup.merge(group, count, Integer::sum);
             expectedByGroup.put(group, bootTimeEstimator.expectedBootTime(offer));
         });
-        overdueNow =
+        overdueCount =
                 overdueByGroup.values().stream().mapToInt(Integer::intValue).sum();
-        overdueByGroup.forEach((group, number) -> report(group, number, expectedByGroup.get(group), now));
+        overdueByGroup.forEach((group, count) -> report(group, count, expectedByGroup.get(group), now));
         Set<Group> recovered = new HashSet<>(lastReports.keySet());
         recovered.removeAll(overdueByGroup.keySet());
         for (Group group : recovered) {
@@ -47,7 +47,7 @@
         }
     }
 
-    private void report(Group group, int number, Duration expected, Instant now) {
+    private void report(Group group, int count, Duration expected, Instant now) {
         LastReport last = lastReports.get(group);
         if (last != null && now.isBefore(last.nextAt())) {
             return;
@@ -57,20 +57,23 @@
         lastReports.put(group, new LastReport(now.plus(interval), interval));
         LOG.warn(
                 "machines are overdue to boot: machines={} type={} zone={} expectedSeconds={}",
-                number,
+                count,
                 group.type(),
                 group.zone(),
                 expected.toSeconds());
     }
 
-    /** A machine that did not come up is returned. */
+    /** Counts a machine that is returned before it has come up. */
     void countGivenUp() {
         givenUp++;
     }
 
-    /** Numbers for the statistics that are logged each minute: machines overdue now, and given up since the last call. */
+    /**
+     * Returns a fragment of the statistics line that is logged every minute: the machines that are overdue now, and
+     * those given up since the last call.
+     */
     String summary() {
-        String text = "overdue=" + overdueNow + " givenUp=" + givenUp;
+        String text = "overdue=" + overdueCount + " givenUp=" + givenUp;
         givenUp = 0;
         return text;
     }
--- a/src/main/java/org/havenford/coordination/provisioning/CloudClient.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudClient.java
@@ -7,32 +7,35 @@
 import org.havenford.transport.EventLoop;
 import org.havenford.transport.HttpCalls;
 
-/** Calls to the cloud's API, kept below its limit of calls per second. */
+/** Client of the cloud's API that stays below the API's rate limit. */
 public final class CloudClient {
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(4);
-    /** Share of the limit that is used: the cloud counts in its own time. */
-    private static final double USED_SHARE_OF_LIMIT = 0.8;
+    /** Share of the rate limit that is used. The rest is a margin, as the cloud counts the calls by its own clock. */
+    private static final double RATE_LIMIT_SHARE = 0.8;
 
     private final EventLoop loop;
     private final HttpCalls calls;
     private final String address;
     private final TokenBucket rateLimit;
 
-    /** A client of the cloud at the address in the settings, within its request rate. */
+    /** Creates a client with the cloud's address and rate limit from the platform settings. */
     public CloudClient(EventLoop loop, HttpCalls calls, PlatformSettings settings) {
         this.loop = loop;
         this.calls = calls;
         this.address = settings.cloudAddress();
-        this.rateLimit = new TokenBucket(settings.cloudRequestsPerSecond() * USED_SHARE_OF_LIMIT, 1, loop.now());
+        this.rateLimit = new TokenBucket(settings.cloudRequestsPerSecond() * RATE_LIMIT_SHARE, 1, loop.now());
     }
 
-    /** Sends a request if the limit allows one now; returns whether it was sent. {@code body} is null where there is none. */
-    boolean tryCall(String method, String path, String body, Consumer<HttpCalls.Reply> whenAnswered) {
+    /**
+     * Sends a request if the rate limit currently allows one, and returns whether it was sent. A null {@code body}
+     * means a request without a body.
+     */
+    boolean tryCall(String method, String path, String body, Consumer<HttpCalls.Reply> onReply) {
         if (!rateLimit.has(1, loop.now())) {
             return false;
         }
         rateLimit.take(1);
-        calls.call(address, method, path, body, CALL_TIMEOUT, whenAnswered);
+        calls.call(address, method, path, body, CALL_TIMEOUT, onReply);
         return true;
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/DueTime.java
+++ b/src/main/java/org/havenford/coordination/provisioning/DueTime.java
@@ -2,23 +2,23 @@
 
 import java.time.Instant;
 
-/** When something that recurs is due again; it is due at once to begin with. */
+/** The time at which a recurring action is due next. The action is due immediately until it is first postponed. */
 final class DueTime {
-    /** Null while due at once. */
-    private Instant next;
+    /** Null if the action is due immediately. */
+    private Instant nextAt;
 
-    /** Whether it is due. */
+    /** Returns whether the action is due at {@code now}. */
     boolean isReached(Instant now) {
-        return next == null || !now.isBefore(next);
+        return nextAt == null || !now.isBefore(nextAt);
     }
 
-    /** It is not due before {@code time}. */
+    /** Postpones the action until {@code time}. */
     void postponeTo(Instant time) {
-        next = time;
+        nextAt = time;
     }
 
-    /** It is due at once. */
+    /** Makes the action due immediately. */
     void reset() {
-        next = null;
+        nextAt = null;
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/InstanceRequestPlanner.java
+++ b/src/main/java/org/havenford/coordination/provisioning/InstanceRequestPlanner.java
@@ -12,17 +12,17 @@
 import org.havenford.storage.records.MachineRecord;
 import org.havenford.storage.records.MachineRecord.Condition;
 
-/** Decides which instances are requested for the machines that are missing, and in which zones. */
+/** Plans instance requests for the machines that are missing, and chooses their zones. */
 final class InstanceRequestPlanner {
-    /** Machines of one offer that are to be requested. */
+    /** A number of machines to request from one offer. */
     record PlannedRequest(InstanceOffer offer, int count) {}
 
-    /** The cloud's limit of machines in one call. */
+    /** The cloud's limit on the number of machines in one request. */
     private static final int MAX_MACHINES_PER_REQUEST = 50;
-    /** Instance requests that are open at a time. */
+    /** Maximum number of instance requests that are open at the same time. */
     private static final int MAX_OPEN_REQUESTS = 3;
-    /** Machines that are requested at a time of an offer whose machines don't come up. */
-    private static final int MACHINES_PER_TRIAL = 2;
+    /** Maximum number of machines in one request for an offer that fails to boot. */
+    private static final int MAX_MACHINES_PER_RETRY = 2;
 
     private final ClusterState clusterState;
     private final CapacityRefusals capacityRefusals;
@@ -35,16 +35,19 @@
         this.bootTimeEstimator = bootTimeEstimator;
     }
 
-    /** The requests to make, in this order. {@code boundToZones} is the need that can only be met in a certain zone. */
+    /**
+     * Returns the requests to make, in order. {@code zoneDemand} is the demand of the jobs that may run in one zone
+     * only; it is planned first.
+     */
     List<PlannedRequest> plan(
             Instant now,
             InstanceCounts wanted,
             InstanceCounts present,
-            Object2DoubleOpenHashMap<InstanceOffer> boundToZones) {
+            Object2DoubleOpenHashMap<InstanceOffer> zoneDemand) {
         List<PlannedRequest> planned = new ArrayList<>();
         InstanceCounts missing = new InstanceCounts();
         wanted.kinds().forEach(kind -> missing.add(kind, wanted.get(kind) - present.get(kind)));
-        planForZones(boundToZones, missing, planned);
+        planZoneBoundDemand(zoneDemand, missing, planned);
         List<InstanceKind> kinds = new ArrayList<>(wanted.kinds());
         kinds.sort(Comparator.comparing(InstanceKind::spot).reversed().thenComparing(InstanceKind::type));
         for (InstanceKind kind : kinds) {
@@ -53,22 +56,20 @@
         return planned;
     }
 
-    /** First what can't be met elsewhere. */
-    private void planForZones(
-            Object2DoubleOpenHashMap<InstanceOffer> boundToZones,
-            InstanceCounts missing,
-            List<PlannedRequest> planned) {
-        if (boundToZones.isEmpty()) {
+    /** Plans requests for the demand that can only be met in certain zones. */
+    private void planZoneBoundDemand(
+            Object2DoubleOpenHashMap<InstanceOffer> zoneDemand, InstanceCounts missing, List<PlannedRequest> planned) {
+        if (zoneDemand.isEmpty()) {
             return;
         }
         Map<InstanceOffer, Integer> present = presentByOffer();
-        List<InstanceOffer> offers = new ArrayList<>(boundToZones.keySet());
+        List<InstanceOffer> offers = new ArrayList<>(zoneDemand.keySet());
         offers.sort(Comparator.comparing(InstanceOffer::zone)
                 .thenComparing(offer -> offer.kind().type())
                 .thenComparing(offer -> offer.kind().spot()));
         for (InstanceOffer offer : offers) {
-            int needed = FleetSizeTarget.wholeMachines(boundToZones.getDouble(offer));
-            int count = Math.min(needed - present.getOrDefault(offer, 0), maxMachines(offer));
+            int needed = FleetSizeTarget.wholeMachines(zoneDemand.getDouble(offer));
+            int count = Math.min(needed - present.getOrDefault(offer, 0), maxRequestSize(offer));
             if (count > 0 && mayRequestMore(planned)) {
                 planned.add(new PlannedRequest(offer, count));
                 missing.add(offer.kind(), -count);
@@ -76,12 +77,12 @@
         }
     }
 
-    /** Machines that are up, boot or have been requested, by offer. */
+    /** Returns the number of machines that are up, booting or requested, by offer. */
     private Map<InstanceOffer, Integer> presentByOffer() {
         Map<InstanceOffer, Integer> present = new HashMap<>();
         for (MachineRecord machine : clusterState.machines()) {
-            boolean stays = machine.condition() == Condition.UP || machine.condition() == Condition.BOOTING;
-            if (stays) {
+            boolean isPresent = machine.condition() == Condition.UP || machine.condition() == Condition.BOOTING;
+            if (isPresent) {
                 present.merge(InstanceOffer.of(machine), 1, Integer::sum);
             }
         }
@@ -91,27 +92,33 @@
         return present;
     }
 
-    /** In the zones that have the fewest machines; a need that is large is spread over the zones. */
+    /**
+     * Plans requests for one kind, preferring the zones with the fewest machines. Large numbers are spread over zones.
+     */
     private void planForKind(InstanceKind kind, int missing, Instant now, List<PlannedRequest> planned) {
         if (missing <= 0) {
             return;
         }
-        int left = missing;
-        List<String> zones = zonesByMachines(kind, now);
-        for (int i = 0; i < zones.size() && left > 0 && mayRequestMore(planned); i++) {
-            int zonesLeft = zones.size() - i;
-            int evenShare = (left + zonesLeft - 1) / zonesLeft;
+        int remaining = missing;
+        List<String> zones = zonesByPreference(kind, now);
+        for (int i = 0; i < zones.size() && remaining > 0 && mayRequestMore(planned); i++) {
+            int remainingZones = zones.size() - i;
+            int evenShare = (remaining + remainingZones - 1) / remainingZones;
             InstanceOffer offer = new InstanceOffer(kind, zones.get(i));
-            int count = Math.min(maxMachines(offer), left <= MAX_MACHINES_PER_REQUEST / 2 ? left : evenShare);
+            int count =
+                    Math.min(maxRequestSize(offer), remaining <= MAX_MACHINES_PER_REQUEST / 2 ? remaining : evenShare);
             if (count > 0) {
                 planned.add(new PlannedRequest(offer, count));
-                left -= count;
+                remaining -= count;
             }
         }
     }
 
-    /** Zones that did not refuse the kind lately: those where machines come up first, then those with the fewest machines. */
-    private List<String> zonesByMachines(InstanceKind kind, Instant now) {
+    /**
+     * Returns the zones that have not recently refused the kind, in order of preference: first those where the kind
+     * does not fail to boot, then by ascending number of machines of the type.
+     */
+    private List<String> zonesByPreference(InstanceKind kind, Instant now) {
         Map<String, Integer> machinesByZone = new HashMap<>();
         for (MachineRecord machine : clusterState.machines()) {
             if (machine.type().equals(kind.type())) {
@@ -120,7 +127,7 @@
         }
         List<String> zones =
                 new ArrayList<>(clusterState.types().get(kind.type()).zones());
-        zones.removeIf(zone -> capacityRefusals.wasRefusedLately(new InstanceOffer(kind, zone), now));
+        zones.removeIf(zone -> capacityRefusals.wasRecentlyRefused(new InstanceOffer(kind, zone), now));
         zones.sort(
                 Comparator.comparing((String zone) -> bootTimeEstimator.isFailingToBoot(new InstanceOffer(kind, zone)))
                         .thenComparing(zone -> machinesByZone.getOrDefault(zone, 0))
@@ -128,14 +135,17 @@
         return zones;
     }
 
-    /** Machines of an offer that may be requested at once: few, and at intervals, where they don't come up. */
-    private int maxMachines(InstanceOffer offer) {
+    /**
+     * Returns the maximum number of machines in the next request for an offer. If the offer fails to boot, the number
+     * is small, and zero until the retry interval has passed and no request for the offer is open.
+     */
+    private int maxRequestSize(InstanceOffer offer) {
         if (!bootTimeEstimator.isFailingToBoot(offer)) {
             return MAX_MACHINES_PER_REQUEST;
         }
-        boolean isRequested = clusterState.instanceRequests().stream()
+        boolean hasOpenRequest = clusterState.instanceRequests().stream()
                 .anyMatch(request -> InstanceOffer.of(request).equals(offer));
-        return !isRequested && bootTimeEstimator.mayRetry(offer) ? MACHINES_PER_TRIAL : 0;
+        return !hasOpenRequest && bootTimeEstimator.isRetryDue(offer) ? MAX_MACHINES_PER_RETRY : 0;
     }
 
     private boolean mayRequestMore(List<PlannedRequest> planned) {
--- a/src/main/java/org/havenford/coordination/provisioning/ScaleOut.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ScaleOut.java
@@ -17,8 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Requests instances from the cloud. The instance request is stored before the cloud is called, under a name that the cloud
- * takes as an idempotency key: so a successor calls again without launching twice.
+ * Requests instances from the cloud. Each instance request is stored before the cloud is called, and its name is passed
+ * to the cloud as an idempotency key. After a failover, the next provisioning leader can repeat the call without
+ * launching machines twice.
  */
 final class ScaleOut {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
@@ -29,33 +30,33 @@
 
     private final ProvisioningContext context;
     private final CapacityRefusals capacityRefusals;
-    /** Instance requests that the cloud has been called with, or whose outcome is being written. */
-    private final Set<String> inFlight = new HashSet<>();
+    /** Instance requests with a call to the cloud or a write of their outcome in flight. */
+    private final Set<String> requestsInFlight = new HashSet<>();
 
-    private boolean writing;
+    private boolean writeInFlight;
 
     ScaleOut(ProvisioningContext context, CapacityRefusals capacityRefusals) {
         this.context = context;
         this.capacityRefusals = capacityRefusals;
     }
 
-    /** Starts anew: this controller has become the provisioner. */
+    /** Resets the in-memory state; called when this controller becomes the provisioning leader. */
     void reset() {
-        inFlight.clear();
-        writing = false;
+        requestsInFlight.clear();
+        writeInFlight = false;
     }
 
-    /** Stores instance requests, unless earlier ones are still being written. */
+    /** Stores the planned instance requests, unless an earlier write is still in flight. */
     void storeRequests(List<PlannedRequest> planned) {
         Transaction transaction = new Transaction();
-        planned.forEach(request -> store(request, transaction));
-        if (transaction.operationCount() > 0 && !writing) {
-            writing = true;
-            context.write(transaction, ok -> writing = false);
+        planned.forEach(request -> addToTransaction(request, transaction));
+        if (transaction.operationCount() > 0 && !writeInFlight) {
+            writeInFlight = true;
+            context.write(transaction, ok -> writeInFlight = false);
         }
     }
 
-    private void store(PlannedRequest planned, Transaction transaction) {
+    private void addToTransaction(PlannedRequest planned, Transaction transaction) {
         String name = context.uniqueName(REQUEST_NAME_PREFIX);
         InstanceOffer offer = planned.offer();
         InstanceRequest request = new InstanceRequest(
@@ -68,16 +69,16 @@
         transaction.requireRevision(Keys.instanceRequest(name), 0).put(Keys.instanceRequest(name), request.toJson());
     }
 
-    /** Calls the cloud with the stored instance requests. */
+    /** Sends the stored instance requests that are not in flight to the cloud. */
     void sendRequests() {
         for (InstanceRequest request : List.copyOf(context.clusterState().instanceRequests())) {
-            if (inFlight.contains(request.name())) {
+            if (requestsInFlight.contains(request.name())) {
                 continue;
             }
             String body = CloudMessages.instanceRequestBody(
                     request.name(), request.type(), request.zone(), request.spot(), request.count());
-            if (context.cloud().tryCall("POST", "/machines", body, reply -> onReply(request, reply))) {
-                inFlight.add(request.name());
+            if (context.cloudClient().tryCall("POST", "/machines", body, reply -> onReply(request, reply))) {
+                requestsInFlight.add(request.name());
             }
         }
     }
@@ -91,11 +92,12 @@
                 LOG.warn("unreadable reply of the cloud to an instance request: error=\"{}\"", e.getMessage());
             }
         } else if (reply.status() == STATUS_NO_CAPACITY || reply.status() == STATUS_BAD_REQUEST) {
-            capacityRefusals.refused(InstanceOffer.of(request), context.loop().now());
+            capacityRefusals.recordRefusal(
+                    InstanceOffer.of(request), context.loop().now());
             complete(request, deletionOf(request));
             return;
         }
-        context.loop().after(RETRY_DELAY, () -> inFlight.remove(request.name()));
+        context.loop().after(RETRY_DELAY, () -> requestsInFlight.remove(request.name()));
     }
 
     private void onLaunched(InstanceRequest request, List<String> machines) {
@@ -107,12 +109,13 @@
                 request.zone(),
                 request.spot());
         if (machines.size() < request.count()) {
-            capacityRefusals.refused(InstanceOffer.of(request), context.loop().now());
+            capacityRefusals.recordRefusal(
+                    InstanceOffer.of(request), context.loop().now());
         }
         recordBatch(request, machines);
     }
 
-    /** The batch of machines takes the request's place in one transaction. */
+    /** Replaces an instance request by a batch of its launched machines, in one transaction. */
     private void recordBatch(InstanceRequest request, List<String> machines) {
         Transaction transaction = deletionOf(request);
         List<String> unrecorded = machines.stream()
@@ -135,6 +138,6 @@
     }
 
     private void complete(InstanceRequest request, Transaction transaction) {
-        context.write(transaction, ok -> inFlight.remove(request.name()));
+        context.write(transaction, ok -> requestsInFlight.remove(request.name()));
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/TaskDemandEstimator.java
+++ b/src/main/java/org/havenford/coordination/provisioning/TaskDemandEstimator.java
@@ -17,26 +17,27 @@
 
 /** Estimates how many tasks of each unfinished job should be able to run at the same time. */
 public final class TaskDemandEstimator {
-    /** How much of a job's work counts. */
+    /** How many of a job's unfinished tasks are counted. */
     public enum Pace {
-        /** All tasks that are left, at once. */
+        /** All unfinished tasks, as if they were to run at the same time. */
         ALL_AT_ONCE,
         /**
-         * No more than the job needs: one with a deadline can run its tasks one after the other while there is time, and one
-         * without need not have a machine boot for a task that an earlier one will have made room for by then.
+         * No more tasks than the job needs to be in time. A job with a deadline can run tasks one after the other as
+         * long as the time suffices. A job without one needs no new machine for a task if earlier tasks free capacity
+         * for it before such a machine has booted.
          */
         AS_NEEDED
     }
 
-    /** A job without a running task for this long after its release is stuck: the present fleet does not take it. */
-    private static final Duration STUCK_AFTER = Duration.ofSeconds(30);
-    /** Jobs that seem to fail everywhere, of those that fit the same types, that machines are requested for. */
-    private static final int MAX_SUSPECT_JOBS = 2;
-    /** Part of the wait that a class allows that is used to run its tasks one after the other. */
-    private static final double WAIT_USED = 0.5;
-    /** Part of the time to a deadline that tasks are planned to run in. */
-    private static final double DEADLINE_USED = 0.8;
-    /** Boot time in seconds that is assumed of a job that fits no known machine type. */
+    /** A job with pending tasks and no claims is considered unplaceable this long after its release. */
+    private static final Duration UNPLACEABLE_AFTER = Duration.ofSeconds(30);
+    /** Maximum number of suspect jobs counted per set of fitting types; a suspect job may fail on every machine. */
+    private static final int MAX_SUSPECTS_PER_TYPE_SET = 2;
+    /** Share of a job class's permitted start delay that is used to run tasks one after the other. */
+    private static final double USED_DELAY_SHARE = 0.5;
+    /** Share of the time to a deadline in which tasks are planned to run. */
+    private static final double USED_DEADLINE_SHARE = 0.8;
+    /** Boot time in seconds assumed for a job that fits no known machine type. */
     private static final double DEFAULT_BOOT_SECONDS = 60;
 
     private static final double MIN_RUN_SECONDS = 1;
@@ -45,8 +46,8 @@
     private final PlatformSettings settings;
     private final Instant timeOfDay;
     private final Pace pace;
-    private final Map<String, Double> cpusByTeam = new HashMap<>();
-    private final Map<String, Integer> suspectsByTypes = new HashMap<>();
+    private final Map<String, Double> usedCpusByTeam = new HashMap<>();
+    private final Map<String, Integer> suspectCountByTypes = new HashMap<>();
 
     private TaskDemandEstimator(ClusterState clusterState, PlatformSettings settings, Instant timeOfDay, Pace pace) {
         this.clusterState = clusterState;
@@ -55,7 +56,7 @@
         this.pace = pace;
     }
 
-    /** The demand of each job that may run now, in the order of the jobs. */
+    /** Returns the demand of each job that may run now, in the order of {@link ClusterState#jobs}. */
     public static List<TaskDemand> estimate(
             ClusterState clusterState, PlatformSettings settings, Instant timeOfDay, Pace pace) {
         TaskDemandEstimator estimator = new TaskDemandEstimator(clusterState, settings, timeOfDay, pace);
@@ -70,8 +71,10 @@
 
     private TaskDemand demandOf(Job job) {
         JobSpec spec = job.spec();
-        double tasksLeft = spec.taskCount() - job.doneCount();
-        double tasks = pace == Pace.AS_NEEDED ? Math.max(neededTasks(job, tasksLeft), job.claimCount()) : tasksLeft;
+        double unfinishedTasks = spec.taskCount() - job.doneCount();
+        double tasks = pace == Pace.AS_NEEDED
+                ? Math.max(concurrentTasksNeeded(job, unfinishedTasks), job.claimCount())
+                : unfinishedTasks;
         if (FailingJobBackoff.isSuspect(job)) {
             tasks = limitSuspect(spec, tasks);
         }
@@ -79,20 +82,20 @@
         return new TaskDemand(spec, tasks, startability(job, tasks));
     }
 
-    /** Tasks that must run side by side for the job to be in time. */
-    private double neededTasks(Job job, double tasksLeft) {
+    /** Returns the number of tasks that must run concurrently for the job to be in time. */
+    private double concurrentTasksNeeded(Job job, double unfinishedTasks) {
         JobSpec spec = job.spec();
         double runSeconds = runSeconds(job);
         double secondsLeft = secondsToDeadline(job);
         if (secondsLeft >= runSeconds) {
-            return tasksLeft / Math.max(1, Math.floor(secondsLeft * DEADLINE_USED / runSeconds));
+            return unfinishedTasks / Math.max(1, Math.floor(secondsLeft * USED_DEADLINE_SHARE / runSeconds));
         }
-        // Where starts may wait, tasks can follow each other on fewer machines.
-        double waitSeconds = allowedWaitSeconds(spec);
-        return tasksLeft
+        // Discounts tasks that can use the capacity freed while a machine boots, or within the permitted start delay.
+        double delaySeconds = permittedDelaySeconds(spec);
+        return unfinishedTasks
                 * runSeconds
                 / (runSeconds + shortestBootSeconds(spec))
-                / (1 + WAIT_USED * Math.min(1, waitSeconds / runSeconds));
+                / (1 + USED_DELAY_SHARE * Math.min(1, delaySeconds / runSeconds));
     }
 
     private static double runSeconds(Job job) {
@@ -101,7 +104,7 @@
         return Math.max(MIN_RUN_SECONDS, seconds(expected));
     }
 
-    /** Seconds to the job's deadline once a machine has its image; 0 without a deadline. */
+    /** Returns the seconds to the job's deadline minus the fastest image pull; 0 if the job has no deadline. */
     private double secondsToDeadline(Job job) {
         if (job.deadline() == null) {
             return 0;
@@ -110,8 +113,11 @@
                 - ImagePullTime.fastestSeconds(job.spec(), clusterState.types().values());
     }
 
-    /** Seconds within which the class's tasks should start; 0 where no objective says so. */
-    private double allowedWaitSeconds(JobSpec spec) {
+    /**
+     * Returns the start delay in seconds that the objectives of the job's class permit; 0 if there is no such
+     * objective.
+     */
+    private double permittedDelaySeconds(JobSpec spec) {
         return settings.objectives().stream()
                 .filter(objective -> objective.kind().equals("wait")
                         && objective.jobClass().equals(spec.jobClass())
@@ -129,10 +135,10 @@
                 .orElse(DEFAULT_BOOT_SECONDS);
     }
 
-    /** A job that seems to fail everywhere counts with one task, and only the first few of those of the same types do. */
+    /** Limits a suspect job to one task, or to none if enough suspect jobs with the same fitting types are counted. */
     private double limitSuspect(JobSpec spec, double tasks) {
-        int suspects = suspectsByTypes.merge(fittingTypes(spec), 1, Integer::sum);
-        return suspects <= MAX_SUSPECT_JOBS ? Math.min(tasks, 1) : 0;
+        int suspects = suspectCountByTypes.merge(fittingTypes(spec), 1, Integer::sum);
+        return suspects <= MAX_SUSPECTS_PER_TYPE_SET ? Math.min(tasks, 1) : 0;
     }
 
     private String fittingTypes(JobSpec spec) {
@@ -145,24 +151,24 @@
         return String.join(",", types);
     }
 
-    /** No more tasks than the team's limit leaves beside those of its earlier jobs. */
+    /** Limits the tasks of a job to what its team's CPU limit leaves after the team's earlier jobs. */
     private double limitToQuota(JobSpec spec, double tasks) {
         PlatformSettings.Team team = settings.teams().get(spec.team());
         if (team == null || team.cpusMax() <= 0) {
             return tasks;
         }
-        double usedCpus = cpusByTeam.getOrDefault(spec.team(), 0.0);
+        double usedCpus = usedCpusByTeam.getOrDefault(spec.team(), 0.0);
         double limited = Math.min(tasks, Math.max(0, (team.cpusMax() - usedCpus) / spec.cpus()));
-        cpusByTeam.put(spec.team(), usedCpus + limited * spec.cpus());
+        usedCpusByTeam.put(spec.team(), usedCpus + limited * spec.cpus());
         return limited;
     }
 
     private Startability startability(Job job, double tasks) {
-        boolean stuck = job.pendingCount() > 0
+        boolean unplaceable = job.pendingCount() > 0
                 && job.claimCount() == 0
                 && tasks > 0
-                && timeOfDay.isAfter(job.releasedAt().plus(STUCK_AFTER));
-        if (!stuck) {
+                && timeOfDay.isAfter(job.releasedAt().plus(UNPLACEABLE_AFTER));
+        if (!unplaceable) {
             return Startability.STARTABLE;
         }
         return job.errors() > 0 ? Startability.UNPLACEABLE_AFTER_FAILURES : Startability.UNPLACEABLE;
--- a/src/main/java/org/havenford/coordination/provisioning/UnfitMachineDetector.java
+++ b/src/main/java/org/havenford/coordination/provisioning/UnfitMachineDetector.java
@@ -9,13 +9,11 @@
 import org.havenford.storage.records.MachineRecord;
 import org.havenford.storage.records.MachineRecord.Condition;
 
-/** Decides which machines are of no use and should be returned, and why. */
+/** Detects machines that are unfit for use and should be returned to the cloud. */
 final class UnfitMachineDetector {
-    /** A new provisioner first lets the owners report what they hear of machines that boot. */
+    /** Time after becoming the leader in which no boot times out, so that owners can report machines that came up. */
     private static final Duration STABILIZATION_PERIOD = Duration.ofSeconds(20);
-    /**
-     * Times as long that machines are waited for whose zone is silent as a whole: a network partition takes about a minute.
-     */
+    /** Multiple of the silence limit that applies in a silent zone, since a network partition lasts about a minute. */
     private static final int SILENT_ZONE_FACTOR = 3;
 
     private final ProvisioningContext context;
@@ -29,37 +27,37 @@
         this.bootTimeEstimator = bootTimeEstimator;
     }
 
-    /** Starts the stabilization period; called before any decision. This controller has become the provisioner. */
+    /** Starts the stabilization period; called when this controller becomes the provisioning leader. */
     void reset(Instant now) {
         activeSince = now;
     }
 
     /**
-     * Zones of which at least half the machines are silent: it is the zone that can't be reached, and its machines will be
-     * back together.
+     * Returns the zones in which at least half of the machines that have booted are silent. Such a zone is presumably
+     * unreachable as a whole, and its machines are expected to report again once it is reachable.
      */
     Set<String> silentZones() {
         Map<String, Integer> silent = new HashMap<>();
-        Map<String, Integer> reporting = new HashMap<>();
+        Map<String, Integer> booted = new HashMap<>();
         for (MachineRecord machine : context.clusterState().machines()) {
             if (machine.condition() == Condition.SILENT) {
                 silent.merge(machine.zone(), 1, Integer::sum);
             }
             if (machine.condition() != Condition.BOOTING) {
-                reporting.merge(machine.zone(), 1, Integer::sum);
+                booted.merge(machine.zone(), 1, Integer::sum);
             }
         }
-        silent.entrySet().removeIf(entry -> entry.getValue() * 2 < reporting.get(entry.getKey()));
+        silent.entrySet().removeIf(entry -> entry.getValue() * 2 < booted.get(entry.getKey()));
         return silent.keySet();
     }
 
-    /** Why a machine should be returned; empty if it should not. */
+    /** Returns the reason for returning a machine, or empty if it should be kept. */
     Optional<ReturnReason> reasonToReturn(MachineRecord machine, Set<String> silentZones, Instant now) {
         if (inventory.isFailed(machine.name()) && machine.condition() != Condition.RETURNING) {
             return Optional.of(ReturnReason.FAILED_IN_CLOUD);
         }
         return switch (machine.condition()) {
-            case BOOTING -> bootTimedOut(machine, now) ? Optional.of(ReturnReason.BOOT_TIMEOUT) : Optional.empty();
+            case BOOTING -> hasBootTimedOut(machine, now) ? Optional.of(ReturnReason.BOOT_TIMEOUT) : Optional.empty();
             case FAULTY -> hasClaims(machine) ? Optional.empty() : Optional.of(ReturnReason.FAULTY);
             case SILENT -> reasonToReturnSilent(machine, silentZones, now);
             default -> Optional.empty();
@@ -70,18 +68,18 @@
         return !context.clusterState().claimsOn(machine.name()).isEmpty();
     }
 
-    private boolean bootTimedOut(MachineRecord machine, Instant now) {
+    private boolean hasBootTimedOut(MachineRecord machine, Instant now) {
         if (now.isBefore(activeSince.plus(STABILIZATION_PERIOD)) || hasClaims(machine)) {
             return false;
         }
-        return bootTimeEstimator.isGivenUp(machine);
+        return bootTimeEstimator.hasTimedOut(machine);
     }
 
     private Optional<ReturnReason> reasonToReturnSilent(MachineRecord machine, Set<String> silentZones, Instant now) {
         int factor = silentZones.contains(machine.zone()) ? SILENT_ZONE_FACTOR : 1;
-        Duration patience = context.operator().silentBeforeReturn().multipliedBy(factor);
+        Duration silenceLimit = context.operatorSettings().silentBeforeReturn().multipliedBy(factor);
         Duration silentFor = context.timeInCondition(machine);
-        if (silentFor.compareTo(context.settings().agentLease().plus(patience)) > 0) {
+        if (silentFor.compareTo(context.settings().agentLease().plus(silenceLimit)) > 0) {
             return Optional.of(ReturnReason.SILENT_TOO_LONG);
         }
         return inventory.isNoLongerListed(machine.name(), now.minus(silentFor))
