--- a/src/main/java/org/havenford/storage/ClaimIndex.java
+++ b/src/main/java/org/havenford/storage/ClaimIndex.java
@@ -28,7 +28,7 @@
         claimsByMachine
                 .computeIfAbsent(claim.machine(), machine -> new TreeMap<>())
                 .put(claim.task(), claim);
-        charge(claim, spec, 1);
+        updateUsage(claim, spec, 1);
         observer.machineChanged(claim.machine());
     }
 
@@ -40,11 +40,11 @@
                 claimsByMachine.remove(claim.machine());
             }
         }
-        charge(claim, spec, -1);
+        updateUsage(claim, spec, -1);
         observer.machineChanged(claim.machine());
     }
 
-    private void charge(Claim claim, JobSpec spec, int sign) {
+    private void updateUsage(Claim claim, JobSpec spec, int sign) {
         Map<String, Resources> usageByHolder = usageByTeam.computeIfAbsent(spec.team(), team -> new HashMap<>());
         usageByHolder.merge(
                 claim.quotaHolder(), new Resources(sign * spec.cpus(), sign * spec.gpus()), Resources::plus);
--- a/src/main/java/org/havenford/storage/ClusterState.java
+++ b/src/main/java/org/havenford/storage/ClusterState.java
@@ -62,10 +62,10 @@
         /**
          * Applies a change; {@code name} is the key without its prefix, {@code value} is null if the key was deleted.
          */
-        void changed(String name, JsonObject value, long modRevision) throws MalformedMessageException;
+        void apply(String name, JsonObject value, long modRevision) throws MalformedMessageException;
     }
 
-    private record KeyKind(String prefix, ValueHandler handler) {}
+    private record PrefixHandler(String prefix, ValueHandler handler) {}
 
     private final ClaimIndex claimIndex = new ClaimIndex();
     private final JobTable jobTable = new JobTable(claimIndex);
@@ -75,15 +75,15 @@
     /** Quotas of the teams, by key. */
     private final Map<String, TeamQuota> quotas = new HashMap<>();
 
-    private final KeyKind[] keyKinds = {
-        new KeyKind(Keys.TASKS, (path, value, modRevision) -> jobTable.taskRangeChanged(path, value)),
-        new KeyKind(Keys.JOBS, (id, value, modRevision) -> jobTable.headerChanged(id, value)),
-        new KeyKind(Keys.MACHINES, this::batchChanged),
-        new KeyKind(Keys.MACHINE_STATUSES, this::statusesChanged),
-        new KeyKind(Keys.INSTANCE_REQUESTS, this::instanceRequestChanged),
-        new KeyKind(Keys.TEAMS, this::quotaChanged),
-        new KeyKind(Keys.MEMBERS, this::memberChanged),
-        new KeyKind(Keys.LIVENESS_PROBES, this::livenessProbeChanged)
+    private final PrefixHandler[] prefixHandlers = {
+        new PrefixHandler(Keys.TASKS, (path, value, modRevision) -> jobTable.taskRangeChanged(path, value)),
+        new PrefixHandler(Keys.JOBS, (id, value, modRevision) -> jobTable.headerChanged(id, value)),
+        new PrefixHandler(Keys.MACHINES, this::batchChanged),
+        new PrefixHandler(Keys.MACHINE_STATUSES, this::statusesChanged),
+        new PrefixHandler(Keys.INSTANCE_REQUESTS, this::instanceRequestChanged),
+        new PrefixHandler(Keys.TEAMS, this::quotaChanged),
+        new PrefixHandler(Keys.MEMBERS, this::memberChanged),
+        new PrefixHandler(Keys.LIVENESS_PROBES, this::livenessProbeChanged)
     };
 
     private Observer observer;
@@ -119,12 +119,12 @@
 
     /** Returns the ids of the waiting jobs that depend on the given job. */
     public Set<String> dependents(String id) {
-        return jobTable.dependents().of(id);
+        return jobTable.dependents().dependentsOf(id);
     }
 
     /** Returns the number of changes so far of waiting jobs and of the jobs that they depend on. */
     public long pipelineChanges() {
-        return jobTable.dependents().changes();
+        return jobTable.dependents().changeCount();
     }
 
     /** Returns the task ranges, as ID/INDEX, whose job has ended or has not been read yet. */
@@ -205,9 +205,9 @@
     }
 
     private void apply(String key, JsonObject value, long modRevision) throws MalformedMessageException {
-        for (KeyKind kind : keyKinds) {
-            if (key.startsWith(kind.prefix)) {
-                kind.handler.changed(key.substring(kind.prefix.length()), value, modRevision);
+        for (PrefixHandler entry : prefixHandlers) {
+            if (key.startsWith(entry.prefix)) {
+                entry.handler.apply(key.substring(entry.prefix.length()), value, modRevision);
                 return;
             }
         }
--- a/src/main/java/org/havenford/storage/ConditionalWriter.java
+++ b/src/main/java/org/havenford/storage/ConditionalWriter.java
@@ -23,14 +23,14 @@
 public final class ConditionalWriter {
     private static final Logger LOG = LoggerFactory.getLogger(ConditionalWriter.class);
     /** Delay until keys are unlocked after a transaction that was not executed, or whose outcome is unknown. */
-    private static final Duration RETRY = Duration.ofMillis(250);
+    private static final Duration UNLOCK_DELAY = Duration.ofMillis(250);
     /**
      * Delay until keys are unlocked after the store rejected a transaction as malformed or too large. A repetition
      * would be rejected as well, so other work goes first.
      */
-    private static final Duration REJECTED_RETRY = Duration.ofSeconds(20);
+    private static final Duration REJECTED_UNLOCK_DELAY = Duration.ofSeconds(20);
     /** Longest time for which keys stay locked while the replica has not reached the revision of a conflict. */
-    private static final Duration REPLICA_PATIENCE = Duration.ofSeconds(1);
+    private static final Duration REPLICA_LOCK_TIMEOUT = Duration.ofSeconds(1);
 
     /** Keys that stay locked until the replica has reached a revision, or until a time on the monotonic clock. */
     private record ReplicaLock(long revision, Instant until, Set<String> keys) {}
@@ -39,8 +39,8 @@
     private final StoreClient store;
     private final StoreReplica replica;
     private final int nextValueBytes;
-    private final Runnable wake;
-    private final Set<String> locked = new HashSet<>();
+    private final Runnable requestRound;
+    private final Set<String> lockedKeys = new HashSet<>();
     private final List<ReplicaLock> replicaLocks = new ArrayList<>();
     private boolean limitsLowered;
 
@@ -48,15 +48,15 @@
      * Creates a writer that works with one replica.
      *
      * @param nextValueBytes the announced future limit of the size of a value, in bytes
-     * @param wake called to request another round when keys have been unlocked
+     * @param requestRound called to request another round when keys have been unlocked
      */
     public ConditionalWriter(
-            EventLoop loop, StoreClient store, StoreReplica replica, int nextValueBytes, Runnable wake) {
+            EventLoop loop, StoreClient store, StoreReplica replica, int nextValueBytes, Runnable requestRound) {
         this.loop = loop;
         this.store = store;
         this.replica = replica;
         this.nextValueBytes = nextValueBytes;
-        this.wake = wake;
+        this.requestRound = requestRound;
     }
 
     /**
@@ -64,7 +64,7 @@
      * replica yet.
      */
     public boolean isLocked(String key) {
-        return locked.contains(key);
+        return lockedKeys.contains(key);
     }
 
     /**
@@ -79,55 +79,55 @@
     /** Unlocks the keys of past conflicts whose revision the replica has reached, or whose time is over. */
     public void unlockKeysCaughtUp(Instant now) {
         replicaLocks.removeIf(lock -> {
-            boolean over = replica.revision() >= lock.revision() || now.isAfter(lock.until());
-            if (over) {
-                locked.removeAll(lock.keys());
+            boolean released = replica.revision() >= lock.revision() || now.isAfter(lock.until());
+            if (released) {
+                lockedKeys.removeAll(lock.keys());
             }
-            return over;
+            return released;
         });
     }
 
     /** Commits a transaction and keeps its keys locked until the replica has caught up with the outcome. */
-    public void commit(Transaction transaction, CallPriority priority, Collection<String> locks, Runnable onSuccess) {
-        commit(transaction, priority, locks, onSuccess, result -> {});
+    public void commit(Transaction transaction, CallPriority priority, Collection<String> keys, Runnable onSuccess) {
+        commit(transaction, priority, keys, onSuccess, result -> {});
     }
 
     /**
      * Commits a transaction and keeps its keys locked until the replica has caught up with the outcome.
      *
      * @param onSuccess called after a commit, before the transaction is applied to the replica
-     * @param afterwards called with every outcome; after a commit, when the transaction has been applied to the replica
+     * @param callback called with every outcome; after a commit, when the transaction has been applied to the replica
      */
     public void commit(
             Transaction transaction,
             CallPriority priority,
-            Collection<String> locks,
+            Collection<String> keys,
             Runnable onSuccess,
-            Consumer<StoreResult> afterwards) {
-        locked.addAll(locks);
+            Consumer<StoreResult> callback) {
+        lockedKeys.addAll(keys);
         store.commit(transaction, priority, () -> isCurrent(transaction), result -> {
             if (result.ok()) {
                 onSuccess.run();
                 replica.applyCommitted(transaction, result.revision());
-                afterwards.accept(result);
-                unlock(locks);
+                callback.accept(result);
+                unlock(keys);
             } else {
-                afterwards.accept(result);
-                unlockAfterFailure(transaction, result, locks);
+                callback.accept(result);
+                unlockAfterFailure(transaction, result, keys);
             }
         });
     }
 
-    private void unlockAfterFailure(Transaction transaction, StoreResult result, Collection<String> locks) {
+    private void unlockAfterFailure(Transaction transaction, StoreResult result, Collection<String> keys) {
         switch (result.outcome()) {
-            case CONFLICT -> lockUntilCaughtUp(result, locks);
-            case STALE -> unlock(locks);
+            case CONFLICT -> lockUntilCaughtUp(result, keys);
+            case STALE -> unlock(keys);
             case REJECTED -> {
-                boolean shorterFormHelps = !limitsLowered && largestValueBytes(transaction) > nextValueBytes;
-                limitsLowered |= shorterFormHelps;
-                loop.after(shorterFormHelps ? RETRY : REJECTED_RETRY, () -> unlock(locks));
+                boolean shortFormMayFit = !limitsLowered && largestValueBytes(transaction) > nextValueBytes;
+                limitsLowered |= shortFormMayFit;
+                loop.after(shortFormMayFit ? UNLOCK_DELAY : REJECTED_UNLOCK_DELAY, () -> unlock(keys));
             }
-            default -> loop.after(RETRY, () -> unlock(locks));
+            default -> loop.after(UNLOCK_DELAY, () -> unlock(keys));
         }
     }
 
@@ -145,9 +145,9 @@
         return true;
     }
 
-    private void unlock(Collection<String> locks) {
-        locked.removeAll(locks);
-        wake.run();
+    private void unlock(Collection<String> keys) {
+        lockedKeys.removeAll(keys);
+        requestRound.run();
     }
 
     private static int largestValueBytes(Transaction transaction) {
@@ -166,15 +166,15 @@
      * caused the conflict: a new decision on the outdated replica would only fail again. Conflicting keys that another
      * transaction has locked are left to it.
      */
-    private void lockUntilCaughtUp(StoreResult result, Collection<String> locks) {
-        Set<String> keys = new HashSet<>(locks);
+    private void lockUntilCaughtUp(StoreResult result, Collection<String> keys) {
+        Set<String> keysToLock = new HashSet<>(keys);
         try {
-            keys.addAll(result.conflictingKeys());
+            keysToLock.addAll(result.conflictingKeys());
         } catch (MalformedMessageException e) {
             LOG.warn("cannot read conflicting keys: error={}", e.getMessage());
         }
-        keys.removeIf(key -> !locks.contains(key) && locked.contains(key));
-        locked.addAll(keys);
-        replicaLocks.add(new ReplicaLock(result.revision(), loop.now().plus(REPLICA_PATIENCE), keys));
+        keysToLock.removeIf(key -> !keys.contains(key) && lockedKeys.contains(key));
+        lockedKeys.addAll(keysToLock);
+        replicaLocks.add(new ReplicaLock(result.revision(), loop.now().plus(REPLICA_LOCK_TIMEOUT), keysToLock));
     }
 }
--- a/src/main/java/org/havenford/storage/JobDependents.java
+++ b/src/main/java/org/havenford/storage/JobDependents.java
@@ -13,7 +13,7 @@
     /** Ids of waiting jobs by the jobs that they depend on. */
     private final Map<String, Set<String>> dependentsByJob = new HashMap<>();
 
-    private long changes;
+    private long changeCount;
 
     /** Returns the ids of the jobs that wait for their dependencies. */
     Collection<String> awaitingDependencies() {
@@ -21,19 +21,19 @@
     }
 
     /** Returns the ids of the waiting jobs that depend on the given job. */
-    Set<String> of(String job) {
+    Set<String> dependentsOf(String job) {
         return dependentsByJob.getOrDefault(job, Set.of());
     }
 
     /** Returns the number of changes so far of waiting jobs and of the jobs that they depend on. */
-    long changes() {
-        return changes;
+    long changeCount() {
+        return changeCount;
     }
 
     /** Counts a change of a job if waiting jobs depend on it. */
     void jobChanged(String job) {
         if (dependentsByJob.containsKey(job)) {
-            changes++;
+            changeCount++;
         }
     }
 
@@ -42,7 +42,7 @@
         if (!job.awaitsDependencies()) {
             return;
         }
-        changes++;
+        changeCount++;
         awaitingDependencies.add(job.id());
         for (String dependency : job.spec().dependencies()) {
             dependentsByJob.computeIfAbsent(dependency, key -> new TreeSet<>()).add(job.id());
@@ -54,7 +54,7 @@
         if (!awaitingDependencies.remove(job.id())) {
             return;
         }
-        changes++;
+        changeCount++;
         for (String dependency : job.spec().dependencies()) {
             Set<String> dependents = dependentsByJob.get(dependency);
             dependents.remove(job.id());
--- a/src/main/java/org/havenford/storage/JobTable.java
+++ b/src/main/java/org/havenford/storage/JobTable.java
@@ -18,7 +18,7 @@
      * Jobs in the order of their ids, so that all controllers iterate over them in the same order. The hash map below
      * holds the same jobs for lookups by id, the most frequent access.
      */
-    private final TreeMap<String, Job> jobs = new TreeMap<>();
+    private final TreeMap<String, Job> jobsInOrder = new TreeMap<>();
 
     private final Object2ObjectOpenHashMap<String, Job> jobsById = new Object2ObjectOpenHashMap<>();
     private final JobDependents dependents = new JobDependents();
@@ -41,7 +41,7 @@
 
     /** Returns the jobs that have not ended, in the order of their ids. */
     Collection<Job> jobs() {
-        return jobs.values();
+        return jobsInOrder.values();
     }
 
     /** Returns a job that has not ended, or null. */
@@ -66,7 +66,7 @@
             return;
         }
         Job job = Job.parse(value);
-        jobs.put(id, job);
+        jobsInOrder.put(id, job);
         jobsById.put(id, job);
         if (before != null) {
             dependents.remove(before);
@@ -74,13 +74,13 @@
         dependents.add(job);
         dependents.jobChanged(id);
         if (before != null) {
-            takeOverTaskRanges(before, job);
+            copyTaskRanges(before, job);
         }
-        takeUpWaitingTaskRanges(id);
+        applyTaskRangesWithoutJob(id);
     }
 
     private void remove(String id, Job job) {
-        jobs.remove(id);
+        jobsInOrder.remove(id);
         jobsById.remove(id);
         if (job == null) {
             return;
@@ -95,14 +95,14 @@
         }
     }
 
-    private void takeOverTaskRanges(Job before, Job after) {
+    private void copyTaskRanges(Job before, Job after) {
         for (int i = 0; i < after.taskRangeCount(); i++) {
             after.replace(i, before.storedTaskRange(i));
         }
         before.claims().forEach(claim -> observer.machineChanged(claim.machine()));
     }
 
-    private void takeUpWaitingTaskRanges(String id) throws MalformedMessageException {
+    private void applyTaskRangesWithoutJob(String id) throws MalformedMessageException {
         if (taskRangesWithoutJob.isEmpty()) {
             return;
         }
@@ -140,7 +140,7 @@
     /** Removes from the index the claims of {@code before} that are not in {@code after}, which may be null. */
     private void removeClaims(Job job, TaskRange before, TaskRange after) {
         for (Claim claim : before.claims()) {
-            if (!holds(after, claim)) {
+            if (!containsClaim(after, claim)) {
                 claimIndex.remove(claim, job.spec());
             }
         }
@@ -149,13 +149,13 @@
     /** Adds to the index the claims of {@code after} that are not in {@code before}, which may be null. */
     private void addClaims(Job job, TaskRange before, TaskRange after) {
         for (Claim claim : after.claims()) {
-            if (!holds(before, claim)) {
+            if (!containsClaim(before, claim)) {
                 claimIndex.add(claim, job.spec());
             }
         }
     }
 
-    private static boolean holds(TaskRange taskRange, Claim claim) {
+    private static boolean containsClaim(TaskRange taskRange, Claim claim) {
         return taskRange != null && claim.equals(taskRange.claim(claim.task().index()));
     }
 }
--- a/src/main/java/org/havenford/storage/MachineTable.java
+++ b/src/main/java/org/havenford/storage/MachineTable.java
@@ -71,10 +71,10 @@
     void batchChanged(String name, MachineBatch after) {
         MachineBatch before = after == null ? batches.remove(name) : batches.put(name, after);
         Set<String> affected = new TreeSet<>();
-        Set<String> gone = new HashSet<>();
+        Set<String> withoutBatch = new HashSet<>();
         if (before != null) {
             affected.addAll(before.machines().keySet());
-            unlink(before, gone);
+            removeFromMachines(before, withoutBatch);
         }
         if (after != null) {
             for (String machine : after.machines().keySet()) {
@@ -84,19 +84,22 @@
                         .add(name);
             }
         }
-        gone.removeIf(batchesByMachine::containsKey);
-        reportedStatuses.keySet().removeAll(gone);
-        affected.forEach(this::rebuild);
+        withoutBatch.removeIf(batchesByMachine::containsKey);
+        reportedStatuses.keySet().removeAll(withoutBatch);
+        affected.forEach(this::rebuildRecord);
     }
 
-    /** Removes a batch from the sets of its machines, and adds the machines left without a batch to {@code gone}. */
-    private void unlink(MachineBatch batch, Set<String> gone) {
+    /**
+     * Removes a batch from the sets of its machines, and adds the machines left without a batch to {@code
+     * withoutBatch}.
+     */
+    private void removeFromMachines(MachineBatch batch, Set<String> withoutBatch) {
         for (String machine : batch.machines().keySet()) {
             Set<String> batchNames = batchesByMachine.get(machine);
             batchNames.remove(batch.name());
             if (batchNames.isEmpty()) {
                 batchesByMachine.remove(machine);
-                gone.add(machine);
+                withoutBatch.add(machine);
             }
         }
     }
@@ -109,23 +112,23 @@
                 boolean sameCondition = before != null && before.status.condition() == status.condition();
                 Instant since = sameCondition ? before.since : reported.at();
                 reportedStatuses.put(machine, new ReportedStatus(status, reported.at(), since));
-                rebuild(machine);
+                rebuildRecord(machine);
             }
         });
     }
 
-    private void rebuild(String machine) {
+    private void rebuildRecord(String machine) {
         Set<String> batchNames = batchesByMachine.get(machine);
         // While the keys are being read, status reports precede the batches. They are kept without a batch, and are
         // removed with the last batch of the machine.
-        MachineRecord after = batchNames == null ? null : recordOf(machine, batchNames);
+        MachineRecord after = batchNames == null ? null : buildRecord(machine, batchNames);
         MachineRecord before = after == null ? machines.remove(machine) : machines.put(machine, after);
         if (!Objects.equals(before, after)) {
             observer.machineChanged(machine);
         }
     }
 
-    private MachineRecord recordOf(String machine, Set<String> batchNames) {
+    private MachineRecord buildRecord(String machine, Set<String> batchNames) {
         MachineBatch batch = firstBatch(batchNames);
         ReportedStatus reported = reportedStatuses.get(machine);
         return new MachineRecord(
--- a/src/main/java/org/havenford/storage/StoreCallDispatcher.java
+++ b/src/main/java/org/havenford/storage/StoreCallDispatcher.java
@@ -51,28 +51,28 @@
         dispatchScheduled = false;
         Instant now = loop.now();
         budget.adjust(now);
-        boolean othersWait = false;
-        boolean anyWaits = false;
+        boolean higherPriorityWaits = false;
+        boolean anyQueued = false;
         for (CallPriority priority : CallPriority.values()) {
-            if (!dispatchAll(priority, othersWait, now)) {
-                anyWaits = true;
-                othersWait |= priority != CallPriority.LEASE && priority != CallPriority.WATCH;
+            if (!dispatchAll(priority, higherPriorityWaits, now)) {
+                anyQueued = true;
+                higherPriorityWaits |= priority != CallPriority.LEASE && priority != CallPriority.WATCH;
             }
         }
-        if (anyWaits) {
+        if (anyQueued) {
             scheduleDispatch();
         }
     }
 
     /** Sends the queued calls of one priority; returns false if one has to wait for the budget. */
-    private boolean dispatchAll(CallPriority priority, boolean othersWait, Instant now) {
+    private boolean dispatchAll(CallPriority priority, boolean higherPriorityWaits, Instant now) {
         StoreCall call = queues.peek(priority);
         while (call != null) {
             if (now.isAfter(call.deadline())) {
                 queues.removeFirst(priority);
                 statistics.countExpired();
                 call.completeWithoutResponse(StoreOutcome.NOT_EXECUTED);
-            } else if (budget.permits(priority, call.request().operationCount(), othersWait, now)) {
+            } else if (budget.permits(priority, call.request().operationCount(), higherPriorityWaits, now)) {
                 queues.removeFirst(priority);
                 sendIfCurrent(call);
             } else {
@@ -112,10 +112,10 @@
                 request.path(),
                 request.body(),
                 request.timeout(),
-                reply -> receive(call, reply));
+                reply -> handleReply(call, reply));
     }
 
-    private void receive(StoreCall call, HttpCalls.Reply reply) {
+    private void handleReply(StoreCall call, HttpCalls.Reply reply) {
         StoreResult result = StoreResponseReader.read(reply, call.request());
         if (reply.status() == StoreResponseReader.TOO_MANY_REQUESTS) {
             // The store did not execute the call: until its deadline it is sent again, ahead of later calls.
--- a/src/main/java/org/havenford/storage/StoreClient.java
+++ b/src/main/java/org/havenford/storage/StoreClient.java
@@ -16,17 +16,17 @@
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration PAGE_TIMEOUT = Duration.ofSeconds(4);
     /** Time to wait for the response of a watch beyond the time for which the store holds it open. */
-    private static final Duration WATCH_GRACE = Duration.ofSeconds(3);
+    private static final Duration WATCH_RESPONSE_MARGIN = Duration.ofSeconds(3);
     /**
      * Longest time that a call is queued. It is shorter for user requests, since users retry sooner.
      */
-    private static final Duration PATIENCE = Duration.ofSeconds(5);
+    private static final Duration QUEUE_TIMEOUT = Duration.ofSeconds(5);
 
-    private static final Duration USER_PATIENCE = Duration.ofMillis(1500);
+    private static final Duration USER_QUEUE_TIMEOUT = Duration.ofMillis(1500);
     /** Number of queued calls of one priority above which the client is under pressure. */
     private static final int MAX_QUEUED_WITHOUT_PRESSURE = 2;
     /** Number of operations that must be possible at once for the client not to be under pressure. */
-    private static final int SMALL_TRANSACTION = 2;
+    private static final int SMALL_TRANSACTION_OPERATIONS = 2;
 
     private final EventLoop loop;
     private final StoreRequestBudget budget;
@@ -61,7 +61,7 @@
     public boolean underPressure() {
         return queued(CallPriority.WORK) > MAX_QUEUED_WITHOUT_PRESSURE
                 || queued(CallPriority.CLAIM) > MAX_QUEUED_WITHOUT_PRESSURE
-                || budget.lacksWrites(SMALL_TRANSACTION, loop.now());
+                || budget.lacksWrites(SMALL_TRANSACTION_OPERATIONS, loop.now());
     }
 
     /** Returns counts of the calls since the last summary as {@code key=value} pairs for the log, and resets them. */
@@ -76,18 +76,18 @@
 
     /** Reads a key. */
     public void get(String key, CallPriority priority, Consumer<StoreResult> callback) {
-        submit(priority, read(StoreWireCodec.keyPath(key), RESPONSE_TIMEOUT), callback);
+        submit(priority, readRequest(StoreWireCodec.keyPath(key), RESPONSE_TIMEOUT), callback);
     }
 
     /** Reads a page of the keys with a prefix, starting after the key {@code after}, or at the first if it is null. */
     public void list(String prefix, String after, Consumer<StoreResult> callback) {
-        submit(CallPriority.WATCH, read(StoreWireCodec.pagePath(prefix, after), PAGE_TIMEOUT), callback);
+        submit(CallPriority.WATCH, readRequest(StoreWireCodec.pagePath(prefix, after), PAGE_TIMEOUT), callback);
     }
 
     /** Waits for changes of keys with a prefix after a revision, for {@code timeout} at most. */
     public void watch(String prefix, long revision, Duration timeout, Consumer<StoreResult> callback) {
         String path = StoreWireCodec.watchPath(prefix, revision, timeout);
-        submit(CallPriority.WATCH, read(path, timeout.plus(WATCH_GRACE)), callback);
+        submit(CallPriority.WATCH, readRequest(path, timeout.plus(WATCH_RESPONSE_MARGIN)), callback);
     }
 
     /** Commits a transaction. */
@@ -105,17 +105,17 @@
         Instant deadline = deadline(priority);
         Consumer<StoreResult> observedCallback = commitObserver == null || transaction.operationCount() == 0
                 ? callback
-                : observed(transaction, callback);
+                : withObserver(transaction, callback);
         StoreCall.Request request = new StoreCall.Request(
                 "POST",
-                StoreWireCodec.TRANSACTIONS,
-                StoreWireCodec.transaction(transaction),
+                StoreWireCodec.TRANSACTIONS_PATH,
+                StoreWireCodec.transactionBody(transaction),
                 transaction.operationCount(),
                 RESPONSE_TIMEOUT);
         dispatcher.submit(new StoreCall(priority, request, deadline, isCurrent, observedCallback));
     }
 
-    private Consumer<StoreResult> observed(Transaction transaction, Consumer<StoreResult> callback) {
+    private Consumer<StoreResult> withObserver(Transaction transaction, Consumer<StoreResult> callback) {
         CommitObserver observer = commitObserver;
         long number = observer.committing(transaction.changedKeys());
         return result -> {
@@ -126,7 +126,7 @@
 
     /** Creates a lease that expires unless it is renewed within {@code duration}. */
     public void createLease(Duration duration, Consumer<StoreResult> callback) {
-        submitLeaseCall("POST", StoreWireCodec.LEASES, StoreWireCodec.leaseRequest(duration), callback);
+        submitLeaseCall("POST", StoreWireCodec.LEASES_PATH, StoreWireCodec.leaseRequestBody(duration), callback);
     }
 
     /** Renews a lease. */
@@ -143,7 +143,7 @@
         submit(CallPriority.LEASE, new StoreCall.Request(method, path, body, 0, RESPONSE_TIMEOUT), callback);
     }
 
-    private static StoreCall.Request read(String path, Duration timeout) {
+    private static StoreCall.Request readRequest(String path, Duration timeout) {
         return new StoreCall.Request("GET", path, null, 0, timeout);
     }
 
@@ -152,7 +152,7 @@
     }
 
     private Instant deadline(CallPriority priority) {
-        return loop.now().plus(priority == CallPriority.USER ? USER_PATIENCE : PATIENCE);
+        return loop.now().plus(priority == CallPriority.USER ? USER_QUEUE_TIMEOUT : QUEUE_TIMEOUT);
     }
 
     private static boolean alwaysCurrent() {
--- a/src/main/java/org/havenford/storage/StoreReplica.java
+++ b/src/main/java/org/havenford/storage/StoreReplica.java
@@ -24,7 +24,7 @@
      */
     private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(2);
     /** Fraction of this controller's even share of requests that is spent on reopening the watch. */
-    private static final double WATCH_SHARE = 0.25;
+    private static final double WATCH_REQUEST_FRACTION = 0.25;
 
     private static final int MIN_WATCH_INTERVAL_MILLIS = 20;
     private static final int MAX_WATCH_INTERVAL_MILLIS = 2000;
@@ -107,7 +107,7 @@
 
     /** One page-by-page read of all keys, which then opens the watch. */
     private final class InitialLoad {
-        private final Object2LongOpenHashMap<String> seen = new Object2LongOpenHashMap<>();
+        private final Object2LongOpenHashMap<String> listedKeys = new Object2LongOpenHashMap<>();
         /**
          * Revision of the first page. The watch starts at it, so that it returns all changes made while the pages were
          * being read, in order.
@@ -142,22 +142,22 @@
                 readPage(lastKeyOfPage);
                 return;
             }
-            dropUnseen();
+            removeUnlistedKeys();
             revision = firstPageRevision;
             watch();
         }
 
         private void applyEntry(String key, JsonElement value, long modRevision) {
             lastKeyOfPage = key;
-            seen.put(key, modRevision);
+            listedKeys.put(key, modRevision);
             apply(key, value, modRevision);
         }
 
         /** Removes keys that a reload no longer found. Keys changed since its first page are left to the watch. */
-        private void dropUnseen() {
+        private void removeUnlistedKeys() {
             for (String key : List.copyOf(modRevisions.keySet())) {
                 long modRevision = modRevisions.getLong(key);
-                if (modRevision > 0 && modRevision <= firstPageRevision && !seen.containsKey(key)) {
+                if (modRevision > 0 && modRevision <= firstPageRevision && !listedKeys.containsKey(key)) {
                     apply(key, null, firstPageRevision);
                 }
             }
@@ -189,7 +189,7 @@
     private void applyEvents(StoreResult result) throws MalformedMessageException {
         boolean anyChange = result.visitEvents(this::apply) > 0;
         revision = Math.max(revision, result.revision());
-        forgetTombstones();
+        removePassedTombstones();
         if (!loaded) {
             // The pages were read at different revisions, so together they may match no state that the store ever had.
             // The copy is consistent once the first watch has brought the changes made in the meantime.
@@ -207,12 +207,12 @@
      * request, so the delay limits the request rate, and changes accumulate during it.
      */
     private Duration watchInterval() {
-        double interval = 1000 / (WATCH_SHARE * store.evenShareOfRequests());
+        double interval = 1000 / (WATCH_REQUEST_FRACTION * store.evenShareOfRequests());
         return Duration.ofMillis(
                 (long) Math.max(MIN_WATCH_INTERVAL_MILLIS, Math.min(MAX_WATCH_INTERVAL_MILLIS, interval)));
     }
 
-    private void forgetTombstones() {
+    private void removePassedTombstones() {
         ObjectIterator<Object2LongMap.Entry<String>> entries =
                 modRevisions.object2LongEntrySet().iterator();
         while (entries.hasNext()) {
--- a/src/main/java/org/havenford/storage/StoreRequestBudget.java
+++ b/src/main/java/org/havenford/storage/StoreRequestBudget.java
@@ -9,7 +9,7 @@
  */
 final class StoreRequestBudget {
     /** Fraction of the store's limits that the controllers use together if each uses its even share. */
-    private static final double SAFETY = 0.92;
+    private static final double TARGET_UTILIZATION = 0.92;
     /** Smallest share after repeated refusals, in even shares of the lower limit to which the store may switch. */
     private static final double MIN_SHARE = 0.7;
 
@@ -20,14 +20,14 @@
     /** Time without refusals before the share grows. */
     private static final Duration GROWTH_DELAY = Duration.ofSeconds(2);
 
-    private static final double GROWTH = 1.15;
-    private static final double SHRINKAGE = 0.75;
+    private static final double GROWTH_FACTOR = 1.15;
+    private static final double SHRINK_FACTOR = 0.75;
     /** Largest fraction of the limits that one controller may use while the others are idle. */
-    private static final double MAX_PART_OF_LIMITS = 0.9;
+    private static final double MAX_FRACTION_OF_LIMITS = 0.9;
     /** Factors by which a share that was not exhausted returns to an even one, from below and from above. */
-    private static final double RECOVERY_UP = 1.03;
+    private static final double RECOVERY_UP_FACTOR = 1.03;
 
-    private static final double RECOVERY_DOWN = 0.97;
+    private static final double RECOVERY_DOWN_FACTOR = 0.97;
 
     private static final Duration LEASE_BACK_OFF = Duration.ofMillis(60);
     private static final Duration BACK_OFF_STEP = Duration.ofMillis(100);
@@ -68,8 +68,8 @@
     }
 
     private void applyShare() {
-        requests.setRate(limits.requestsPerSecond() * SAFETY * share / controllers);
-        writes.setRate(limits.writesPerSecond() * SAFETY * share / controllers);
+        requests.setRate(limits.requestsPerSecond() * TARGET_UTILIZATION * share / controllers);
+        writes.setRate(limits.writesPerSecond() * TARGET_UTILIZATION * share / controllers);
     }
 
     /** Returns this controller's share of the limits, in even shares. */
@@ -79,7 +79,7 @@
 
     /** Returns the requests per second of an even share. */
     double evenShareOfRequests() {
-        return limits.requestsPerSecond() * SAFETY / controllers;
+        return limits.requestsPerSecond() * TARGET_UTILIZATION / controllers;
     }
 
     /** Returns whether a transaction with this many operations would have to wait for the limit of writes. */
@@ -98,9 +98,9 @@
         lastAdjustment = now;
         double before = share;
         if (!exhausted) {
-            share = share < 1 ? Math.min(1, share * RECOVERY_UP) : Math.max(1, share * RECOVERY_DOWN);
+            share = share < 1 ? Math.min(1, share * RECOVERY_UP_FACTOR) : Math.max(1, share * RECOVERY_DOWN_FACTOR);
         } else if (!refusedWithin(GROWTH_DELAY, now)) {
-            share = Math.min(Math.max(1, controllers * MAX_PART_OF_LIMITS), share * GROWTH);
+            share = Math.min(Math.max(1, controllers * MAX_FRACTION_OF_LIMITS), share * GROWTH_FACTOR);
         }
         exhausted = false;
         if (share != before) {
@@ -119,7 +119,7 @@
         backOffUntil = now.plus(BACK_OFF_STEP.multipliedBy(Math.min(MAX_BACK_OFF_STEPS, consecutiveRefusals)));
         leaseBackOffUntil = now.plus(LEASE_BACK_OFF);
         if (!refusedWithin(ADJUSTMENT_INTERVAL, now)) {
-            share = Math.max(minShare, share * SHRINKAGE);
+            share = Math.max(minShare, share * SHRINK_FACTOR);
             applyShare();
         }
         lastRefusal = now;
@@ -139,21 +139,21 @@
      * instance, costs far more than one refused call. After a refusal, LEASE calls wait briefly, and all others longer
      * with each consecutive refusal: immediate retries would use up what is left of the limit.
      *
-     * @param othersWait whether calls of a higher priority wait for the budget
+     * @param higherPriorityWaits whether calls of a higher priority wait for the budget
      */
-    boolean permits(CallPriority priority, int operationCount, boolean othersWait, Instant now) {
+    boolean permits(CallPriority priority, int operationCount, boolean higherPriorityWaits, Instant now) {
         if (priority == CallPriority.LEASE) {
             return hasPassed(leaseBackOffUntil, now);
         }
         if (priority == CallPriority.WATCH) {
             return hasPassed(backOffUntil, now);
         }
-        if (othersWait || !hasPassed(backOffUntil, now)) {
+        if (higherPriorityWaits || !hasPassed(backOffUntil, now)) {
             return false;
         }
-        double reserved = reservedPart(priority);
-        return requests.has(1 + requests.capacity() * reserved, now)
-                && (operationCount == 0 || writes.has(operationCount + writes.capacity() * reserved, now));
+        double reservedFraction = reservedFraction(priority);
+        return requests.has(1 + requests.capacity() * reservedFraction, now)
+                && (operationCount == 0 || writes.has(operationCount + writes.capacity() * reservedFraction, now));
     }
 
     private static boolean hasPassed(Instant time, Instant now) {
@@ -164,7 +164,7 @@
      * Returns the fraction of a bucket that is reserved for calls of a higher priority: the acceptance of a job must
      * not wait because other work has just emptied the bucket.
      */
-    private static double reservedPart(CallPriority priority) {
+    private static double reservedFraction(CallPriority priority) {
         return switch (priority) {
             case USER -> 0;
             case CLAIM -> 0.15;
--- a/src/main/java/org/havenford/storage/StoreStatistics.java
+++ b/src/main/java/org/havenford/storage/StoreStatistics.java
@@ -45,7 +45,7 @@
         conflicts++;
         try {
             for (String key : result.conflictingKeys()) {
-                conflictingKeyKinds.merge(kind(key), 1, Integer::sum);
+                conflictingKeyKinds.merge(keyKind(key), 1, Integer::sum);
             }
         } catch (MalformedMessageException e) {
             LOG.warn("cannot read conflicting keys: error={}", e.getMessage());
@@ -53,7 +53,7 @@
     }
 
     /** Returns the second part of a key, such as {@code job} for {@code live/job/j-1}. */
-    private static String kind(String key) {
+    private static String keyKind(String key) {
         int first = key.indexOf('/');
         int second = key.indexOf('/', first + 1);
         return second > 0 ? key.substring(first + 1, second) : key.substring(first + 1);
@@ -61,23 +61,23 @@
 
     /** Returns the counts as {@code key=value} pairs and resets them. */
     String takeSummary(int queued, double share) {
-        StringBuilder text = new StringBuilder();
+        StringBuilder summary = new StringBuilder();
         for (CallPriority priority : CallPriority.values()) {
-            text.append(priority.name().toLowerCase(Locale.ROOT))
+            summary.append(priority.name().toLowerCase(Locale.ROOT))
                     .append("Requests=")
                     .append(sentRequests[priority.ordinal()])
                     .append(' ');
         }
-        text.append("operations=").append(operations);
-        text.append(" conflicts=").append(conflicts);
-        text.append(" conflictingKeys=").append(conflictingKeyKinds);
-        text.append(" refused=").append(refusals);
-        text.append(" expired=").append(expired);
-        text.append(" stale=").append(stale);
-        text.append(" queued=").append(queued);
-        text.append(String.format(Locale.ROOT, " share=%.2f", share));
+        summary.append("operations=").append(operations);
+        summary.append(" conflicts=").append(conflicts);
+        summary.append(" conflictingKeys=").append(conflictingKeyKinds);
+        summary.append(" refused=").append(refusals);
+        summary.append(" expired=").append(expired);
+        summary.append(" stale=").append(stale);
+        summary.append(" queued=").append(queued);
+        summary.append(String.format(Locale.ROOT, " share=%.2f", share));
         reset();
-        return text.toString();
+        return summary.toString();
     }
 
     private void reset() {
--- a/src/main/java/org/havenford/storage/StoreWireCodec.java
+++ b/src/main/java/org/havenford/storage/StoreWireCodec.java
@@ -14,9 +14,9 @@
  */
 final class StoreWireCodec {
     /** Path of transactions. */
-    static final String TRANSACTIONS = "/multi";
+    static final String TRANSACTIONS_PATH = "/multi";
     /** Path under which leases are created. */
-    static final String LEASES = "/holds";
+    static final String LEASES_PATH = "/holds";
 
     private static final int KEYS_PER_PAGE = 500;
 
@@ -53,7 +53,7 @@
 
     /** Returns the path of one lease. */
     static String leasePath(long leaseId) {
-        return LEASES + "/" + leaseId;
+        return LEASES_PATH + "/" + leaseId;
     }
 
     /** Returns the path that renews a lease. */
@@ -62,30 +62,30 @@
     }
 
     /** Returns the body of a request that creates a lease. */
-    static String leaseRequest(Duration duration) {
+    static String leaseRequestBody(Duration duration) {
         return "{\"lifeMs\":" + duration.toMillis() + "}";
     }
 
     /** Returns the body of a transaction request. */
-    static String transaction(Transaction transaction) {
+    static String transactionBody(Transaction transaction) {
         JsonArray conditions = new JsonArray(transaction.conditionCount());
-        transaction.conditions().forEach(condition -> conditions.add(condition(condition)));
+        transaction.conditions().forEach(condition -> conditions.add(conditionJson(condition)));
         JsonArray operations = new JsonArray(transaction.operationCount());
-        transaction.operations().forEach(operation -> operations.add(operation(operation)));
+        transaction.operations().forEach(operation -> operations.add(operationJson(operation)));
         JsonObject body = new JsonObject();
         body.add(CONDITIONS, conditions);
         body.add(OPERATIONS, operations);
         return body.toString();
     }
 
-    private static JsonObject condition(Transaction.Condition condition) {
+    private static JsonObject conditionJson(Transaction.Condition condition) {
         JsonObject json = new JsonObject();
         json.addProperty(KEY, condition.key());
         json.addProperty(MOD_REVISION, condition.modRevision());
         return json;
     }
 
-    private static JsonObject operation(Transaction.Operation operation) {
+    private static JsonObject operationJson(Transaction.Operation operation) {
         JsonObject json = new JsonObject();
         if (operation instanceof Transaction.Put put) {
             json.addProperty(PUT, put.key());
--- a/src/main/java/org/havenford/storage/TokenBucket.java
+++ b/src/main/java/org/havenford/storage/TokenBucket.java
@@ -39,13 +39,13 @@
     }
 
     /** Returns whether this many tokens are available; for more than the capacity, whether the bucket is full. */
-    public boolean has(double needed, Instant now) {
+    public boolean has(double count, Instant now) {
         refill(now);
-        return tokens >= Math.min(needed, capacity()) - TOLERANCE;
+        return tokens >= Math.min(count, capacity()) - TOLERANCE;
     }
 
     /** Takes tokens; the number of tokens left may become negative. */
-    public void take(double taken) {
-        tokens -= taken;
+    public void take(double count) {
+        tokens -= count;
     }
 }
