--- a/src/test/java/org/havenford/storage/StoreClientTest.java
+++ b/src/test/java/org/havenford/storage/StoreClientTest.java
@@ -12,11 +12,11 @@
 import org.havenford.transport.HttpCalls;
 import org.junit.jupiter.api.Test;
 
-/** How calls wait for their turn at the state service. */
+/** Tests the queueing of calls that exceed this controller's share of the store's limits. */
 class StoreClientTest {
     private final ManualLoop loop = new ManualLoop(Instant.EPOCH);
     private final List<String> sent = new ArrayList<>();
-    /** Answers every call at once. */
+    /** Records the body of each call and answers it at once. */
     private final HttpCalls calls = new HttpCalls() {
         @Override
         public void call(
@@ -26,26 +26,27 @@
         }
     };
 
-    /** Five changes a second for this controller alone. */
+    /** A client with a limit of five writes per second for a single controller. */
     private final StoreClient store = new StoreClient(loop, calls, "state:1", new StoreLimits(100, 5, 5), 1);
 
-    private static Transaction changes(int n) {
+    private static Transaction transactionWithPuts(int count) {
         Transaction transaction = new Transaction();
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < count; i++) {
             transaction.put("live/x/" + i, new JsonObject());
         }
         return transaction;
     }
 
-    /** What would only fail is not sent when its turn comes; what is behind it goes in its place. */
+    /** A queued transaction whose conditions no longer hold is not sent, and the next one is sent in its place. */
     @Test
-    void aTransactionThatHasBecomeStaleIsNotSent() {
+    void aQueuedTransactionThatHasBecomeStaleIsNotSent() {
         List<StoreOutcome> outcomes = new ArrayList<>();
         boolean[] current = {true};
-        store.commit(changes(4), CallPriority.CLAIM, result -> outcomes.add(result.outcome()));
-        store.commit(changes(2), CallPriority.CLAIM, () -> current[0], result -> outcomes.add(result.outcome()));
-        store.commit(changes(1), CallPriority.CLAIM, result -> outcomes.add(result.outcome()));
-        assertEquals(List.of(StoreOutcome.OK), outcomes, "the others wait for the limit");
+        store.commit(transactionWithPuts(4), CallPriority.CLAIM, result -> outcomes.add(result.outcome()));
+        store.commit(
+                transactionWithPuts(2), CallPriority.CLAIM, () -> current[0], result -> outcomes.add(result.outcome()));
+        store.commit(transactionWithPuts(1), CallPriority.CLAIM, result -> outcomes.add(result.outcome()));
+        assertEquals(List.of(StoreOutcome.OK), outcomes, "the other transactions wait for the limit of writes");
         current[0] = false;
         loop.runFor(Duration.ofSeconds(3));
         assertEquals(List.of(StoreOutcome.OK, StoreOutcome.STALE, StoreOutcome.OK), outcomes);
--- a/src/test/java/org/havenford/storage/StoreRequestBudgetTest.java
+++ b/src/test/java/org/havenford/storage/StoreRequestBudgetTest.java
@@ -8,7 +8,7 @@
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
 
-/** How a controller's share of the store's limits follows what the store takes. */
+/** Tests how a controller's share of the store's limits adapts to exhaustion and refusals. */
 class StoreRequestBudgetTest {
     private static final Instant START = Instant.EPOCH;
     private static final StoreLimits LIMITS = new StoreLimits(100, 20, 10);
@@ -16,18 +16,22 @@
     private final StoreRequestBudget budget = new StoreRequestBudget(LIMITS, 4, START);
 
     @Test
-    void aShareThatIsUsedUpGrowsOnceASecond() {
+    void anExhaustedShareGrowsOnceASecond() {
         budget.markExhausted();
         budget.adjust(START.plusMillis(999));
         assertEquals(1, budget.share());
         budget.adjust(START.plusSeconds(1));
         assertEquals(1.15, budget.share(), 1e-9);
         budget.adjust(START.plusSeconds(2));
-        assertEquals(1.15 * 0.97, budget.share(), 1e-9, "it returns when it was not used up again");
+        assertEquals(
+                1.15 * 0.97,
+                budget.share(),
+                1e-9,
+                "the share returns towards an even one if it was not exhausted again");
     }
 
     @Test
-    void aRefusalShrinksTheShareOnceASecondDownToTheLowerLimitToCome() {
+    void refusalsShrinkTheShareOnceASecondDownToTheMinimum() {
         budget.recordRefusal(START);
         budget.recordRefusal(START.plusMillis(500));
         assertEquals(0.75, budget.share(), 1e-9);
@@ -49,7 +53,7 @@
     }
 
     @Test
-    void aRefusalHoldsLeaseCallsBackForAMomentAndOthersForLongerEachTime() {
+    void aRefusalDelaysLeaseCallsBrieflyAndOtherCallsLongerEachTime() {
         assertTrue(permits(CallPriority.WATCH, START));
         budget.recordRefusal(START);
         assertFalse(permits(CallPriority.LEASE, START.plusMillis(59)));
@@ -64,14 +68,14 @@
     }
 
     @Test
-    void lessUrgentCallsLeaveAPartOfTheLimitsToUsers() {
+    void callsOfLowerPriorityLeaveAPartOfTheBudgetToUsers() {
         StoreRequestBudget alone = new StoreRequestBudget(new StoreLimits(100, 20, 20), 1, START);
         Instant now = START.plus(Duration.ofMillis(1));
         alone.take(12);
         assertFalse(alone.permits(CallPriority.WORK, 1, false, now));
         assertTrue(alone.permits(CallPriority.CLAIM, 1, false, now));
         assertTrue(alone.permits(CallPriority.USER, 1, false, now));
-        assertFalse(alone.permits(CallPriority.USER, 1, true, now), "others that come first wait");
+        assertFalse(alone.permits(CallPriority.USER, 1, true, now), "calls of a higher priority wait");
     }
 
     private boolean permits(CallPriority priority, Instant now) {
--- a/src/test/java/org/havenford/storage/StoreResultTest.java
+++ b/src/test/java/org/havenford/storage/StoreResultTest.java
@@ -11,25 +11,25 @@
 import org.havenford.protocol.MalformedMessageException;
 import org.junit.jupiter.api.Test;
 
-/** What is read from the store's responses. */
+/** Tests what is parsed from the store's responses. */
 class StoreResultTest {
     private static StoreResult result(StoreOutcome outcome, String body) throws MalformedMessageException {
         return new StoreResult(outcome, Json.object(body));
     }
 
     @Test
-    void aKeyIsReadWithItsValueAndModRevision() throws MalformedMessageException {
+    void aKeyIsParsedWithItsValueAndModRevision() throws MalformedMessageException {
         StoreResult read = result(StoreOutcome.OK, "{\"k\":\"a/b\",\"v\":{\"x\":1},\"stamp\":412,\"permit\":7}");
         JsonObject value = new JsonObject();
         value.addProperty("x", 1);
         assertEquals(value.toString(), read.value().toString());
         assertEquals(412, read.modRevision());
         assertEquals(7, read.leaseId());
-        assertEquals(0, read.revision(), "the response names no revision of the store");
+        assertEquals(0, read.revision(), "the response contains no store revision");
     }
 
     @Test
-    void aConflictNamesItsKeysAndTheRevision() throws MalformedMessageException {
+    void aConflictContainsItsKeysAndTheRevision() throws MalformedMessageException {
         StoreResult conflict = result(StoreOutcome.CONFLICT, "{\"failed\":[\"a/b\"],\"edition\":431}");
         assertEquals(List.of("a/b"), conflict.conflictingKeys());
         assertEquals(431, conflict.revision());
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void aPageTellsWhetherMoreKeysFollow() throws MalformedMessageException {
+    void aPageIndicatesWhetherMoreKeysFollow() throws MalformedMessageException {
         StoreResult page =
                 result(StoreOutcome.OK, "{\"items\":[{\"k\":\"c/8\",\"v\":{},\"stamp\":5}],\"truncated\":true}");
         List<String> keys = new ArrayList<>();
--- a/src/test/java/org/havenford/storage/UnreadableMembershipValuesTest.java
+++ b/src/test/java/org/havenford/storage/UnreadableMembershipValuesTest.java
@@ -15,26 +15,29 @@
 import org.havenford.storage.records.MemberRegistration;
 import org.junit.jupiter.api.Test;
 
-/** Membership values of the wrong form change nothing, except that a probe reaches its member in any form. */
+/**
+ * Tests malformed membership values in the store. The observer must not receive a malformed view or registration. It must
+ * receive a liveness probe in any form, since a member has to answer every probe.
+ */
 class UnreadableMembershipValuesTest {
-    private final List<Object> told = new ArrayList<>();
+    private final List<Object> received = new ArrayList<>();
     private final ClusterState clusterState = new ClusterState();
 
     UnreadableMembershipValuesTest() {
         clusterState.setObserver(new ClusterState.Observer() {
             @Override
             public void viewChanged(ClusterView view, long modRevision) {
-                told.add(String.valueOf(view));
+                received.add(String.valueOf(view));
             }
 
             @Override
             public void memberChanged(String node, MemberRegistration registration, long modRevision) {
-                told.add(node + " " + registration);
+                received.add(node + " " + registration);
             }
 
             @Override
             public void livenessProbeChanged(String node, LivenessProbe probe, long modRevision) {
-                told.add(probe);
+                received.add(probe);
             }
 
             @Override
@@ -56,43 +59,43 @@
     }
 
     @Test
-    void aViewOfTheWrongFormIsNotHandedOver() {
+    void aMalformedViewDoesNotReachTheObserver() {
         for (String members : List.of("{\"n\":\"x\"}", "{\"n\":null}", "{\"n\":{}}", "{\"n\":[]}", "7")) {
             String view = "{\"epoch\":1,\"members\":" + members + ",\"moved\":{},\"resting\":[]}";
             clusterState.changed(Keys.VIEW, json(view), 1);
         }
         clusterState.changed(Keys.VIEW, json("{\"epoch\":1,\"members\":{},\"moved\":{\"m\":{}},\"resting\":[]}"), 1);
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), received);
     }
 
     @Test
-    void aRegistrationOfTheWrongFormIsNotHandedOver() {
+    void aMalformedRegistrationDoesNotReachTheObserver() {
         clusterState.changed(Keys.member("n"), json("{\"format\":3}"), 1);
         clusterState.changed(Keys.member("n"), json("{\"incarnation\":7,\"format\":\"3\"}"), 1);
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), received);
         clusterState.changed(Keys.member("n"), json("{\"incarnation\":7}"), 1);
-        assertEquals(List.of("n " + new MemberRegistration(7, 1)), told);
+        assertEquals(List.of("n " + new MemberRegistration(7, 1)), received);
     }
 
     @Test
-    void valuesThatAreGoneAreHandedOverAsNull() {
+    void deletedValuesReachTheObserverAsNull() {
         clusterState.changed(Keys.VIEW, null, 1);
         clusterState.changed(Keys.member("n"), null, 2);
         clusterState.changed(Keys.livenessProbe("n"), null, 3);
-        assertEquals("null", told.get(0));
-        assertEquals("n null", told.get(1));
-        assertNull(told.get(2));
+        assertEquals("null", received.get(0));
+        assertEquals("n null", received.get(1));
+        assertNull(received.get(2));
     }
 
     @Test
-    void aProbeOfAnyFormIsHandedOver() {
+    void aProbeOfAnyFormReachesTheObserver() {
         clusterState.changed(Keys.livenessProbe("n"), json("{}"), 1);
-        assertEquals(new LivenessProbe(null, null, null), told.get(0));
+        assertEquals(new LivenessProbe(null, null, null), received.get(0));
         clusterState.changed(Keys.livenessProbe("n"), json("{\"by\":5,\"incarnation\":\"x\"}"), 2);
-        LivenessProbe unreadable = (LivenessProbe) told.get(1);
+        LivenessProbe unreadable = (LivenessProbe) received.get(1);
         assertNull(unreadable.requester());
         assertNotNull(unreadable.readError());
         clusterState.changed(Keys.livenessProbe("n"), new LivenessProbe("node-1", 5).toJson(), 3);
-        assertEquals(new LivenessProbe("node-1", 5), told.get(2));
+        assertEquals(new LivenessProbe("node-1", 5), received.get(2));
     }
 }
