--- a/src/main/java/org/havenford/storage/ConditionalWriter.java
+++ b/src/main/java/org/havenford/storage/ConditionalWriter.java
@@ -17,114 +17,124 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Commits transactions, and locks the keys that they decide on within this controller: from the sending of a transaction
- * until its outcome is known and our replica shows it, nothing else is decided on these keys.
+ * Commits transactions, and locks the keys that they concern within this controller from the submission of a
+ * transaction until its outcome is known and visible in the replica. Callers make no other decision on a locked key.
  */
 public final class ConditionalWriter {
     private static final Logger LOG = LoggerFactory.getLogger(ConditionalWriter.class);
-    /** After a transaction that was not executed, or whose outcome is unknown. */
-    private static final Duration RETRY = Duration.ofMillis(250);
-    /** What the store calls malformed or too large would be so again: other work comes first. */
-    private static final Duration REJECTED_RETRY = Duration.ofSeconds(20);
-    /** How long keys stay locked for a replica that does not catch up. */
-    private static final Duration REPLICA_PATIENCE = Duration.ofSeconds(1);
+    /** Delay until keys are unlocked after a transaction that was not executed, or whose outcome is unknown. */
+    private static final Duration UNLOCK_DELAY = Duration.ofMillis(250);
+    /**
+     * Delay until keys are unlocked after the store rejected a transaction as malformed or too large. A repetition
+     * would be rejected as well, so other work goes first.
+     */
+    private static final Duration REJECTED_UNLOCK_DELAY = Duration.ofSeconds(20);
+    /** Longest time for which keys stay locked while the replica has not reached the revision of a conflict. */
+    private static final Duration REPLICA_LOCK_TIMEOUT = Duration.ofSeconds(1);
 
-    /** Keys that stay locked until our replica has reached a revision, or until a time. */
+    /** Keys that stay locked until the replica has reached a revision, or until a time on the monotonic clock. */
     private record ReplicaLock(long revision, Instant until, Set<String> keys) {}
 
     private final EventLoop loop;
     private final StoreClient store;
     private final StoreReplica replica;
     private final int nextValueBytes;
-    private final Runnable wake;
-    private final Set<String> locked = new HashSet<>();
+    private final Runnable requestRound;
+    private final Set<String> lockedKeys = new HashSet<>();
     private final List<ReplicaLock> replicaLocks = new ArrayList<>();
     private boolean limitsLowered;
 
     /**
-     * A writer over one replica.
+     * Creates a writer that works with one replica.
      *
-     * @param nextValueBytes the limit to come of the size of a value, in bytes
-     * @param wake asks for another round once keys are free again
+     * @param nextValueBytes the announced future limit of the size of a value, in bytes
+     * @param requestRound called to request another round when keys have been unlocked
      */
     public ConditionalWriter(
-            EventLoop loop, StoreClient store, StoreReplica replica, int nextValueBytes, Runnable wake) {
+            EventLoop loop, StoreClient store, StoreReplica replica, int nextValueBytes, Runnable requestRound) {
         this.loop = loop;
         this.store = store;
         this.replica = replica;
         this.nextValueBytes = nextValueBytes;
-        this.wake = wake;
+        this.requestRound = requestRound;
     }
 
-    /** Whether an unfinished transaction, or one that the replica has not caught up with, touches the key. */
+    /**
+     * Returns whether the key is locked by a transaction that is unfinished, or whose outcome is not visible in the
+     * replica yet.
+     */
     public boolean isLocked(String key) {
-        return locked.contains(key);
+        return lockedKeys.contains(key);
     }
 
     /**
-     * Whether the store has refused a value larger than its limit to come. The limits fall only after the upgrade of
-     * all controllers, so from then on all of them read what this version writes.
+     * Returns whether the store has rejected a transaction with a value above the announced future limit. Limits
+     * are lowered only after all controllers have been upgraded, so from then on all of them read the values that this
+     * version writes.
      */
     public boolean limitsLowered() {
         return limitsLowered;
     }
 
-    /** Unlocks what was locked until our replica has caught up. */
+    /** Unlocks the keys of past conflicts whose revision the replica has reached, or whose time is over. */
     public void unlockKeysCaughtUp(Instant now) {
         replicaLocks.removeIf(lock -> {
-            boolean over = replica.revision() >= lock.revision() || now.isAfter(lock.until());
-            if (over) {
-                locked.removeAll(lock.keys());
+            boolean released = replica.revision() >= lock.revision() || now.isAfter(lock.until());
+            if (released) {
+                lockedKeys.removeAll(lock.keys());
             }
-            return over;
+            return released;
         });
     }
 
     /** Commits a transaction and keeps its keys locked until the replica has caught up with the outcome. */
-    public void commit(Transaction transaction, CallPriority priority, Collection<String> locks, Runnable onSuccess) {
-        commit(transaction, priority, locks, onSuccess, result -> {});
+    public void commit(Transaction transaction, CallPriority priority, Collection<String> keys, Runnable onSuccess) {
+        commit(transaction, priority, keys, onSuccess, result -> {});
     }
 
     /**
      * Commits a transaction and keeps its keys locked until the replica has caught up with the outcome.
      *
-     * @param onSuccess run before our replica shows the transaction
-     * @param afterwards told every outcome; a good one when our replica shows it
+     * @param onSuccess called after a commit, before the transaction is applied to the replica
+     * @param callback called with every outcome; after a commit, when the transaction has been applied to the replica
      */
     public void commit(
             Transaction transaction,
             CallPriority priority,
-            Collection<String> locks,
+            Collection<String> keys,
             Runnable onSuccess,
-            Consumer<StoreResult> afterwards) {
-        locked.addAll(locks);
+            Consumer<StoreResult> callback) {
+        lockedKeys.addAll(keys);
         store.commit(transaction, priority, () -> isCurrent(transaction), result -> {
             if (result.ok()) {
                 onSuccess.run();
                 replica.applyCommitted(transaction, result.revision());
-                afterwards.accept(result);
-                unlock(locks);
+                callback.accept(result);
+                unlock(keys);
             } else {
-                afterwards.accept(result);
-                unlockAfterFailure(transaction, result, locks);
+                callback.accept(result);
+                unlockAfterFailure(transaction, result, keys);
             }
         });
     }
 
-    private void unlockAfterFailure(Transaction transaction, StoreResult result, Collection<String> locks) {
+    private void unlockAfterFailure(Transaction transaction, StoreResult result, Collection<String> keys) {
         switch (result.outcome()) {
-            case CONFLICT -> lockUntilCaughtUp(result, locks);
-            case STALE -> unlock(locks);
+            case CONFLICT -> lockUntilCaughtUp(result, keys);
+            case STALE -> unlock(keys);
             case REJECTED -> {
-                boolean shorterFormHelps = !limitsLowered && largestValueBytes(transaction) > nextValueBytes;
-                limitsLowered |= shorterFormHelps;
-                loop.after(shorterFormHelps ? RETRY : REJECTED_RETRY, () -> unlock(locks));
+                boolean shortFormMayFit = !limitsLowered && largestValueBytes(transaction) > nextValueBytes;
+                limitsLowered |= shortFormMayFit;
+                loop.after(shortFormMayFit ? UNLOCK_DELAY : REJECTED_UNLOCK_DELAY, () -> unlock(keys));
             }
-            default -> loop.after(RETRY, () -> unlock(locks));
+            default -> loop.after(UNLOCK_DELAY, () -> unlock(keys));
         }
     }
 
-    /** Whether our replica still holds what the transaction was decided on; what others have changed would fail it. */
+    /**
+     * Returns whether the replica still has the mod revisions that the transaction requires. If another controller has
+     * changed one of these keys, the transaction would only fail.
+     */
     private boolean isCurrent(Transaction transaction) {
         for (Transaction.Condition condition : transaction.conditions()) {
             String key = condition.key();
@@ -135,9 +145,9 @@
         return true;
     }
 
-    private void unlock(Collection<String> locks) {
-        locked.removeAll(locks);
-        wake.run();
+    private void unlock(Collection<String> keys) {
+        lockedKeys.removeAll(keys);
+        requestRound.run();
     }
 
     private static int largestValueBytes(Transaction transaction) {
@@ -151,16 +161,20 @@
         return largest;
     }
 
-    /** Our replica lacks what made the conflict. Until the watch has brought it, a new decision would only fail again. */
-    private void lockUntilCaughtUp(StoreResult result, Collection<String> locks) {
-        Set<String> keys = new HashSet<>(locks);
+    /**
+     * Keeps the keys of a transaction, and the conflicting ones, locked until the watch has brought the change that
+     * caused the conflict: a new decision on the outdated replica would only fail again. Conflicting keys that another
+     * transaction has locked are left to it.
+     */
+    private void lockUntilCaughtUp(StoreResult result, Collection<String> keys) {
+        Set<String> keysToLock = new HashSet<>(keys);
         try {
-            keys.addAll(result.conflictingKeys());
+            keysToLock.addAll(result.conflictingKeys());
         } catch (MalformedMessageException e) {
             LOG.warn("cannot read conflicting keys: error={}", e.getMessage());
         }
-        keys.removeIf(key -> !locks.contains(key) && locked.contains(key));
-        locked.addAll(keys);
-        replicaLocks.add(new ReplicaLock(result.revision(), loop.now().plus(REPLICA_PATIENCE), keys));
+        keysToLock.removeIf(key -> !keys.contains(key) && lockedKeys.contains(key));
+        lockedKeys.addAll(keysToLock);
+        replicaLocks.add(new ReplicaLock(result.revision(), loop.now().plus(REPLICA_LOCK_TIMEOUT), keysToLock));
     }
 }
--- a/src/main/java/org/havenford/storage/JobDependents.java
+++ b/src/main/java/org/havenford/storage/JobDependents.java
@@ -7,42 +7,42 @@
 import java.util.TreeSet;
 import org.havenford.storage.records.Job;
 
-/** Jobs that wait for others, and by which jobs they are waited for. */
+/** Jobs that wait for their dependencies, and an index of them by dependency. */
 final class JobDependents {
     private final TreeSet<String> awaitingDependencies = new TreeSet<>();
-    /** Waiting jobs by the jobs that they name. */
+    /** Ids of waiting jobs by the jobs that they depend on. */
     private final Map<String, Set<String>> dependentsByJob = new HashMap<>();
 
-    private long changes;
+    private long changeCount;
 
-    /** Jobs that wait for others. */
+    /** Returns the ids of the jobs that wait for their dependencies. */
     Collection<String> awaitingDependencies() {
         return awaitingDependencies;
     }
 
-    /** Waiting jobs that name the given one. */
-    Set<String> of(String job) {
+    /** Returns the ids of the waiting jobs that depend on the given job. */
+    Set<String> dependentsOf(String job) {
         return dependentsByJob.getOrDefault(job, Set.of());
     }
 
-    /** Number of changes of waiting jobs and of jobs that they name. */
-    long changes() {
-        return changes;
+    /** Returns the number of changes so far of waiting jobs and of the jobs that they depend on. */
+    long changeCount() {
+        return changeCount;
     }
 
-    /** Counts a change of a job if others wait for it. */
+    /** Counts a change of a job if waiting jobs depend on it. */
     void jobChanged(String job) {
         if (dependentsByJob.containsKey(job)) {
-            changes++;
+            changeCount++;
         }
     }
 
-    /** Adds a job if it waits for others. */
+    /** Adds a job if it waits for its dependencies. */
     void add(Job job) {
         if (!job.awaitsDependencies()) {
             return;
         }
-        changes++;
+        changeCount++;
         awaitingDependencies.add(job.id());
         for (String dependency : job.spec().dependencies()) {
             dependentsByJob.computeIfAbsent(dependency, key -> new TreeSet<>()).add(job.id());
@@ -54,7 +54,7 @@
         if (!awaitingDependencies.remove(job.id())) {
             return;
         }
-        changes++;
+        changeCount++;
         for (String dependency : job.spec().dependencies()) {
             Set<String> dependents = dependentsByJob.get(dependency);
             dependents.remove(job.id());
--- a/src/main/java/org/havenford/storage/JobTable.java
+++ b/src/main/java/org/havenford/storage/JobTable.java
@@ -12,16 +12,19 @@
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.TaskRange;
 
-/** Jobs that are not over, with their task ranges; claims are kept in the index as they come and go. */
+/** Jobs that have not ended, with their task ranges. Keeps the claim index up to date. */
 final class JobTable {
-    /** In order, so that all controllers go through them alike; and by id, since nothing is looked up as often. */
-    private final TreeMap<String, Job> jobs = new TreeMap<>();
+    /**
+     * Jobs in the order of their ids, so that all controllers iterate over them in the same order. The hash map below
+     * holds the same jobs for lookups by id, the most frequent access.
+     */
+    private final TreeMap<String, Job> jobsInOrder = new TreeMap<>();
 
     private final Object2ObjectOpenHashMap<String, Job> jobsById = new Object2ObjectOpenHashMap<>();
     private final JobDependents dependents = new JobDependents();
     /**
-     * Values of task ranges without a job, as ID/INDEX: while keys come one by one, its header is still to come;
-     * afterwards the job is over.
+     * Values of task ranges without a job, by ID/INDEX. While the keys are being read, the job's header may still
+     * follow; afterwards the job has ended.
      */
     private final Map<String, JsonObject> taskRangesWithoutJob = new HashMap<>();
 
@@ -36,12 +39,12 @@
         this.observer = observer;
     }
 
-    /** Jobs that are not over, by id. */
+    /** Returns the jobs that have not ended, in the order of their ids. */
     Collection<Job> jobs() {
-        return jobs.values();
+        return jobsInOrder.values();
     }
 
-    /** A job that is not over, or null. */
+    /** Returns a job that has not ended, or null. */
     Job job(String id) {
         return jobsById.get(id);
     }
@@ -50,12 +53,12 @@
         return dependents;
     }
 
-    /** Task ranges, as ID/INDEX, whose job is over or not read yet. */
+    /** Returns the task ranges, as ID/INDEX, whose job has ended or has not been read yet. */
     Collection<String> taskRangesWithoutJob() {
         return taskRangesWithoutJob.keySet();
     }
 
-    /** Takes up the header of a job; null if it is gone, which ends the job. */
+    /** Applies the header of a job; {@code value} is null if it was deleted, which ends the job. */
     void headerChanged(String id, JsonObject value) throws MalformedMessageException {
         Job before = jobsById.get(id);
         if (value == null) {
@@ -63,7 +66,7 @@
             return;
         }
         Job job = Job.parse(value);
-        jobs.put(id, job);
+        jobsInOrder.put(id, job);
         jobsById.put(id, job);
         if (before != null) {
             dependents.remove(before);
@@ -71,13 +74,13 @@
         dependents.add(job);
         dependents.jobChanged(id);
         if (before != null) {
-            takeOverTaskRanges(before, job);
+            copyTaskRanges(before, job);
         }
-        takeUpWaitingTaskRanges(id);
+        applyTaskRangesWithoutJob(id);
     }
 
     private void remove(String id, Job job) {
-        jobs.remove(id);
+        jobsInOrder.remove(id);
         jobsById.remove(id);
         if (job == null) {
             return;
@@ -92,14 +95,14 @@
         }
     }
 
-    private void takeOverTaskRanges(Job before, Job after) {
+    private void copyTaskRanges(Job before, Job after) {
         for (int i = 0; i < after.taskRangeCount(); i++) {
             after.replace(i, before.storedTaskRange(i));
         }
         before.claims().forEach(claim -> observer.machineChanged(claim.machine()));
     }
 
-    private void takeUpWaitingTaskRanges(String id) throws MalformedMessageException {
+    private void applyTaskRangesWithoutJob(String id) throws MalformedMessageException {
         if (taskRangesWithoutJob.isEmpty()) {
             return;
         }
@@ -110,7 +113,7 @@
         }
     }
 
-    /** Takes up the value of a task range; {@code path} is ID/INDEX, and the value null if the key is gone. */
+    /** Applies the value of a task range; {@code path} is ID/INDEX, {@code value} is null if the key was deleted. */
     void taskRangeChanged(String path, JsonObject value) throws MalformedMessageException {
         int slash = path.indexOf('/');
         Job job = jobsById.get(path.substring(0, slash));
@@ -134,25 +137,25 @@
         }
     }
 
-    /** Removes from the index the claims of {@code before} that do not stand in {@code after}, which may be null. */
+    /** Removes from the index the claims of {@code before} that are not in {@code after}, which may be null. */
     private void removeClaims(Job job, TaskRange before, TaskRange after) {
         for (Claim claim : before.claims()) {
-            if (!holds(after, claim)) {
+            if (!containsClaim(after, claim)) {
                 claimIndex.remove(claim, job.spec());
             }
         }
     }
 
-    /** Adds to the index the claims of {@code after} that did not stand in {@code before}, which may be null. */
+    /** Adds to the index the claims of {@code after} that are not in {@code before}, which may be null. */
     private void addClaims(Job job, TaskRange before, TaskRange after) {
         for (Claim claim : after.claims()) {
-            if (!holds(before, claim)) {
+            if (!containsClaim(before, claim)) {
                 claimIndex.add(claim, job.spec());
             }
         }
     }
 
-    private static boolean holds(TaskRange taskRange, Claim claim) {
+    private static boolean containsClaim(TaskRange taskRange, Claim claim) {
         return taskRange != null && claim.equals(taskRange.claim(claim.task().index()));
     }
 }
--- a/src/main/java/org/havenford/storage/MachineTable.java
+++ b/src/main/java/org/havenford/storage/MachineTable.java
@@ -16,9 +16,11 @@
 import org.havenford.storage.records.MachineRecord.Condition;
 import org.havenford.storage.records.MachineStatuses;
 
-/** Machine records, put together from the batches that the machines came with and from what their owners report. */
+/** Machine records, built from the stored batches and from the statuses that the owners of the machines report. */
 final class MachineTable {
-    /** What an owner last reported of a machine, when it did, and since when the machine has been in that condition. */
+    /**
+     * Last reported status of a machine, the time of the report, and since when the same condition has been reported.
+     */
     private record ReportedStatus(MachineStatuses.Status status, Instant reportedAt, Instant since) {}
 
     private final Object2ObjectOpenHashMap<String, MachineRecord> machines = new Object2ObjectOpenHashMap<>();
@@ -31,27 +33,27 @@
         this.observer = observer;
     }
 
-    /** All machines on record. */
+    /** Returns the records of all machines. */
     Collection<MachineRecord> machines() {
         return machines.values();
     }
 
-    /** A machine's record, or null. */
+    /** Returns the record of a machine, or null. */
     MachineRecord machine(String name) {
         return machines.get(name);
     }
 
-    /** A batch of machines, or null. */
+    /** Returns a batch of machines, or null. */
     MachineBatch batch(String name) {
         return batches.get(name);
     }
 
-    /** Names of the batches that a machine is in. */
+    /** Returns the names of the batches that a machine is in. */
     Set<String> batchesOf(String machine) {
         return batchesByMachine.getOrDefault(machine, Set.of());
     }
 
-    /** When a machine on record was rented, or found, by the time of day. */
+    /** Returns the time of day at which a machine on record was rented or found. */
     Instant rentedAt(String machine) {
         return firstBatch(batchesByMachine.get(machine)).since();
     }
@@ -60,19 +62,19 @@
         return batches.get(batchNames.iterator().next());
     }
 
-    /** Tells the observer of every machine on record. */
+    /** Notifies the observer of a change of every machine on record. */
     void notifyAllChanged() {
         machines.keySet().forEach(observer::machineChanged);
     }
 
-    /** Takes up a batch; null if it is gone. */
+    /** Applies a batch; {@code after} is null if it was deleted. */
     void batchChanged(String name, MachineBatch after) {
         MachineBatch before = after == null ? batches.remove(name) : batches.put(name, after);
         Set<String> affected = new TreeSet<>();
-        Set<String> gone = new HashSet<>();
+        Set<String> withoutBatch = new HashSet<>();
         if (before != null) {
             affected.addAll(before.machines().keySet());
-            unlink(before, gone);
+            removeFromMachines(before, withoutBatch);
         }
         if (after != null) {
             for (String machine : after.machines().keySet()) {
@@ -82,24 +84,27 @@
                         .add(name);
             }
         }
-        gone.removeIf(batchesByMachine::containsKey);
-        reportedStatuses.keySet().removeAll(gone);
-        affected.forEach(this::rebuild);
+        withoutBatch.removeIf(batchesByMachine::containsKey);
+        reportedStatuses.keySet().removeAll(withoutBatch);
+        affected.forEach(this::rebuildRecord);
     }
 
-    /** Removes a batch from those of its machines; adds to {@code gone} the machines that are in no other. */
-    private void unlink(MachineBatch batch, Set<String> gone) {
+    /**
+     * Removes a batch from the sets of its machines, and adds the machines left without a batch to {@code
+     * withoutBatch}.
+     */
+    private void removeFromMachines(MachineBatch batch, Set<String> withoutBatch) {
         for (String machine : batch.machines().keySet()) {
             Set<String> batchNames = batchesByMachine.get(machine);
             batchNames.remove(batch.name());
             if (batchNames.isEmpty()) {
                 batchesByMachine.remove(machine);
-                gone.add(machine);
+                withoutBatch.add(machine);
             }
         }
     }
 
-    /** Takes up what an owner reports of its machines. */
+    /** Applies the statuses that an owner reports, except where a newer report is known. */
     void statusesChanged(MachineStatuses reported) {
         reported.machines().forEach((machine, status) -> {
             ReportedStatus before = reportedStatuses.get(machine);
@@ -107,22 +112,23 @@
                 boolean sameCondition = before != null && before.status.condition() == status.condition();
                 Instant since = sameCondition ? before.since : reported.at();
                 reportedStatuses.put(machine, new ReportedStatus(status, reported.at(), since));
-                rebuild(machine);
+                rebuildRecord(machine);
             }
         });
     }
 
-    private void rebuild(String machine) {
+    private void rebuildRecord(String machine) {
         Set<String> batchNames = batchesByMachine.get(machine);
-        // While keys come one by one, owners' reports come before the batches: they are kept until the machine goes.
-        MachineRecord after = batchNames == null ? null : recordOf(machine, batchNames);
+        // While the keys are being read, status reports precede the batches. They are kept without a batch, and are
+        // removed with the last batch of the machine.
+        MachineRecord after = batchNames == null ? null : buildRecord(machine, batchNames);
         MachineRecord before = after == null ? machines.remove(machine) : machines.put(machine, after);
         if (!Objects.equals(before, after)) {
             observer.machineChanged(machine);
         }
     }
 
-    private MachineRecord recordOf(String machine, Set<String> batchNames) {
+    private MachineRecord buildRecord(String machine, Set<String> batchNames) {
         MachineBatch batch = firstBatch(batchNames);
         ReportedStatus reported = reportedStatuses.get(machine);
         return new MachineRecord(
@@ -135,7 +141,7 @@
                 reported == null ? List.of() : reported.status.images());
     }
 
-    /** The state furthest on its way back to the cloud: a machine that is in two batches is to go if either says so. */
+    /** Returns the state closest to the return to the cloud, so that either of two batches can start the return. */
     private ServiceState serviceState(String machine, Set<String> batchNames) {
         ServiceState furthest = ServiceState.IN_SERVICE;
         for (String name : batchNames) {
--- a/src/main/java/org/havenford/storage/StoreStatistics.java
+++ b/src/main/java/org/havenford/storage/StoreStatistics.java
@@ -19,65 +19,65 @@
     private long expired;
     private long stale;
 
-    /** A request was sent. */
+    /** Counts a request that is sent, and its operations. */
     void countSent(StoreCall call) {
         sentRequests[call.priority().ordinal()]++;
         operations += call.request().operationCount();
     }
 
-    /** The store refused a request because of its limits. */
+    /** Counts a request that the store refused because of its limits. */
     void countRefusal() {
         refusals++;
     }
 
-    /** A call waited too long for its turn. */
+    /** Counts a call that reached its deadline before it could be sent. */
     void countExpired() {
         expired++;
     }
 
-    /** A transaction was not sent since its conditions were known to fail. */
+    /** Counts a transaction that was not sent, since its conditions were known to fail. */
     void countStale() {
         stale++;
     }
 
-    /** A transaction failed; counted by the kind of the keys that had changed, which is what a remedy starts from. */
+    /** Counts a conflict, and the kinds of its conflicting keys, which show where a remedy has to start. */
     void countConflict(StoreResult result) {
         conflicts++;
         try {
             for (String key : result.conflictingKeys()) {
-                conflictingKeyKinds.merge(kind(key), 1, Integer::sum);
+                conflictingKeyKinds.merge(keyKind(key), 1, Integer::sum);
             }
         } catch (MalformedMessageException e) {
             LOG.warn("cannot read conflicting keys: error={}", e.getMessage());
         }
     }
 
-    /** The second part of a key, as {@code job} of {@code live/job/j-1}. */
-    private static String kind(String key) {
+    /** Returns the second part of a key, such as {@code job} for {@code live/job/j-1}. */
+    private static String keyKind(String key) {
         int first = key.indexOf('/');
         int second = key.indexOf('/', first + 1);
         return second > 0 ? key.substring(first + 1, second) : key.substring(first + 1);
     }
 
-    /** The counts as {@code key=value} pairs; they start again at 0. */
+    /** Returns the counts as {@code key=value} pairs and resets them. */
     String takeSummary(int queued, double share) {
-        StringBuilder text = new StringBuilder();
+        StringBuilder summary = new StringBuilder();
         for (CallPriority priority : CallPriority.values()) {
-            text.append(priority.name().toLowerCase(Locale.ROOT))
+            summary.append(priority.name().toLowerCase(Locale.ROOT))
                     .append("Requests=")
                     .append(sentRequests[priority.ordinal()])
                     .append(' ');
         }
-        text.append("operations=").append(operations);
-        text.append(" conflicts=").append(conflicts);
-        text.append(" conflictingKeys=").append(conflictingKeyKinds);
-        text.append(" refused=").append(refusals);
-        text.append(" expired=").append(expired);
-        text.append(" stale=").append(stale);
-        text.append(" queued=").append(queued);
-        text.append(String.format(Locale.ROOT, " share=%.2f", share));
+        summary.append("operations=").append(operations);
+        summary.append(" conflicts=").append(conflicts);
+        summary.append(" conflictingKeys=").append(conflictingKeyKinds);
+        summary.append(" refused=").append(refusals);
+        summary.append(" expired=").append(expired);
+        summary.append(" stale=").append(stale);
+        summary.append(" queued=").append(queued);
+        summary.append(String.format(Locale.ROOT, " share=%.2f", share));
         reset();
-        return text.toString();
+        return summary.toString();
     }
 
     private void reset() {
