--- a/src/main/java/org/havenford/settings/PlatformSettings.java
+++ b/src/main/java/org/havenford/settings/PlatformSettings.java
@@ -10,8 +10,21 @@
 import org.havenford.protocol.MalformedMessageException;
 
 /**
- * The file that the platform hands over. Unknown fields are ignored. The state service's limits may be lowered to those of
- * {@code state.next} at any moment: sizes are the smaller of both, {@code presentValueBytes} is what holds until then.
+ * The platform's settings of a controller and its deployment. Unknown fields of the file are ignored. The limits of the
+ * store may be lowered to those announced in {@code state.next} at any time.
+ *
+ * @param heartbeatInterval how often agents send a heartbeat
+ * @param agentLease how long an agent runs its tasks without an answer from its owner
+ * @param cancellationLimit the time within which a cancelled task must have stopped
+ * @param storeRequestsPerSecond the current rate limit for requests to the store
+ * @param storeChangesPerSecond the current rate limit for operations of transactions
+ * @param nextStoreChangesPerSecond the smaller of the current and the announced rate limit for operations of
+ *     transactions
+ * @param valueBytes the smaller of the current and the announced size limit of a value
+ * @param presentValueBytes the current size limit of a value
+ * @param maxTransactionOperations the smaller of the current and the announced limit of operations in a transaction,
+ *     but at least what a claim needs
+ * @param cloudListLag how long the cloud's list of machines may lag behind
  */
 public record PlatformSettings(
         String node,
@@ -36,34 +49,41 @@
         int maxConnections,
         List<ServiceObjective> objectives) {
 
-    /** Changes a second and controller below which records are made as large, and releases gathered as long, as can be. */
-    private static final double SCARCE = 6;
+    /**
+     * Operations per second and controller below which task ranges are made larger and releases are batched for longer.
+     */
+    private static final double SCARCE_CHANGES_THRESHOLD = 6;
 
     /** Another controller of the same deployment. */
     public record Peer(String node, String zone, String address) {}
 
-    /** An aim of a class of jobs; {@code within} is null for deadlines, which every job brings itself. */
+    /**
+     * A service-level objective of a class of jobs; {@code within} is null for deadlines, which are set by each job.
+     */
     public record ServiceObjective(String kind, String jobClass, Duration within) {}
 
-    /** A team's share; a limit of 0 means none. */
+    /** The guaranteed resources and the limits of a team; a limit of 0 means that there is none. */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
-        /** Whether the team has a limit. */
+        /** Returns whether the team has a limit. */
         public boolean limited() {
             return cpusMax > 0 || gpusMax > 0;
         }
     }
 
-    /** Whether each controller's part of the changes that the state service takes, now or later, is so small that each must do much. */
+    /**
+     * Returns whether each controller's part of the store's rate limit for operations, current or announced, is so
+     * small that each operation should cover as many tasks as possible.
+     */
     public boolean scarceChanges() {
-        return nextStoreChangesPerSecond / (peers.size() + 1) < SCARCE;
+        return nextStoreChangesPerSecond / (peers.size() + 1) < SCARCE_CHANGES_THRESHOLD;
     }
 
-    /** Reads and checks a settings file. */
+    /** Reads and validates a settings file. */
     public static PlatformSettings read(Path file) throws IOException, MalformedMessageException {
         return parse(Files.readString(file));
     }
 
-    /** Reads and checks settings. */
+    /** Parses and validates settings. */
     public static PlatformSettings parse(String text) throws MalformedMessageException {
         return new PlatformSettingsReader(Json.object(text)).read();
     }
--- a/src/main/java/org/havenford/settings/PlatformSettingsReader.java
+++ b/src/main/java/org/havenford/settings/PlatformSettingsReader.java
@@ -11,11 +11,11 @@
 import org.havenford.settings.PlatformSettings.ServiceObjective;
 import org.havenford.settings.PlatformSettings.Team;
 
-/** Reads the platform's settings file; its field names appear here alone. */
+/** Reads the platform's settings from JSON. Only this class contains the field names. */
 final class PlatformSettingsReader {
     private static final int MAX_PORT = 65_535;
     private static final int BYTES_PER_KB = 1024;
-    /** What a claim needs at the least: the view, the job, its task range and the machine. */
+    /** The minimum for a claim, which concerns the view, the job, its task range and the machine. */
     private static final int MIN_TRANSACTION_OPERATIONS = 4;
 
     private static final double DEFAULT_MAX_CONNECTIONS = 1000;
@@ -25,8 +25,8 @@
     private final JsonObject deployment;
     private final JsonObject agents;
     private final JsonObject state;
-    /** Limits of the state service to come; those in force where none are announced. */
-    private final JsonObject nextState;
+    /** Announced limits of the store; the current ones if none are announced. */
+    private final JsonObject announcedState;
 
     private final JsonObject cloud;
     private final JsonObject resources;
@@ -37,7 +37,7 @@
         deployment = Json.child(root, "deployment");
         agents = Json.child(deployment, "workers");
         state = Json.child(deployment, "state");
-        nextState = Json.has(state, "next") ? Json.child(state, "next") : state;
+        announcedState = Json.has(state, "next") ? Json.child(state, "next") : state;
         cloud = Json.child(deployment, "cloud");
         resources = Json.has(deployment, "resources") ? Json.child(deployment, "resources") : new JsonObject();
     }
@@ -104,10 +104,10 @@
         return List.copyOf(objectives);
     }
 
-    /** The smaller of a limit in force and the one to come. */
+    /** Returns the smaller of the current and the announced limit. */
     private double smallerLimit(String field) throws MalformedMessageException {
-        double present = Json.positive(state, field);
-        return Json.has(nextState, field) ? Math.min(present, Json.positive(nextState, field)) : present;
+        double current = Json.positive(state, field);
+        return Json.has(announcedState, field) ? Math.min(current, Json.positive(announcedState, field)) : current;
     }
 
     private static String address(JsonObject json, String field) throws MalformedMessageException {
--- a/src/main/java/org/havenford/settings/StandbySettings.java
+++ b/src/main/java/org/havenford/settings/StandbySettings.java
@@ -3,22 +3,26 @@
 import java.time.Duration;
 
 /**
- * How a warm standby follows its peers: how often they tell that they are alive, after which silence one is suspected, how
- * long it then has to object through the state service, and what may wait to be sent to a slow peer.
+ * Settings of the warm standby.
+ *
+ * @param heartbeat how often peers send each other a heartbeat
+ * @param suspectAfter how long a peer must be silent to be suspected
+ * @param probeWindow how long a suspected peer has to answer a liveness probe in the store
+ * @param bufferBytes maximum size of the data that waits to be sent to a slow peer, before its connection is closed
  */
 public record StandbySettings(
         boolean enabled, Duration heartbeat, Duration suspectAfter, Duration probeWindow, int bufferBytes) {
 
-    /** No standby; the other values are the defaults that hold once it is switched on. */
+    /** A disabled standby; the other values are the defaults for when it is enabled. */
     public static final StandbySettings OFF = new StandbySettings(
             false, Duration.ofMillis(200), Duration.ofMillis(800), Duration.ofMillis(500), 256 * 1024);
 
-    StandbySettings enabled(boolean on) {
-        return new StandbySettings(on, heartbeat, suspectAfter, probeWindow, bufferBytes);
+    StandbySettings withEnabled(boolean value) {
+        return new StandbySettings(value, heartbeat, suspectAfter, probeWindow, bufferBytes);
     }
 
-    StandbySettings withHeartbeat(Duration every) {
-        return new StandbySettings(enabled, every, suspectAfter, probeWindow, bufferBytes);
+    StandbySettings withHeartbeat(Duration interval) {
+        return new StandbySettings(enabled, interval, suspectAfter, probeWindow, bufferBytes);
     }
 
     StandbySettings withSuspectAfter(Duration silence) {
@@ -33,7 +37,10 @@
         return new StandbySettings(enabled, heartbeat, suspectAfter, probeWindow, bytes);
     }
 
-    /** Whether a peer that is alive can be heard in time: a silence must be longer than two heartbeats. */
+    /**
+     * Returns whether a live peer can be heard before it is suspected: suspectAfter must exceed two heartbeat
+     * intervals.
+     */
     public boolean isConsistent() {
         return suspectAfter.compareTo(heartbeat.multipliedBy(2)) > 0;
     }
--- a/src/main/java/org/havenford/settings/package-info.java
+++ b/src/main/java/org/havenford/settings/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Settings of the platform (JSON) and of the operators (XML).
+ * The settings of the platform (JSON) and of the operators (XML).
  *
- * <p>Values are read once at the start and immutable afterwards. Any package above may read them.
+ * <p>Settings are read once at startup and are immutable. Packages of higher layers may use them.
  */
 package org.havenford.settings;
