--- a/src/main/java/org/havenford/storage/records/Claim.java
+++ b/src/main/java/org/havenford/storage/records/Claim.java
@@ -4,13 +4,15 @@
 import org.havenford.protocol.TaskId;
 
 /**
- * One attempt of a task, bound to an incarnation of a machine. It holds until it is released.
+ * The right of one incarnation of a machine to run one attempt of a task, valid until it is released.
  *
- * @param quotaHolder the controller whose share of the team's limit it is charged to; empty where the team has no limit
+ * @param attempt number of the attempt, which increases with each claim of the task
+ * @param claimedAt when the claim was made, by the time of day of the controller that made it
+ * @param quotaHolder the controller whose share of the team's quota is charged; empty if the team has no limit
  */
 public record Claim(
         TaskId task, long attempt, String machine, long incarnation, Instant claimedAt, String quotaHolder) {
-    /** Claims are looked up often; those of different attempts are what is to be told apart. */
+    /** Hashes only the task and the attempt: they distinguish claims, and claims are looked up often. */
     @Override
     public int hashCode() {
         return 31 * task.hashCode() + Long.hashCode(attempt);
--- a/src/main/java/org/havenford/storage/records/CompactClaimsCodec.java
+++ b/src/main/java/org/havenford/storage/records/CompactClaimsCodec.java
@@ -12,12 +12,13 @@
 import org.havenford.protocol.TaskId;
 
 /**
- * The short form of the claims of a task range: one text, with what the claims share stated once. A claim is written as
- * "TASK ATTEMPT MACHINE INCARNATION TIME HOLDER": the task counts from the first of the range, the machine lacks the
- * common prefix, the time is in milliseconds after the earliest claim, and the quota holder is an index into a list.
+ * Codec of the compact form of a task range's claims: one string for all claims, with their common values stored once.
+ * A claim is written as "TASK ATTEMPT MACHINE INCARNATION TIME HOLDER". The task is an offset from the first task of
+ * the range, the machine name lacks the common prefix, the time is in milliseconds after the earliest claim, and the
+ * quota holder is an index into the list of quota holders.
  */
 final class CompactClaimsCodec {
-    // Stored field names; versions in production read and write them, so they must not change.
+    // Names of stored fields. Versions in production read and write them, so they must not change.
     private static final String MACHINE_PREFIX = "p";
     private static final String EARLIEST_CLAIM = "t";
     private static final String QUOTA_HOLDERS = "a";
@@ -28,7 +29,7 @@
 
     private CompactClaimsCodec() {}
 
-    /** The short form of the claims of a range that begins with the given task. */
+    /** Encodes the claims of a task range whose first task is {@code firstTask}. */
     static JsonObject encode(Collection<Claim> claims, int firstTask) {
         String machinePrefix = null;
         long earliest = Long.MAX_VALUE;
@@ -38,12 +39,13 @@
             earliest = Math.min(earliest, claim.claimedAt().toEpochMilli());
         }
         List<String> quotaHolders = new ArrayList<>();
-        StringBuilder text = new StringBuilder();
+        StringBuilder encodedClaims = new StringBuilder();
         for (Claim claim : claims) {
             if (!quotaHolders.contains(claim.quotaHolder())) {
                 quotaHolders.add(claim.quotaHolder());
             }
-            text.append(text.isEmpty() ? "" : CLAIM_SEPARATOR)
+            encodedClaims
+                    .append(encodedClaims.isEmpty() ? "" : CLAIM_SEPARATOR)
                     .append(claim.task().index() - firstTask)
                     .append(PART_SEPARATOR)
                     .append(claim.attempt())
@@ -56,24 +58,27 @@
                     .append(PART_SEPARATOR)
                     .append(quotaHolders.indexOf(claim.quotaHolder()));
         }
-        JsonArray holders = new JsonArray();
-        quotaHolders.forEach(holders::add);
+        JsonArray quotaHolderNames = new JsonArray();
+        quotaHolders.forEach(quotaHolderNames::add);
         JsonObject json = new JsonObject();
         json.addProperty(MACHINE_PREFIX, machinePrefix == null ? "" : machinePrefix);
         json.addProperty(EARLIEST_CLAIM, claims.isEmpty() ? 0 : earliest);
-        json.add(QUOTA_HOLDERS, holders);
-        json.addProperty(CLAIMS, text.toString());
+        json.add(QUOTA_HOLDERS, quotaHolderNames);
+        json.addProperty(CLAIMS, encodedClaims.toString());
         return json;
     }
 
-    /** Reads the claims of a job's range; parts of a wrong form throw what their conversion throws. */
+    /**
+     * Decodes the claims of a task range whose first task is {@code firstTask}. A malformed part of a claim results in
+     * the unchecked exception of its conversion.
+     */
     static List<Claim> decode(JsonObject json, String job, int firstTask) throws MalformedMessageException {
         String machinePrefix = Json.text(json, MACHINE_PREFIX);
         long earliest = Json.count(json, EARLIEST_CLAIM);
         List<String> quotaHolders = Json.texts(json, QUOTA_HOLDERS);
-        String text = Json.text(json, CLAIMS);
+        String encodedClaims = Json.text(json, CLAIMS);
         List<Claim> claims = new ArrayList<>();
-        for (String claim : text.isEmpty() ? new String[0] : text.split(CLAIM_SEPARATOR)) {
+        for (String claim : encodedClaims.isEmpty() ? new String[0] : encodedClaims.split(CLAIM_SEPARATOR)) {
             String[] parts = claim.split(PART_SEPARATOR, -1);
             claims.add(new Claim(
                     new TaskId(job, firstTask + Integer.parseInt(parts[0])),
--- a/src/main/java/org/havenford/storage/records/FinalState.java
+++ b/src/main/java/org/havenford/storage/records/FinalState.java
@@ -6,46 +6,47 @@
 import org.havenford.protocol.MalformedMessageException;
 
 /**
- * How a job ended. It is stored once, under {@link Keys#finalState}, and never changes.
+ * The final state of a job, stored once under {@link Keys#finalState} and never changed.
  *
- * @param endedAt when the job ended, or null where the store does not say: it is written only for jobs that others await
+ * @param tasks number of tasks of the job
+ * @param endedAt when the job ended, or null if this is not stored: only jobs on which other jobs depend need it
  */
 public record FinalState(Status status, int tasks, Instant endedAt) {
-    // Stored field names; versions in production read and write them, so they must not change.
+    // Names of stored fields. Versions in production read and write them, so they must not change.
     private static final String STATUS = "status";
     private static final String TASKS = "tasks";
     private static final String ENDED_AT = "at";
 
-    /** The two ways in which a job can end. */
+    /** The outcome of a job. */
     public enum Status {
         /** All tasks are done. */
         DONE("done"),
-        /** The job, or one that it needs, was cancelled. */
+        /** The job, or one that it depends on, was cancelled. */
         CANCELLED("withdrawn");
 
-        private final String stored;
+        private final String storedName;
 
-        Status(String stored) {
-            this.stored = stored;
+        Status(String storedName) {
+            this.storedName = storedName;
         }
 
-        /** The word that the store and the users are given. */
+        /** Returns the name of the outcome in stored values and in answers to users. */
         public String text() {
-            return stored;
+            return storedName;
         }
     }
 
-    /** The final state of a job whose time of ending nobody needs. */
+    /** Creates the final state of a job on which no other job depends, without the time at which it ended. */
     public static FinalState of(Status status, int tasks) {
         return new FinalState(status, tasks, null);
     }
 
-    /** Tasks that users are told to be done. */
+    /** Returns the number of done tasks to report to users: all tasks of a done job, 0 for a cancelled job. */
     public int doneTasks() {
         return status == Status.DONE ? tasks : 0;
     }
 
-    /** The value to store. */
+    /** Returns the value to store. */
     public JsonObject toJson() {
         JsonObject value = new JsonObject();
         value.addProperty(STATUS, status.text());
@@ -56,7 +57,7 @@
         return value;
     }
 
-    /** Reads a stored value of this version or of an earlier one. */
+    /** Parses a value stored by this version or an earlier one. */
     public static FinalState parse(JsonObject value) throws MalformedMessageException {
         Status status = Json.text(value, STATUS).equals(Status.DONE.text()) ? Status.DONE : Status.CANCELLED;
         Instant endedAt = Json.has(value, ENDED_AT) ? Instant.ofEpochMilli(Json.count(value, ENDED_AT)) : null;
--- a/src/main/java/org/havenford/storage/records/Job.java
+++ b/src/main/java/org/havenford/storage/records/Job.java
@@ -11,36 +11,36 @@
 import org.havenford.protocol.Json;
 import org.havenford.protocol.MalformedMessageException;
 
-/** An accepted job that is not over, with its tasks. */
+/** An accepted job that has not ended, with the state of its tasks. */
 public final class Job {
-    // Stored field names; versions in production read and write them, so they must not change.
+    // Names of stored fields. Versions in production read and write them, so they must not change.
     private static final String SUBMITTED_AT = "_at";
     private static final String TASK_RANGE_SIZE = "_chunk";
     private static final String CANCELLED = "_cancelled";
     private static final String DEPENDENCIES_DONE_AT = "_ready";
 
     private static final int MIN_TASK_RANGE_SIZE = 16;
-    /** Durations are kept in tenths of a second. */
+    /** Task ranges store durations in tenths of a second. */
     private static final int MILLIS_PER_TENTH = 100;
 
     private final JobSpec spec;
     private final Instant submittedAt;
     private final int taskRangeSize;
     private final boolean cancelled;
-    /** When all that the job awaits was found to be done in the store; null while it waits, or where it awaits nothing. */
+    /** When the store showed that all dependencies are done; null before that, and for jobs without dependencies. */
     private final Instant dependenciesDoneAt;
 
     private final TaskRange[] taskRanges;
     private int done;
     private int claimed;
     private int errors;
-    /** Medians of the phases, worked out when asked for after a change. */
-    private boolean mediansKnown;
+    /** Whether the medians reflect the current task ranges; they are computed on demand. */
+    private boolean mediansCurrent;
 
     private Duration medianPull;
     private Duration medianRun;
 
-    /** A job that was just accepted, or one that awaits no other. */
+    /** Creates a job that has just been accepted, or one without dependencies. */
     public Job(JobSpec spec, Instant submittedAt, int taskRangeSize, boolean cancelled) {
         this(spec, submittedAt, taskRangeSize, cancelled, null);
     }
@@ -54,85 +54,96 @@
         this.taskRanges = new TaskRange[(spec.taskCount() + taskRangeSize - 1) / taskRangeSize];
     }
 
-    /** Tasks per key, so that a full task range stays within the value limit. */
+    /**
+     * Returns the largest number of tasks per task range whose stored value stays within a limit of {@code valueBytes}.
+     */
     public static int taskRangeSize(int valueBytes) {
-        // Small values take more tasks than full records would allow: those are written in the short form.
+        // With a small limit, a full range may exceed it in the usual form; it is then stored in compact form.
         return Math.max(Math.min(32, (valueBytes - 250) / 56), Math.max(4, Math.min(64, (valueBytes - 600) / 130)));
     }
 
-    /** Tasks per key, so that the controllers can share a job by its keys; none so small that a write says little. */
+    /**
+     * Returns the number of tasks per task range of a new job: small enough to divide the job evenly among the
+     * controllers, but with a minimum, larger if writes are scarce, so that a write covers several tasks.
+     */
     public static int taskRangeSize(int valueBytes, int tasks, int controllers, boolean scarceChanges) {
-        int even = (tasks + controllers - 1) / Math.max(1, controllers);
+        int evenSize = (tasks + controllers - 1) / Math.max(1, controllers);
         return Math.min(
                 taskRangeSize(valueBytes),
-                Math.max(scarceChanges ? 2 * MIN_TASK_RANGE_SIZE : MIN_TASK_RANGE_SIZE, even));
+                Math.max(scarceChanges ? 2 * MIN_TASK_RANGE_SIZE : MIN_TASK_RANGE_SIZE, evenSize));
     }
 
-    /** The job as its user described it. */
+    /** Returns the job's specification. */
     public JobSpec spec() {
         return spec;
     }
 
-    /** The id that its user chose. */
+    /** Returns the id that the user chose for the job. */
     public String id() {
         return spec.id();
     }
 
-    /** When the job was accepted, by the clock of the controller that accepted it. */
+    /** Returns when the job was accepted, by the time of day of the controller that accepted it. */
     public Instant submittedAt() {
         return submittedAt;
     }
 
-    /** Whether the job's cancellation was confirmed to its user. */
+    /** Returns whether a cancellation of the job is stored. */
     public boolean cancelled() {
         return cancelled;
     }
 
-    /** Whether jobs that this one needs are not known to be done: then none of its tasks may be claimed. */
+    /**
+     * Returns whether dependencies of the job are not known to be done; none of its tasks may be claimed until they
+     * are.
+     */
     public boolean awaitsDependencies() {
         return dependenciesDoneAt == null && !spec.dependencies().isEmpty();
     }
 
-    /** From when on the job could start: its times count from here, its deadline from the submission. */
+    /**
+     * Returns the earliest time at which the job could start: its submission, or the end of its last dependency as
+     * found in the store. Waiting times count from here, but the deadline counts from the submission.
+     */
     public Instant releasedAt() {
         return dependenciesDoneAt == null ? submittedAt : dependenciesDoneAt;
     }
 
-    /** Number of records that hold the job's tasks. */
+    /** Returns the number of task ranges of the job. */
     public int taskRangeCount() {
         return taskRanges.length;
     }
 
-    /** Index of the record that holds a task. */
+    /** Returns the index of the task range that contains a task. */
     public int taskRangeIndex(int task) {
         return task / taskRangeSize;
     }
 
-    /** The task range, or null when none of its tasks was ever claimed. */
+    /** Returns a task range, or null if it is not stored because none of its tasks was ever claimed. */
     public TaskRange storedTaskRange(int index) {
         return taskRanges[index];
     }
 
-    /** The record, a fresh one if none of its tasks was ever claimed. */
+    /** Returns a task range; an empty one if it is not stored. */
     public TaskRange taskRange(int index) {
         return taskRanges[index] == null ? emptyTaskRange(index) : taskRanges[index];
     }
 
-    /** A record in which no task was ever claimed. */
+    /** Creates a task range none of whose tasks was ever claimed. */
     public TaskRange emptyTaskRange(int index) {
         int first = index * taskRangeSize;
         return new TaskRange(id(), first, Math.min(taskRangeSize, spec.taskCount() - first));
     }
 
-    /** Puts a record in place of the one before; null if it was deleted. */
+    /** Replaces a task range; {@code taskRange} is null if its key was deleted. */
     public void replace(int index, TaskRange taskRange) {
-        count(taskRanges[index], -1);
+        addCounts(taskRanges[index], -1);
         taskRanges[index] = taskRange;
-        count(taskRange, 1);
-        mediansKnown = false;
+        addCounts(taskRange, 1);
+        mediansCurrent = false;
     }
 
-    private void count(TaskRange taskRange, int sign) {
+    private void addCounts(TaskRange taskRange, int sign) {
         if (taskRange != null) {
             done += sign * taskRange.doneCount();
             claimed += sign * taskRange.claims().size();
@@ -140,18 +151,18 @@
         }
     }
 
-    /** The claim of a task, or null. */
+    /** Returns the claim of a task, or null if the task is not claimed. */
     public Claim claim(int task) {
         TaskRange taskRange = task < spec.taskCount() ? taskRanges[taskRangeIndex(task)] : null;
         return taskRange == null ? null : taskRange.claim(task);
     }
 
-    /** Number of tasks that are done. */
+    /** Returns the number of tasks that are done. */
     public int doneCount() {
         return done;
     }
 
-    /** All claims of the job's tasks. */
+    /** Returns the claims of all tasks of the job. */
     public List<Claim> claims() {
         List<Claim> claims = new ArrayList<>();
         for (TaskRange taskRange : taskRanges) {
@@ -162,36 +173,36 @@
         return claims;
     }
 
-    /** Number of claimed tasks. */
+    /** Returns the number of claimed tasks. */
     public int claimCount() {
         return claimed;
     }
 
-    /** Number of tasks that are neither done nor claimed. */
+    /** Returns the number of tasks that are neither done nor claimed. */
     public int pendingCount() {
         return spec.taskCount() - done - claimed;
     }
 
-    /** Failures since the last success, summed over the records. */
+    /** Returns the number of failures since the last success of each task range, summed over the task ranges. */
     public int errors() {
         return errors;
     }
 
-    /** The median duration of the tasks' image pulls, or null while there are none. */
+    /** Returns the median duration of the tasks' image pulls, or null if no duration is known. */
     public Duration medianPull() {
-        findMedians();
+        updateMedians();
         return medianPull;
     }
 
-    /** The median duration of the tasks' runs, or null while there are none. */
+    /** Returns the median duration of the tasks' runs, or null if no duration is known. */
     public Duration medianRun() {
-        findMedians();
+        updateMedians();
         return medianRun;
     }
 
-    private void findMedians() {
-        if (!mediansKnown) {
-            mediansKnown = true;
+    private void updateMedians() {
+        if (!mediansCurrent) {
+            mediansCurrent = true;
             medianPull = median(TaskRange::pullDurations);
             medianRun = median(TaskRange::runDurations);
         }
@@ -209,21 +220,21 @@
         }
         all.sort(null);
         int half = all.size() / 2;
-        double middle = all.size() % 2 == 1 ? all.getInt(half) : (all.getInt(half - 1) + all.getInt(half)) / 2.0;
-        return Duration.ofMillis((long) (middle * MILLIS_PER_TENTH));
+        double tenths = all.size() % 2 == 1 ? all.getInt(half) : (all.getInt(half - 1) + all.getInt(half)) / 2.0;
+        return Duration.ofMillis((long) (tenths * MILLIS_PER_TENTH));
     }
 
-    /** When the job should be done; jobs without a deadline get none. */
+    /** Returns when the job should be done, or null if it has no deadline. */
     public Instant deadline() {
         return spec.deadline() == null ? null : submittedAt.plus(spec.deadline());
     }
 
-    /** The stored header, cancelled or not. */
-    public JsonObject header(boolean withCancel) {
+    /** Returns the job header to store, marked as cancelled if {@code markCancelled} is set. */
+    public JsonObject header(boolean markCancelled) {
         JsonObject json = spec.toJson();
         json.addProperty(SUBMITTED_AT, submittedAt.toEpochMilli());
         json.addProperty(TASK_RANGE_SIZE, taskRangeSize);
-        if (withCancel) {
+        if (markCancelled) {
             json.addProperty(CANCELLED, true);
         }
         if (dependenciesDoneAt != null) {
@@ -232,12 +243,12 @@
         return json;
     }
 
-    /** The header that lets the job's tasks be claimed. */
-    public JsonObject readyHeader(Instant at) {
-        return new Job(spec, submittedAt, taskRangeSize, cancelled, at).header(cancelled);
+    /** Returns the header to store once all dependencies are done, after which the job's tasks can be claimed. */
+    public JsonObject readyHeader(Instant doneAt) {
+        return new Job(spec, submittedAt, taskRangeSize, cancelled, doneAt).header(cancelled);
     }
 
-    /** Reads a stored header of this version or of an earlier one. */
+    /** Parses a header stored by this version or an earlier one. */
     public static Job parse(JsonObject json) throws MalformedMessageException {
         return new Job(
                 JobSpec.parse(json),
--- a/src/main/java/org/havenford/storage/records/LivenessProbe.java
+++ b/src/main/java/org/havenford/storage/records/LivenessProbe.java
@@ -5,24 +5,24 @@
 import org.havenford.protocol.MalformedMessageException;
 
 /**
- * The question to a suspected member whether it is alive, stored under {@link Keys#livenessProbe}. The member answers by
- * removing the key. A probe must be answered whoever sent it, so a value of any form is accepted.
+ * A request to a suspected member to prove that it is alive, stored under {@link Keys#livenessProbe}. The member
+ * answers by deleting the key. It must answer regardless of the requester, so a malformed value is accepted too.
  *
- * @param requester the member that asks, or null where the value does not say so in a readable form
- * @param incarnation the suspected incarnation of the member, or null where the value does not say so in a readable form
- * @param readError why the requester can't be read, or null where nothing is wrong with it
+ * @param requester the member that created the probe, or null if the field is absent or malformed
+ * @param incarnation the suspected incarnation of the member, or null if the field is absent or malformed
+ * @param readError why the requester is malformed, or null if it is not
  */
 public record LivenessProbe(String requester, Long incarnation, String readError) {
-    // Stored field names; versions in production read and write them, so they must not change.
+    // Names of stored fields. Versions in production read and write them, so they must not change.
     private static final String REQUESTER = "by";
     private static final String INCARNATION = "incarnation";
 
-    /** A probe to be stored. */
+    /** Creates a probe to store. */
     public LivenessProbe(String requester, long incarnation) {
         this(requester, incarnation, null);
     }
 
-    /** The value to store. */
+    /** Returns the value to store. */
     public JsonObject toJson() {
         JsonObject value = new JsonObject();
         value.addProperty(REQUESTER, requester);
@@ -30,7 +30,7 @@
         return value;
     }
 
-    /** Reads a stored value; what can't be read of it is left out. */
+    /** Parses a stored value; absent and malformed fields become null. */
     public static LivenessProbe parse(JsonObject value) {
         Long incarnation = incarnation(value);
         try {
--- a/src/main/java/org/havenford/storage/records/MachineBatch.java
+++ b/src/main/java/org/havenford/storage/records/MachineBatch.java
@@ -11,69 +11,76 @@
 import org.havenford.protocol.MalformedMessageException;
 
 /**
- * Machines that were rented or found together, under one key. It says no more than that they are there, and which of them
- * are to go; so hundreds can come and go with a few changes, and claims can be guarded by the key.
+ * Machines that were rented or adopted together, stored under one key. The value holds only their names, common
+ * properties and service states. Hundreds of machines can thus be added and removed with a few writes, and the key
+ * changes seldom enough for each claim to require its mod revision.
+ *
+ * @param since when the machines were rented or adopted
+ * @param machines the service states of the machines, by name
  */
 public record MachineBatch(
         String name, String type, String zone, boolean spot, Instant since, TreeMap<String, ServiceState> machines) {
-    // Stored field names; versions in production read and write them, so they must not change.
+    // Names of stored fields. Versions in production read and write them, so they must not change.
     private static final String TYPE = "t";
     private static final String ZONE = "z";
     private static final String SPOT = "b";
     private static final String SINCE = "at";
     private static final String MACHINES = "m";
 
-    /** Most machines in one batch. */
+    /** Maximum number of machines in one batch. */
     public static final int MAX_MACHINES = 50;
 
-    /** Whether a machine takes claims, or is on its way back to the cloud. */
+    /** Whether a machine can be claimed or is to be returned to the cloud. */
     public enum ServiceState {
+        /** The machine can be claimed. */
         IN_SERVICE,
+        /** The machine is to be returned unless a claim was made on it just before. */
         RETIRING,
+        /** The machine is to be returned. */
         RETURNING
     }
 
-    /** A batch whose machines are all in service. */
+    /** Creates a batch whose machines are all in service. */
     public static MachineBatch of(
             String name, String type, String zone, boolean spot, Instant since, Collection<String> machines) {
-        TreeMap<String, ServiceState> all = new TreeMap<>();
-        machines.forEach(machine -> all.put(machine, ServiceState.IN_SERVICE));
-        return new MachineBatch(name, type, zone, spot, since, all);
+        TreeMap<String, ServiceState> states = new TreeMap<>();
+        machines.forEach(machine -> states.put(machine, ServiceState.IN_SERVICE));
+        return new MachineBatch(name, type, zone, spot, since, states);
     }
 
-    /** The batch with one machine's service changed. */
-    public MachineBatch with(String machine, ServiceState service) {
+    /** Returns the batch with another service state for one machine. */
+    public MachineBatch with(String machine, ServiceState state) {
         TreeMap<String, ServiceState> next = new TreeMap<>(machines);
-        next.put(machine, service);
+        next.put(machine, state);
         return new MachineBatch(name, type, zone, spot, since, next);
     }
 
-    /** The batch without some machines. */
-    public MachineBatch without(Collection<String> gone) {
+    /** Returns the batch without the given machines. */
+    public MachineBatch without(Collection<String> removed) {
         TreeMap<String, ServiceState> next = new TreeMap<>(machines);
-        next.keySet().removeAll(gone);
+        next.keySet().removeAll(removed);
         return new MachineBatch(name, type, zone, spot, since, next);
     }
 
-    /** The stored value. */
+    /** Returns the value to store. */
     public JsonObject toJson() {
         JsonObject json = new JsonObject();
         json.addProperty(TYPE, type);
         json.addProperty(ZONE, zone);
         json.addProperty(SPOT, spot);
         json.addProperty(SINCE, since.toEpochMilli());
-        JsonObject all = new JsonObject();
+        JsonObject states = new JsonObject();
         machines.forEach(
-                (machine, state) -> all.addProperty(machine, state.name().toLowerCase(Locale.ROOT)));
-        json.add(MACHINES, all);
+                (machine, state) -> states.addProperty(machine, state.name().toLowerCase(Locale.ROOT)));
+        json.add(MACHINES, states);
         return json;
     }
 
-    /** Reads a stored value. */
+    /** Parses a stored value. */
     public static MachineBatch parse(String name, JsonObject json) throws MalformedMessageException {
-        TreeMap<String, ServiceState> all = new TreeMap<>();
+        TreeMap<String, ServiceState> states = new TreeMap<>();
         for (Map.Entry<String, JsonElement> entry : Json.child(json, MACHINES).entrySet()) {
-            all.put(
+            states.put(
                     entry.getKey(),
                     ServiceState.valueOf(entry.getValue().getAsString().toUpperCase(Locale.ROOT)));
         }
@@ -83,6 +90,6 @@
                 Json.text(json, ZONE),
                 Json.flagOr(json, SPOT, false),
                 Instant.ofEpochMilli(Json.count(json, SINCE)),
-                all);
+                states);
     }
 }
--- a/src/main/java/org/havenford/storage/records/MachineRecord.java
+++ b/src/main/java/org/havenford/storage/records/MachineRecord.java
@@ -4,29 +4,31 @@
 import java.util.List;
 
 /**
- * What the store knows of a machine: from the batch it came with, and from what its owner last reported of it.
+ * The stored state of a machine, combined from its batch and from the status that its owner last reported.
  *
- * @param since since when its owner has reported the same condition; when it was rented, where nothing was reported
- * @param images images in the machine's cache, as its owner last reported
+ * @param since when its owner first reported the current condition; without a report, when the machine was rented
+ * @param images images in the machine's cache, as last reported by its owner
  */
 public record MachineRecord(
         String name, String type, String zone, boolean spot, Condition condition, Instant since, List<String> images) {
 
-    /** What is known of a machine's availability. */
+    /** The availability of a machine. */
     public enum Condition {
-        /** Rented, has not reported yet. */
+        /** Rented; its owner has not reported a status yet. */
         BOOTING,
-        /** Reports to its owner and takes claims. */
+        /** Sends heartbeats to its owner and can be claimed. */
         UP,
-        /** Has not reported for a while; its tasks may be running. */
+        /** Has not sent a heartbeat for a while; its tasks may still be running. */
         SILENT,
-        /** Takes no more tasks. */
+        /** Accepts no new tasks. */
         DRAINING,
         /** Tasks of several jobs have failed on it. */
         FAULTY,
-        /** Idle, takes no more claims; goes back to the cloud if none was made just before, and to work otherwise. */
+        /**
+         * Idle and no longer claimable; returned to the cloud, or put back in service if it was claimed just before.
+         */
         RETIRING,
-        /** To be given back to the cloud: no claim can be made on it any more. */
+        /** To be returned to the cloud; no longer claimable. */
         RETURNING
     }
 }
--- a/src/main/java/org/havenford/storage/records/MachineStatuses.java
+++ b/src/main/java/org/havenford/storage/records/MachineStatuses.java
@@ -15,25 +15,30 @@
 import org.havenford.storage.records.MachineRecord.Condition;
 
 /**
- * The status of some machines of an owner, under one key: hints for the other controllers and for a successor. No
- * claim, release or return rests on it alone.
+ * The statuses of some of an owner's machines, stored under one key. They are hints for the other controllers and for
+ * the next owner: no claim, release or return depends on them alone.
+ *
+ * @param at when the owner reported the statuses, by its time of day
  */
 public record MachineStatuses(Instant at, SortedMap<String, Status> machines) {
-    // Stored field names; versions in production read and write them, so they must not change.
+    // Names of stored fields. Versions in production read and write them, so they must not change.
     private static final String REPORTED_AT = "at";
     private static final String IMAGES = "i";
     private static final String MACHINES = "m";
 
-    /** Most machines under one key, so that it stays within the value limit. */
+    /** Maximum number of machines under one key, so that its value stays within the limit. */
     public static final int MAX_MACHINES = 60;
 
-    /** Most images that are named of one machine. */
+    /** Maximum number of images listed for one machine. */
     public static final int MAX_IMAGES = 12;
 
-    /** Last known condition of one machine and the images in its cache. */
+    /** The last known condition of a machine and the images in its cache. */
     public record Status(Condition condition, List<String> images) {}
 
-    /** Names fewer images where they would not fit: a hint that is shorter is still true. */
+    /**
+     * Returns the value to store, with fewer images per machine if it would exceed {@code valueBytes}: they are only
+     * hints.
+     */
     public JsonObject toJson(int valueBytes) {
         for (int images = MAX_IMAGES; images > 0; images--) {
             JsonObject json = toJsonWith(images);
@@ -47,41 +52,42 @@
     private JsonObject toJsonWith(int maxImages) {
         JsonObject json = new JsonObject();
         json.addProperty(REPORTED_AT, at.toEpochMilli());
-        List<String> names = new ArrayList<>();
-        JsonObject all = new JsonObject();
+        List<String> imageNames = new ArrayList<>();
+        JsonObject statuses = new JsonObject();
         machines.forEach((machine, status) -> {
             JsonArray values = new JsonArray();
             values.add(status.condition.name().toLowerCase(Locale.ROOT));
             for (String image : status.images.subList(0, Math.min(maxImages, status.images.size()))) {
-                int index = names.indexOf(image);
+                int index = imageNames.indexOf(image);
                 if (index < 0) {
-                    index = names.size();
-                    names.add(image);
+                    index = imageNames.size();
+                    imageNames.add(image);
                 }
                 values.add(index);
             }
-            all.add(machine, values);
+            statuses.add(machine, values);
         });
         JsonArray images = new JsonArray();
-        names.forEach(images::add);
+        imageNames.forEach(images::add);
         json.add(IMAGES, images);
-        json.add(MACHINES, all);
+        json.add(MACHINES, statuses);
         return json;
     }
 
-    /** Reads a stored value. */
+    /** Parses a stored value. */
     public static MachineStatuses parse(JsonObject json) throws MalformedMessageException {
-        List<String> names = Json.texts(json, IMAGES);
-        TreeMap<String, Status> all = new TreeMap<>();
+        List<String> imageNames = Json.texts(json, IMAGES);
+        TreeMap<String, Status> statuses = new TreeMap<>();
         try {
             for (Map.Entry<String, JsonElement> entry :
                     Json.child(json, MACHINES).entrySet()) {
-                all.put(entry.getKey(), parseStatus(entry.getValue().getAsJsonArray(), names));
+                statuses.put(entry.getKey(), parseStatus(entry.getValue().getAsJsonArray(), imageNames));
             }
         } catch (IllegalStateException | IllegalArgumentException | IndexOutOfBoundsException e) {
-            throw new MalformedMessageException(MACHINES + " is not a map of conditions and indices of images");
+            throw new MalformedMessageException(MACHINES + " must map each machine to a condition and indices into "
+                    + IMAGES + ": " + e.getMessage());
         }
-        return new MachineStatuses(Instant.ofEpochMilli(Json.count(json, REPORTED_AT)), all);
+        return new MachineStatuses(Instant.ofEpochMilli(Json.count(json, REPORTED_AT)), statuses);
     }
 
     private static Status parseStatus(JsonArray values, List<String> imageNames) {
--- a/src/main/java/org/havenford/storage/records/MemberRegistration.java
+++ b/src/main/java/org/havenford/storage/records/MemberRegistration.java
@@ -11,14 +11,14 @@
  * @param format the newest format of stored values that the member's version reads and writes
  */
 public record MemberRegistration(long incarnation, long format) {
-    // Stored field names; versions in production read and write them, so they must not change.
+    // Names of stored fields. Versions in production read and write them, so they must not change.
     private static final String INCARNATION = "incarnation";
     private static final String FORMAT = "format";
 
-    /** The format of versions that do not state theirs. */
+    /** The format of versions that do not write one into their registration. */
     private static final long FIRST_FORMAT = 1;
 
-    /** The value to store. */
+    /** Returns the value to store. */
     public JsonObject toJson() {
         JsonObject value = new JsonObject();
         value.addProperty(INCARNATION, incarnation);
@@ -26,7 +26,7 @@
         return value;
     }
 
-    /** Reads a stored value of this version or of an earlier one. */
+    /** Parses a value stored by this version or an earlier one. */
     public static MemberRegistration parse(JsonObject value) throws MalformedMessageException {
         return new MemberRegistration(Json.count(value, INCARNATION), Json.countOr(value, FORMAT, FIRST_FORMAT));
     }
--- a/src/main/java/org/havenford/storage/records/TaskRange.java
+++ b/src/main/java/org/havenford/storage/records/TaskRange.java
@@ -14,11 +14,11 @@
 import org.havenford.protocol.TaskId;
 
 /**
- * The state of some consecutive tasks of a job, kept under one key so that it changes as a whole. A key that does not
- * exist yet stands for tasks that were never claimed, which keeps a large job small.
+ * The state of consecutive tasks of a job, stored under one key so that it changes atomically. The key does not exist
+ * until one of the tasks is claimed, so that a large job needs little space at first.
  */
 public final class TaskRange {
-    /** Failures are counted up to here. */
+    /** Upper limit of the failure count. */
     private static final int MAX_ERRORS = 1000;
 
     private static final int TENTHS_PER_SECOND = 10;
@@ -29,85 +29,86 @@
     private final BitSet done = new BitSet();
     private final Int2ObjectRBTreeMap<Claim> claims = new Int2ObjectRBTreeMap<>();
     private final Int2LongOpenHashMap attempts = new Int2LongOpenHashMap();
-    /** Tasks restarted for lateness, with the machine that each was late on. */
-    private final Int2ObjectOpenHashMap<String> late = new Int2ObjectOpenHashMap<>();
-    /** Durations of finished phases, in tenths of a second. */
+    /** The machines on which tasks were stopped as stragglers, by task. */
+    private final Int2ObjectOpenHashMap<String> stragglerMachines = new Int2ObjectOpenHashMap<>();
+    /** Durations of completed image pulls, in tenths of a second. */
     private final IntArrayList pullDurations = new IntArrayList();
-
+    /** Durations of completed runs, in tenths of a second. */
     private final IntArrayList runDurations = new IntArrayList();
+
     private int errors;
 
-    /** A record of tasks that were never claimed. */
+    /** Creates a range of tasks that were never claimed. */
     public TaskRange(String job, int first, int size) {
         this.job = job;
         this.first = first;
         this.size = size;
     }
 
-    /** An independent copy, to be changed and stored. */
+    /** Returns an independent copy that can be changed and stored. */
     public TaskRange copy() {
         TaskRange taskRange = new TaskRange(job, first, size);
         taskRange.done.or(done);
         taskRange.claims.putAll(claims);
         taskRange.attempts.putAll(attempts);
-        taskRange.late.putAll(late);
+        taskRange.stragglerMachines.putAll(stragglerMachines);
         taskRange.pullDurations.addAll(pullDurations);
         taskRange.runDurations.addAll(runDurations);
         taskRange.errors = errors;
         return taskRange;
     }
 
-    /** Number of tasks in this record. */
+    /** Returns the number of tasks in the range. */
     public int size() {
         return size;
     }
 
-    /** Claims of tasks that are not known to have ended, by task. */
+    /** Returns the claims that have not been released, in the order of their tasks. */
     public Collection<Claim> claims() {
         return claims.values();
     }
 
-    /** The claim of a task, or null. */
+    /** Returns the claim of a task, or null if the task is not claimed. */
     public Claim claim(int task) {
         return claims.get(task);
     }
 
-    /** Number of tasks that are done. */
+    /** Returns the number of tasks that are done. */
     public int doneCount() {
         return done.cardinality();
     }
 
-    /** Whether all tasks are done. */
+    /** Returns whether all tasks are done. */
     public boolean complete() {
         return done.cardinality() == size;
     }
 
-    /** Whether a task was restarted for lateness. */
+    /** Returns whether a task was stopped as a straggler, to be restarted on another machine. */
     public boolean wasLate(int task) {
-        return late.containsKey(task);
+        return stragglerMachines.containsKey(task);
     }
 
-    /** The machine on which a task was late, or null. */
+    /** Returns the machine on which a task was last stopped as a straggler, or null. */
     public String lateOn(int task) {
-        return late.get(task);
+        return stragglerMachines.get(task);
     }
 
-    /** Durations of image pulls, in tenths of a second. */
+    /** Returns the durations of completed image pulls, in tenths of a second. */
     public IntArrayList pullDurations() {
         return pullDurations;
     }
 
-    /** Durations of runs, in tenths of a second. */
+    /** Returns the durations of completed runs, in tenths of a second. */
     public IntArrayList runDurations() {
         return runDurations;
     }
 
-    /** Failures since the last success. */
+    /** Returns the number of failures since a task of the range last succeeded. */
     public int errors() {
         return errors;
     }
 
-    /** Tasks that are neither done nor claimed. */
+    /** Returns the tasks that are neither done nor claimed. */
     public List<TaskId> pending() {
         List<TaskId> pending = new ArrayList<>();
         for (int i = first; i < first + size; i++) {
@@ -118,7 +119,7 @@
         return pending;
     }
 
-    /** Number of tasks that are neither done nor claimed. */
+    /** Returns the number of tasks that are neither done nor claimed. */
     public int pendingCount() {
         return size - done.cardinality() - claims.size();
     }
@@ -132,7 +133,7 @@
         return claim;
     }
 
-    /** Marks a task as done; seconds are negative where they were not seen. */
+    /** Marks a task as done; a duration is negative if it is unknown. */
     public void finish(int task, double pullSeconds, double runSeconds) {
         claims.remove(task);
         attempts.remove(task);
@@ -146,11 +147,16 @@
         }
     }
 
-    /** Gives a claim up, so that the task can be claimed again. */
-    public void release(int task, boolean forLateness, boolean failed) {
+    /**
+     * Releases the claim of a task, so that the task can be claimed again.
+     *
+     * @param straggler whether the attempt was stopped as a straggler
+     * @param failed whether the attempt failed
+     */
+    public void release(int task, boolean straggler, boolean failed) {
         Claim claim = claims.remove(task);
-        if (claim != null && forLateness) {
-            late.put(task, claim.machine());
+        if (claim != null && straggler) {
+            stragglerMachines.put(task, claim.machine());
         }
         if (failed) {
             errors = Math.min(MAX_ERRORS, errors + 1);
@@ -158,49 +164,52 @@
     }
 
     /**
-     * What to write so that the value keeps to {@code limit} bytes; null if nothing does. Durations are thinned out first,
-     * which moves their median little. Then comes the short form of the claims, for readers of format 2 alone; while there
-     * are others, what the version before wrote larger stays as large as it may be for now.
+     * Returns the value to store, of at most {@code limit} bytes if possible. If the usual form is larger, the
+     * durations are downsampled in this range, which changes their medians little. If that does not suffice, the claims
+     * are written in compact form.
+     *
+     * @param currentLimit the limit in bytes as long as {@code allowCompact} is false: an earlier version may already
+     *     have stored a larger value than {@code limit}
+     * @param allowCompact whether all controllers read the compact form, which was added with format 2
+     * @return null if no allowed form is small enough
      */
-    public JsonObject toJson(int limit, int presentLimit, boolean shortForm) {
-        return TaskRangeCodec.encode(this, limit, presentLimit, shortForm);
+    public JsonObject toJson(int limit, int currentLimit, boolean allowCompact) {
+        return TaskRangeCodec.encode(this, limit, currentLimit, allowCompact);
     }
 
-    /** The usual form of the stored value, whatever its size. */
+    /** Returns the value to store in the usual form, regardless of its size. */
     public JsonObject toJson() {
         return TaskRangeCodec.encode(this);
     }
 
-    /** Fills this range, in which no task was ever claimed, with what the store holds. */
+    /** Decodes a stored value into this range, none of whose tasks may have been claimed before. */
     public TaskRange read(JsonObject json) throws MalformedMessageException {
         TaskRangeCodec.decode(json, this);
         return this;
     }
 
-    // ---- for the codec
-
     String job() {
         return job;
     }
 
-    /** Index of the first task. */
+    /** Returns the index of the first task. */
     int first() {
         return first;
     }
 
-    /** Tasks that are done, counted from the first. */
+    /** Returns the tasks that are done, as offsets from the first task. */
     BitSet done() {
         return done;
     }
 
-    /** Latest attempts of tasks that are not done, by task. */
+    /** Returns the numbers of the latest attempts of the tasks that are not done, by task. */
     Int2LongOpenHashMap attempts() {
         return attempts;
     }
 
-    /** Machines on which tasks were late, by task. */
-    Int2ObjectOpenHashMap<String> lateMachines() {
-        return late;
+    /** Returns the machines on which tasks were stopped as stragglers, by task. */
+    Int2ObjectOpenHashMap<String> stragglerMachines() {
+        return stragglerMachines;
     }
 
     void putClaim(Claim claim) {
--- a/src/main/java/org/havenford/storage/records/TaskRangeCodec.java
+++ b/src/main/java/org/havenford/storage/records/TaskRangeCodec.java
@@ -12,89 +12,83 @@
 import org.havenford.protocol.MalformedMessageException;
 import org.havenford.protocol.TaskId;
 
-/** The stored forms of a task range: the usual one, and shorter ones where it would exceed the limit of values. */
+/** Codec of the stored forms of a task range: the usual form, and smaller ones for when it exceeds the value limit. */
 final class TaskRangeCodec {
-    // Stored field names; versions in production read and write them, so they must not change.
+    // Names of stored fields. Versions in production read and write them, so they must not change.
     private static final String DONE = "d";
     private static final String CLAIMS = "c";
     private static final String COMPACT_CLAIMS = "s";
     private static final String ATTEMPTS = "n";
-    private static final String LATE = "l";
+    private static final String STRAGGLER_MACHINES = "l";
     private static final String PULL_DURATIONS = "f";
     private static final String RUN_DURATIONS = "r";
     private static final String ERRORS = "x";
 
-    /** Durations that stay when there is no room for all. */
-    private static final int KEPT_DURATIONS = 9;
+    /** Number of durations that remain after downsampling. */
+    private static final int DOWNSAMPLED_DURATIONS = 9;
 
-    /** Number of values of a stored claim without a quota holder. */
-    private static final int CLAIM_WITHOUT_HOLDER = 5;
+    /** Index of the quota holder in a stored claim, which has no such element if the claim has no quota holder. */
+    private static final int QUOTA_HOLDER_INDEX = 5;
 
-    /** Reads one field; whatever it throws means that the field is of the wrong form. */
-    private interface FieldReader {
-        void read() throws MalformedMessageException;
+    /** Decodes one field; the unchecked exceptions of conversions mean that the field is malformed. */
+    private interface FieldDecoder {
+        void decode() throws MalformedMessageException;
     }
 
     private TaskRangeCodec() {}
 
-    // ---- writing
-
-    /**
-     * A stored form of at most {@code limit} bytes; null if there is none. Durations are thinned out first, in the range
-     * itself, which moves their median little. Then comes the short form of the claims, for readers of format 2 alone;
-     * while there are others, what the version before wrote larger may have {@code presentLimit} bytes for now.
-     */
-    static JsonObject encode(TaskRange range, int limit, int presentLimit, boolean shortForm) {
-        if (maxLength(range) <= limit) {
+    /** Implements {@link TaskRange#toJson(int, int, boolean)}. */
+    static JsonObject encode(TaskRange range, int limit, int currentLimit, boolean allowCompact) {
+        if (lengthUpperBound(range) <= limit) {
             return encode(range);
         }
         JsonObject json = encode(range);
         if (length(json) <= limit) {
             return json;
         }
-        thin(range.pullDurations());
-        thin(range.runDurations());
+        downsample(range.pullDurations());
+        downsample(range.runDurations());
         json = encode(range);
         if (length(json) <= limit) {
             return json;
         }
-        if (shortForm) {
-            json = encodeShort(range);
+        if (allowCompact) {
+            json = encodeWithCompactClaims(range);
             return length(json) <= limit ? json : null;
         }
-        return length(json) <= presentLimit ? json : null;
+        return length(json) <= currentLimit ? json : null;
     }
 
     private static int length(JsonObject json) {
         return json.toString().length();
     }
 
-    /** No less than the length of the usual form, without writing it. */
-    private static int maxLength(TaskRange range) {
+    /** Returns an upper bound of the length of the usual form, computed without encoding it. */
+    private static int lengthUpperBound(TaskRange range) {
         int durations = range.pullDurations().size() + range.runDurations().size();
         int length = 100 + range.size() / 2 + range.attempts().size() * 14 + 6 * durations;
         for (Claim claim : range.claims()) {
             length += 48 + claim.machine().length() + claim.quotaHolder().length();
         }
-        for (String machine : range.lateMachines().values()) {
+        for (String machine : range.stragglerMachines().values()) {
             length += 14 + machine.length();
         }
         return length;
     }
 
-    /** Keeps quantiles of the durations. */
-    private static void thin(IntArrayList durations) {
-        if (durations.size() > KEPT_DURATIONS) {
+    /** Replaces the durations by evenly spaced quantiles if there are more than {@link #DOWNSAMPLED_DURATIONS}. */
+    private static void downsample(IntArrayList durations) {
+        if (durations.size() > DOWNSAMPLED_DURATIONS) {
             int[] sorted = durations.toIntArray();
             Arrays.sort(sorted);
             durations.clear();
-            for (int i = 0; i < KEPT_DURATIONS; i++) {
-                durations.add(sorted[(int) ((i + 0.5) * sorted.length / KEPT_DURATIONS)]);
+            for (int i = 0; i < DOWNSAMPLED_DURATIONS; i++) {
+                durations.add(sorted[(int) ((i + 0.5) * sorted.length / DOWNSAMPLED_DURATIONS)]);
             }
         }
     }
 
-    /** The usual form, whatever its size. */
+    /** Returns the usual form, regardless of its size. */
     static JsonObject encode(TaskRange range) {
         JsonObject json = new JsonObject();
         json.add(DONE, encodeDone(range));
@@ -106,12 +100,12 @@
                     .forEach(entry -> attempts.addProperty(Integer.toString(entry.getIntKey()), entry.getLongValue()));
             json.add(ATTEMPTS, attempts);
         }
-        if (!range.lateMachines().isEmpty()) {
-            JsonObject late = new JsonObject();
-            range.lateMachines()
+        if (!range.stragglerMachines().isEmpty()) {
+            JsonObject machines = new JsonObject();
+            range.stragglerMachines()
                     .int2ObjectEntrySet()
-                    .forEach(entry -> late.addProperty(Integer.toString(entry.getIntKey()), entry.getValue()));
-            json.add(LATE, late);
+                    .forEach(entry -> machines.addProperty(Integer.toString(entry.getIntKey()), entry.getValue()));
+            json.add(STRAGGLER_MACHINES, machines);
         }
         json.add(PULL_DURATIONS, encodeDurations(range.pullDurations()));
         json.add(RUN_DURATIONS, encodeDurations(range.runDurations()));
@@ -152,8 +146,11 @@
         return json;
     }
 
-    /** The form with compact claims; attempts appear only where no claim states them. */
-    private static JsonObject encodeShort(TaskRange range) {
+    /**
+     * Returns the form with compact claims; it lists attempts only for tasks without a claim, which contains the
+     * attempt.
+     */
+    private static JsonObject encodeWithCompactClaims(TaskRange range) {
         JsonObject json = encode(range);
         json.add(CLAIMS, new JsonArray());
         json.add(COMPACT_CLAIMS, CompactClaimsCodec.encode(range.claims(), range.first()));
@@ -167,34 +164,37 @@
         return json;
     }
 
-    // ---- reading
-
-    /** Fills a range in which no task was ever claimed with a stored value of any form. */
+    /** Decodes a stored value of any form into a range none of whose tasks was ever claimed. */
     static void decode(JsonObject json, TaskRange range) throws MalformedMessageException {
-        readField(range, DONE, () -> decodeDone(Json.texts(json, DONE), range));
-        readField(range, CLAIMS, () -> decodeClaims(Json.array(json, CLAIMS), range));
+        decodeField(range, DONE, () -> decodeDone(Json.texts(json, DONE), range));
+        decodeField(range, CLAIMS, () -> decodeClaims(Json.array(json, CLAIMS), range));
         if (Json.has(json, COMPACT_CLAIMS)) {
-            readField(range, COMPACT_CLAIMS, () -> decodeCompactClaims(Json.child(json, COMPACT_CLAIMS), range));
+            decodeField(range, COMPACT_CLAIMS, () -> decodeCompactClaims(Json.child(json, COMPACT_CLAIMS), range));
         }
         if (Json.has(json, ATTEMPTS)) {
-            readField(range, ATTEMPTS, () -> decodeAttempts(Json.child(json, ATTEMPTS), range));
+            decodeField(range, ATTEMPTS, () -> decodeAttempts(Json.child(json, ATTEMPTS), range));
         }
-        if (Json.has(json, LATE)) {
-            readField(range, LATE, () -> decodeLate(Json.child(json, LATE), range));
+        if (Json.has(json, STRAGGLER_MACHINES)) {
+            decodeField(
+                    range,
+                    STRAGGLER_MACHINES,
+                    () -> decodeStragglerMachines(Json.child(json, STRAGGLER_MACHINES), range));
         }
-        readField(range, PULL_DURATIONS, () -> decodeDurations(json, PULL_DURATIONS, range.pullDurations()));
-        readField(range, RUN_DURATIONS, () -> decodeDurations(json, RUN_DURATIONS, range.runDurations()));
+        decodeField(range, PULL_DURATIONS, () -> decodeDurations(json, PULL_DURATIONS, range.pullDurations()));
+        decodeField(range, RUN_DURATIONS, () -> decodeDurations(json, RUN_DURATIONS, range.runDurations()));
         range.setErrors((int) Json.countOr(json, ERRORS, 0));
     }
 
-    private static void readField(TaskRange range, String field, FieldReader reader) throws MalformedMessageException {
+    private static void decodeField(TaskRange range, String field, FieldDecoder decoder)
+            throws MalformedMessageException {
         try {
-            reader.read();
+            decoder.decode();
         } catch (IllegalStateException
                 | NumberFormatException
                 | UnsupportedOperationException
                 | IndexOutOfBoundsException e) {
-            throw new MalformedMessageException(field + " of the tasks of " + range.job() + " is of the wrong form");
+            throw new MalformedMessageException(field + " of the task range from task " + range.first() + " of "
+                    + range.job() + " is malformed: " + e.getMessage());
         }
     }
 
@@ -218,8 +218,8 @@
                     values.get(2).getAsString(),
                     values.get(3).getAsLong(),
                     Instant.ofEpochMilli(values.get(4).getAsLong()),
-                    values.size() > CLAIM_WITHOUT_HOLDER
-                            ? values.get(CLAIM_WITHOUT_HOLDER).getAsString()
+                    values.size() > QUOTA_HOLDER_INDEX
+                            ? values.get(QUOTA_HOLDER_INDEX).getAsString()
                             : ""));
         }
     }
@@ -238,9 +238,9 @@
         }
     }
 
-    private static void decodeLate(JsonObject json, TaskRange range) {
+    private static void decodeStragglerMachines(JsonObject json, TaskRange range) {
         for (Map.Entry<String, JsonElement> entry : json.entrySet()) {
-            range.lateMachines()
+            range.stragglerMachines()
                     .put(Integer.parseInt(entry.getKey()), entry.getValue().getAsString());
         }
     }
--- a/src/main/java/org/havenford/storage/records/TeamQuota.java
+++ b/src/main/java/org/havenford/storage/records/TeamQuota.java
@@ -11,76 +11,77 @@
 import org.havenford.protocol.MalformedMessageException;
 
 /**
- * A team's limit, dealt out to the controllers: CPUs and GPUs that the claims charged to each may take. The shares never
- * add up to more than the limit; what nobody holds is free to be taken. Who finds nothing free is named as starved, so that
- * others give back what they can spare.
+ * The division of a team's limit among the controllers. A controller's share is the amount of CPUs and GPUs that the
+ * claims charged to it may use. The shares never add up to more than the limit, and any controller may extend its share
+ * from the unallocated rest. A controller that finds too little unallocated is listed as starved, so that others return
+ * unused parts of their shares.
  */
 public final class TeamQuota {
     /** An amount of CPUs and GPUs. */
     public record Resources(double cpus, double gpus) {
-        /** Nothing. */
+        /** No CPUs and no GPUs. */
         public static final Resources NONE = new Resources(0, 0);
-        /** Sums of shares are not exact. */
+        /** Compensates for rounding errors in sums of shares. */
         private static final double TOLERANCE = 1e-6;
 
-        /** The sum. */
+        /** Returns the sum of both amounts. */
         public Resources plus(Resources other) {
             return new Resources(cpus + other.cpus, gpus + other.gpus);
         }
 
-        /** The difference. */
+        /** Returns this amount minus the other. */
         public Resources minus(Resources other) {
             return new Resources(cpus - other.cpus, gpus - other.gpus);
         }
 
-        /** A multiple. */
+        /** Returns this amount multiplied by a factor. */
         public Resources times(double factor) {
             return new Resources(cpus * factor, gpus * factor);
         }
 
-        /** The smaller of both in each part. */
+        /** Returns the smaller number of CPUs and the smaller number of GPUs. */
         public Resources min(Resources other) {
             return new Resources(Math.min(cpus, other.cpus), Math.min(gpus, other.gpus));
         }
 
-        /** The larger of both in each part. */
+        /** Returns the larger number of CPUs and the larger number of GPUs. */
         public Resources max(Resources other) {
             return new Resources(Math.max(cpus, other.cpus), Math.max(gpus, other.gpus));
         }
 
-        /** Whether no part exceeds the other's. */
+        /** Returns whether neither the CPUs nor the GPUs exceed those of the other amount. */
         public boolean within(Resources other) {
             return cpus <= other.cpus + TOLERANCE && gpus <= other.gpus + TOLERANCE;
         }
     }
 
-    // Stored field names; versions in production read and write them, so they must not change.
+    // Names of stored fields. Versions in production read and write them, so they must not change.
     private static final String SHARES = "shares";
     private static final String STARVED_HOLDERS = "short";
 
     private final TreeMap<String, Resources> shares = new TreeMap<>();
     private final TreeSet<String> starvedHolders = new TreeSet<>();
 
-    /** The share of a controller. */
+    /** Returns the share of a controller. */
     public Resources share(String node) {
         return shares.getOrDefault(node, Resources.NONE);
     }
 
-    /** Controllers that hold a share. */
+    /** Returns the controllers that hold a share. */
     public Iterable<String> holders() {
         return shares.keySet();
     }
 
-    /** The sum of all shares. */
+    /** Returns the sum of all shares. */
     public Resources allocated() {
         Resources sum = Resources.NONE;
-        for (Resources amount : shares.values()) {
-            sum = sum.plus(amount);
+        for (Resources share : shares.values()) {
+            sum = sum.plus(share);
         }
         return sum;
     }
 
-    /** Controllers whose share does not suffice. */
+    /** Returns the controllers whose share is too small and could not be extended. */
     public Set<String> starvedHolders() {
         return starvedHolders;
     }
@@ -92,7 +93,7 @@
         return copy;
     }
 
-    /** The same with another share for one node. */
+    /** Returns the quota with another share for one controller. */
     public TeamQuota with(String node, Resources share) {
         TeamQuota changed = copy();
         if (share.within(Resources.NONE)) {
@@ -103,7 +104,7 @@
         return changed;
     }
 
-    /** The same with a node named as starved, or no longer. */
+    /** Returns the quota with a controller listed as starved, or no longer listed. */
     public TeamQuota withStarved(String node, boolean starved) {
         TeamQuota changed = copy();
         if (starved) {
@@ -114,24 +115,24 @@
         return changed;
     }
 
-    /** The stored value. */
+    /** Returns the value to store. */
     public JsonObject toJson() {
-        JsonObject all = new JsonObject();
-        shares.forEach((node, amount) -> {
+        JsonObject sharesByNode = new JsonObject();
+        shares.forEach((node, share) -> {
             JsonArray pair = new JsonArray();
-            pair.add(amount.cpus);
-            pair.add(amount.gpus);
-            all.add(node, pair);
+            pair.add(share.cpus);
+            pair.add(share.gpus);
+            sharesByNode.add(node, pair);
         });
-        JsonArray names = new JsonArray();
-        starvedHolders.forEach(names::add);
+        JsonArray starvedNodes = new JsonArray();
+        starvedHolders.forEach(starvedNodes::add);
         JsonObject json = new JsonObject();
-        json.add(SHARES, all);
-        json.add(STARVED_HOLDERS, names);
+        json.add(SHARES, sharesByNode);
+        json.add(STARVED_HOLDERS, starvedNodes);
         return json;
     }
 
-    /** Reads a stored value. */
+    /** Parses a stored value. */
     public static TeamQuota parse(JsonObject json) throws MalformedMessageException {
         TeamQuota quota = new TeamQuota();
         try {
@@ -142,7 +143,8 @@
                         new Resources(pair.get(0).getAsDouble(), pair.get(1).getAsDouble()));
             }
         } catch (IllegalStateException | NumberFormatException | IndexOutOfBoundsException e) {
-            throw new MalformedMessageException(SHARES + " is not a map of pairs of numbers");
+            throw new MalformedMessageException(
+                    SHARES + " must map each controller to a pair of numbers: " + e.getMessage());
         }
         quota.starvedHolders.addAll(Json.texts(json, STARVED_HOLDERS));
         return quota;
--- a/src/main/java/org/havenford/storage/records/package-info.java
+++ b/src/main/java/org/havenford/storage/records/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Typed records of what is kept in the state service, with the codecs of their stored forms.
+ * Types of the values in the store, with the codecs of their stored forms.
  *
- * <p>Field names of stored values appear here, and nowhere else. Records are read by coordination and written by it in
- * transactions; this package itself sends nothing.
+ * <p>Only this package contains the field names of these values. The coordination package reads the values and writes
+ * them in transactions; this package itself does no I/O.
  */
 package org.havenford.storage.records;
