--- a/src/test/java/org/havenford/settings/OperatorSettingsTest.java
+++ b/src/test/java/org/havenford/settings/OperatorSettingsTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which operators' files are accepted, and what the message of a rejection names. */
+/** Tests which files of operators' settings are accepted, and that the message of a rejection names the element. */
 class OperatorSettingsTest {
     @TempDir
     Path directory;
 
     @Test
-    void unknownElementsAreIgnoredAndAbsentOnesHaveTheirDefaults() throws Exception {
+    void unknownElementsAreIgnoredAndAbsentElementsHaveDefaults() throws Exception {
         OperatorSettings settings =
                 read("<havenford><late-threshold>0.8</late-threshold><unknown>1</unknown></havenford>");
         assertEquals(0.8, settings.stragglerThreshold());
@@ -31,13 +31,13 @@
                 "<havenford><late-threshold>2</late-threshold></havenford>",
                 "<havenford><late-threshold>x</late-threshold></havenford>"
             })
-    void aRejectedThresholdIsNamed(String xml) {
+    void rejectionNamesTheThreshold(String xml) {
         OperatorSettings.InvalidSettingException rejection = assertRejected(xml);
         assertTrue(rejection.getMessage().contains("late-threshold"), rejection.getMessage());
     }
 
     @Test
-    void speedFirstIsOneOfItsThreeValues() throws Exception {
+    void speedFirstAcceptsOnlyItsValues() throws Exception {
         assertEquals(
                 OperatorSettings.SpeedFirst.NEVER,
                 read("<havenford><speed-first>never</speed-first></havenford>").speedFirst());
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void standbyCanBeSwitchedOn() throws Exception {
+    void standbyCanBeEnabled() throws Exception {
         assertTrue(
                 read("<havenford><standby>on</standby></havenford>").standby().enabled());
     }
@@ -57,19 +57,19 @@
                 "<havenford><standby-challenge-ms>1</standby-challenge-ms></havenford>",
                 "<havenford><standby-heartbeat-ms>400</standby-heartbeat-ms></havenford>"
             })
-    void aRejectedStandbySettingIsNamed(String xml) {
+    void rejectionNamesTheStandbySetting(String xml) {
         OperatorSettings.InvalidSettingException rejection = assertRejected(xml);
         assertTrue(rejection.getMessage().contains("<standby"), rejection.getMessage());
     }
 
     @Test
-    void aFileThatIsNotWellFormedIsRejected() {
+    void malformedXmlIsRejected() {
         assertRejected("<havenford>");
     }
 
-    /** A document type could include other files. */
+    /** A document type declaration could include other files. */
     @Test
-    void aDocumentTypeIsRejected() {
+    void documentTypeDeclarationIsRejected() {
         assertRejected("<!DOCTYPE x><havenford/>");
     }
 
--- a/src/test/java/org/havenford/storage/records/ClusterViewTest.java
+++ b/src/test/java/org/havenford/storage/records/ClusterViewTest.java
@@ -8,17 +8,17 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Which member of a view owns a machine. */
+/** Tests which member of a view owns a machine. */
 class ClusterViewTest {
     private static final int MACHINES = 300;
 
-    /** When a member goes, only its machines move. */
+    /** Guards against a hash under which machines of the remaining members change their owner too. */
     @Test
-    void onlyTheMachinesOfAMemberThatLeavesChangeTheirOwner() {
-        TreeMap<String, Long> three = new TreeMap<>(Map.of("a", 1L, "b", 2L, "c", 3L));
-        TreeMap<String, Long> two = new TreeMap<>(Map.of("a", 1L, "b", 2L));
-        ClusterView before = new ClusterView(1, three, new TreeMap<>(), new TreeSet<>());
-        ClusterView after = new ClusterView(2, two, new TreeMap<>(), new TreeSet<>());
+    void onlyMachinesOfALeavingMemberChangeOwner() {
+        TreeMap<String, Long> threeMembers = new TreeMap<>(Map.of("a", 1L, "b", 2L, "c", 3L));
+        TreeMap<String, Long> twoMembers = new TreeMap<>(Map.of("a", 1L, "b", 2L));
+        ClusterView before = new ClusterView(1, threeMembers, new TreeMap<>(), new TreeSet<>());
+        ClusterView after = new ClusterView(2, twoMembers, new TreeMap<>(), new TreeSet<>());
         int reassigned = 0;
         for (int i = 0; i < MACHINES; i++) {
             String machine = String.format("host-%06d", i);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aReassignedMachineReturnsToItsOwnerByHashWhenItsMemberLeaves() {
+    void reassignedMachineReturnsToItsHashOwnerWhenItsNewOwnerLeaves() {
         TreeMap<String, String> reassigned = new TreeMap<>(Map.of("host-1", "b"));
         assertEquals(
                 "b",
--- a/src/test/java/org/havenford/storage/records/StoredValuesTest.java
+++ b/src/test/java/org/havenford/storage/records/StoredValuesTest.java
@@ -23,10 +23,10 @@
 import org.havenford.storage.ClusterState;
 import org.junit.jupiter.api.Test;
 
-/** Values that earlier versions have stored are read, and written back so that those versions can read them. */
+/** Tests that values stored by earlier versions are read, and written back so that those versions can read them. */
 class StoredValuesTest {
     private static final Path SAMPLES = Path.of("src/test/resources/samples");
-    private static final int LARGE = 16 * 1024;
+    private static final int LARGE_LIMIT = 16 * 1024;
 
     private static Map<String, JsonObject> samples(String file) throws IOException {
         Map<String, JsonObject> samples = new LinkedHashMap<>();
@@ -39,7 +39,10 @@
         return samples;
     }
 
-    /** The value as this version writes it after reading it; null for kinds that nobody but their writer rewrites. */
+    /**
+     * Returns the value as this version writes it after reading it; null for kinds that are only written by their
+     * creator.
+     */
     private static JsonElement rewritten(String key, Map<String, JsonObject> samples) throws Exception {
         JsonObject value = samples.get(key);
         if (key.startsWith(Keys.JOBS)) {
@@ -49,12 +52,12 @@
             String[] path = key.substring(Keys.TASKS.length()).split("/");
             Job job = Job.parse(samples.get(Keys.job(path[0])));
             TaskRange read = job.emptyTaskRange(Integer.parseInt(path[1])).read(value);
-            return read.toJson(value.has("s") ? 2048 : LARGE, LARGE, true);
+            return read.toJson(value.has("s") ? 2048 : LARGE_LIMIT, LARGE_LIMIT, true);
         } else if (key.startsWith(Keys.MACHINES)) {
             return MachineBatch.parse(key.substring(Keys.MACHINES.length()), value)
                     .toJson();
         } else if (key.startsWith(Keys.MACHINE_STATUSES)) {
-            return MachineStatuses.parse(value).toJson(LARGE);
+            return MachineStatuses.parse(value).toJson(LARGE_LIMIT);
         } else if (key.startsWith(Keys.TEAMS)) {
             return TeamQuota.parse(value).toJson();
         } else if (key.equals(Keys.VIEW)) {
@@ -67,14 +70,14 @@
         return null;
     }
 
-    private static void assertRewrittenAlike(String file) throws Exception {
+    private static void assertRewrittenUnchanged(String file) throws Exception {
         Map<String, JsonObject> samples = samples(file);
         Set<String> kinds = new TreeSet<>();
         for (Map.Entry<String, JsonObject> sample : samples.entrySet()) {
             JsonElement rewritten = rewritten(sample.getKey(), samples);
             if (rewritten != null) {
                 kinds.add(sample.getKey().replaceAll("^(final|live/[a-z]+).*", "$1"));
-                // Read from text, as the store gives it back.
+                // Parsed from text, as in a response of the store.
                 assertEquals(sample.getValue(), JsonParser.parseString(rewritten.toString()), sample.getKey());
             }
         }
@@ -92,26 +95,26 @@
     }
 
     @Test
-    void valuesOfFormat1AreWrittenBackAlike() throws Exception {
-        assertRewrittenAlike("format-1.txt");
+    void format1ValuesAreRewrittenUnchanged() throws Exception {
+        assertRewrittenUnchanged("format-1.txt");
     }
 
     @Test
-    void valuesOfTheVersionInProductionAreWrittenBackAlike() throws Exception {
-        assertRewrittenAlike("format-2.txt");
+    void format2ValuesAreRewrittenUnchanged() throws Exception {
+        assertRewrittenUnchanged("format-2.txt");
     }
 
-    /** The replica takes up every key, bookings and members included. */
+    /** Covers kinds of keys that are not rewritten, such as instance requests and members. */
     @Test
-    void theReplicaReadsEveryKey() throws Exception {
+    void clusterStateReadsEveryKey() throws Exception {
         for (String file : List.of("format-1.txt", "format-2.txt")) {
             List<String> members = new ArrayList<>();
             List<ClusterView> views = new ArrayList<>();
             ClusterState clusterState = new ClusterState();
             clusterState.setObserver(observer(members, views));
-            long stamp = 0;
+            long modRevision = 0;
             for (Map.Entry<String, JsonObject> sample : samples(file).entrySet()) {
-                clusterState.changed(sample.getKey(), sample.getValue(), ++stamp);
+                clusterState.changed(sample.getKey(), sample.getValue(), ++modRevision);
             }
             assertEquals(5, members.size());
             assertEquals(1, views.size());
@@ -145,29 +148,29 @@
             public void changesApplied() {}
 
             @Override
-            public void jobEnded(Job last) {}
+            public void jobEnded(Job lastState) {}
 
             @Override
             public void loaded() {}
         };
     }
 
-    /** What is new in a final state is left out unless it is needed, and may be lost. */
+    /** Earlier versions do not know the end time: it is stored only if needed, and a value without it can be read. */
     @Test
-    void finalStatesAreUnderstoodByEarlierVersionsAndBack() throws Exception {
+    void finalStatesAreCompatibleWithEarlierVersions() throws Exception {
         FinalState plain = FinalState.of(FinalState.Status.DONE, 7);
         assertEquals("{\"status\":\"done\",\"tasks\":7}", plain.toJson().toString());
         FinalState awaited = new FinalState(FinalState.Status.DONE, 7, Instant.ofEpochMilli(1_700_000_000_000L));
         assertEquals(awaited, FinalState.parse(awaited.toJson()));
-        JsonObject known = awaited.toJson();
-        known.keySet().retainAll(Set.of("status", "tasks"));
-        assertEquals(plain, FinalState.parse(known));
-        assertNull(FinalState.parse(known).endedAt());
+        JsonObject withoutEndTime = awaited.toJson();
+        withoutEndTime.keySet().retainAll(Set.of("status", "tasks"));
+        assertEquals(plain, FinalState.parse(withoutEndTime));
+        assertNull(FinalState.parse(withoutEndTime).endedAt());
     }
 
-    /** The header of a job that awaits others; it is rewritten by claims, cancellations and the release. */
+    /** Guards against the loss of dependency fields when the header of a job with dependencies is rewritten. */
     @Test
-    void headersOfPipelinesKeepTheirFields() throws Exception {
+    void rewrittenHeadersKeepDependencyFields() throws Exception {
         Map<String, JsonObject> samples = samples("format-2.txt");
         Job released = Job.parse(samples.get("live/job/j-9"));
         assertFalse(released.awaitsDependencies());
