--- a/src/main/java/org/havenford/standby/Follower.java
+++ b/src/main/java/org/havenford/standby/Follower.java
@@ -38,12 +38,14 @@
     /** Takes the next frame of the connection. */
     void apply(Frame frame) throws MalformedFrameException {
         if (frame.sequence() != expectedSequence) {
-            throw new MalformedFrameException("frame " + frame.sequence() + " in place of " + expectedSequence);
+            throw new MalformedFrameException(
+                    "frame has sequence " + frame.sequence() + ", expected " + expectedSequence);
         }
         expectedSequence++;
         PeerMessage message = frame.message();
         if (node == null && !(message instanceof Hello)) {
-            throw new MalformedFrameException("the first message is no hello");
+            throw new MalformedFrameException("first message must be a hello, received "
+                    + message.getClass().getSimpleName());
         }
         if (message instanceof Hello hello) {
             handleHello(hello);
@@ -59,16 +61,18 @@
             finished(outcome);
         }
         if (open.size() > MAX_OPEN || machines.size() > MAX_MACHINES) {
-            throw new MalformedFrameException(open.size() + " open decisions, " + machines.size() + " machines");
+            throw new MalformedFrameException(open.size() + " open decisions and " + machines.size()
+                    + " machines exceed the limits of " + MAX_OPEN + " and " + MAX_MACHINES);
         }
     }
 
     private void handleHello(Hello hello) throws MalformedFrameException {
         if (node != null && !node.equals(hello.node())) {
-            throw new MalformedFrameException(node + " now calls itself " + hello.node());
+            throw new MalformedFrameException("hello names node \"" + hello.node() + "\", expected \"" + node + "\"");
         }
         if (hello.incarnation() < incarnation) {
-            throw new MalformedFrameException("incarnation " + hello.incarnation() + " after " + incarnation);
+            throw new MalformedFrameException(
+                    "hello has incarnation " + hello.incarnation() + ", expected at least " + incarnation);
         }
         if (hello.incarnation() != incarnation) {
             clear();
--- a/src/main/java/org/havenford/standby/FrameCodec.java
+++ b/src/main/java/org/havenford/standby/FrameCodec.java
@@ -149,7 +149,8 @@
     private static void putText(ByteBuffer out, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         if (bytes.length > MAX_TEXT_BYTES) {
-            throw new IllegalArgumentException("a text of " + bytes.length + " bytes");
+            throw new IllegalArgumentException(
+                    "text has " + bytes.length + " bytes, allowed are at most " + MAX_TEXT_BYTES);
         }
         out.putShort((short) bytes.length);
         out.put(bytes);
@@ -162,14 +163,16 @@
         }
         int at = in.position();
         if (in.getShort(at) != MAGIC) {
-            throw new MalformedFrameException("no frame begins here");
+            throw new MalformedFrameException(
+                    String.format("no frame header: magic number is 0x%04x, expected 0x%04x", in.getShort(at), MAGIC));
         }
         if (in.get(at + 2) != VERSION) {
-            throw new MalformedFrameException("version " + in.get(at + 2) + " is unknown");
+            throw new MalformedFrameException("frame has version " + in.get(at + 2) + ", expected " + VERSION);
         }
         int payload = in.getInt(at + 4);
         if (payload < 0 || payload > MAX_PAYLOAD_BYTES) {
-            throw new MalformedFrameException("a payload of " + payload + " bytes");
+            throw new MalformedFrameException(
+                    "payload length " + payload + " is not between 0 and " + MAX_PAYLOAD_BYTES);
         }
         return HEADER_BYTES + payload;
     }
@@ -178,18 +181,19 @@
     static Frame decode(ByteBuffer frame) throws MalformedFrameException {
         int type = frame.get(frame.position() + 3);
         if (type < 0 || type >= TYPES.length) {
-            throw new MalformedFrameException("type " + type + " is unknown");
+            throw new MalformedFrameException("message type " + type + " is not between 0 and " + (TYPES.length - 1));
         }
         long sequence = frame.getLong(frame.position() + 8);
         frame.position(frame.position() + HEADER_BYTES);
         try {
             PeerMessage message = payload(TYPES[type], frame);
             if (frame.hasRemaining()) {
-                throw new MalformedFrameException(frame.remaining() + " bytes too many in " + TYPES[type]);
+                throw new MalformedFrameException(
+                        "payload of " + TYPES[type] + " has " + frame.remaining() + " bytes too many");
             }
             return new Frame(sequence, message);
         } catch (BufferUnderflowException e) {
-            throw new MalformedFrameException(TYPES[type] + " is too short");
+            throw new MalformedFrameException("payload of " + TYPES[type] + " is too short");
         }
     }
 
@@ -228,7 +232,7 @@
     private static int count(ByteBuffer in) throws MalformedFrameException {
         int count = in.getShort();
         if (count < 0 || count > MAX_ITEMS) {
-            throw new MalformedFrameException(count + " items");
+            throw new MalformedFrameException("item count " + count + " is not between 0 and " + MAX_ITEMS);
         }
         return count;
     }
@@ -236,7 +240,7 @@
     private static boolean flag(ByteBuffer in) throws MalformedFrameException {
         byte value = in.get();
         if (value != 0 && value != 1) {
-            throw new MalformedFrameException("a flag of " + value);
+            throw new MalformedFrameException("flag is " + value + ", expected 0 or 1");
         }
         return value == 1;
     }
@@ -244,7 +248,7 @@
     private static String text(ByteBuffer in) throws MalformedFrameException {
         int length = in.getShort();
         if (length < 0 || length > MAX_TEXT_BYTES) {
-            throw new MalformedFrameException("a text of " + length + " bytes");
+            throw new MalformedFrameException("text length " + length + " is not between 0 and " + MAX_TEXT_BYTES);
         }
         if (length > in.remaining()) {
             throw new BufferUnderflowException();
--- a/src/main/java/org/havenford/standby/InboundConnections.java
+++ b/src/main/java/org/havenford/standby/InboundConnections.java
@@ -85,7 +85,8 @@
                 return;
             }
             if (!(frames.get(0).message() instanceof Hello hello) || !links.containsKey(hello.node())) {
-                throw new MalformedFrameException("the first message is no hello of a peer");
+                throw new MalformedFrameException("first message must be the hello of a configured peer, received "
+                        + frames.get(0).message().getClass().getSimpleName());
             }
             end();
             links.get(hello.node()).accept(connection, decoder, frames);
