--- a/src/main/java/org/havenford/standby/DecisionLog.java
+++ b/src/main/java/org/havenford/standby/DecisionLog.java
@@ -4,32 +4,32 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 
-/** This controller's decisions, numbered in the order in which they are sent to the state service. */
+/** Numbers the transactions of this controller in the order in which they are sent to the store, and keeps the open ones. */
 final class DecisionLog {
     private final TreeMap<Long, List<String>> open = new TreeMap<>();
-    private long last;
-    private long countedBefore;
+    private long lastNumber;
+    private long lastCounted;
 
-    /** A transaction on these keys is about to be sent; returns its number. */
+    /** Registers a transaction on these keys that is about to be sent, and returns its number. */
     long begin(List<String> keys) {
-        open.put(++last, keys);
-        return last;
+        open.put(++lastNumber, keys);
+        return lastNumber;
     }
 
-    /** The outcome of a transaction was told to this controller. */
+    /** Removes a transaction whose call to the store has ended. */
     void end(long number) {
         open.remove(number);
     }
 
-    /** Goes through the decisions whose outcome has not been told, in their order. */
+    /** Passes each open transaction to the consumer, in the order of their numbers. */
     void forEachOpen(BiConsumer<Long, List<String>> consumer) {
         open.forEach(consumer);
     }
 
-    /** Decisions since the last call. */
-    long takeCount() {
-        long count = last - countedBefore;
-        countedBefore = last;
+    /** Returns the number of transactions begun since the last call. */
+    long getAndResetCount() {
+        long count = lastNumber - lastCounted;
+        lastCounted = lastNumber;
         return count;
     }
 }
--- a/src/main/java/org/havenford/standby/FailoverContacts.java
+++ b/src/main/java/org/havenford/standby/FailoverContacts.java
@@ -10,28 +10,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Contacts the agents of machines that were taken over, within a budget for each round. Nothing is sent before the replica has
- * passed the view: from then on this node has seen everything that the former owner can have committed on these machines.
+ * Contacts the agents of machines that were taken over, within a limit of time and contacts for each round. No agent is
+ * contacted before the replica has reached the revision of the current view: it then contains everything that the former
+ * owner can have committed for these machines.
  */
 final class FailoverContacts {
     private static final Logger LOG = LoggerFactory.getLogger(FailoverContacts.class);
     private static final Duration ROUND_INTERVAL = Duration.ofMillis(20);
     private static final Duration ROUND_BUDGET = Duration.ofMillis(5);
     private static final int MAX_CONTACTS_PER_ROUND = 50;
-    /** Agents that were not contacted by then have long sent a heartbeat by themselves. */
-    private static final Duration PERIOD = Duration.ofSeconds(20);
+    /** How long agents are contacted after a failover. Each agent sends an unsolicited heartbeat long before this ends. */
+    private static final Duration CONTACT_PERIOD = Duration.ofSeconds(20);
 
-    /** One failover, with what is logged once its agents have been contacted. */
+    /** Data of one failover that is logged once all its agents have been contacted. */
     private static final class Failover {
-        private final String from;
-        private final Instant viewAt;
+        private final String formerOwner;
+        private final Instant viewChangedAt;
         private final int machines;
         private final int openDecisions;
-        private Instant decidedAt;
+        private Instant mayDecideSince;
 
-        Failover(String from, Instant viewAt, int machines, int openDecisions) {
-            this.from = from;
-            this.viewAt = viewAt;
+        Failover(String formerOwner, Instant viewChangedAt, int machines, int openDecisions) {
+            this.formerOwner = formerOwner;
+            this.viewChangedAt = viewChangedAt;
             this.machines = machines;
             this.openDecisions = openDecisions;
         }
@@ -39,46 +40,46 @@
 
     private final StandbyHost host;
     private final ArrayDeque<AgentContact> pending = new ArrayDeque<>();
-    private Instant until = Instant.MIN;
+    private Instant deadline = Instant.MIN;
     private boolean running;
-    /** The latest one; null before the first. */
+    /** The latest failover, or null before the first. */
     private Failover failover;
 
     FailoverContacts(StandbyHost host) {
         this.host = host;
     }
 
-    /** Begins to contact the agents of machines taken over from a member, in the given order. */
-    void begin(String from, List<AgentContact> contacts, int openDecisions) {
+    /** Starts contacting the agents of machines taken over from a former owner, in the given order. */
+    void begin(String formerOwner, List<AgentContact> contacts, int openDecisions) {
         pending.addAll(contacts);
         Instant now = host.loop().now();
-        failover = new Failover(from, now, contacts.size(), openDecisions);
-        until = now.plus(PERIOD);
+        failover = new Failover(formerOwner, now, contacts.size(), openDecisions);
+        deadline = now.plus(CONTACT_PERIOD);
         if (!running) {
             running = true;
-            host.loop().after(Duration.ZERO, this::round);
+            host.loop().after(Duration.ZERO, this::runRound);
         }
     }
 
-    private void round() {
+    private void runRound() {
         Instant now = host.loop().now();
-        if (now.isAfter(until)) {
+        if (now.isAfter(deadline)) {
             pending.clear();
         }
         if (host.mayDecide() && host.replicaRevision() >= host.viewRevision()) {
-            failover.decidedAt = failover.decidedAt == null ? now : failover.decidedAt;
+            failover.mayDecideSince = failover.mayDecideSince == null ? now : failover.mayDecideSince;
             contactWithinBudget(now);
             if (pending.isEmpty()) {
                 running = false;
-                log(host.loop().now());
+                logCompletion(host.loop().now());
                 return;
             }
         }
-        if (now.isAfter(until)) {
+        if (now.isAfter(deadline)) {
             running = false;
             return;
         }
-        host.loop().after(ROUND_INTERVAL, this::round);
+        host.loop().after(ROUND_INTERVAL, this::runRound);
     }
 
     private void contactWithinBudget(Instant roundStart) {
@@ -91,13 +92,14 @@
         }
     }
 
-    private void log(Instant now) {
+    private void logCompletion(Instant now) {
         LOG.info(
                 "failover complete: from={} machines={} openDecisions={} decidedAfterMs={} agentsContactedAfterMs={}",
-                failover.from,
+                failover.formerOwner,
                 failover.machines,
                 failover.openDecisions,
-                Duration.between(failover.viewAt, failover.decidedAt).toMillis(),
-                Duration.between(failover.viewAt, now).toMillis());
+                Duration.between(failover.viewChangedAt, failover.mayDecideSince)
+                        .toMillis(),
+                Duration.between(failover.viewChangedAt, now).toMillis());
     }
 }
--- a/src/main/java/org/havenford/standby/FailoverCoordinator.java
+++ b/src/main/java/org/havenford/standby/FailoverCoordinator.java
@@ -16,36 +16,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Leads from a suspicion to a verdict: a majority of the view must not reach the suspect either, and the suspect must leave
- * a liveness probe in the state service unanswered for a while. Without a majority, or without the state service, nothing happens
- * and the membership lease decides.
+ * Evicts suspected members from the view. An eviction requires that a majority of the view, this node included, cannot reach
+ * the suspect, and that the suspect leaves a liveness probe in the store unanswered for the probe window. Without a majority
+ * or without the store no member is evicted, and a failed member stays in the view until its membership lease expires.
  */
 final class FailoverCoordinator {
     private static final Logger LOG = LoggerFactory.getLogger(FailoverCoordinator.class);
-    /** How much later each further member tries, so that mostly one does. */
+    /** Delay for each position in the eviction order, so that usually only one member creates a probe. */
     private static final Duration DELAY_PER_RANK = Duration.ofMillis(150);
-    /** Peers are asked no longer than this; a suspicion that lasts is then left to the lease. */
-    private static final Duration ASK_PERIOD = Duration.ofSeconds(5);
+    /** How long the queries about a suspect are repeated. A suspicion that lasts longer is left to the membership lease. */
+    private static final Duration QUERY_PERIOD = Duration.ofSeconds(5);
 
     private enum Phase {
-        ASKING,
-        PROBING,
-        WAITING,
+        QUERYING_PEERS,
+        CREATING_PROBE,
+        AWAITING_ANSWER,
         EVICTING
     }
 
-    /** One suspicion, from its beginning until it is over. */
+    /** State of the suspicion of one member. */
     private static final class Suspicion {
         private final long incarnation;
         private final Instant suspectedAt;
-        private final Set<String> agreeing = new HashSet<>();
-        private Phase phase = Phase.ASKING;
+        private final Set<String> confirmedBy = new HashSet<>();
+        private Phase phase = Phase.QUERYING_PEERS;
         private long probeRevision;
         private Instant probedAt;
 
-        Suspicion(long incarnation, Instant since) {
+        Suspicion(long incarnation, Instant suspectedAt) {
             this.incarnation = incarnation;
-            this.suspectedAt = since;
+            this.suspectedAt = suspectedAt;
         }
     }
 
@@ -61,18 +61,18 @@
             StandbyHost host,
             FailureDetector detector,
             String self,
-            Duration challengeWindow,
+            Duration probeWindow,
             UnaryOperator<String> zoneOf,
             Map<String, PeerLink> links) {
         this.host = host;
         this.detector = detector;
         this.self = self;
-        this.probeWindow = challengeWindow;
+        this.probeWindow = probeWindow;
         this.zoneOf = zoneOf;
         this.links = links;
     }
 
-    /** Looks at every member: begins, advances or abandons a suspicion. */
+    /** Begins, advances or abandons the suspicion of each peer. */
     void step() {
         ClusterView view = host.view();
         for (String node : links.keySet()) {
@@ -86,14 +86,17 @@
             if (!suspected) {
                 abandon(node, suspicion);
             } else if (suspicion == null) {
-                begin(node, incarnation);
+                beginSuspicion(node, incarnation);
             } else {
                 advance(node, suspicion, view);
             }
         }
     }
 
-    /** This process was paused: what it began rests on silence that it can't judge. */
+    /**
+     * Abandons suspicions after a pause of this process, as it could not receive anything from its peers meanwhile. Those with
+     * a store request in flight stay until it is answered.
+     */
     void processPaused() {
         for (String node : Set.copyOf(suspicions.keySet())) {
             abandon(node, suspicions.get(node));
@@ -101,8 +104,8 @@
     }
 
     private void abandon(String node, Suspicion suspicion) {
-        if (suspicion == null || suspicion.phase == Phase.PROBING || suspicion.phase == Phase.EVICTING) {
-            // What is under way tells its outcome first.
+        if (suspicion == null || suspicion.phase == Phase.CREATING_PROBE || suspicion.phase == Phase.EVICTING) {
+            // A request to the store is in flight; its callback decides how to proceed.
             return;
         }
         suspicions.remove(node);
@@ -112,14 +115,14 @@
         }
     }
 
-    private void begin(String node, long incarnation) {
+    private void beginSuspicion(String node, long incarnation) {
         if (host.mayEvict(node)) {
             suspicions.put(node, new Suspicion(incarnation, host.loop().now()));
-            ask(node, incarnation);
+            queryPeers(node, incarnation);
         }
     }
 
-    private void ask(String node, long incarnation) {
+    private void queryPeers(String node, long incarnation) {
         for (PeerLink link : links.values()) {
             if (!link.name().equals(node)) {
                 link.send(new ReachabilityQuestion(node, incarnation));
@@ -129,31 +132,31 @@
 
     private void advance(String node, Suspicion suspicion, ClusterView view) {
         Instant now = host.loop().now();
-        if (suspicion.phase == Phase.ASKING) {
-            if (suspicion.agreeing.size() + 1 >= Succession.majority(view)) {
-                probeInTurn(node, suspicion, view, now);
-            } else if (now.isBefore(suspicion.suspectedAt.plus(ASK_PERIOD))) {
-                ask(node, suspicion.incarnation);
+        if (suspicion.phase == Phase.QUERYING_PEERS) {
+            if (suspicion.confirmedBy.size() + 1 >= Succession.majority(view)) {
+                probeAfterDelay(node, suspicion, view, now);
+            } else if (now.isBefore(suspicion.suspectedAt.plus(QUERY_PERIOD))) {
+                queryPeers(node, suspicion.incarnation);
             }
-        } else if (suspicion.phase == Phase.WAITING && now.isAfter(suspicion.probedAt.plus(probeWindow))) {
+        } else if (suspicion.phase == Phase.AWAITING_ANSWER && now.isAfter(suspicion.probedAt.plus(probeWindow))) {
             evict(node, suspicion);
         }
     }
 
-    private void probeInTurn(String node, Suspicion suspicion, ClusterView view, Instant now) {
-        List<String> conductors = Succession.evictionOrder(view, node, zoneOf);
-        Duration turn = DELAY_PER_RANK.multipliedBy(Math.max(0, conductors.indexOf(self)));
-        if (now.isBefore(suspicion.suspectedAt.plus(turn)) || !host.mayEvict(node)) {
+    private void probeAfterDelay(String node, Suspicion suspicion, ClusterView view, Instant now) {
+        List<String> evictionOrder = Succession.evictionOrder(view, node, zoneOf);
+        Duration delay = DELAY_PER_RANK.multipliedBy(Math.max(0, evictionOrder.indexOf(self)));
+        if (now.isBefore(suspicion.suspectedAt.plus(delay)) || !host.mayEvict(node)) {
             return;
         }
-        suspicion.phase = Phase.PROBING;
+        suspicion.phase = Phase.CREATING_PROBE;
         host.probe(node, suspicion.incarnation, modRevision -> {
             if (modRevision == 0) {
-                // Another member asks, the view has changed, or the state service is out of reach.
+                // Another member has a probe outstanding, the view has changed, or the store is unreachable.
                 suspicions.remove(node, suspicion);
                 return;
             }
-            suspicion.phase = Phase.WAITING;
+            suspicion.phase = Phase.AWAITING_ANSWER;
             suspicion.probeRevision = modRevision;
             suspicion.probedAt = host.loop().now();
             host.loop().after(probeWindow.plusMillis(2), this::step);
@@ -162,37 +165,39 @@
 
     private void evict(String node, Suspicion suspicion) {
         suspicion.phase = Phase.EVICTING;
-        Duration after = Duration.between(suspicion.suspectedAt, host.loop().now());
+        Duration suspectedFor =
+                Duration.between(suspicion.suspectedAt, host.loop().now());
         host.evict(node, suspicion.incarnation, suspicion.probeRevision, committed -> {
             if (!committed && host.probeIsUnanswered(node, suspicion.probeRevision)) {
-                // The view has changed meanwhile, as by a move of machines: the probe is as good under the new one.
-                suspicion.phase = Phase.WAITING;
+                // The view changed in the meantime, for example by a reassignment of machines. The probe stays
+                // valid under the new view, so the eviction is retried with the same probe.
+                suspicion.phase = Phase.AWAITING_ANSWER;
                 return;
             }
             suspicions.remove(node, suspicion);
             if (committed) {
-                LOG.info("member evicted: node={} suspectedForMs={}", node, after.toMillis());
+                LOG.info("member evicted: node={} suspectedForMs={}", node, suspectedFor.toMillis());
             } else {
                 LOG.info("member not evicted, it answered or the view changed: node={}", node);
             }
         });
     }
 
-    /** A peer asks whether this node reaches another. */
+    /** Answers a peer whether this node can reach another member. */
     void handleQuestion(PeerLink from, ReachabilityQuestion question) {
         boolean reachable = !detector.suspects(question.node(), question.incarnation());
         from.send(new ReachabilityAnswer(question.node(), question.incarnation(), reachable));
     }
 
-    /** A peer has answered whether it reaches a suspect. */
+    /** Records a peer's answer whether it can reach a suspect. */
     void handleAnswer(PeerLink from, ReachabilityAnswer answer) {
         Suspicion suspicion = suspicions.get(answer.node());
         if (suspicion == null || suspicion.incarnation != answer.incarnation()) {
             return;
         }
         if (answer.reachable()) {
-            suspicion.agreeing.remove(from.name());
-        } else if (suspicion.agreeing.add(from.name())) {
+            suspicion.confirmedBy.remove(from.name());
+        } else if (suspicion.confirmedBy.add(from.name())) {
             step();
         }
     }
--- a/src/main/java/org/havenford/standby/FailureDetector.java
+++ b/src/main/java/org/havenford/standby/FailureDetector.java
@@ -1,7 +1,7 @@
 package org.havenford.standby;
 
-/** Says of which peers this node believes that they have failed. A belief is no verdict: see {@link FailoverCoordinator}. */
+/** Local failure detector for peers. A suspicion alone does not evict a peer: see {@link FailoverCoordinator}. */
 interface FailureDetector {
-    /** Whether this incarnation of a peer, which has been heard before, is silent for too long or refuses connections. */
+    /** Returns whether a known incarnation of a peer was silent or disconnected for too long, or cannot be dialed. */
     boolean suspects(String node, long incarnation);
 }
--- a/src/main/java/org/havenford/standby/Follower.java
+++ b/src/main/java/org/havenford/standby/Follower.java
@@ -15,27 +15,27 @@
 import org.havenford.standby.PeerMessage.SnapshotBegin;
 
 /**
- * What a peer has told of its machines and decisions. The stream says what the peer meant to do and how far it was when it
- * was heard last; what it did is told by the state service alone.
+ * State received from a peer: the agent contacts of its machines and its open decisions. It shows which transactions the peer
+ * intended and which outcomes it reported; only the store shows which of them were committed.
  */
 final class Follower {
-    /** Beyond this a peer's bookkeeping is broken: its own queue to the state service is far shorter. */
-    static final int MAX_OPEN = 10_000;
+    /** Limit of a peer's open decisions. A correct peer stays far below it, as its queue to the store is far shorter. */
+    static final int MAX_OPEN_DECISIONS = 10_000;
 
-    static final int MAX_UNKNOWN = 1000;
+    static final int MAX_UNKNOWN_OUTCOMES = 1000;
     static final int MAX_MACHINES = 100_000;
 
-    private final Map<String, AgentContact> machines = new HashMap<>();
-    private final Map<Long, List<String>> open = new HashMap<>();
-    /** Decisions whose outcome the peer does not know either, the oldest first. */
-    private final LinkedHashSet<Long> unknown = new LinkedHashSet<>();
+    private final Map<String, AgentContact> contactsByMachine = new HashMap<>();
+    private final Map<Long, List<String>> openDecisions = new HashMap<>();
+    /** Decisions whose outcome the peer reported as unknown, the oldest first. */
+    private final LinkedHashSet<Long> unknownOutcomes = new LinkedHashSet<>();
 
     private String node;
     private long incarnation;
     private long expectedSequence;
     private long highestRevision;
 
-    /** Takes the next frame of the connection. */
+    /** Applies the next frame of the connection. */
     void apply(Frame frame) throws MalformedFrameException {
         if (frame.sequence() != expectedSequence) {
             throw new MalformedFrameException(
@@ -51,18 +51,18 @@
             handleHello(hello);
         } else if (message instanceof SnapshotBegin) {
             clear();
-        } else if (message instanceof AgentContacts told) {
-            told.contacts().forEach(contact -> machines.put(contact.machine(), contact));
+        } else if (message instanceof AgentContacts agentContacts) {
+            agentContacts.contacts().forEach(contact -> contactsByMachine.put(contact.machine(), contact));
         } else if (message instanceof MachinesGone gone) {
-            gone.machines().forEach(machines::remove);
+            gone.machines().forEach(contactsByMachine::remove);
         } else if (message instanceof Intent intent) {
-            open.put(intent.number(), intent.keys());
+            openDecisions.put(intent.number(), intent.keys());
         } else if (message instanceof Outcome outcome) {
-            finished(outcome);
+            handleOutcome(outcome);
         }
-        if (open.size() > MAX_OPEN || machines.size() > MAX_MACHINES) {
-            throw new MalformedFrameException(open.size() + " open decisions and " + machines.size()
-                    + " machines exceed the limits of " + MAX_OPEN + " and " + MAX_MACHINES);
+        if (openDecisions.size() > MAX_OPEN_DECISIONS || contactsByMachine.size() > MAX_MACHINES) {
+            throw new MalformedFrameException(openDecisions.size() + " open decisions and " + contactsByMachine.size()
+                    + " machines exceed the limits of " + MAX_OPEN_DECISIONS + " and " + MAX_MACHINES);
         }
     }
 
@@ -83,53 +83,53 @@
     }
 
     private void clear() {
-        machines.clear();
-        open.clear();
-        unknown.clear();
+        contactsByMachine.clear();
+        openDecisions.clear();
+        unknownOutcomes.clear();
     }
 
-    /** A transaction whose outcome the peer does not know may be carried out late; of these only the last are kept. */
-    private void finished(Outcome outcome) {
-        open.remove(outcome.number());
+    /** Closes a decision. One with an unknown outcome may still be executed later; only the newest of these are kept. */
+    private void handleOutcome(Outcome outcome) {
+        openDecisions.remove(outcome.number());
         if (!outcome.known()) {
-            unknown.add(outcome.number());
-            if (unknown.size() > MAX_UNKNOWN) {
-                unknown.remove(unknown.iterator().next());
+            unknownOutcomes.add(outcome.number());
+            if (unknownOutcomes.size() > MAX_UNKNOWN_OUTCOMES) {
+                unknownOutcomes.remove(unknownOutcomes.iterator().next());
             }
         }
         highestRevision = Math.max(highestRevision, outcome.revision());
     }
 
-    /** Name of the peer, or null before its hello. */
+    /** Returns the name of the peer, or null before its hello. */
     String node() {
         return node;
     }
 
-    /** Incarnation of the peer, 0 while it is no member. */
+    /** Returns the incarnation of the peer, or 0 while it is not a member. */
     long incarnation() {
         return incarnation;
     }
 
-    /** Machines for which this node stands by. */
-    List<AgentContact> machines() {
-        return new ArrayList<>(machines.values());
+    /** Returns the contacts of the peer's machines for which this node is the standby. */
+    List<AgentContact> contacts() {
+        return new ArrayList<>(contactsByMachine.values());
     }
 
-    /** Decisions whose outcome the peer has not told. */
+    /** Returns the number of decisions whose outcome was not reported, or was reported as unknown. */
     int openDecisions() {
-        return open.size() + unknown.size();
+        return openDecisions.size() + unknownOutcomes.size();
     }
 
-    /** Newest revision at which the peer has committed something, as far as it has told. */
+    /** Returns the highest revision of a commit that the peer has reported. */
     long highestRevision() {
         return highestRevision;
     }
 
     /**
-     * Whether a replica holds all that the peer committed under a view that has been replaced: what was guarded by the view
-     * lies before the revision of the next one, also where the stream was cut before it told of it.
+     * Returns whether a replica contains everything that the peer committed under a view that has been replaced. Transactions
+     * conditional on that view are committed before the revision of the next view, even if the peer could not report them.
      */
-    boolean hasSeenAll(long replicaRevision, long nextViewRevision) {
+    boolean replicaContainsAllCommits(long replicaRevision, long nextViewRevision) {
         return replicaRevision >= Math.max(nextViewRevision, highestRevision);
     }
 }
--- a/src/main/java/org/havenford/standby/FrameCodec.java
+++ b/src/main/java/org/havenford/standby/FrameCodec.java
@@ -17,27 +17,28 @@
 import org.havenford.standby.PeerMessage.SnapshotBegin;
 
 /**
- * Binary form of messages between controllers: a header of magic, version, type, payload length and sequence, then the
- * payload. All numbers are big-endian; a text is its length in two bytes and UTF-8.
+ * Binary encoding of messages between controllers. A frame is a header of magic number, version, type, payload length and
+ * sequence number, followed by the payload. All numbers are big-endian; a text is its length in two bytes, then its UTF-8
+ * bytes.
  */
 final class FrameCodec {
     static final short MAGIC = 0x4846;
     static final byte VERSION = 1;
     static final int HEADER_BYTES = 2 + 1 + 1 + 4 + 8;
     static final int MAX_PAYLOAD_BYTES = 64 * 1024;
-    /** Notes or names in one frame: each takes less than 512 bytes. */
+    /** Limit of contacts or texts in one frame. Each takes less than 512 bytes, so a payload stays below its limit. */
     static final int MAX_ITEMS = 100;
 
-    /** As long as a key of the state service may be. */
+    /** Limit of the UTF-8 bytes of a text; equal to the maximum length of a key in the store. */
     static final int MAX_TEXT_BYTES = 200;
 
-    private static final int MAX_BYTES_OF_CHAR = 3;
-    private static final int TEXTS_OF_CONTACT = 2;
-    private static final int NUMBERS_OF_CONTACT_BYTES = 24;
-    /** Numbers and flags of any message besides its texts. */
-    private static final int NUMBERS_BYTES = 64;
+    private static final int MAX_UTF8_BYTES_PER_CHAR = 3;
+    private static final int TEXTS_PER_CONTACT = 2;
+    private static final int NUMBER_BYTES_PER_CONTACT = 24;
+    /** Upper bound for the numbers and flags of any message, without those of its contacts. */
+    private static final int MAX_NUMBER_BYTES = 64;
 
-    /** Kinds of messages in the order of their numbers on the wire. */
+    /** Message types; the ordinal is the type number in the header, so the order must not change. */
     private enum Type {
         HELLO,
         HEARTBEAT,
@@ -52,19 +53,19 @@
 
     private static final Type[] TYPES = Type.values();
 
-    /** A message with its place in the stream. */
+    /** A message and its sequence number in the connection. */
     record Frame(long sequence, PeerMessage message) {}
 
     private FrameCodec() {}
 
-    /** Whether a note can be sent: a worker may name any endpoint. */
-    static boolean fits(AgentContact contact) {
-        return contact.endpoint().length() * MAX_BYTES_OF_CHAR <= MAX_TEXT_BYTES;
+    /** Returns whether a contact can be encoded. Agents report their endpoints, which may be longer than a text may be. */
+    static boolean isEncodable(AgentContact contact) {
+        return contact.endpoint().length() * MAX_UTF8_BYTES_PER_CHAR <= MAX_TEXT_BYTES;
     }
 
-    /** The frame of a message, ready to be sent. */
+    /** Encodes a message as a frame that is ready to be sent. */
     static ByteBuffer encode(PeerMessage message, long sequence) {
-        ByteBuffer frame = ByteBuffer.allocate(HEADER_BYTES + payloadBound(message));
+        ByteBuffer frame = ByteBuffer.allocate(HEADER_BYTES + maxPayloadLength(message));
         frame.position(HEADER_BYTES);
         Type type = putPayload(message, frame);
         frame.flip();
@@ -76,17 +77,17 @@
         return frame;
     }
 
-    /** No payload of the message is longer. */
-    private static int payloadBound(PeerMessage message) {
+    /** Returns an upper bound for the payload length of a message. */
+    private static int maxPayloadLength(PeerMessage message) {
         int texts = 1;
-        if (message instanceof AgentContacts machines) {
-            texts = machines.contacts().size() * TEXTS_OF_CONTACT;
-        } else if (message instanceof MachinesGone gone) {
-            texts = gone.machines().size();
+        if (message instanceof AgentContacts agentContacts) {
+            texts = agentContacts.contacts().size() * TEXTS_PER_CONTACT;
+        } else if (message instanceof MachinesGone machinesGone) {
+            texts = machinesGone.machines().size();
         } else if (message instanceof Intent intent) {
             texts = intent.keys().size();
         }
-        return NUMBERS_BYTES + texts * (2 + MAX_TEXT_BYTES + NUMBERS_OF_CONTACT_BYTES);
+        return MAX_NUMBER_BYTES + texts * (2 + MAX_TEXT_BYTES + NUMBER_BYTES_PER_CONTACT);
     }
 
     private static Type putPayload(PeerMessage message, ByteBuffer out) {
@@ -95,13 +96,13 @@
             out.putLong(hello.incarnation());
             return Type.HELLO;
         }
-        if (message instanceof AgentContacts machines) {
-            out.putShort((short) machines.contacts().size());
-            machines.contacts().forEach(contact -> putContact(out, contact));
+        if (message instanceof AgentContacts agentContacts) {
+            out.putShort((short) agentContacts.contacts().size());
+            agentContacts.contacts().forEach(contact -> putContact(out, contact));
             return Type.MACHINES;
         }
-        if (message instanceof MachinesGone gone) {
-            putTexts(out, gone.machines());
+        if (message instanceof MachinesGone machinesGone) {
+            putTexts(out, machinesGone.machines());
             return Type.MACHINES_GONE;
         }
         if (message instanceof Intent intent) {
@@ -156,28 +157,28 @@
         out.put(bytes);
     }
 
-    /** Length of the frame that begins at the buffer's position, or -1 if its header is not complete yet. */
+    /** Returns the length of the frame that begins at the buffer's position, or -1 while its header is incomplete. */
     static int frameLength(ByteBuffer in) throws MalformedFrameException {
         if (in.remaining() < HEADER_BYTES) {
             return -1;
         }
-        int at = in.position();
-        if (in.getShort(at) != MAGIC) {
-            throw new MalformedFrameException(
-                    String.format("no frame header: magic number is 0x%04x, expected 0x%04x", in.getShort(at), MAGIC));
+        int start = in.position();
+        if (in.getShort(start) != MAGIC) {
+            throw new MalformedFrameException(String.format(
+                    "no frame header: magic number is 0x%04x, expected 0x%04x", in.getShort(start), MAGIC));
         }
-        if (in.get(at + 2) != VERSION) {
-            throw new MalformedFrameException("frame has version " + in.get(at + 2) + ", expected " + VERSION);
+        if (in.get(start + 2) != VERSION) {
+            throw new MalformedFrameException("frame has version " + in.get(start + 2) + ", expected " + VERSION);
         }
-        int payload = in.getInt(at + 4);
-        if (payload < 0 || payload > MAX_PAYLOAD_BYTES) {
+        int payloadLength = in.getInt(start + 4);
+        if (payloadLength < 0 || payloadLength > MAX_PAYLOAD_BYTES) {
             throw new MalformedFrameException(
-                    "payload length " + payload + " is not between 0 and " + MAX_PAYLOAD_BYTES);
+                    "payload length " + payloadLength + " is not between 0 and " + MAX_PAYLOAD_BYTES);
         }
-        return HEADER_BYTES + payload;
+        return HEADER_BYTES + payloadLength;
     }
 
-    /** Reads one whole frame, no more and no less. */
+    /** Decodes a buffer that contains exactly one frame. */
     static Frame decode(ByteBuffer frame) throws MalformedFrameException {
         int type = frame.get(frame.position() + 3);
         if (type < 0 || type >= TYPES.length) {
@@ -186,7 +187,7 @@
         long sequence = frame.getLong(frame.position() + 8);
         frame.position(frame.position() + HEADER_BYTES);
         try {
-            PeerMessage message = payload(TYPES[type], frame);
+            PeerMessage message = readPayload(TYPES[type], frame);
             if (frame.hasRemaining()) {
                 throw new MalformedFrameException(
                         "payload of " + TYPES[type] + " has " + frame.remaining() + " bytes too many");
@@ -197,39 +198,39 @@
         }
     }
 
-    private static PeerMessage payload(Type type, ByteBuffer in) throws MalformedFrameException {
+    private static PeerMessage readPayload(Type type, ByteBuffer in) throws MalformedFrameException {
         return switch (type) {
-            case HELLO -> new Hello(text(in), in.getLong());
+            case HELLO -> new Hello(readText(in), in.getLong());
             case HEARTBEAT -> new Heartbeat();
             case SNAPSHOT_BEGIN -> new SnapshotBegin();
-            case MACHINES -> new AgentContacts(contacts(in));
-            case MACHINES_GONE -> new MachinesGone(texts(in));
-            case INTENT -> new Intent(in.getLong(), texts(in));
-            case OUTCOME -> new Outcome(in.getLong(), flag(in), in.getLong());
-            case REACH_QUESTION -> new ReachabilityQuestion(text(in), in.getLong());
-            case REACH_ANSWER -> new ReachabilityAnswer(text(in), in.getLong(), flag(in));
+            case MACHINES -> new AgentContacts(readContacts(in));
+            case MACHINES_GONE -> new MachinesGone(readTexts(in));
+            case INTENT -> new Intent(in.getLong(), readTexts(in));
+            case OUTCOME -> new Outcome(in.getLong(), readFlag(in), in.getLong());
+            case REACH_QUESTION -> new ReachabilityQuestion(readText(in), in.getLong());
+            case REACH_ANSWER -> new ReachabilityAnswer(readText(in), in.getLong(), readFlag(in));
         };
     }
 
-    private static List<AgentContact> contacts(ByteBuffer in) throws MalformedFrameException {
-        int count = count(in);
-        List<AgentContact> notes = new ArrayList<>(count);
+    private static List<AgentContact> readContacts(ByteBuffer in) throws MalformedFrameException {
+        int count = readCount(in);
+        List<AgentContact> contacts = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            notes.add(new AgentContact(text(in), text(in), in.getLong(), in.getLong(), in.getLong()));
+            contacts.add(new AgentContact(readText(in), readText(in), in.getLong(), in.getLong(), in.getLong()));
         }
-        return notes;
+        return contacts;
     }
 
-    private static List<String> texts(ByteBuffer in) throws MalformedFrameException {
-        int count = count(in);
+    private static List<String> readTexts(ByteBuffer in) throws MalformedFrameException {
+        int count = readCount(in);
         List<String> texts = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            texts.add(text(in));
+            texts.add(readText(in));
         }
         return texts;
     }
 
-    private static int count(ByteBuffer in) throws MalformedFrameException {
+    private static int readCount(ByteBuffer in) throws MalformedFrameException {
         int count = in.getShort();
         if (count < 0 || count > MAX_ITEMS) {
             throw new MalformedFrameException("item count " + count + " is not between 0 and " + MAX_ITEMS);
@@ -237,7 +238,7 @@
         return count;
     }
 
-    private static boolean flag(ByteBuffer in) throws MalformedFrameException {
+    private static boolean readFlag(ByteBuffer in) throws MalformedFrameException {
         byte value = in.get();
         if (value != 0 && value != 1) {
             throw new MalformedFrameException("flag is " + value + ", expected 0 or 1");
@@ -245,7 +246,7 @@
         return value == 1;
     }
 
-    private static String text(ByteBuffer in) throws MalformedFrameException {
+    private static String readText(ByteBuffer in) throws MalformedFrameException {
         int length = in.getShort();
         if (length < 0 || length > MAX_TEXT_BYTES) {
             throw new MalformedFrameException("text length " + length + " is not between 0 and " + MAX_TEXT_BYTES);
--- a/src/main/java/org/havenford/standby/FrameDecoder.java
+++ b/src/main/java/org/havenford/standby/FrameDecoder.java
@@ -5,19 +5,19 @@
 import java.util.List;
 import org.havenford.standby.FrameCodec.Frame;
 
-/** Puts frames together from the bytes of a connection. What it holds is bounded by the largest frame. */
+/** Assembles frames from the bytes of a connection. Its buffer stays below twice the size of the largest frame. */
 final class FrameDecoder {
-    private static final int FIRST_BYTES = 4 * 1024;
+    private static final int INITIAL_BYTES = 4 * 1024;
 
-    /** Bytes of a frame that has not come whole, from 0 to the position. */
-    private ByteBuffer held = ByteBuffer.allocate(FIRST_BYTES);
+    /** Bytes of an incomplete frame, from 0 to the position. */
+    private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BYTES);
 
-    /** Takes bytes, and returns the frames that are complete. */
+    /** Consumes bytes and returns the frames that they complete. */
     List<Frame> feed(ByteBuffer bytes) throws MalformedFrameException {
         List<Frame> frames = new ArrayList<>();
         while (bytes.hasRemaining()) {
-            take(bytes);
-            Frame frame = completeFrame();
+            fill(bytes);
+            Frame frame = decodeIfComplete();
             if (frame != null) {
                 frames.add(frame);
             }
@@ -25,35 +25,35 @@
         return frames;
     }
 
-    /** Takes as many bytes as the frame that has begun still needs. */
-    private void take(ByteBuffer bytes) throws MalformedFrameException {
-        int wanted = wanted();
-        if (wanted > held.capacity()) {
-            ByteBuffer larger = ByteBuffer.allocate(Math.max(wanted, 2 * held.capacity()));
-            held.flip();
-            larger.put(held);
-            held = larger;
+    /** Copies as many bytes as the current frame, or its header, still needs. */
+    private void fill(ByteBuffer bytes) throws MalformedFrameException {
+        int required = requiredLength();
+        if (required > buffer.capacity()) {
+            ByteBuffer larger = ByteBuffer.allocate(Math.max(required, 2 * buffer.capacity()));
+            buffer.flip();
+            larger.put(buffer);
+            buffer = larger;
         }
-        int taken = Math.min(bytes.remaining(), wanted - held.position());
-        ByteBuffer part = bytes.slice(bytes.position(), taken);
-        held.put(part);
-        bytes.position(bytes.position() + taken);
+        int copied = Math.min(bytes.remaining(), required - buffer.position());
+        ByteBuffer part = bytes.slice(bytes.position(), copied);
+        buffer.put(part);
+        bytes.position(bytes.position() + copied);
     }
 
-    /** Length of the frame that has begun, or of the header as long as that is not complete. */
-    private int wanted() throws MalformedFrameException {
-        ByteBuffer view = held.duplicate().flip();
-        int length = FrameCodec.frameLength(view);
+    /** Returns the length of the current frame, or of the header while that is incomplete. */
+    private int requiredLength() throws MalformedFrameException {
+        ByteBuffer readable = buffer.duplicate().flip();
+        int length = FrameCodec.frameLength(readable);
         return length < 0 ? FrameCodec.HEADER_BYTES : length;
     }
 
-    private Frame completeFrame() throws MalformedFrameException {
-        if (held.position() < FrameCodec.HEADER_BYTES || held.position() < wanted()) {
+    private Frame decodeIfComplete() throws MalformedFrameException {
+        if (buffer.position() < FrameCodec.HEADER_BYTES || buffer.position() < requiredLength()) {
             return null;
         }
-        held.flip();
-        Frame frame = FrameCodec.decode(held);
-        held.clear();
+        buffer.flip();
+        Frame frame = FrameCodec.decode(buffer);
+        buffer.clear();
         return frame;
     }
 }
--- a/src/main/java/org/havenford/standby/InboundConnections.java
+++ b/src/main/java/org/havenford/standby/InboundConnections.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Connections opened by peers, until their first message names the peer and hands them to its link. */
+/** Accepts connections opened by peers and hands each to the {@link PeerLink} of the peer named in its first message. */
 final class InboundConnections {
     private static final Logger LOG = LoggerFactory.getLogger(InboundConnections.class);
     private static final int MAX_UNIDENTIFIED = 32;
@@ -28,7 +28,7 @@
         this.links = links;
     }
 
-    /** Takes a new connection; it is closed if its first message does not come in time. */
+    /** Accepts a new connection. It is closed if its first message does not arrive in time. */
     void accept(Connection connection) {
         host.eventStarted();
         if (unidentified >= MAX_UNIDENTIFIED) {
@@ -41,25 +41,25 @@
         connection.receiver(peer);
     }
 
-    /** The other end of one connection before its first message has come. */
+    /** Receiver of a connection whose peer is not identified yet. */
     private final class UnidentifiedPeer implements PeerNetwork.Receiver {
         private final Connection connection;
         private final FrameDecoder decoder = new FrameDecoder();
-        private boolean over;
+        private boolean ended;
 
         UnidentifiedPeer(Connection connection) {
             this.connection = connection;
         }
 
         private void end() {
-            if (!over) {
-                over = true;
+            if (!ended) {
+                ended = true;
                 unidentified--;
             }
         }
 
         private void timeOut() {
-            if (!over) {
+            if (!ended) {
                 connection.close();
                 end();
             }
@@ -68,7 +68,7 @@
         @Override
         public void received(ByteBuffer bytes) {
             host.eventStarted();
-            if (over) {
+            if (ended) {
                 return;
             }
             try {
--- a/src/main/java/org/havenford/standby/MalformedFrameException.java
+++ b/src/main/java/org/havenford/standby/MalformedFrameException.java
@@ -1,6 +1,6 @@
 package org.havenford.standby;
 
-/** A peer has sent what can't be a frame of this protocol, or not one that may come now. The connection is closed. */
+/** Thrown when a peer sends an invalid frame, or a frame that is not allowed in the state of the connection. */
 final class MalformedFrameException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/org/havenford/standby/PeerLink.java
+++ b/src/main/java/org/havenford/standby/PeerLink.java
@@ -27,15 +27,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The connection to one peer, in both directions: what this node sends of its own machines and decisions, and the follower
- * of what the peer sends. The node with the smaller name dials. A peer that does not take what it is sent loses the
- * connection, and gets a snapshot with the next one; nothing here ever waits for it.
+ * Connection to one peer. It sends the agent contacts and decisions of this node, and applies the frames of the peer to a
+ * {@link Follower}. The node with the smaller name dials. Sending never blocks: if the unsent bytes exceed the buffer limit,
+ * the connection is closed, and the next one starts with a snapshot.
  */
 final class PeerLink {
     private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
     private static final Duration DIAL_TIMEOUT = Duration.ofSeconds(1);
-    private static final Duration FIRST_REDIAL = Duration.ofMillis(100);
-    private static final Duration LAST_REDIAL = Duration.ofSeconds(5);
+    private static final Duration MIN_REDIAL_DELAY = Duration.ofMillis(100);
+    private static final Duration MAX_REDIAL_DELAY = Duration.ofSeconds(5);
 
     private final StandbyHost host;
     private final PeerNetwork network;
@@ -43,27 +43,32 @@
     private final String self;
     private final StandbySettings settings;
     private final DecisionLog decisions;
-    private final BiConsumer<PeerLink, PeerMessage> received;
-    private final Runnable changed;
+    private final BiConsumer<PeerLink, PeerMessage> messageListener;
+    private final Runnable unreachableListener;
 
     private Connection connection;
     private Follower follower = new Follower();
-    /** What was known when the last connection ended: it is what there is to go by when the peer has died. */
+    /** State received over the last connection; a takeover uses it after the peer has failed. */
     private Follower previousFollower = new Follower();
 
     private FrameDecoder decoder;
     private long nextSequence;
-    private long helloIncarnation;
+    private long announcedIncarnation;
     private boolean dialing;
-    private Duration redialDelay = FIRST_REDIAL;
+    private Duration redialDelay = MIN_REDIAL_DELAY;
     private Instant lastSent = Instant.MIN;
-    private Instant lastHeard = Instant.MIN;
+    private Instant lastReceived = Instant.MIN;
     private Instant disconnectedAt = Instant.MIN;
-    private boolean refused;
+    private boolean lastDialFailed;
     private final Map<String, AgentContact> sentContacts = new HashMap<>();
     private long bytesSent;
 
-    /** {@code received} is told messages of interest to others; {@code changed} that the peer may have become unreachable. */
+    /**
+     * Creates a link that is not connected.
+     *
+     * @param messageListener receives each message of the peer after it was applied to the follower
+     * @param unreachableListener is called when the connection is lost or cannot be opened
+     */
     PeerLink(
             StandbyHost host,
             PeerNetwork network,
@@ -71,16 +76,16 @@
             String self,
             StandbySettings settings,
             DecisionLog decisions,
-            BiConsumer<PeerLink, PeerMessage> received,
-            Runnable changed) {
+            BiConsumer<PeerLink, PeerMessage> messageListener,
+            Runnable unreachableListener) {
         this.host = host;
         this.network = network;
         this.peer = peer;
         this.self = self;
         this.settings = settings;
         this.decisions = decisions;
-        this.received = received;
-        this.changed = changed;
+        this.messageListener = messageListener;
+        this.unreachableListener = unreachableListener;
     }
 
     String name() {
@@ -91,14 +96,14 @@
         return peer.zone();
     }
 
-    /** Begins to dial, if this node is the one to do so. */
+    /** Dials the peer if this node has the smaller name. */
     void start() {
-        if (dials()) {
+        if (isDialer()) {
             dial();
         }
     }
 
-    private boolean dials() {
+    private boolean isDialer() {
         return self.compareTo(peer.node()) < 0;
     }
 
@@ -117,47 +122,49 @@
     private void dialed(Connection opened) {
         host.eventStarted();
         dialing = false;
-        if (connection != null || !dials()) {
-            // The other side dials: this was only to see whether anybody is there.
+        if (connection != null || !isDialer()) {
+            // Either the peer has connected in the meantime, or the peer is the one that dials and this connection only
+            // tested whether it accepts connections.
             opened.close();
             return;
         }
-        redialDelay = FIRST_REDIAL;
-        use(opened, new FrameDecoder());
+        redialDelay = MIN_REDIAL_DELAY;
+        attach(opened, new FrameDecoder());
         sendHello();
     }
 
     private void dialFailed(String reason) {
         LOG.debug("peer cannot be dialed: peer={} reason={}", peer.node(), reason);
         if (connection == null) {
-            refused = true;
-            changed.run();
+            lastDialFailed = true;
+            unreachableListener.run();
         }
-        if (dials()) {
+        if (isDialer()) {
             host.loop().after(redialDelay, this::dial);
-            redialDelay =
-                    LAST_REDIAL.compareTo(redialDelay.multipliedBy(2)) < 0 ? LAST_REDIAL : redialDelay.multipliedBy(2);
+            redialDelay = MAX_REDIAL_DELAY.compareTo(redialDelay.multipliedBy(2)) < 0
+                    ? MAX_REDIAL_DELAY
+                    : redialDelay.multipliedBy(2);
         }
     }
 
-    /** Takes over a connection that came in and whose first message was the peer's hello. */
-    void accept(Connection opened, FrameDecoder decoderOfHello, List<Frame> frames) {
+    /** Takes over an inbound connection whose first message is the peer's hello. */
+    void accept(Connection opened, FrameDecoder newDecoder, List<Frame> frames) {
         if (connection != null) {
             connection.close();
             disconnected("replaced by a new connection from the peer");
         }
-        use(opened, decoderOfHello);
+        attach(opened, newDecoder);
         sendHello();
         apply(frames);
     }
 
-    private void use(Connection opened, FrameDecoder newDecoder) {
+    private void attach(Connection opened, FrameDecoder newDecoder) {
         connection = opened;
         decoder = newDecoder;
         follower = new Follower();
         nextSequence = 0;
-        refused = false;
-        lastHeard = host.loop().now();
+        lastDialFailed = false;
+        lastReceived = host.loop().now();
         sentContacts.clear();
         opened.receiver(new PeerNetwork.Receiver() {
             @Override
@@ -182,7 +189,7 @@
         try {
             apply(decoder.feed(bytes));
         } catch (MalformedFrameException e) {
-            fail(e.getMessage());
+            closeAfterError(e.getMessage());
         }
     }
 
@@ -193,19 +200,19 @@
                     return;
                 }
                 follower.apply(frame);
-                lastHeard = host.loop().now();
+                lastReceived = host.loop().now();
                 if (!peer.node().equals(follower.node())) {
                     throw new MalformedFrameException(
                             "hello names node \"" + follower.node() + "\", expected \"" + peer.node() + "\"");
                 }
-                received.accept(this, frame.message());
+                messageListener.accept(this, frame.message());
             }
         } catch (MalformedFrameException e) {
-            fail(e.getMessage());
+            closeAfterError(e.getMessage());
         }
     }
 
-    private void fail(String reason) {
+    private void closeAfterError(String reason) {
         LOG.warn("peer connection closed: peer={} reason={}", peer.node(), reason);
         connection.close();
         disconnected(reason);
@@ -216,21 +223,19 @@
         connection = null;
         previousFollower = follower;
         disconnectedAt = host.loop().now();
-        changed.run();
-        // Also where the peer dials: refusal is the quickest sign that it has ended.
+        unreachableListener.run();
+        // Done even if the peer is the one that dials: a refused connection is the earliest sign that it has ended.
         dial();
     }
 
-    // ---- sending
-
     private void sendHello() {
-        helloIncarnation = host.incarnation();
-        send(new Hello(self, helloIncarnation));
+        announcedIncarnation = host.incarnation();
+        send(new Hello(self, announcedIncarnation));
         send(new SnapshotBegin());
         decisions.forEachOpen(this::sendIntent);
     }
 
-    /** Sends a message if there is a connection. */
+    /** Sends a message if the link is connected. */
     void send(PeerMessage message) {
         if (connection == null) {
             return;
@@ -240,23 +245,24 @@
         lastSent = host.loop().now();
         connection.send(frame);
         if (connection != null && connection.pendingBytes() > settings.bufferBytes()) {
-            fail(connection.pendingBytes() + " unsent bytes exceed the buffer limit of " + settings.bufferBytes());
+            closeAfterError(
+                    connection.pendingBytes() + " unsent bytes exceed the buffer limit of " + settings.bufferBytes());
         }
     }
 
-    /** Tells of a transaction that is about to be sent. */
+    /** Announces a transaction that is about to be sent to the store. */
     void sendIntent(long number, List<String> keys) {
         if (connection != null) {
             send(new Intent(number, keys.subList(0, Math.min(keys.size(), FrameCodec.MAX_ITEMS))));
         }
     }
 
-    /** Tells that this node is alive, unless something else has just been sent. */
+    /** Sends a heartbeat unless another message was sent recently. Sends a new hello if the incarnation of this node changed. */
     void heartbeat() {
         if (connection == null) {
             return;
         }
-        if (helloIncarnation != host.incarnation()) {
+        if (announcedIncarnation != host.incarnation()) {
             sentContacts.clear();
             sendHello();
         } else if (!host.loop()
@@ -266,74 +272,74 @@
         }
     }
 
-    /** Sends what has changed of the machines for which the peer stands by. */
-    void sendContacts(List<AgentContact> notes) {
+    /** Sends the changes since the last call to the contacts of machines for which the peer is the standby. */
+    void sendContacts(List<AgentContact> contacts) {
         if (connection == null) {
             return;
         }
-        List<AgentContact> news = new ArrayList<>();
-        Set<String> named = new HashSet<>();
-        for (AgentContact contact : notes) {
-            named.add(contact.machine());
+        List<AgentContact> changedContacts = new ArrayList<>();
+        Set<String> currentMachines = new HashSet<>();
+        for (AgentContact contact : contacts) {
+            currentMachines.add(contact.machine());
             if (!contact.equals(sentContacts.put(contact.machine(), contact))) {
-                news.add(contact);
+                changedContacts.add(contact);
             }
         }
-        List<String> gone = new ArrayList<>(sentContacts.keySet());
-        gone.removeAll(named);
-        sentContacts.keySet().removeAll(gone);
-        for (int from = 0; from < news.size(); from += FrameCodec.MAX_ITEMS) {
-            send(new AgentContacts(news.subList(from, Math.min(news.size(), from + FrameCodec.MAX_ITEMS))));
+        List<String> removedMachines = new ArrayList<>(sentContacts.keySet());
+        removedMachines.removeAll(currentMachines);
+        sentContacts.keySet().removeAll(removedMachines);
+        for (int from = 0; from < changedContacts.size(); from += FrameCodec.MAX_ITEMS) {
+            send(new AgentContacts(
+                    changedContacts.subList(from, Math.min(changedContacts.size(), from + FrameCodec.MAX_ITEMS))));
         }
-        for (int from = 0; from < gone.size(); from += FrameCodec.MAX_ITEMS) {
-            send(new MachinesGone(gone.subList(from, Math.min(gone.size(), from + FrameCodec.MAX_ITEMS))));
+        for (int from = 0; from < removedMachines.size(); from += FrameCodec.MAX_ITEMS) {
+            send(new MachinesGone(
+                    removedMachines.subList(from, Math.min(removedMachines.size(), from + FrameCodec.MAX_ITEMS))));
         }
     }
 
-    /** Bytes sent since the last call. */
-    long takeBytesSent() {
+    /** Returns the number of bytes sent since the last call. */
+    long getAndResetBytesSent() {
         long bytes = bytesSent;
         bytesSent = 0;
         return bytes;
     }
 
-    // ---- what the peer is
-
     boolean connected() {
         return connection != null;
     }
 
-    /** What the peer has told, also over a connection that has ended. */
+    /** Returns the state received from the peer, which may be that of the last connection. */
     Follower follower() {
         return connection != null && follower.node() != null ? follower : previousFollower;
     }
 
-    /** Time since something was heard of the peer. */
+    /** Returns the time since the last message of the peer. */
     Duration silence() {
-        return Duration.between(lastHeard, host.loop().now());
+        return Duration.between(lastReceived, host.loop().now());
     }
 
-    /** This process could not have heard anything for a while. */
-    void forgiveSilence() {
+    /** Restarts the silence and disconnection timeouts after this process could not receive messages for a while. */
+    void resetFailureDetection() {
         Instant now = host.loop().now();
-        lastHeard = lastHeard.equals(Instant.MIN) ? lastHeard : now;
+        lastReceived = lastReceived.equals(Instant.MIN) ? lastReceived : now;
         disconnectedAt = disconnectedAt.equals(Instant.MIN) ? disconnectedAt : now;
-        refused = false;
+        lastDialFailed = false;
         if (connection == null) {
             dial();
         }
     }
 
-    /** Whether this incarnation, which was heard before, is silent for too long or refuses connections. */
-    boolean suspects(long incarnation) {
+    /** Returns whether this known incarnation of the peer was silent or disconnected for too long, or cannot be dialed. */
+    boolean isSuspected(long incarnation) {
         Follower known = follower();
         if (incarnation == 0 || known.incarnation() != incarnation) {
             return false;
         }
         Instant now = host.loop().now();
         if (connection != null) {
-            return now.isAfter(lastHeard.plus(settings.suspectAfter()));
+            return now.isAfter(lastReceived.plus(settings.suspectAfter()));
         }
-        return refused || now.isAfter(disconnectedAt.plus(settings.suspectAfter()));
+        return lastDialFailed || now.isAfter(disconnectedAt.plus(settings.suspectAfter()));
     }
 }
--- a/src/main/java/org/havenford/standby/Succession.java
+++ b/src/main/java/org/havenford/standby/Succession.java
@@ -9,30 +9,31 @@
 import org.havenford.storage.records.ClusterView;
 
 /**
- * Who stands by for whom. The standby of a machine is its second in rendezvous order, which owns it as soon as the owner has
- * left the view; the leader's duties pass to the next member by name in the same way. Worked out once for each view.
+ * Assignment of standbys to machines in one view. The standby of a machine is the second member in its rendezvous hash order,
+ * which owns the machine once the current owner has left the view. The role of the leader passes to the next member by name
+ * in the same way. Standbys are computed on demand and cached for the lifetime of the view.
  */
 final class Succession {
     private final ClusterView view;
-    private final Map<String, String> standbyOf = new HashMap<>();
+    private final Map<String, String> standbyByMachine = new HashMap<>();
 
     Succession(ClusterView view) {
         this.view = view;
     }
 
-    /** The member that owns a machine once its present owner has left, or null if there is no other. */
-    String standby(String machine) {
-        return standbyOf.computeIfAbsent(machine, view::successor);
+    /** Returns the member that owns a machine once its current owner has left the view, or null if there is no other. */
+    String standbyOf(String machine) {
+        return standbyByMachine.computeIfAbsent(machine, view::successor);
     }
 
-    /** Members that have to agree that one can't be reached, the suspect counted as a member. */
+    /** Returns how many members must be unable to reach a suspect; the suspect counts as a member of the view. */
     static int majority(ClusterView view) {
         return view.members().size() / 2 + 1;
     }
 
     /**
-     * Members that may take a suspect out of the view, in the order in which they should try: those in other zones first,
-     * which the loss of the suspect's zone does not take with it.
+     * Returns the members that may evict a suspect, in the order in which they should try. Members in other zones come first,
+     * because a failure of the suspect's zone does not affect them.
      */
     static List<String> evictionOrder(ClusterView view, String suspect, UnaryOperator<String> zoneOf) {
         List<String> others = new ArrayList<>(view.members().keySet());
--- a/src/main/java/org/havenford/standby/WarmStandby.java
+++ b/src/main/java/org/havenford/standby/WarmStandby.java
@@ -22,8 +22,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The standby of one controller: follows its peers, lets them follow, and contacts the agents of machines that it took over
- * from a member that has left. All of it on the controller's event loop.
+ * Warm standby of one controller. It replicates the agent contacts and open decisions of its peers, sends its own to them,
+ * evicts failed peers, and contacts the agents of machines that this node took over from a member that left the view. All
+ * methods run on the controller's event loop.
  */
 public final class WarmStandby implements StandbyHost.Observer {
     private static final Logger LOG = LoggerFactory.getLogger(WarmStandby.class);
@@ -33,7 +34,7 @@
     private final StandbyHost host;
     private final PeerNetwork network;
     private final PlatformSettings settings;
-    private final StandbySettings standby;
+    private final StandbySettings standbySettings;
     private final Map<String, PeerLink> links = new TreeMap<>();
     private final FailoverCoordinator failoverCoordinator;
     private final DecisionLog decisions = new DecisionLog();
@@ -45,24 +46,33 @@
     private Instant nextContacts;
     private Instant nextSummary;
 
-    /** A standby that does nothing until it is started. */
-    public WarmStandby(StandbyHost host, PeerNetwork network, PlatformSettings settings, StandbySettings standby) {
+    /** Creates a standby that is inactive until {@link #start()}. */
+    public WarmStandby(
+            StandbyHost host, PeerNetwork network, PlatformSettings settings, StandbySettings standbySettings) {
         this.host = host;
         this.network = network;
         this.settings = settings;
-        this.standby = standby;
+        this.standbySettings = standbySettings;
         for (PlatformSettings.Peer peer : settings.peers()) {
             PeerLink link = new PeerLink(
-                    host, network, peer, settings.node(), standby, decisions, this::received, this::linkChanged);
+                    host,
+                    network,
+                    peer,
+                    settings.node(),
+                    standbySettings,
+                    decisions,
+                    this::handleMessage,
+                    this::scheduleStep);
             links.put(peer.node(), link);
         }
         failoverContacts = new FailoverContacts(host);
-        inboundConnections = new InboundConnections(host, standby.suspectAfter().multipliedBy(2), links);
+        inboundConnections =
+                new InboundConnections(host, standbySettings.suspectAfter().multipliedBy(2), links);
         failoverCoordinator = new FailoverCoordinator(
-                host, this::suspects, settings.node(), standby.probeWindow(), this::zoneOf, links);
+                host, this::suspects, settings.node(), standbySettings.probeWindow(), this::zoneOf, links);
     }
 
-    /** Begins to listen, to dial, and to follow. */
+    /** Starts observing the host, listening for peers, and dialing them. */
     public void start() {
         host.observe(this);
         Instant now = host.loop().now();
@@ -76,7 +86,7 @@
 
     private boolean suspects(String node, long incarnation) {
         PeerLink link = links.get(node);
-        return link != null && link.suspects(incarnation);
+        return link != null && link.isSuspected(incarnation);
     }
 
     private String zoneOf(String node) {
@@ -84,7 +94,7 @@
         return link == null ? settings.zone() : link.zone();
     }
 
-    private void received(PeerLink from, PeerMessage message) {
+    private void handleMessage(PeerLink from, PeerMessage message) {
         if (message instanceof ReachabilityQuestion question) {
             failoverCoordinator.handleQuestion(from, question);
         } else if (message instanceof ReachabilityAnswer answer) {
@@ -92,20 +102,18 @@
         }
     }
 
-    private void linkChanged() {
-        // Not in the middle of what has told of it.
+    private void scheduleStep() {
+        // Scheduled rather than run at once, because a link may call this while it sends or reads.
         host.loop().after(Duration.ZERO, failoverCoordinator::step);
     }
 
-    // ---- time
-
     private void tick() {
-        host.loop().after(standby.heartbeat(), () -> {
+        host.loop().after(standbySettings.heartbeat(), () -> {
             tick();
             Instant now = host.loop().now();
-            if (now.isAfter(lastTick.plus(standby.suspectAfter().dividedBy(2)))) {
-                // This process was late itself: it may not have read yet what has come in the meantime.
-                links.values().forEach(PeerLink::forgiveSilence);
+            if (now.isAfter(lastTick.plus(standbySettings.suspectAfter().dividedBy(2)))) {
+                // This tick was late, so messages of the peers may have arrived that are not read yet.
+                links.values().forEach(PeerLink::resetFailureDetection);
             }
             lastTick = now;
             links.values().forEach(PeerLink::heartbeat);
@@ -122,8 +130,8 @@
         Map<String, List<AgentContact>> byStandby = new HashMap<>();
         if (host.mayDecide()) {
             for (AgentContact contact : host.agentContacts()) {
-                String successor = succession.standby(contact.machine());
-                if (successor != null && links.containsKey(successor) && FrameCodec.fits(contact)) {
+                String successor = succession.standbyOf(contact.machine());
+                if (successor != null && links.containsKey(successor) && FrameCodec.isEncodable(contact)) {
                     byStandby.computeIfAbsent(successor, s -> new ArrayList<>()).add(contact);
                 }
             }
@@ -137,23 +145,21 @@
         }
         nextSummary = now.plus(SUMMARY_INTERVAL);
         long bytes = 0;
-        List<String> states = new ArrayList<>();
+        List<String> peerStates = new ArrayList<>();
         for (PeerLink link : links.values()) {
-            bytes += link.takeBytesSent();
+            bytes += link.getAndResetBytesSent();
             Follower follower = link.follower();
-            states.add("peer=" + link.name() + " connected=" + link.connected()
-                    + " machines=" + follower.machines().size()
+            peerStates.add("peer=" + link.name() + " connected=" + link.connected()
+                    + " machines=" + follower.contacts().size()
                     + " openDecisions=" + follower.openDecisions()
                     + " revisionsBehind=" + Math.max(0, follower.highestRevision() - host.replicaRevision()));
         }
-        LOG.info("standby: peers={} decisions={} bytesSent={}", states, decisions.takeCount(), bytes);
+        LOG.info("standby: peers={} decisions={} bytesSent={}", peerStates, decisions.getAndResetCount(), bytes);
     }
 
-    // ---- what the host tells
-
     @Override
     public void processPaused() {
-        links.values().forEach(PeerLink::forgiveSilence);
+        links.values().forEach(PeerLink::resetFailureDetection);
         failoverCoordinator.processPaused();
         lastTick = host.loop().now();
     }
@@ -184,15 +190,15 @@
         previousView = view;
     }
 
-    /** Machines that have come to this node from a member that has left: their agents are contacted, the most urgent first. */
+    /** Contacts the agents of machines that moved to this node from a member that left, the most urgent machines first. */
     private void takeOver(String node, long incarnation, ClusterView view) {
         Follower follower = links.get(node).follower();
         if (follower.incarnation() != incarnation) {
             return;
         }
-        List<AgentContact> owned = follower.machines();
-        owned.removeIf(contact -> !settings.node().equals(view.owner(contact.machine())));
-        owned.sort(Comparator.comparingInt(contact -> host.urgency(contact.machine())));
-        failoverContacts.begin(node, owned, follower.openDecisions());
+        List<AgentContact> takenOver = follower.contacts();
+        takenOver.removeIf(contact -> !settings.node().equals(view.owner(contact.machine())));
+        takenOver.sort(Comparator.comparingInt(contact -> host.urgency(contact.machine())));
+        failoverContacts.begin(node, takenOver, follower.openDecisions());
     }
 }
--- a/src/test/java/org/havenford/standby/FailoverModelProperties.java
+++ b/src/test/java/org/havenford/standby/FailoverModelProperties.java
@@ -157,7 +157,7 @@
         }
 
         private void check() {
-            if (evicted && follower.hasSeenAll(replicaEdition, viewStamp)) {
+            if (evicted && follower.replicaContainsAllCommits(replicaEdition, viewStamp)) {
                 for (long committed : committedEditions) {
                     assertTrue(committed <= replicaEdition, "a decision of edition " + committed + " was not seen");
                 }
--- a/src/test/java/org/havenford/standby/PeerLinkTest.java
+++ b/src/test/java/org/havenford/standby/PeerLinkTest.java
@@ -112,19 +112,19 @@
         connection.says(new AgentContacts(List.of(NOTE)));
         network.refuses = true;
         connection.receiver.closed("closed by the other end");
-        assertEquals(List.of(NOTE), link.follower().machines());
-        assertTrue(link.suspects(5), "a peer that has ended refuses connections");
-        assertFalse(link.suspects(6), "another life of it was never heard");
+        assertEquals(List.of(NOTE), link.follower().contacts());
+        assertTrue(link.isSuspected(5), "a peer that has ended refuses connections");
+        assertFalse(link.isSuspected(6), "another life of it was never heard");
     }
 
     @Test
     void silenceIsSuspectedAndForgivenAfterAPauseOfOurOwn() {
         connected();
-        assertFalse(link.suspects(5));
+        assertFalse(link.isSuspected(5));
         host.loop.advance(Duration.ofMillis(900));
-        assertTrue(link.suspects(5));
-        link.forgiveSilence();
-        assertFalse(link.suspects(5));
+        assertTrue(link.isSuspected(5));
+        link.resetFailureDetection();
+        assertFalse(link.isSuspected(5));
     }
 
     @Test
