--- a/src/test/java/org/havenford/standby/FailoverCoordinatorTest.java
+++ b/src/test/java/org/havenford/standby/FailoverCoordinatorTest.java
@@ -16,16 +16,16 @@
 import org.havenford.storage.records.ClusterView;
 import org.junit.jupiter.api.Test;
 
-/** From a suspicion to a verdict: whom it takes, and what happens when the view changes on the way. */
+/** Checks the conditions for the eviction of a suspect, and that an eviction is retried when the view changes. */
 class FailoverCoordinatorTest {
     private static final long INCARNATION = 7;
-    private static final Duration WINDOW = Duration.ofMillis(500);
+    private static final Duration PROBE_WINDOW = Duration.ofMillis(500);
 
-    /** A host that keeps what it was asked, and fails as many evictions as it is told to. */
+    /** Records the calls of the coordinator, and fails the given number of evictions. */
     private static final class Host extends FakeHost {
-        private final List<String> asked = new ArrayList<>();
-        private int failures;
-        private boolean stands = true;
+        private final List<String> calls = new ArrayList<>();
+        private int evictionFailures;
+        private boolean probeUnanswered = true;
 
         @Override
         public ClusterView view() {
@@ -34,25 +34,25 @@
         }
 
         @Override
-        public void probe(String node, long incarnation, LongConsumer stamp) {
-            asked.add("challenge " + node);
-            stamp.accept(11);
+        public void probe(String node, long incarnation, LongConsumer created) {
+            calls.add("probe " + node);
+            created.accept(11);
         }
 
         @Override
-        public boolean probeIsUnanswered(String node, long stamp) {
-            return stands;
+        public boolean probeIsUnanswered(String node, long probeRevision) {
+            return probeUnanswered;
         }
 
         @Override
-        public void withdrawProbe(String node, long stamp) {
-            asked.add("withdraw " + node);
+        public void withdrawProbe(String node, long probeRevision) {
+            calls.add("withdraw " + node);
         }
 
         @Override
-        public void evict(String node, long incarnation, long challengeStamp, Consumer<Boolean> done) {
-            asked.add("evict " + node);
-            done.accept(failures-- <= 0);
+        public void evict(String node, long incarnation, long probeRevision, Consumer<Boolean> done) {
+            calls.add("evict " + node);
+            done.accept(evictionFailures-- <= 0);
         }
     }
 
@@ -64,7 +64,7 @@
             host,
             (node, incarnation) -> suspected && node.equals("node-2") && incarnation == INCARNATION,
             "node-0",
-            WINDOW,
+            PROBE_WINDOW,
             node -> "a",
             links);
 
@@ -80,53 +80,56 @@
                 () -> {});
     }
 
-    private void majorityAgrees() {
+    private void confirmByMajority() {
         failoverCoordinator.step();
         failoverCoordinator.handleAnswer(links.get("node-1"), new ReachabilityAnswer("node-2", INCARNATION, false));
     }
 
-    private void windowPasses() {
-        host.loop.advance(WINDOW.plusMillis(10));
+    private void passProbeWindow() {
+        host.loop.advance(PROBE_WINDOW.plusMillis(10));
         failoverCoordinator.step();
     }
 
     @Test
-    void aMajorityAndAnUnansweredQuestionAreAVerdict() {
+    void memberIsEvictedAfterMajorityAndUnansweredProbe() {
         failoverCoordinator.step();
-        windowPasses();
-        assertEquals(List.of(), host.asked, "one voice of three is no majority");
-        majorityAgrees();
-        assertEquals(List.of("challenge node-2"), host.asked);
+        passProbeWindow();
+        assertEquals(List.of(), host.calls, "one of three members is not a majority");
+        confirmByMajority();
+        assertEquals(List.of("probe node-2"), host.calls);
         failoverCoordinator.step();
-        assertEquals(List.of("challenge node-2"), host.asked, "the question stands for its time");
-        windowPasses();
-        assertEquals(List.of("challenge node-2", "evict node-2"), host.asked);
+        assertEquals(List.of("probe node-2"), host.calls, "the probe window has not passed");
+        passProbeWindow();
+        assertEquals(List.of("probe node-2", "evict node-2"), host.calls);
     }
 
     @Test
-    void whoIsHeardAgainIsNotEvicted() {
-        majorityAgrees();
+    void memberThatIsReachableAgainIsNotEvicted() {
+        confirmByMajority();
         suspected = false;
-        windowPasses();
-        assertEquals(List.of("challenge node-2", "withdraw node-2"), host.asked);
+        passProbeWindow();
+        assertEquals(List.of("probe node-2", "withdraw node-2"), host.calls);
     }
 
-    /** Found on loopback: a move of machines failed the eviction, and a new question had to wait for seconds. */
+    /**
+     * Guards against a fault seen on the loopback network: a reassignment of machines changed the view, the eviction failed,
+     * and the next probe could only be created seconds later.
+     */
     @Test
-    void aChangeOfTheViewDoesNotCostANewQuestion() {
-        host.failures = 1;
-        majorityAgrees();
-        windowPasses();
+    void evictionIsRetriedWithTheSameProbeAfterViewChange() {
+        host.evictionFailures = 1;
+        confirmByMajority();
+        passProbeWindow();
         failoverCoordinator.step();
-        assertEquals(List.of("challenge node-2", "evict node-2", "evict node-2"), host.asked);
+        assertEquals(List.of("probe node-2", "evict node-2", "evict node-2"), host.calls);
     }
 
     @Test
-    void anAnsweredQuestionEndsTheAttempt() {
-        host.failures = 1;
-        host.stands = false;
-        majorityAgrees();
-        windowPasses();
-        assertEquals(List.of("challenge node-2", "evict node-2"), host.asked);
+    void answeredProbeEndsTheEviction() {
+        host.evictionFailures = 1;
+        host.probeUnanswered = false;
+        confirmByMajority();
+        passProbeWindow();
+        assertEquals(List.of("probe node-2", "evict node-2"), host.calls);
     }
 }
--- a/src/test/java/org/havenford/standby/FailoverModelProperties.java
+++ b/src/test/java/org/havenford/standby/FailoverModelProperties.java
@@ -20,41 +20,41 @@
 import org.havenford.standby.PeerMessage.SnapshotBegin;
 
 /**
- * A model of owner, follower and state service, driven by drawn steps: transactions are carried out late, twice or never,
- * the stream is cut anywhere, the owner ends or stalls, and it is evicted. Whenever the real follower says that it has seen
- * everything, its replica holds every decision that the owner has committed or ever will.
+ * Model-based test of an owner, a follower and the store with random steps: transactions are executed late, twice or never,
+ * the connection is lost at any point, and the owner stalls, ends or is evicted. Whenever {@link Follower} reports that the
+ * replica contains all commits, the replica contains every decision that the owner has committed or will commit.
  */
 class FailoverModelProperties {
     private static final String SEED = "815";
 
     private enum Step {
         DECIDE,
-        CARRY_OUT,
-        CARRY_OUT_AGAIN,
-        TELL_OUTCOME,
-        CUT_STREAM,
+        EXECUTE,
+        EXECUTE_AND_KEEP,
+        REPORT_OUTCOME,
+        RECONNECT,
         REPLICATE,
         EVICT
     }
 
-    /** What happens next; the number chooses among what there is. */
+    /** A step of the model. The choice selects a transaction or an outcome, or is the most revisions to replicate. */
     record Action(Step step, int choice) {}
 
     @Property(seed = SEED, tries = 2000)
-    void whoMayDecideHasSeenEveryCommittedDecision(@ForAll("actions") List<Action> actions)
+    void replicaReportedCompleteContainsEveryCommit(@ForAll("actions") List<Action> actions)
             throws MalformedFrameException {
-        new Model(true).play(actions);
+        new Model(true).run(actions);
     }
 
-    /** The property has teeth: without the guard of the view a late transaction is missed. */
+    /** Shows that the property can fail: without a condition on the view, the replica misses a late transaction. */
     @Example
-    void withoutTheGuardOfTheViewADecisionIsMissed() {
+    void commitIsMissedWithoutConditionOnTheView() {
         List<Action> actions = List.of(
                 new Action(Step.DECIDE, 0),
                 new Action(Step.EVICT, 0),
                 new Action(Step.REPLICATE, 1000),
-                new Action(Step.CARRY_OUT, 0));
-        assertThrows(AssertionError.class, () -> new Model(false).play(actions));
+                new Action(Step.EXECUTE, 0));
+        assertThrows(AssertionError.class, () -> new Model(false).run(actions));
     }
 
     @Provide
@@ -66,40 +66,40 @@
     }
 
     private static final class Model {
-        private record Transaction(long number, long viewStamp, boolean[] told) {}
+        private record Transaction(long number, long viewRevision, boolean[] reported) {}
 
-        private final boolean guardedByView;
-        private final List<Transaction> sent = new ArrayList<>();
+        private final boolean conditionalOnView;
+        private final List<Transaction> pending = new ArrayList<>();
         private final List<long[]> outcomes = new ArrayList<>();
-        private final List<Long> committedEditions = new ArrayList<>();
-        private long edition = 10;
-        private long viewStamp = 10;
-        private long replicaEdition = 10;
+        private final List<Long> committedRevisions = new ArrayList<>();
+        private long revision = 10;
+        private long viewRevision = 10;
+        private long replicaRevision = 10;
         private boolean evicted;
         private Follower follower = new Follower();
         private long sequence;
         private long decisions;
 
-        Model(boolean guardedByView) {
-            this.guardedByView = guardedByView;
+        Model(boolean conditionalOnView) {
+            this.conditionalOnView = conditionalOnView;
         }
 
-        void play(List<Action> actions) throws MalformedFrameException {
+        void run(List<Action> actions) throws MalformedFrameException {
             connect();
             for (Action action : actions) {
-                act(action);
+                apply(action);
                 check();
             }
         }
 
-        private void act(Action action) throws MalformedFrameException {
+        private void apply(Action action) throws MalformedFrameException {
             switch (action.step()) {
                 case DECIDE -> decide();
-                case CARRY_OUT -> carryOut(action.choice(), true);
-                case CARRY_OUT_AGAIN -> carryOut(action.choice(), false);
-                case TELL_OUTCOME -> tellOutcome(action.choice());
-                case CUT_STREAM -> connect();
-                case REPLICATE -> replicaEdition += Math.min(action.choice(), edition - replicaEdition);
+                case EXECUTE -> execute(action.choice(), true);
+                case EXECUTE_AND_KEEP -> execute(action.choice(), false);
+                case REPORT_OUTCOME -> reportOutcome(action.choice());
+                case RECONNECT -> connect();
+                case REPLICATE -> replicaRevision += Math.min(action.choice(), revision - replicaRevision);
                 default -> evict();
             }
         }
@@ -107,49 +107,49 @@
         private void connect() throws MalformedFrameException {
             follower = new Follower();
             sequence = 0;
-            tell(new Hello("node-0", 1));
-            tell(new SnapshotBegin());
+            send(new Hello("node-0", 1));
+            send(new SnapshotBegin());
         }
 
-        /** The owner may not know yet that it was evicted. */
+        /** Sends a transaction conditional on the first view, as the owner may not know yet that it was evicted. */
         private void decide() throws MalformedFrameException {
             decisions++;
-            tell(new Intent(decisions, List.of("live/tasks/j-1/" + decisions)));
-            sent.add(new Transaction(decisions, 10, new boolean[1]));
+            send(new Intent(decisions, List.of("live/tasks/j-1/" + decisions)));
+            pending.add(new Transaction(decisions, 10, new boolean[1]));
         }
 
-        private void carryOut(int choice, boolean once) {
-            if (sent.isEmpty()) {
+        private void execute(int choice, boolean remove) {
+            if (pending.isEmpty()) {
                 return;
             }
-            Transaction transaction = sent.get(choice % sent.size());
-            if (once) {
-                sent.remove(transaction);
+            Transaction transaction = pending.get(choice % pending.size());
+            if (remove) {
+                pending.remove(transaction);
             }
-            boolean committed = !guardedByView || transaction.viewStamp() == viewStamp;
+            boolean committed = !conditionalOnView || transaction.viewRevision() == viewRevision;
             if (committed) {
-                edition++;
-                committedEditions.add(edition);
+                revision++;
+                committedRevisions.add(revision);
             }
-            outcomes.add(new long[] {transaction.number(), committed ? edition : 0});
+            outcomes.add(new long[] {transaction.number(), committed ? revision : 0});
         }
 
-        private void tellOutcome(int choice) throws MalformedFrameException {
+        private void reportOutcome(int choice) throws MalformedFrameException {
             if (!outcomes.isEmpty()) {
                 long[] outcome = outcomes.remove(choice % outcomes.size());
-                tell(new Outcome(outcome[0], true, outcome[1]));
+                send(new Outcome(outcome[0], true, outcome[1]));
             }
         }
 
         private void evict() {
             if (!evicted) {
                 evicted = true;
-                edition++;
-                viewStamp = edition;
+                revision++;
+                viewRevision = revision;
             }
         }
 
-        private void tell(PeerMessage message) throws MalformedFrameException {
+        private void send(PeerMessage message) throws MalformedFrameException {
             ByteBuffer bytes = FrameCodec.encode(message, sequence++);
             for (Frame frame : new FrameDecoder().feed(bytes)) {
                 follower.apply(frame);
@@ -157,9 +157,9 @@
         }
 
         private void check() {
-            if (evicted && follower.replicaContainsAllCommits(replicaEdition, viewStamp)) {
-                for (long committed : committedEditions) {
-                    assertTrue(committed <= replicaEdition, "a decision of edition " + committed + " was not seen");
+            if (evicted && follower.replicaContainsAllCommits(replicaRevision, viewRevision)) {
+                for (long committed : committedRevisions) {
+                    assertTrue(committed <= replicaRevision, "the replica misses the commit at revision " + committed);
                 }
             }
         }
--- a/src/test/java/org/havenford/standby/FakeHost.java
+++ b/src/test/java/org/havenford/standby/FakeHost.java
@@ -10,7 +10,7 @@
 import org.havenford.testing.ManualLoop;
 import org.havenford.transport.EventLoop;
 
-/** A controller whose clock stands still until a test moves it, and none of whose timers ever run. */
+/** Host whose clock advances only when a test moves it, and whose timers do not run. */
 class FakeHost implements StandbyHost {
     final ManualLoop loop = new ManualLoop(Instant.EPOCH);
 
@@ -56,18 +56,18 @@
     }
 
     @Override
-    public void probe(String node, long incarnation, LongConsumer asked) {}
+    public void probe(String node, long incarnation, LongConsumer created) {}
 
     @Override
-    public boolean probeIsUnanswered(String node, long stamp) {
+    public boolean probeIsUnanswered(String node, long probeRevision) {
         return true;
     }
 
     @Override
-    public void withdrawProbe(String node, long stamp) {}
+    public void withdrawProbe(String node, long probeRevision) {}
 
     @Override
-    public void evict(String node, long incarnation, long challengeStamp, Consumer<Boolean> done) {}
+    public void evict(String node, long incarnation, long probeRevision, Consumer<Boolean> done) {}
 
     @Override
     public List<AgentContact> agentContacts() {
--- a/src/test/java/org/havenford/standby/FrameCodecProperties.java
+++ b/src/test/java/org/havenford/standby/FrameCodecProperties.java
@@ -26,12 +26,15 @@
 import org.havenford.standby.PeerMessage.ReachabilityQuestion;
 import org.havenford.standby.PeerMessage.SnapshotBegin;
 
-/** Every message survives the wire, however its bytes are cut; nonsense ends in a typed error and holds no memory. */
+/**
+ * Checks that messages are decoded as they were encoded, however their bytes are split, and that invalid bytes lead only to a
+ * {@link MalformedFrameException}, before any memory is allocated for an invalid length.
+ */
 class FrameCodecProperties {
     private static final String SEED = "4711";
 
     @Property(seed = SEED)
-    void messagesSurviveAnyCutOfTheStream(
+    void messagesAreDecodedFromAnySplitOfTheStream(
             @ForAll("messages") List<PeerMessage> messages, @ForAll("partLengths") List<Integer> partLengths)
             throws MalformedFrameException {
         List<Frame> sent = new ArrayList<>();
@@ -52,20 +55,20 @@
     }
 
     @Property(seed = SEED)
-    void nonsenseIsRefusedOrWaitedFor(@ForAll byte[] bytes) {
-        feedTolerantly(ByteBuffer.wrap(bytes));
+    void arbitraryBytesAreRejectedOrIncomplete(@ForAll byte[] bytes) {
+        feedIgnoringMalformedFrames(ByteBuffer.wrap(bytes));
     }
 
     @Property(seed = SEED)
-    void aDamagedFrameNeverDoesMoreThanEndTheConnection(
+    void corruptedFrameCausesOnlyMalformedFrameException(
             @ForAll("message") PeerMessage message, @ForAll int position, @ForAll byte value) {
         ByteBuffer frame = FrameCodec.encode(message, 1);
         frame.put(Math.floorMod(position, frame.limit()), value);
-        feedTolerantly(frame);
+        feedIgnoringMalformedFrames(frame);
     }
 
-    /** Anything but the typed error fails the test. */
-    private static void feedTolerantly(ByteBuffer bytes) {
+    /** Feeds bytes to a decoder; any exception other than {@link MalformedFrameException} fails the test. */
+    private static void feedIgnoringMalformedFrames(ByteBuffer bytes) {
         try {
             new FrameDecoder().feed(bytes);
         } catch (MalformedFrameException expected) {
@@ -74,22 +77,22 @@
     }
 
     @Example
-    void nonsenseLengthsAndOtherVersionsAreNamed() {
-        assertRefused(frame -> frame.putInt(4, Integer.MAX_VALUE), "payload");
-        assertRefused(frame -> frame.putInt(4, -1), "payload");
-        assertRefused(frame -> frame.put(2, (byte) 9), "version 9");
-        assertRefused(frame -> frame.put(3, (byte) 99), "type 99");
-        assertRefused(frame -> frame.putShort(0, (short) 0x4745), "no frame");
-        assertRefused(frame -> frame.putInt(4, 3), "too short");
-        assertRefused(frame -> frame.putShort(FrameCodec.HEADER_BYTES, (short) 5000), "text length 5000");
+    void errorNamesTheInvalidHeaderField() {
+        assertRejected(frame -> frame.putInt(4, Integer.MAX_VALUE), "payload");
+        assertRejected(frame -> frame.putInt(4, -1), "payload");
+        assertRejected(frame -> frame.put(2, (byte) 9), "version 9");
+        assertRejected(frame -> frame.put(3, (byte) 99), "type 99");
+        assertRejected(frame -> frame.putShort(0, (short) 0x4745), "no frame");
+        assertRejected(frame -> frame.putInt(4, 3), "too short");
+        assertRejected(frame -> frame.putShort(FrameCodec.HEADER_BYTES, (short) 5000), "text length 5000");
     }
 
-    private static void assertRefused(java.util.function.Consumer<ByteBuffer> damage, String reason) {
+    private static void assertRejected(java.util.function.Consumer<ByteBuffer> corruption, String reason) {
         ByteBuffer frame = FrameCodec.encode(new Hello("node-0", 7), 0);
-        damage.accept(frame);
-        MalformedFrameException refused =
+        corruption.accept(frame);
+        MalformedFrameException rejected =
                 assertThrows(MalformedFrameException.class, () -> new FrameDecoder().feed(frame));
-        assertTrue(refused.getMessage().contains(reason), refused.getMessage());
+        assertTrue(rejected.getMessage().contains(reason), rejected.getMessage());
     }
 
     @Provide
@@ -109,12 +112,12 @@
         Arbitrary<Long> number = Arbitraries.longs();
         Arbitrary<Boolean> flag = Arbitraries.of(true, false);
         Arbitrary<List<String>> texts = text.list().ofMaxSize(FrameCodec.MAX_ITEMS);
-        Arbitrary<AgentContact> note =
+        Arbitrary<AgentContact> contact =
                 Combinators.combine(text, text, number, number, number).as(AgentContact::new);
         return Arbitraries.oneOf(
                 Combinators.combine(text, number).as(Hello::new),
                 Arbitraries.of(new Heartbeat(), new SnapshotBegin()),
-                note.list().ofMaxSize(FrameCodec.MAX_ITEMS).map(AgentContacts::new),
+                contact.list().ofMaxSize(FrameCodec.MAX_ITEMS).map(AgentContacts::new),
                 texts.map(MachinesGone::new),
                 Combinators.combine(number, texts).as(Intent::new),
                 Combinators.combine(number, flag, number).as(Outcome::new),
--- a/src/test/java/org/havenford/standby/GoldenFramesTest.java
+++ b/src/test/java/org/havenford/standby/GoldenFramesTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Frames between controllers keep their bytes. {@code mvn test -Dtest=GoldenFramesTest -Dhavenford.golden=write} writes the
- * file anew.
+ * Checks the binary encoding of frames against the golden file. {@code mvn test -Dtest=GoldenFramesTest
+ * -Dhavenford.golden=write} rewrites the file.
  */
 class GoldenFramesTest {
     private static final Path FILE = Path.of("src/test/resources/golden/peer-frames.txt");
@@ -36,7 +36,7 @@
                 new PeerMessage.ReachabilityAnswer("node-1", 5, false));
     }
 
-    private static String line(PeerMessage message, long sequence) {
+    private static String hexFrame(PeerMessage message, long sequence) {
         ByteBuffer frame = FrameCodec.encode(message, sequence);
         byte[] bytes = new byte[frame.remaining()];
         frame.get(bytes);
@@ -44,10 +44,10 @@
     }
 
     @Test
-    void framesAreWrittenAndReadAlike() throws Exception {
+    void framesMatchTheGoldenFile() throws Exception {
         List<String> lines = new ArrayList<>();
         for (PeerMessage message : messages()) {
-            lines.add(line(message, lines.size()));
+            lines.add(hexFrame(message, lines.size()));
         }
         if ("write".equals(System.getProperty("havenford.golden"))) {
             Files.write(FILE, lines);
--- a/src/test/java/org/havenford/standby/PeerLinkTest.java
+++ b/src/test/java/org/havenford/standby/PeerLinkTest.java
@@ -19,9 +19,9 @@
 import org.havenford.transport.PeerNetwork;
 import org.junit.jupiter.api.Test;
 
-/** One end of a connection: what comes badly ends it, what the other end does not take ends it, and a new one starts afresh. */
+/** Checks when a link closes its connection, when it suspects its peer, and what it sends over a new connection. */
 class PeerLinkTest {
-    private static final AgentContact NOTE = new AgentContact("host-1", "10.0.0.1:9000", 1, 7, 42);
+    private static final AgentContact CONTACT = new AgentContact("host-1", "10.0.0.1:9000", 1, 7, 42);
 
     private final FakeHost host = new FakeHost();
     private final FakeNetwork network = new FakeNetwork();
@@ -36,7 +36,7 @@
             (from, message) -> {},
             () -> {});
 
-    /** The other end, which keeps what it was sent. */
+    /** Connection that records the messages sent over it and can deliver messages of the peer. */
     private static final class FakeConnection implements PeerNetwork.Connection {
         private final List<PeerMessage> sent = new ArrayList<>();
         private PeerNetwork.Receiver receiver;
@@ -70,21 +70,21 @@
             closed = true;
         }
 
-        void says(PeerMessage message) {
+        void deliver(PeerMessage message) {
             receiver.received(FrameCodec.encode(message, sequence++));
         }
     }
 
     private static final class FakeNetwork implements PeerNetwork {
         private final List<FakeConnection> opened = new ArrayList<>();
-        private boolean refuses;
+        private boolean refusesConnections;
 
         @Override
         public void listen(String address, Consumer<Connection> accepted) {}
 
         @Override
         public void connect(String address, Duration timeout, Consumer<Connection> connected, Consumer<String> failed) {
-            if (refuses) {
+            if (refusesConnections) {
                 failed.accept("refused");
                 return;
             }
@@ -93,33 +93,33 @@
             connected.accept(connection);
         }
 
-        FakeConnection last() {
+        FakeConnection lastOpened() {
             return opened.get(opened.size() - 1);
         }
     }
 
-    private FakeConnection connected() {
+    private FakeConnection connect() {
         link.start();
-        FakeConnection connection = network.last();
-        connection.says(new Hello("node-1", 5));
-        connection.says(new SnapshotBegin());
+        FakeConnection connection = network.lastOpened();
+        connection.deliver(new Hello("node-1", 5));
+        connection.deliver(new SnapshotBegin());
         return connection;
     }
 
     @Test
-    void whatThePeerTellsIsKeptAlsoWhenItHasEnded() {
-        FakeConnection connection = connected();
-        connection.says(new AgentContacts(List.of(NOTE)));
-        network.refuses = true;
+    void stateOfThePeerIsKeptAfterDisconnection() {
+        FakeConnection connection = connect();
+        connection.deliver(new AgentContacts(List.of(CONTACT)));
+        network.refusesConnections = true;
         connection.receiver.closed("closed by the other end");
-        assertEquals(List.of(NOTE), link.follower().contacts());
-        assertTrue(link.isSuspected(5), "a peer that has ended refuses connections");
-        assertFalse(link.isSuspected(6), "another life of it was never heard");
+        assertEquals(List.of(CONTACT), link.follower().contacts());
+        assertTrue(link.isSuspected(5), "the dial after the disconnection failed");
+        assertFalse(link.isSuspected(6), "no message of this incarnation was received");
     }
 
     @Test
-    void silenceIsSuspectedAndForgivenAfterAPauseOfOurOwn() {
-        connected();
+    void silentPeerIsSuspectedUntilResetAfterPause() {
+        connect();
         assertFalse(link.isSuspected(5));
         host.loop.advance(Duration.ofMillis(900));
         assertTrue(link.isSuspected(5));
@@ -128,26 +128,26 @@
     }
 
     @Test
-    void framesOutOfSequenceEndTheConnection() {
-        FakeConnection connection = connected();
-        connection.receiver.received(FrameCodec.encode(new AgentContacts(List.of(NOTE)), 9));
+    void frameOutOfSequenceClosesTheConnection() {
+        FakeConnection connection = connect();
+        connection.receiver.received(FrameCodec.encode(new AgentContacts(List.of(CONTACT)), 9));
         assertTrue(connection.closed);
-        assertEquals(2, network.opened.size(), "another one is dialed");
+        assertEquals(2, network.opened.size(), "the peer is dialed again");
     }
 
     @Test
-    void anOlderIncarnationAndAnotherNameEndTheConnection() {
-        FakeConnection first = connected();
-        first.says(new Hello("node-1", 4));
+    void olderIncarnationAndDifferentNameCloseTheConnection() {
+        FakeConnection first = connect();
+        first.deliver(new Hello("node-1", 4));
         assertTrue(first.closed);
-        FakeConnection second = network.last();
-        second.says(new Hello("node-2", 7));
+        FakeConnection second = network.lastOpened();
+        second.deliver(new Hello("node-2", 7));
         assertTrue(second.closed);
     }
 
     @Test
-    void aPeerThatDoesNotTakeWhatItIsSentLosesTheConnection() {
-        FakeConnection connection = connected();
+    void connectionIsClosedWhenTooManyBytesAreUnsent() {
+        FakeConnection connection = connect();
         connection.pending = StandbySettings.OFF.bufferBytes() + 1;
         host.loop.advance(Duration.ofMillis(200));
         link.heartbeat();
@@ -155,22 +155,24 @@
     }
 
     @Test
-    void aNewConnectionBeginsWithAllThatIsOpen() {
-        FakeConnection first = connected();
-        link.sendContacts(List.of(NOTE));
-        link.sendContacts(List.of(NOTE));
+    void newConnectionStartsWithSnapshotAndOpenDecisions() {
+        FakeConnection first = connect();
+        link.sendContacts(List.of(CONTACT));
+        link.sendContacts(List.of(CONTACT));
         assertEquals(
-                1, first.sent.stream().filter(m -> m instanceof AgentContacts).count(), "no news is not sent");
+                1,
+                first.sent.stream().filter(m -> m instanceof AgentContacts).count(),
+                "unchanged contacts are not sent again");
         long number = decisions.begin(List.of("live/job/j-1"));
         first.receiver.closed("closed by the other end");
-        FakeConnection second = network.last();
-        link.sendContacts(List.of(NOTE));
+        FakeConnection second = network.lastOpened();
+        link.sendContacts(List.of(CONTACT));
         assertEquals(
                 List.of(
                         new Hello("node-0", host.incarnation()),
                         new SnapshotBegin(),
                         new PeerMessage.Intent(number, List.of("live/job/j-1")),
-                        new AgentContacts(List.of(NOTE))),
+                        new AgentContacts(List.of(CONTACT))),
                 second.sent);
     }
 }
