--- a/src/main/java/org/havenford/protocol/CloudMessages.java
+++ b/src/main/java/org/havenford/protocol/CloudMessages.java
@@ -6,28 +6,28 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The cloud's requests and answers. */
+/** Wire format of the cloud API: bodies of requests and of responses. */
 public final class CloudMessages {
-    /** State of a machine in the cloud's list. */
+    /** State of a machine in the cloud's machine list. */
     public enum Status {
         STARTING,
         RUNNING,
         FAILED
     }
 
-    /** One machine of the cloud's list; {@code age} is the time since it was rented. */
+    /** An entry of the cloud's machine list; {@code age} is the time since the machine was launched. */
     public record ListedMachine(
             String machine, String endpoint, String type, String zone, boolean spot, Status status, Duration age) {}
 
-    /** One page of the cloud's list of machines. */
+    /** One page of the cloud's machine list; {@code more} is true if the list continues after it. */
     public record Page(List<ListedMachine> machines, boolean more) {}
 
     private CloudMessages() {}
 
-    /** Body of a rental request. */
-    public static String instanceRequestBody(String booking, String type, String zone, boolean spot, int count) {
+    /** Returns the body of an instance request; {@code requestName} identifies the request. */
+    public static String instanceRequestBody(String requestName, String type, String zone, boolean spot, int count) {
         JsonObject json = new JsonObject();
-        json.addProperty("booking", booking);
+        json.addProperty("booking", requestName);
         json.addProperty("rig", type);
         json.addProperty("hall", zone);
         json.addProperty("borrowed", spot);
@@ -35,12 +35,12 @@
         return json.toString();
     }
 
-    /** Names of the machines that a rental has brought. */
+    /** Reads the names of the launched instances from the response to an instance request. */
     public static List<String> launchedMachines(String body) throws MalformedMessageException {
         return Json.texts(Json.object(body), "boxes");
     }
 
-    /** Body of a request to return machines. */
+    /** Returns the body of a request to return machines to the cloud. */
     public static String returnRequestBody(List<String> machines) {
         JsonArray names = new JsonArray();
         machines.forEach(names::add);
@@ -49,18 +49,18 @@
         return json.toString();
     }
 
-    /** Reads a page of the machine list. */
+    /** Reads one page of the machine list. */
     public static Page machinePage(String body) throws MalformedMessageException {
         JsonObject json = Json.object(body);
         List<ListedMachine> machines = new ArrayList<>();
         for (JsonObject machine : Json.objects(json, "boxes")) {
-            machines.add(machine(machine));
+            machines.add(parseListedMachine(machine));
         }
         return new Page(machines, Json.flagOr(json, "truncated", false));
     }
 
-    private static ListedMachine machine(JsonObject json) throws MalformedMessageException {
-        Status status = status(Json.text(json, "status"));
+    private static ListedMachine parseListedMachine(JsonObject json) throws MalformedMessageException {
+        Status status = parseStatus(Json.text(json, "status"));
         return new ListedMachine(
                 Json.text(json, "nameId"),
                 Json.textOr(json, "endpoint", ""),
@@ -71,7 +71,7 @@
                 Json.seconds(json, "heldS"));
     }
 
-    private static Status status(String text) throws MalformedMessageException {
+    private static Status parseStatus(String text) throws MalformedMessageException {
         return switch (text) {
             case "starting" -> Status.STARTING;
             case "running" -> Status.RUNNING;
--- a/src/main/java/org/havenford/protocol/Command.java
+++ b/src/main/java/org/havenford/protocol/Command.java
@@ -7,48 +7,48 @@
 
 /** A command to an agent about one attempt of a task; {@code grace} is null except for {@link Op#STOP}. */
 public record Command(Op op, TaskId task, long attempt, Duration grace) {
-    /** What an agent is asked to do with one attempt of a task. */
+    /** Operation that a command requests for one attempt of a task. */
     public enum Op {
         RUN("run"),
         STOP("stop"),
         FORGET("forget");
 
-        private final String wire;
+        private final String wireName;
 
-        Op(String wire) {
-            this.wire = wire;
+        Op(String wireName) {
+            this.wireName = wireName;
         }
     }
 
-    /** Body of an answer to a heartbeat. */
+    /** Returns the body of the response to a heartbeat. */
     public static String reply(long fencingToken, List<Command> commands) {
         JsonObject json = new JsonObject();
         json.addProperty("baton", fencingToken);
-        json.add("cues", array(commands));
+        json.add("cues", commandArray(commands));
         return json.toString();
     }
 
-    /** Body of a direct request with commands, obeyed by one incarnation of an agent alone. */
+    /** Returns the body of a direct call with commands for one incarnation of an agent; other incarnations ignore it. */
     public static String direct(long fencingToken, long incarnation, List<Command> commands) {
         JsonObject json = new JsonObject();
         json.addProperty("baton", fencingToken);
         json.addProperty("shift", incarnation);
-        json.add("cues", array(commands));
+        json.add("cues", commandArray(commands));
         return json.toString();
     }
 
-    private static JsonArray array(List<Command> commands) {
-        JsonArray cues = new JsonArray();
+    private static JsonArray commandArray(List<Command> commands) {
+        JsonArray array = new JsonArray();
         for (Command command : commands) {
             JsonObject json = new JsonObject();
-            json.addProperty("cue", command.op.wire);
+            json.addProperty("cue", command.op.wireName);
             json.addProperty("shot", command.task.toString());
             json.addProperty("take", command.attempt);
             if (command.op == Op.STOP) {
                 json.addProperty("fadeS", command.grace.toMillis() / 1e3);
             }
-            cues.add(json);
+            array.add(json);
         }
-        return cues;
+        return array;
     }
 }
--- a/src/main/java/org/havenford/protocol/Heartbeat.java
+++ b/src/main/java/org/havenford/protocol/Heartbeat.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * What an agent reports of itself and of the attempts on its machine. {@code spotNoticeSeconds} is the time left before a spot
- * machine is taken away, or null without such a notice.
+ * A heartbeat of an agent: the agent's state and the attempts on its machine. {@code spotNoticeSeconds} is the time left
+ * before the cloud interrupts a spot machine, or null if no interruption is announced.
  */
 public record Heartbeat(
         String machine,
@@ -19,7 +19,7 @@
         Double spotNoticeSeconds,
         List<AttemptStatus> tasks) {
 
-    /** State of one attempt of a task on its machine. */
+    /** State of an attempt of a task on its machine. */
     public enum State {
         PULLING_IMAGE,
         RUNNING,
@@ -27,22 +27,22 @@
         EXITED
     }
 
-    /** One attempt of a task as an agent reports it; {@code exitCause} is empty unless it has exited. */
+    /** Reported status of one attempt of a task; {@code exitCause} is empty unless the attempt has exited. */
     public record AttemptStatus(TaskId task, long attempt, State state, String exitCause) {}
 
-    /** Reads an agent's heartbeat. */
+    /** Parses a heartbeat. */
     public static Heartbeat parse(JsonObject json) throws MalformedMessageException {
         return HeartbeatCodec.read(json);
     }
 
-    /** Whether this heartbeat was made after another of the same machine. */
+    /** Returns whether this heartbeat was created after another of the same machine; {@code other} may be null. */
     public boolean newerThan(Heartbeat other) {
         return other == null
                 || incarnation > other.incarnation
                 || (incarnation == other.incarnation && sequence > other.sequence);
     }
 
-    /** The entry of an attempt, or null. */
+    /** Returns the status of an attempt, or null if the heartbeat has none. */
     public AttemptStatus find(TaskId task, long attempt) {
         for (AttemptStatus status : tasks) {
             if (status.attempt() == attempt && status.task().equals(task)) {
--- a/src/main/java/org/havenford/protocol/HeartbeatCodec.java
+++ b/src/main/java/org/havenford/protocol/HeartbeatCodec.java
@@ -6,19 +6,19 @@
 import org.havenford.protocol.Heartbeat.AttemptStatus;
 import org.havenford.protocol.Heartbeat.State;
 
-/** The form of a heartbeat on the wire. */
+/** Wire format of heartbeats. */
 final class HeartbeatCodec {
-    private static final int MAX_MACHINE_NAME = 100;
+    private static final int MAX_MACHINE_NAME_LENGTH = 100;
 
     private HeartbeatCodec() {}
 
     static Heartbeat read(JsonObject json) throws MalformedMessageException {
         List<AttemptStatus> attempts = new ArrayList<>();
         for (JsonObject attempt : Json.objects(json, "shots")) {
-            attempts.add(attempt(attempt));
+            attempts.add(parseAttemptStatus(attempt));
         }
         return new Heartbeat(
-                machine(json),
+                parseMachineName(json),
                 Json.text(json, "endpoint"),
                 Json.text(json, "rig"),
                 Json.text(json, "hall"),
@@ -30,13 +30,13 @@
                 attempts);
     }
 
-    private static AttemptStatus attempt(JsonObject json) throws MalformedMessageException {
-        State state = state(Json.text(json, "status"));
+    private static AttemptStatus parseAttemptStatus(JsonObject json) throws MalformedMessageException {
+        State state = parseState(Json.text(json, "status"));
         TaskId task = TaskId.parse(Json.text(json, "shot"));
         return new AttemptStatus(task, Json.count(json, "take"), state, Json.textOr(json, "cause", ""));
     }
 
-    private static State state(String text) throws MalformedMessageException {
+    private static State parseState(String text) throws MalformedMessageException {
         return switch (text) {
             case "pulling" -> State.PULLING_IMAGE;
             case "running" -> State.RUNNING;
@@ -46,11 +46,11 @@
         };
     }
 
-    /** Machine names become parts of keys, hence printable ASCII without a slash. */
-    private static String machine(JsonObject json) throws MalformedMessageException {
+    /** Reads the machine name, which must be printable ASCII without a slash because it becomes part of store keys. */
+    private static String parseMachineName(JsonObject json) throws MalformedMessageException {
         String machine = Json.text(json, "box");
         boolean isPrintable = machine.chars().allMatch(c -> c > ' ' && c <= '~' && c != '/');
-        if (machine.isEmpty() || machine.length() > MAX_MACHINE_NAME || !isPrintable) {
+        if (machine.isEmpty() || machine.length() > MAX_MACHINE_NAME_LENGTH || !isPrintable) {
             throw new MalformedMessageException("box is not a name");
         }
         return machine;
--- a/src/main/java/org/havenford/protocol/JobSpec.java
+++ b/src/main/java/org/havenford/protocol/JobSpec.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** A job as its user described it. */
+/** Specification of a job, as submitted by its user. */
 public record JobSpec(
         String id,
         String jobClass,
@@ -28,9 +28,9 @@
         Duration deadline,
         Set<String> dependencies) {
 
-    private static final Pattern ID = Pattern.compile("j-[0-9]{1,40}");
+    private static final Pattern ID_PATTERN = Pattern.compile("j-[0-9]{1,40}");
 
-    /** Priority of a job, the highest first. */
+    /** Priority of a job, from highest to lowest. */
     public enum Priority {
         PRODUCTION,
         URGENT,
@@ -38,18 +38,18 @@
         LOW
     }
 
-    /** Whether an id has the form that users' ids have. */
+    /** Returns whether a text is a valid job id. */
     public static boolean validId(String id) {
-        return ID.matcher(id).matches();
+        return ID_PATTERN.matcher(id).matches();
     }
 
-    /** Reads a submission, or the description in a stored header. */
+    /** Parses a submission, or the specification in a stored job header. */
     public static JobSpec parse(JsonObject json) throws MalformedMessageException {
         return JobSpecCodec.read(json);
     }
 
-    /** Keeps of the allowed types those that exist, so that a stored job stays small. */
-    public JobSpec withTypes(Set<String> kept) {
+    /** Returns a copy with other allowed machine types. Dropping types that do not exist keeps a stored job small. */
+    public JobSpec withTypes(Set<String> newTypes) {
         return new JobSpec(
                 id,
                 jobClass,
@@ -59,7 +59,7 @@
                 cpus,
                 gpus,
                 memGb,
-                kept,
+                newTypes,
                 zone,
                 together,
                 apart,
@@ -73,12 +73,12 @@
                 dependencies);
     }
 
-    /** The description as it is stored, which is the form of a submission. */
+    /** Returns the stored form of this specification, which is the same as that of a submission. */
     public JsonObject toJson() {
         return JobSpecCodec.write(this);
     }
 
-    /** Whether a task fits an empty machine. */
+    /** Returns whether a task of this job fits an empty machine of a type. */
     public boolean fits(MachineType type) {
         return cpus <= type.cpus() && gpus <= type.gpus() && memGb <= type.memGb();
     }
--- a/src/main/java/org/havenford/protocol/JobSpecCodec.java
+++ b/src/main/java/org/havenford/protocol/JobSpecCodec.java
@@ -10,17 +10,17 @@
 import java.util.TreeSet;
 import org.havenford.protocol.JobSpec.Priority;
 
-/** The form of a job's description in submissions and in stored headers; its field names appear here alone. */
+/** JSON format of job specifications, in submissions and in stored job headers. All of its field names are declared here. */
 final class JobSpecCodec {
     private static final int MAX_TASKS = 100_000;
-    private static final int MAX_NAME = 200;
+    private static final int MAX_TEXT_LENGTH = 200;
     private static final double NANOS_PER_SECOND = 1e9;
 
     private static final String ID = "nameId";
     private static final String CLASS = "lineup";
     private static final String TEAM = "crew";
     private static final String SHAPE = "shape";
-    /** The only shape of jobs that there is. */
+    /** The only supported job shape. */
     private static final String BATCH = "batch";
 
     private static final String PRIORITY = "urgency";
@@ -44,24 +44,24 @@
     private JobSpecCodec() {}
 
     static JobSpec read(JsonObject json) throws MalformedMessageException {
-        String id = id(json);
+        String id = readIdAndCheckShape(json);
         int taskCount = taskCount(json);
         Set<String> types = Json.has(json, MACHINE_TYPES) ? new TreeSet<>(Json.texts(json, MACHINE_TYPES)) : null;
         return new JobSpec(
                 id,
-                name(json, CLASS),
-                name(json, TEAM),
-                priority(Json.text(json, PRIORITY)),
+                boundedText(json, CLASS),
+                boundedText(json, TEAM),
+                parsePriority(Json.text(json, PRIORITY)),
                 taskCount,
                 Json.positive(json, CPUS),
                 Json.amount(json, GPUS),
                 Json.amount(json, MEMORY),
                 types,
-                Json.has(json, ZONE) ? name(json, ZONE) : null,
-                flag(json, TOGETHER),
-                flag(json, APART),
-                flag(json, SPOT),
-                name(json, IMAGE),
+                Json.has(json, ZONE) ? boundedText(json, ZONE) : null,
+                requiredFlag(json, TOGETHER),
+                requiredFlag(json, APART),
+                requiredFlag(json, SPOT),
+                boundedText(json, IMAGE),
                 Json.amount(json, IMAGE_SIZE),
                 Json.seconds(json, ESTIMATED_DURATION),
                 Json.seconds(json, CHECKPOINT_INTERVAL),
@@ -70,7 +70,7 @@
                 dependencies(json, id));
     }
 
-    private static String id(JsonObject json) throws MalformedMessageException {
+    private static String readIdAndCheckShape(JsonObject json) throws MalformedMessageException {
         String id = Json.text(json, ID);
         if (!JobSpec.validId(id)) {
             throw new MalformedMessageException("nameId is not of the form j-000412");
@@ -89,20 +89,20 @@
         return (int) count;
     }
 
-    private static Priority priority(String text) throws MalformedMessageException {
+    private static Priority parsePriority(String text) throws MalformedMessageException {
         for (Priority priority : Priority.values()) {
-            if (text(priority).equals(text)) {
+            if (wireName(priority).equals(text)) {
                 return priority;
             }
         }
         throw new MalformedMessageException("urgency is unknown");
     }
 
-    private static String text(Priority priority) {
+    private static String wireName(Priority priority) {
         return priority.name().toLowerCase(Locale.ROOT);
     }
 
-    /** The jobs that must be done before any task starts; a name that comes twice counts once. */
+    /** Reads the ids of the jobs that must be done before any task starts. Duplicates are merged. */
     private static Set<String> dependencies(JsonObject json, String id) throws MalformedMessageException {
         if (!Json.has(json, DEPENDENCIES)) {
             return Set.of();
@@ -116,19 +116,19 @@
         return Collections.unmodifiableSet(dependencies);
     }
 
-    private static boolean flag(JsonObject json, String field) throws MalformedMessageException {
+    private static boolean requiredFlag(JsonObject json, String field) throws MalformedMessageException {
         if (!Json.has(json, field)) {
             throw new MalformedMessageException(field + " is missing");
         }
         return Json.flagOr(json, field, false);
     }
 
-    private static String name(JsonObject json, String field) throws MalformedMessageException {
-        String name = Json.text(json, field);
-        if (name.length() > MAX_NAME) {
+    private static String boundedText(JsonObject json, String field) throws MalformedMessageException {
+        String text = Json.text(json, field);
+        if (text.length() > MAX_TEXT_LENGTH) {
             throw new MalformedMessageException(field + " is too long");
         }
-        return name;
+        return text;
     }
 
     static JsonObject write(JobSpec spec) {
@@ -137,7 +137,7 @@
         json.addProperty(CLASS, spec.jobClass());
         json.addProperty(TEAM, spec.team());
         json.addProperty(SHAPE, BATCH);
-        json.addProperty(PRIORITY, text(spec.priority()));
+        json.addProperty(PRIORITY, wireName(spec.priority()));
         json.addProperty(TASK_COUNT, spec.taskCount());
         json.addProperty(CPUS, spec.cpus());
         json.addProperty(GPUS, spec.gpus());
--- a/src/main/java/org/havenford/protocol/Json.java
+++ b/src/main/java/org/havenford/protocol/Json.java
@@ -16,32 +16,33 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Checked access to JSON. Whatever is missing or of the wrong form throws {@link MalformedMessageException}. */
+/** Validating access to JSON. Missing or invalid values cause a {@link MalformedMessageException}. */
 public final class Json {
-    /** Larger than any number in a valid message. */
+    /** Upper bound of amounts; no valid message has a larger one. */
     private static final double MAX_AMOUNT = 1e9;
-    /** Digits that certainly fit a long. */
-    private static final int MAX_PLAIN_DIGITS = 18;
+    /** Every number with this many digits fits a long. */
+    private static final int MAX_SHORT_DIGITS = 18;
 
+    /** Number of digits of {@link Long#MAX_VALUE}. */
     private static final int MAX_DIGITS = 19;
-    /** A number with a larger exponent would be expanded to that many digits before it is refused. */
+    /** Limits the exponent: conversion to a long would first expand a number like 1e1000000 to all of its digits. */
     private static final int MIN_SCALE = -20;
 
     private Json() {}
 
-    /** Parses a text that must be one JSON object. */
+    /** Parses a text that must consist of exactly one JSON object. */
     public static JsonObject object(String text) throws MalformedMessageException {
         try {
             JsonReader reader = new JsonReader(new StringReader(text));
             reader.setStrictness(Strictness.STRICT);
-            JsonElement e = JsonParser.parseReader(reader);
-            if (!e.isJsonObject()) {
+            JsonElement root = JsonParser.parseReader(reader);
+            if (!root.isJsonObject()) {
                 throw new MalformedMessageException("not an object");
             }
             if (reader.peek() != JsonToken.END_DOCUMENT) {
                 throw new MalformedMessageException("text after the object");
             }
-            return e.getAsJsonObject();
+            return root.getAsJsonObject();
         } catch (JsonParseException
                 | IOException
                 | IllegalStateException
@@ -51,18 +52,18 @@
         }
     }
 
-    private static JsonElement present(JsonObject json, String field) {
+    private static JsonElement findNonNull(JsonObject json, String field) {
         JsonElement element = json.get(field);
         return element == null || element.isJsonNull() ? null : element;
     }
 
-    /** Whether a field is present and not null. */
+    /** Returns whether a field is present and not null. */
     public static boolean has(JsonObject json, String field) {
-        return present(json, field) != null;
+        return findNonNull(json, field) != null;
     }
 
     private static JsonPrimitive primitive(JsonObject json, String field) throws MalformedMessageException {
-        JsonElement element = present(json, field);
+        JsonElement element = findNonNull(json, field);
         if (element == null) {
             throw new MalformedMessageException(field + " is missing");
         }
@@ -72,7 +73,7 @@
         return element.getAsJsonPrimitive();
     }
 
-    /** A text that must be present. */
+    /** Returns a required string. */
     public static String text(JsonObject json, String field) throws MalformedMessageException {
         JsonPrimitive value = primitive(json, field);
         if (!value.isString()) {
@@ -81,15 +82,15 @@
         return value.getAsString();
     }
 
-    /** A text, or {@code otherwise} where it is absent. */
-    public static String textOr(JsonObject json, String field, String otherwise) throws MalformedMessageException {
-        return has(json, field) ? text(json, field) : otherwise;
+    /** Returns a string, or {@code defaultValue} if it is absent or null. */
+    public static String textOr(JsonObject json, String field, String defaultValue) throws MalformedMessageException {
+        return has(json, field) ? text(json, field) : defaultValue;
     }
 
-    /** A boolean, or {@code otherwise} where it is absent. */
-    public static boolean flagOr(JsonObject json, String field, boolean otherwise) throws MalformedMessageException {
+    /** Returns a boolean, or {@code defaultValue} if it is absent or null. */
+    public static boolean flagOr(JsonObject json, String field, boolean defaultValue) throws MalformedMessageException {
         if (!has(json, field)) {
-            return otherwise;
+            return defaultValue;
         }
         JsonPrimitive value = primitive(json, field);
         if (!value.isBoolean()) {
@@ -98,7 +99,7 @@
         return value.getAsBoolean();
     }
 
-    /** A number from 0 on that must be present. */
+    /** Returns a required non-negative number. */
     public static double amount(JsonObject json, String field) throws MalformedMessageException {
         JsonPrimitive value = primitive(json, field);
         if (!value.isNumber()) {
@@ -111,12 +112,12 @@
         return number;
     }
 
-    /** A number from 0 on, or {@code otherwise} where it is absent. */
-    public static double amountOr(JsonObject json, String field, double otherwise) throws MalformedMessageException {
-        return has(json, field) ? amount(json, field) : otherwise;
+    /** Returns a non-negative number, or {@code defaultValue} if it is absent or null. */
+    public static double amountOr(JsonObject json, String field, double defaultValue) throws MalformedMessageException {
+        return has(json, field) ? amount(json, field) : defaultValue;
     }
 
-    /** A number above 0 that must be present. */
+    /** Returns a required number greater than 0. */
     public static double positive(JsonObject json, String field) throws MalformedMessageException {
         double value = amount(json, field);
         if (value <= 0) {
@@ -125,19 +126,19 @@
         return value;
     }
 
-    /** A duration in seconds that must be present. */
+    /** Returns a required duration, given as a number of seconds. */
     public static Duration seconds(JsonObject json, String field) throws MalformedMessageException {
         return Duration.ofNanos((long) (amount(json, field) * 1e9));
     }
 
-    /** A whole number from 0 on that must be present. */
+    /** Returns a required non-negative integer. */
     public static long count(JsonObject json, String field) throws MalformedMessageException {
         JsonPrimitive value = primitive(json, field);
         if (!value.isNumber()) {
             throw new MalformedMessageException(field + " is not a number");
         }
         String digits = value.getAsString();
-        if (isPlain(digits)) {
+        if (isShortDigitString(digits)) {
             return Long.parseLong(digits);
         }
         try {
@@ -151,33 +152,36 @@
         }
     }
 
-    /** Nearly every count is written in a few plain digits, and there are thousands a second. */
-    private static boolean isPlain(String digits) {
+    /**
+     * Returns whether a number consists of a few digits only and can be parsed without {@link BigDecimal}. Nearly all
+     * counts do, and thousands of them are parsed per second.
+     */
+    private static boolean isShortDigitString(String digits) {
         for (int i = 0; i < digits.length(); i++) {
             if (digits.charAt(i) < '0' || digits.charAt(i) > '9') {
                 return false;
             }
         }
-        return !digits.isEmpty() && digits.length() <= MAX_PLAIN_DIGITS;
+        return !digits.isEmpty() && digits.length() <= MAX_SHORT_DIGITS;
     }
 
-    /** A whole number from 0 on, or {@code otherwise} where it is absent. */
-    public static long countOr(JsonObject json, String field, long otherwise) throws MalformedMessageException {
-        return has(json, field) ? count(json, field) : otherwise;
+    /** Returns a non-negative integer, or {@code defaultValue} if it is absent or null. */
+    public static long countOr(JsonObject json, String field, long defaultValue) throws MalformedMessageException {
+        return has(json, field) ? count(json, field) : defaultValue;
     }
 
-    /** An object that must be present. */
+    /** Returns a required object. */
     public static JsonObject child(JsonObject json, String field) throws MalformedMessageException {
-        JsonElement element = present(json, field);
+        JsonElement element = findNonNull(json, field);
         if (element == null || !element.isJsonObject()) {
             throw new MalformedMessageException(field + " is not an object");
         }
         return element.getAsJsonObject();
     }
 
-    /** An array; an empty one where it is absent. */
+    /** Returns an array; an empty one if it is absent or null. */
     public static JsonArray array(JsonObject json, String field) throws MalformedMessageException {
-        JsonElement element = present(json, field);
+        JsonElement element = findNonNull(json, field);
         if (element == null) {
             return new JsonArray();
         }
@@ -187,27 +191,27 @@
         return element.getAsJsonArray();
     }
 
-    /** An array of objects; an empty one where it is absent. */
+    /** Returns an array of objects; an empty one if it is absent or null. */
     public static List<JsonObject> objects(JsonObject json, String field) throws MalformedMessageException {
-        List<JsonObject> out = new ArrayList<>();
+        List<JsonObject> result = new ArrayList<>();
         for (JsonElement e : array(json, field)) {
             if (!e.isJsonObject()) {
                 throw new MalformedMessageException(field + " holds something that is not an object");
             }
-            out.add(e.getAsJsonObject());
+            result.add(e.getAsJsonObject());
         }
-        return out;
+        return result;
     }
 
-    /** An array of texts; an empty one where it is absent. */
+    /** Returns an array of strings; an empty one if it is absent or null. */
     public static List<String> texts(JsonObject json, String field) throws MalformedMessageException {
-        List<String> out = new ArrayList<>();
+        List<String> result = new ArrayList<>();
         for (JsonElement e : array(json, field)) {
             if (!e.isJsonPrimitive() || !e.getAsJsonPrimitive().isString()) {
                 throw new MalformedMessageException(field + " holds something that is not text");
             }
-            out.add(e.getAsString());
+            result.add(e.getAsString());
         }
-        return out;
+        return result;
     }
 }
--- a/src/main/java/org/havenford/protocol/MachineType.java
+++ b/src/main/java/org/havenford/protocol/MachineType.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A type of machine that the cloud offers; prices are for an hour. */
+/** A machine type offered by the cloud; prices are per hour. */
 public record MachineType(
         String name,
         double cpus,
@@ -19,12 +19,13 @@
         Duration bootTime,
         List<String> zones) {
 
-    /** A rate to reckon with where the cloud gives none. */
+    /** Assumed image pull rate if the cloud does not state one. */
     private static final double DEFAULT_PULL_GB_PER_SECOND = 0.1;
 
+    /** Assumed boot time if the cloud does not state one. */
     private static final Duration DEFAULT_BOOT_TIME = Duration.ofSeconds(60);
 
-    /** Reads the cloud's answer, or its stored copy. */
+    /** Parses the cloud's list of machine types, or its stored copy. */
     public static List<MachineType> parseAll(JsonObject json) throws MalformedMessageException {
         List<MachineType> types = new ArrayList<>();
         for (JsonObject type : Json.objects(json, "rigs")) {
@@ -47,7 +48,7 @@
                 List.copyOf(Json.texts(json, "halls")));
     }
 
-    /** The stored value, in the cloud's own form. */
+    /** Returns the value to store, in the cloud's format. */
     public static JsonObject toJson(Iterable<MachineType> types) {
         JsonArray all = new JsonArray();
         for (MachineType type : types) {
@@ -75,7 +76,7 @@
         return json;
     }
 
-    /** Price of an hour. */
+    /** Returns the price per hour, of a spot machine or of an on-demand machine. */
     public double hourly(boolean spot) {
         return spot ? spotPrice : price;
     }
--- a/src/main/java/org/havenford/protocol/MalformedMessageException.java
+++ b/src/main/java/org/havenford/protocol/MalformedMessageException.java
@@ -1,10 +1,10 @@
 package org.havenford.protocol;
 
-/** A message or stored value that can't be read; its text names the field and what was expected. */
+/** Signals that a message or stored value is malformed; the exception message states the problem. */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** {@code message} says what is wrong with which field. */
+    /** Creates an exception whose message states the problem and, where there is one, the field. */
     public MalformedMessageException(String message) {
         super(message);
     }
--- a/src/main/java/org/havenford/protocol/TaskId.java
+++ b/src/main/java/org/havenford/protocol/TaskId.java
@@ -1,8 +1,8 @@
 package org.havenford.protocol;
 
-/** Task 3 of job j-000412 is {@code j-000412/3}. */
+/** Id of a task: its job and its index in the job, written as {@code j-000412/3} for task 3 of job j-000412. */
 public record TaskId(String job, int index) implements Comparable<TaskId> {
-    /** Reads an id of the form j-000412/3. */
+    /** Parses an id of the form {@code j-000412/3}. */
     public static TaskId parse(String text) throws MalformedMessageException {
         int slash = text.indexOf('/');
         if (slash < 1 || !JobSpec.validId(text.substring(0, slash))) {
