--- a/src/main/java/org/havenford/transport/EventLoop.java
+++ b/src/main/java/org/havenford/transport/EventLoop.java
@@ -4,16 +4,17 @@
 import java.time.Instant;
 
 /**
- * The one thread on which all decisions are taken. {@link #now()} is a steady clock: its instants can only be compared
- * with each other, and they do not jump when the time of day is corrected.
+ * The single-threaded event loop that runs all of the controller's logic, with its timers and clocks. {@link #now()} is a
+ * monotonic clock: its instants can be compared only with each other, and they do not jump when the time of day is
+ * corrected.
  */
 public interface EventLoop {
-    /** The steady clock. */
+    /** Returns the time of the monotonic clock. */
     Instant now();
 
-    /** Time of day, off by at most the bound that the settings name. Never used for leases. */
+    /** Returns the time of day. Clocks of different nodes differ, so it is never used for leases. */
     Instant timeOfDay();
 
-    /** Runs a task on this loop after a delay. */
+    /** Schedules a task to run on this loop after a delay. */
     void after(Duration delay, Runnable task);
 }
--- a/src/main/java/org/havenford/transport/HttpCalls.java
+++ b/src/main/java/org/havenford/transport/HttpCalls.java
@@ -3,21 +3,21 @@
 import java.time.Duration;
 import java.util.function.Consumer;
 
-/** Outgoing HTTP calls. The callback runs exactly once, on the event loop. */
+/** Outgoing HTTP calls. The callback of a call runs exactly once, on the event loop. */
 public interface HttpCalls {
-    /** Nothing was sent: the request can't be carried out later. */
+    /** The request was not sent, so the server will never execute it. */
     int NOT_SENT = 0;
-    /** Sent, no answer: it may have been carried out, or may yet be. */
+    /** The request was sent and got no complete response: the server may have executed it, or may do so later. */
     int NO_ANSWER = -1;
 
-    /** An HTTP response, or one of the substitutes {@link #NOT_SENT} and {@link #NO_ANSWER}. */
+    /** An HTTP response. If there was none, the status is {@link #NOT_SENT} or {@link #NO_ANSWER}. */
     record Reply(int status, String body) {
-        /** Whether the status is 200. */
+        /** Returns whether the status is 200. */
         public boolean ok() {
             return status == 200;
         }
     }
 
-    /** Sends a request; {@code done} is told the response, or that there was none in time. */
-    void call(String address, String method, String path, String body, Duration timeout, Consumer<Reply> done);
+    /** Sends a request and passes the reply to a callback, at the latest when the timeout expires. */
+    void call(String address, String method, String path, String body, Duration timeout, Consumer<Reply> callback);
 }
--- a/src/main/java/org/havenford/transport/HttpClient.java
+++ b/src/main/java/org/havenford/transport/HttpClient.java
@@ -27,77 +27,81 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Undertow's client on the event loop, with kept connections. A connection serves one call at a time; one whose call
- * ran out of time is closed, so that a late answer can't be taken for the answer to a later call. When there is no room
- * for another connection, the kept one that has been idle longest makes way.
+ * An HTTP client on the event loop, based on Undertow's client, with a pool of idle connections. A connection serves one
+ * call at a time. It is closed when its call times out, so that a late response is not taken for the response to a later
+ * call. When the limit of open connections is reached, those that have been idle longest are closed.
  */
 public final class HttpClient implements HttpCalls {
     private static final Logger LOG = LoggerFactory.getLogger(HttpClient.class);
-    private static final int MAX_IDLE_PER_HOST = 8;
-    private static final int MAX_EVICTED = 4;
+    private static final int MAX_IDLE_PER_ADDRESS = 8;
+    private static final int MAX_EVICTIONS_PER_CALL = 4;
+
     private final XnioLoop loop;
     private final ByteBufferPool buffers;
-    private final IntSupplier mostOpen;
-    private int open;
-    /** Idle connections with their hosts, the longest idle first. */
-    private final LinkedHashMap<ClientConnection, String> byAge = new LinkedHashMap<>();
+    private final IntSupplier maxOpen;
+    private int openCount;
+    /** Idle connections with their addresses, the longest idle first. */
+    private final LinkedHashMap<ClientConnection, String> idleByAge = new LinkedHashMap<>();
 
-    private final Object2ObjectHashMap<String, ArrayDeque<ClientConnection>> idle = new Object2ObjectHashMap<>();
+    private final Object2ObjectHashMap<String, ArrayDeque<ClientConnection>> idleByAddress =
+            new Object2ObjectHashMap<>();
 
-    /** {@code mostOpen} says how many connections there is room for at the moment. */
-    public HttpClient(XnioLoop loop, ByteBufferPool buffers, IntSupplier mostOpen) {
+    /** Creates a client; {@code maxOpen} returns the current limit of open connections. */
+    public HttpClient(XnioLoop loop, ByteBufferPool buffers, IntSupplier maxOpen) {
         this.loop = loop;
         this.buffers = buffers;
-        this.mostOpen = mostOpen;
+        this.maxOpen = maxOpen;
     }
 
     @Override
-    public void call(String address, String method, String path, String body, Duration timeout, Consumer<Reply> done) {
-        new Call(address, method, path, body, done).start(timeout);
+    public void call(
+            String address, String method, String path, String body, Duration timeout, Consumer<Reply> callback) {
+        new Call(address, method, path, body, callback).start(timeout);
     }
 
-    private ClientConnection pooled(String address) {
-        ArrayDeque<ClientConnection> queue = idle.get(address);
+    private ClientConnection takeIdle(String address) {
+        ArrayDeque<ClientConnection> queue = idleByAddress.get(address);
         while (queue != null && !queue.isEmpty()) {
             ClientConnection c = queue.pollLast();
-            byAge.remove(c);
+            idleByAge.remove(c);
             if (c.isOpen()) {
                 return c;
             }
             IoUtils.safeClose(c);
         }
         if (queue != null) {
-            idle.remove(address, queue);
+            idleByAddress.remove(address, queue);
         }
         return null;
     }
 
     private void release(String address, ClientConnection c) {
-        ArrayDeque<ClientConnection> queue = idle.computeIfAbsent(address, a -> new ArrayDeque<>());
-        if (c.isOpen() && queue.size() < MAX_IDLE_PER_HOST) {
+        ArrayDeque<ClientConnection> queue = idleByAddress.computeIfAbsent(address, a -> new ArrayDeque<>());
+        if (c.isOpen() && queue.size() < MAX_IDLE_PER_ADDRESS) {
             queue.addLast(c);
-            byAge.put(c, address);
+            idleByAge.put(c, address);
         } else {
             IoUtils.safeClose(c);
         }
     }
 
-    private boolean makeRoom() {
-        int most = mostOpen.getAsInt();
-        for (int i = 0; i < MAX_EVICTED && open >= most && !byAge.isEmpty(); i++) {
-            Map.Entry<ClientConnection, String> eldest =
-                    byAge.entrySet().iterator().next();
-            ClientConnection c = eldest.getKey();
-            String address = eldest.getValue();
-            byAge.remove(c);
-            ArrayDeque<ClientConnection> queue = idle.get(address);
+    /** Closes idle connections while the limit is reached; returns whether another connection may be opened. */
+    private boolean evictIdleConnections() {
+        int limit = maxOpen.getAsInt();
+        for (int i = 0; i < MAX_EVICTIONS_PER_CALL && openCount >= limit && !idleByAge.isEmpty(); i++) {
+            Map.Entry<ClientConnection, String> oldest =
+                    idleByAge.entrySet().iterator().next();
+            ClientConnection c = oldest.getKey();
+            String address = oldest.getValue();
+            idleByAge.remove(c);
+            ArrayDeque<ClientConnection> queue = idleByAddress.get(address);
             queue.remove(c);
             if (queue.isEmpty()) {
-                idle.remove(address);
+                idleByAddress.remove(address);
             }
             IoUtils.safeClose(c);
         }
-        return open < most;
+        return openCount < limit;
     }
 
     private final class Call implements ClientCallback<ClientExchange> {
@@ -105,29 +109,29 @@
         private final String method;
         private final String path;
         private final String body;
-        private final Consumer<Reply> done;
+        private final Consumer<Reply> callback;
         private ClientConnection connection;
-        private XnioExecutor.Key deadline;
+        private XnioExecutor.Key timeoutKey;
         private boolean finished;
         private boolean sent;
 
-        Call(String address, String method, String path, String body, Consumer<Reply> done) {
+        Call(String address, String method, String path, String body, Consumer<Reply> callback) {
             this.address = address;
             this.method = method;
             this.path = path;
             this.body = body;
-            this.done = done;
+            this.callback = callback;
         }
 
         void start(Duration timeout) {
-            deadline = loop.unlessRemoved(timeout, () -> fail("timeout"));
-            ClientConnection kept = pooled(address);
-            if (kept != null) {
-                connection = kept;
+            timeoutKey = loop.afterCancellable(timeout, () -> fail("timeout"));
+            ClientConnection idleConnection = takeIdle(address);
+            if (idleConnection != null) {
+                connection = idleConnection;
                 send();
                 return;
             }
-            if (!makeRoom()) {
+            if (!evictIdleConnections()) {
                 loop.after(Duration.ZERO, () -> fail("too many connections"));
                 return;
             }
@@ -136,8 +140,8 @@
                             new ClientCallback<>() {
                                 @Override
                                 public void completed(ClientConnection c) {
-                                    open++;
-                                    c.getCloseSetter().set(ch -> open--);
+                                    openCount++;
+                                    c.getCloseSetter().set(ch -> openCount--);
                                     if (finished) {
                                         IoUtils.safeClose(c);
                                         return;
@@ -175,11 +179,11 @@
         public void completed(ClientExchange exchange) {
             exchange.setResponseListener(new ClientCallback<>() {
                 @Override
-                public void completed(ClientExchange answered) {
-                    int status = answered.getResponse().getResponseCode();
+                public void completed(ClientExchange responded) {
+                    int status = responded.getResponse().getResponseCode();
                     boolean close = "close"
                             .equalsIgnoreCase(
-                                    answered.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
+                                    responded.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION));
                     new StringReadChannelListener(buffers) {
                         @Override
                         protected void stringDone(String text) {
@@ -190,7 +194,7 @@
                         protected void error(IOException e) {
                             fail(e.toString());
                         }
-                    }.setup(answered.getResponseChannel());
+                    }.setup(responded.getResponseChannel());
                 }
 
                 @Override
@@ -208,29 +212,29 @@
             fail(e.toString());
         }
 
-        private void fail(String why) {
+        private void fail(String reason) {
             if (!finished) {
-                LOG.debug("request failed: method={} address={} path={} reason={}", method, address, path, why);
+                LOG.debug("request failed: method={} address={} path={} reason={}", method, address, path, reason);
                 finish(new Reply(sent ? NO_ANSWER : NOT_SENT, ""), false);
             }
         }
 
-        private void finish(Reply reply, boolean keep) {
+        private void finish(Reply reply, boolean reusable) {
             if (finished) {
                 return;
             }
             finished = true;
-            deadline.remove();
+            timeoutKey.remove();
             ClientConnection c = connection;
             if (c != null) {
-                if (keep) {
+                if (reusable) {
                     release(address, c);
                 } else {
                     IoUtils.safeClose(c);
                 }
             }
             try {
-                done.accept(reply);
+                callback.accept(reply);
             } catch (RuntimeException e) {
                 LOG.error("response handler failed: method={} path={}", method, path, e);
             }
--- a/src/main/java/org/havenford/transport/HttpServer.java
+++ b/src/main/java/org/havenford/transport/HttpServer.java
@@ -13,40 +13,41 @@
 import org.xnio.Options;
 import org.xnio.XnioWorker;
 
-/** Undertow, serving on the event loop's thread. A handler answers through a callback, at once or later. */
+/** An HTTP server, based on Undertow, whose handler runs on the event loop's thread. */
 public final class HttpServer {
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
-    public static final int MAX_BODY = 64 * 1024;
+    /** Largest accepted request body, in bytes. */
+    public static final int MAX_BODY_BYTES = 64 * 1024;
 
-    /** A request; {@code body} is null when it was larger than {@link #MAX_BODY} or could not be read. */
+    /** A request; {@code body} is null if it was larger than {@link #MAX_BODY_BYTES} or could not be read. */
     public record Request(String method, String path, byte[] body) {}
 
-    /** An answer; {@code retryAfter} is null unless the caller is told when to come back. */
+    /** A response. {@code retryAfter} is null, or the delay that the Retry-After header asks of the client. */
     public record Response(int status, String body, Duration retryAfter, boolean close) {
-        /** A response with a status and a body. */
+        /** Returns a response with a status and a body. */
         public static Response of(int status, String body) {
             return new Response(status, body, null, false);
         }
 
-        /** Refuses at once, and names a time to come back; the next try may then reach another node. */
+        /** Returns a 503 with a Retry-After header that closes the connection, so that a retry may reach another node. */
         public static Response comeBack(Duration after) {
             return new Response(503, "{\"error\":\"not ready\"}", after, true);
         }
     }
 
-    /** Answers requests; the answer may come later, from the event loop. */
+    /** Handles requests. */
     public interface Handler {
-        /** Answers one request. */
-        void handle(Request request, Consumer<Response> answer);
+        /** Handles a request and passes its response to {@code callback}, at once or later, on the event loop. */
+        void handle(Request request, Consumer<Response> callback);
     }
 
-    /** Part of the connections from which on none is kept after its answer, so that all who come find room in turn. */
-    private static final double KEPT = 0.75;
+    /** Share of the allowed connections above which each is closed after its response, so that others can connect. */
+    private static final double KEEP_ALIVE_SHARE = 0.75;
 
     private final Undertow server;
     private final int maxConnections;
 
-    /** A server that listens once it is started. */
+    /** Creates a server, which listens once it is started. */
     public HttpServer(XnioWorker worker, String host, int port, int maxConnections, Handler handler) {
         this.maxConnections = maxConnections;
         server = Undertow.builder()
@@ -65,19 +66,22 @@
                 .build();
     }
 
-    /** Begins to listen. */
+    /** Starts to listen. */
     public void start() {
         server.start();
     }
 
-    /** Connections that others have opened to us. */
+    /** Returns the number of open inbound connections. */
     public int open() {
         return (int) server.getListenerInfo().get(0).getConnectorStatistics().getActiveConnections();
     }
 
-    /** When one controller serves the workers of all, there may be more of them than sockets. */
-    private boolean crowded() {
-        return open() > maxConnections * KEPT;
+    /**
+     * Returns whether connections must be closed after their response. A controller that serves the agents of all others
+     * too may have more agents than connections.
+     */
+    private boolean isNearConnectionLimit() {
+        return open() > maxConnections * KEEP_ALIVE_SHARE;
     }
 
     private void receive(HttpServerExchange exchange, Handler handler) {
@@ -87,12 +91,12 @@
             handle(exchange, handler, new Request(method, path, new byte[0]));
             return;
         }
-        exchange.getRequestReceiver().setMaxBufferSize(MAX_BODY);
+        exchange.getRequestReceiver().setMaxBufferSize(MAX_BODY_BYTES);
         exchange.getRequestReceiver()
                 .receiveFullBytes(
-                        (e, bytes) ->
-                                handle(e, handler, new Request(method, path, bytes.length > MAX_BODY ? null : bytes)),
-                        (e, failure) -> {
+                        (e, bytes) -> handle(
+                                e, handler, new Request(method, path, bytes.length > MAX_BODY_BYTES ? null : bytes)),
+                        (e, exception) -> {
                             e.setPersistent(false);
                             handle(e, handler, new Request(method, path, null));
                         });
@@ -100,14 +104,14 @@
 
     private void handle(HttpServerExchange exchange, Handler handler, Request request) {
         try {
-            handler.handle(request, response -> answer(exchange, response));
+            handler.handle(request, response -> respond(exchange, response));
         } catch (RuntimeException e) {
             LOG.error("request handler failed: method={} path={}", request.method(), request.path(), e);
-            answer(exchange, Response.comeBack(Duration.ofSeconds(1)));
+            respond(exchange, Response.comeBack(Duration.ofSeconds(1)));
         }
     }
 
-    private void answer(HttpServerExchange exchange, Response response) {
+    private void respond(HttpServerExchange exchange, Response response) {
         if (exchange.isResponseStarted() || exchange.isComplete()) {
             return;
         }
@@ -119,7 +123,7 @@
                             Headers.RETRY_AFTER,
                             Long.toString(Math.max(1, response.retryAfter().toSeconds())));
         }
-        if (response.close() || crowded()) {
+        if (response.close() || isNearConnectionLimit()) {
             exchange.setPersistent(false);
         }
         exchange.getResponseSender().send(response.body(), StandardCharsets.UTF_8);
--- a/src/main/java/org/havenford/transport/XnioLoop.java
+++ b/src/main/java/org/havenford/transport/XnioLoop.java
@@ -8,25 +8,25 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** The event loop on XNIO's single I/O thread. */
+/** An event loop on the only I/O thread of an XNIO worker. */
 public final class XnioLoop implements EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(XnioLoop.class);
     private final XnioIoThread thread;
-    private final long origin = System.nanoTime();
+    private final long startNanos = System.nanoTime();
 
-    /** An event loop on an I/O thread. */
+    /** Creates an event loop on an I/O thread. */
     public XnioLoop(XnioIoThread thread) {
         this.thread = thread;
     }
 
-    /** The thread that runs the loop. */
+    /** Returns the thread that runs the loop. */
     public XnioIoThread thread() {
         return thread;
     }
 
     @Override
     public Instant now() {
-        return Instant.EPOCH.plusNanos(System.nanoTime() - origin);
+        return Instant.EPOCH.plusNanos(System.nanoTime() - startNanos);
     }
 
     @Override
@@ -43,12 +43,15 @@
         }
     }
 
-    /** As {@link #after}, for what mostly need not happen: a timer that is not taken back wakes the thread for nothing. */
-    XnioExecutor.Key unlessRemoved(Duration delay, Runnable task) {
+    /**
+     * Schedules a task like {@link #after}; the returned key cancels it. Meant for timeouts, most of which never expire:
+     * without cancellation, each would still wake the thread.
+     */
+    XnioExecutor.Key afterCancellable(Duration delay, Runnable task) {
         return thread.executeAfter(guarded(task), Math.max(1, delay.toMillis()), TimeUnit.MILLISECONDS);
     }
 
-    /** An exception in one task must end neither the loop nor the process. */
+    /** Wraps a task so that an exception is logged and ends neither the loop nor the process. */
     private static Runnable guarded(Runnable task) {
         return () -> {
             try {
--- a/src/main/java/org/havenford/transport/XnioPeerNetwork.java
+++ b/src/main/java/org/havenford/transport/XnioPeerNetwork.java
@@ -21,19 +21,19 @@
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
 
-/** TCP between controllers on XNIO's single I/O thread. */
+/** TCP connections between controllers, on the only I/O thread of an XNIO worker. */
 public final class XnioPeerNetwork implements PeerNetwork {
     private static final Logger LOG = LoggerFactory.getLogger(XnioPeerNetwork.class);
-    private static final int READ_BYTES = 16 * 1024;
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
     private static final OptionMap SOCKET_OPTIONS =
             OptionMap.create(Options.TCP_NODELAY, true, Options.REUSE_ADDRESSES, true);
 
     private final XnioWorker worker;
     private final XnioLoop loop;
-    /** One for all connections: its content is handed on before the next read. */
-    private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BYTES);
+    /** Shared by all connections: the receiver consumes its content before the next read. */
+    private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
 
-    /** A network on a worker whose only I/O thread runs the loop. */
+    /** Creates a network on a worker whose only I/O thread runs the loop. */
     public XnioPeerNetwork(XnioWorker worker, XnioLoop loop) {
         this.worker = worker;
         this.loop = loop;
@@ -64,17 +64,17 @@
         try {
             target = socketAddress(address);
         } catch (IOException e) {
-            loop.after(Duration.ZERO, () -> failed.accept("not an address: " + address));
+            loop.after(Duration.ZERO, () -> failed.accept("invalid address: " + address));
             return;
         }
         new ConnectionAttempt(connected, failed).start(target, timeout);
     }
 
-    /** One attempt to connect, which tells its outcome once. */
+    /** An attempt to connect, which calls exactly one of its callbacks. */
     private final class ConnectionAttempt {
         private final Consumer<Connection> connected;
         private final Consumer<String> failed;
-        private boolean over;
+        private boolean completed;
 
         ConnectionAttempt(Consumer<Connection> connected, Consumer<String> failed) {
             this.connected = connected;
@@ -84,8 +84,8 @@
         void start(InetSocketAddress target, Duration timeout) {
             IoFuture<StreamConnection> future =
                     loop.thread().openStreamConnection(target, this::opened, SOCKET_OPTIONS);
-            // A failure is told by the future, possibly before this line: only the loop's thread decides which came
-            // first.
+            // The future may already have failed. Its failure is handled in a task on the loop, so that
+            // success, failure and timeout are all ordered by the loop's thread.
             future.addNotifier(
                     (result, ignored) -> {
                         if (result.getStatus() == IoFuture.Status.FAILED) {
@@ -95,43 +95,44 @@
                     },
                     null);
             loop.after(timeout, () -> {
-                if (!over) {
+                if (!completed) {
                     future.cancel();
-                    fail("no answer in time");
+                    fail("connection timed out");
                 }
             });
         }
 
         private void opened(StreamConnection stream) {
-            if (over) {
+            if (completed) {
                 IoUtils.safeClose(stream);
             } else {
-                over = true;
+                completed = true;
                 connected.accept(new XnioConnection(stream));
             }
         }
 
         private void fail(String reason) {
-            if (!over) {
-                over = true;
+            if (!completed) {
+                completed = true;
                 failed.accept(reason);
             }
         }
     }
 
-    /** Addresses are numbers: nothing is looked up. */
+    /** Parses host:port. The host is expected to be an IP address: a name would be resolved by a blocking DNS lookup. */
     private static InetSocketAddress socketAddress(String address) throws UnknownHostException {
         int colon = address.lastIndexOf(':');
         String host = address.substring(0, colon);
         return new InetSocketAddress(InetAddress.getByName(host), Integer.parseInt(address.substring(colon + 1)));
     }
 
+    /** A connection whose unsent bytes are queued in memory. */
     private final class XnioConnection implements Connection {
         private final StreamConnection stream;
         private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
         private Receiver receiver;
-        private int pending;
-        private boolean over;
+        private int pendingBytes;
+        private boolean closed;
 
         XnioConnection(StreamConnection stream) {
             this.stream = stream;
@@ -147,34 +148,34 @@
 
         private void read() {
             try {
-                while (!over) {
+                while (!closed) {
                     readBuffer.clear();
-                    int n = stream.getSourceChannel().read(readBuffer);
-                    if (n == 0) {
+                    int count = stream.getSourceChannel().read(readBuffer);
+                    if (count == 0) {
                         return;
                     }
-                    if (n < 0) {
-                        end("closed by the other end");
+                    if (count < 0) {
+                        closeAndNotify("closed by the peer");
                         return;
                     }
                     readBuffer.flip();
                     receiver.received(readBuffer);
                 }
             } catch (IOException e) {
-                end(String.valueOf(e.getMessage()));
+                closeAndNotify(String.valueOf(e.getMessage()));
             } catch (RuntimeException e) {
                 LOG.error("peer message handler failed", e);
-                end("an error");
+                closeAndNotify("message handler failed");
             }
         }
 
         @Override
         public void send(ByteBuffer bytes) {
-            if (over) {
+            if (closed) {
                 return;
             }
             unsent.add(bytes);
-            pending += bytes.remaining();
+            pendingBytes += bytes.remaining();
             if (unsent.size() == 1) {
                 write();
             }
@@ -184,7 +185,7 @@
             try {
                 while (!unsent.isEmpty()) {
                     ByteBuffer next = unsent.peek();
-                    pending -= stream.getSinkChannel().write(next);
+                    pendingBytes -= stream.getSinkChannel().write(next);
                     if (next.hasRemaining()) {
                         stream.getSinkChannel().resumeWrites();
                         return;
@@ -193,20 +194,20 @@
                 }
                 stream.getSinkChannel().suspendWrites();
             } catch (ClosedChannelException e) {
-                endLater("closed");
+                closeAndNotifyLater("channel closed");
             } catch (IOException e) {
-                endLater(String.valueOf(e.getMessage()));
+                closeAndNotifyLater(String.valueOf(e.getMessage()));
             }
         }
 
-        /** Whoever sends does not expect to be told of the end in the middle of it. */
-        private void endLater(String reason) {
+        /** Closes in a later task on the loop, so that the receiver is not notified while its caller is still in a send. */
+        private void closeAndNotifyLater(String reason) {
             unsent.clear();
-            loop.after(Duration.ZERO, () -> end(reason));
+            loop.after(Duration.ZERO, () -> closeAndNotify(reason));
         }
 
-        private void end(String reason) {
-            if (!over) {
+        private void closeAndNotify(String reason) {
+            if (!closed) {
                 close();
                 if (receiver != null) {
                     receiver.closed(reason);
@@ -216,12 +217,12 @@
 
         @Override
         public int pendingBytes() {
-            return pending;
+            return pendingBytes;
         }
 
         @Override
         public void close() {
-            over = true;
+            closed = true;
             unsent.clear();
             IoUtils.safeClose(stream);
         }
