--- a/src/test/java/org/havenford/ArchitectureTest.java
+++ b/src/test/java/org/havenford/ArchitectureTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Which package may use which, and who may print. */
+/** Checks the dependencies between packages, the use of JDK logging and the access to standard streams. */
 class ArchitectureTest {
-    /** The packages from low to high: each uses itself and lower lines alone, not the others of its own line. */
+    /** The layers from low to high. A package may depend on itself and on lower layers, not on others of its own layer. */
     private static final List<List<String>> LAYERS = List.of(
             List.of("org.havenford.transport"),
             List.of("org.havenford.protocol"),
@@ -49,7 +49,7 @@
     }
 
     @TestFactory
-    Stream<DynamicTest> aPackageUsesOnlyLowerOnes() {
+    Stream<DynamicTest> packagesDependOnlyOnLowerLayers() {
         return LAYERS.stream()
                 .flatMap(List::stream)
                 .map(p -> DynamicTest.dynamicTest(p, () -> noClasses()
@@ -57,19 +57,19 @@
                         .resideInAPackage(p)
                         .should()
                         .dependOnClassesThat(
-                                resideInAnyPackage("org.havenford..").and(not(resideInAnyPackage(allowed(p)))))
+                                resideInAnyPackage("org.havenford..").and(not(resideInAnyPackage(allowedPackages(p)))))
                         .check(main)));
     }
 
-    /** A package and all of the lower layers. */
-    private static String[] allowed(String name) {
+    /** Returns a package and the packages of all lower layers. */
+    private static String[] allowedPackages(String packageName) {
         Stream<String> lower =
-                LAYERS.stream().takeWhile(layer -> !layer.contains(name)).flatMap(List::stream);
-        return Stream.concat(lower, Stream.of(name)).toArray(String[]::new);
+                LAYERS.stream().takeWhile(layer -> !layer.contains(packageName)).flatMap(List::stream);
+        return Stream.concat(lower, Stream.of(packageName)).toArray(String[]::new);
     }
 
     @Test
-    void everyClassHasALayer() {
+    void everyClassBelongsToALayer() {
         assertTrue(main.size() > 0);
         String[] all = LAYERS.stream().flatMap(List::stream).toArray(String[]::new);
         classes().should().resideInAnyPackage(all).check(main);
@@ -81,16 +81,16 @@
     }
 
     @Test
-    void nothingUsesTheJdksLogging() {
+    void noClassUsesJdkLogging() {
         noClasses()
                 .should()
                 .dependOnClassesThat(resideInAnyPackage("java.util.logging.."))
                 .check(main);
     }
 
-    /** Main classes print usage and fatal errors; all else goes to the log. */
+    /** Classes with a main method print usage and fatal errors; all other output goes to the log. */
     @Test
-    void onlyMainClassesPrint() {
+    void onlyMainClassesAccessStandardStreams() {
         noClasses()
                 .that(not(belongToAnyOf(Main.class, ClassDataSharingWarmUp.class)))
                 .should(ACCESS_STANDARD_STREAMS)
--- a/src/test/java/org/havenford/golden/GoldenCalls.java
+++ b/src/test/java/org/havenford/golden/GoldenCalls.java
@@ -30,28 +30,28 @@
 import org.havenford.testing.QuietObserver;
 import org.havenford.transport.HttpCalls;
 
-/** Every kind of call to the state service, and the transactions by which a member is asked and evicted. */
+/** Records one call to the store of each kind, and the transactions that probe and evict a member. */
 public final class GoldenCalls implements HttpCalls {
-    private static final long EDITION = 40;
+    private static final long REVISION = 40;
 
     private final ManualLoop loop = new ManualLoop();
     private final StoreClient store = new StoreClient(loop, this, "state:1", new StoreLimits(1000, 1000, 1000), 1);
-    private final Map<String, JsonElement> built = new LinkedHashMap<>();
+    private final Map<String, JsonElement> recorded = new LinkedHashMap<>();
     private StoreReplica replica;
-    private String name;
+    private String currentName;
 
     private GoldenCalls() {}
 
-    /** Calls by name. */
-    public static Map<String, JsonElement> built() {
+    /** Makes every kind of call and returns the calls by name. */
+    public static Map<String, JsonElement> buildAll() {
         GoldenCalls calls = new GoldenCalls();
-        calls.plainCalls();
-        calls.evictions();
-        return calls.built;
+        calls.recordStoreCalls();
+        calls.recordEvictionCalls();
+        return calls.recorded;
     }
 
-    /** Whether a member that is registered so reads pipelines, and evictions. */
-    public static String understoodBy(JsonElement stored) throws MalformedMessageException {
+    /** Returns whether a member with this stored registration reads the short form of records, and whether evictions. */
+    public static String supportedFeatures(JsonElement stored) throws MalformedMessageException {
         MemberRegistration registration = MemberRegistration.parse(stored.getAsJsonObject());
         GoldenCalls calls = new GoldenCalls();
         Membership membership = calls.membership(Set.of("node-0"));
@@ -77,23 +77,23 @@
         });
     }
 
-    private void plainCalls() {
+    private void recordStoreCalls() {
         JsonObject value = new JsonObject();
         value.addProperty("x", 1);
-        make("get", () -> store.get("live/job/j-1", CallPriority.USER, result -> {}));
-        make("first-page", () -> store.list("live/", null, result -> {}));
-        make("next-page", () -> store.list("live/", "live/job/j-1", result -> {}));
-        make("watch", () -> store.watch("live/", 431, Duration.ofSeconds(2), result -> {}));
-        make("lease", () -> store.createLease(Duration.ofSeconds(5), result -> {}));
-        make("lease-renewal", () -> store.renewLease(7, result -> {}));
-        make("lease-end", () -> store.endLease(7, result -> {}));
-        make(
+        recordCall("get", () -> store.get("live/job/j-1", CallPriority.USER, result -> {}));
+        recordCall("first-page", () -> store.list("live/", null, result -> {}));
+        recordCall("next-page", () -> store.list("live/", "live/job/j-1", result -> {}));
+        recordCall("watch", () -> store.watch("live/", 431, Duration.ofSeconds(2), result -> {}));
+        recordCall("lease", () -> store.createLease(Duration.ofSeconds(5), result -> {}));
+        recordCall("lease-renewal", () -> store.renewLease(7, result -> {}));
+        recordCall("lease-end", () -> store.endLease(7, result -> {}));
+        recordCall(
                 "comparison",
                 () -> store.commit(
                         new Transaction().requireRevision("a", 0).requireRevision("b", 7),
                         CallPriority.USER,
                         result -> {}));
-        make(
+        recordCall(
                 "transaction",
                 () -> store.commit(
                         new Transaction()
@@ -105,26 +105,26 @@
                         result -> {}));
     }
 
-    private void evictions() {
+    private void recordEvictionCalls() {
         Membership membership = membership(Set.of("node-0", "node-1"));
         TreeMap<String, Long> members = new TreeMap<>(Map.of("node-0", 7L, "node-1", 5L));
-        TreeMap<String, String> moved = new TreeMap<>(Map.of("host-000001", "node-1"));
-        membership.viewChanged(new ClusterView(4, members, moved, new TreeSet<>(Set.of("node-1"))), 12);
+        TreeMap<String, String> reassigned = new TreeMap<>(Map.of("host-000001", "node-1"));
+        membership.viewChanged(new ClusterView(4, members, reassigned, new TreeSet<>(Set.of("node-1"))), 12);
         members.forEach((node, incarnation) -> {
             membership.memberChanged(node, new MemberRegistration(incarnation, 3), 10 + incarnation);
         });
         MemberEvictions evictions = new MemberEvictions(loop, store, replica, membership, "node-0");
-        make("challenge", () -> evictions.probe("node-1", 5, stamp -> {}));
-        LivenessProbe challenge = LivenessProbe.parse(written("challenge", Keys.livenessProbe("node-1")));
-        make("challenge-answer", () -> evictions.livenessProbeChanged("node-0", challenge, 30));
-        make("challenge-withdrawal", () -> evictions.withdrawProbe("node-1", 31));
-        make("eviction", () -> evictions.evict("node-1", 5, 32, evicted -> {}));
+        recordCall("challenge", () -> evictions.probe("node-1", 5, modRevision -> {}));
+        LivenessProbe probe = LivenessProbe.parse(valueWritten("challenge", Keys.livenessProbe("node-1")));
+        recordCall("challenge-answer", () -> evictions.livenessProbeChanged("node-0", probe, 30));
+        recordCall("challenge-withdrawal", () -> evictions.withdrawProbe("node-1", 31));
+        recordCall("eviction", () -> evictions.evict("node-1", 5, 32, evicted -> {}));
     }
 
-    /** The value that a transaction sets a key to. */
-    private JsonObject written(String call, String key) {
+    /** Returns the value to which a recorded transaction sets a key. */
+    private JsonObject valueWritten(String call, String key) {
         for (JsonElement write :
-                built.get(call).getAsJsonObject().getAsJsonObject("body").getAsJsonArray("writes")) {
+                recorded.get(call).getAsJsonObject().getAsJsonObject("body").getAsJsonArray("writes")) {
             if (write.getAsJsonObject().get("set").getAsString().equals(key)) {
                 return write.getAsJsonObject().getAsJsonObject("v");
             }
@@ -132,22 +132,23 @@
         throw new IllegalStateException(call + " does not set " + key);
     }
 
-    private void make(String callName, Runnable action) {
-        name = callName;
+    private void recordCall(String callName, Runnable action) {
+        currentName = callName;
         action.run();
-        if (!built.containsKey(callName)) {
+        if (!recorded.containsKey(callName)) {
             throw new IllegalStateException(callName + " was not sent");
         }
     }
 
-    /** The first call of each action is the one that it stands for. */
+    /** Records the first call of each action. */
     @Override
-    public void call(String address, String method, String path, String body, Duration timeout, Consumer<Reply> done) {
+    public void call(
+            String address, String method, String path, String body, Duration timeout, Consumer<Reply> callback) {
         JsonObject call = new JsonObject();
         call.addProperty("method", method);
         call.addProperty("path", path);
         call.add("body", body == null ? JsonNull.INSTANCE : JsonParser.parseString(body));
-        built.putIfAbsent(name, call);
-        done.accept(new Reply(200, "{\"edition\":" + EDITION + "}"));
+        recorded.putIfAbsent(currentName, call);
+        callback.accept(new Reply(200, "{\"edition\":" + REVISION + "}"));
     }
 }
--- a/src/test/java/org/havenford/golden/GoldenFiles.java
+++ b/src/test/java/org/havenford/golden/GoldenFiles.java
@@ -12,23 +12,23 @@
 import java.util.Map;
 
 /**
- * Reads golden files, or writes them when the property {@code havenford.golden} is {@code write}. A file is one JSON object
- * with an entry a line, so that a change shows as one line.
+ * Reads and writes golden files. A file is a JSON object with one entry per line, so that a diff shows each changed entry
+ * as one line.
  */
 final class GoldenFiles {
     private static final Path DIRECTORY = Path.of("src/test/resources/golden");
 
     private GoldenFiles() {}
 
-    /** Whether this run writes the files instead of comparing with them. */
-    static boolean writing() {
+    /** Returns whether this run regenerates the files: whether the property {@code havenford.golden} is {@code write}. */
+    static boolean isWriteMode() {
         return "write".equals(System.getProperty("havenford.golden"));
     }
 
     static Map<String, JsonElement> read(String file) throws IOException {
-        JsonObject all = JsonParser.parseString(Files.readString(DIRECTORY.resolve(file)))
+        JsonObject root = JsonParser.parseString(Files.readString(DIRECTORY.resolve(file)))
                 .getAsJsonObject();
-        return new LinkedHashMap<>(all.asMap());
+        return new LinkedHashMap<>(root.asMap());
     }
 
     static void write(String file, Map<String, JsonElement> entries) throws IOException {
@@ -38,8 +38,8 @@
         Files.writeString(DIRECTORY.resolve(file), "{\n" + String.join(",\n", lines) + "\n}\n");
     }
 
-    /** A value as it is read from its text: numbers then compare by their value. */
-    static JsonElement reread(JsonElement value) {
+    /** Returns a value as parsed from its text, so that numbers compare by value rather than by Java type. */
+    static JsonElement reparse(JsonElement value) {
         return JsonParser.parseString(value.toString());
     }
 }
--- a/src/test/java/org/havenford/golden/GoldenFormsTest.java
+++ b/src/test/java/org/havenford/golden/GoldenFormsTest.java
@@ -14,43 +14,44 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Stored values, messages and calls keep the forms that the golden files hold, whatever becomes of the classes behind them.
- * Each form is built again from fixed inputs, and each that is read is read from the file and written back. Fields may
- * change their order. {@code mvn test -Dtest=GoldenFormsTest -Dhavenford.golden=write} writes the files anew.
+ * Guards the formats of stored values, messages and calls against unintended changes. Each entry of a golden file is
+ * built again from fixed inputs and compared; entries in a format that the code also reads are parsed and written back.
+ * The order of fields is not compared. {@code mvn test -Dtest=GoldenFormsTest -Dhavenford.golden=write} regenerates the
+ * files.
  */
 class GoldenFormsTest {
     private static final String STORED_VALUES = "stored-values.json";
-    private static final String MEMBERS = "earlier-members.json";
+    private static final String EARLIER_REGISTRATIONS = "earlier-members.json";
     private static final String MESSAGES = "messages.json";
-    private static final String CALLS = "state-service-calls.json";
+    private static final String STORE_CALLS = "state-service-calls.json";
     private static final String CONTROLLER_CALLS = "controller-calls.json";
-    private static final String ANSWERS = "answers.json";
+    private static final String RESPONSES = "answers.json";
 
-    /** Reads an entry and writes it back; null for one that is not read, or not written. */
+    /** Parses an entry and writes it back; returns null if the code does not both read and write its format. */
     private interface Rewriter {
-        JsonElement rewritten(String name, JsonObject value) throws MalformedMessageException;
+        JsonElement rewrite(String name, JsonObject value) throws MalformedMessageException;
     }
 
-    private static void assertBuiltAlike(String file, Map<String, JsonElement> built) throws Exception {
-        if (GoldenFiles.writing()) {
-            GoldenFiles.write(file, built);
+    private static void assertMatchesGoldenFile(String file, Map<String, JsonElement> actual) throws Exception {
+        if (GoldenFiles.isWriteMode()) {
+            GoldenFiles.write(file, actual);
         }
         Map<String, JsonElement> golden = GoldenFiles.read(file);
-        assertEquals(golden.keySet(), built.keySet(), file);
+        assertEquals(golden.keySet(), actual.keySet(), file);
         for (Map.Entry<String, JsonElement> entry : golden.entrySet()) {
-            assertEquals(entry.getValue(), GoldenFiles.reread(built.get(entry.getKey())), entry.getKey());
+            assertEquals(entry.getValue(), GoldenFiles.reparse(actual.get(entry.getKey())), entry.getKey());
         }
     }
 
-    /** Returns the kinds of entries that were read and written back. */
-    private static Set<String> assertRewrittenAlike(String file, Rewriter rewriter) throws Exception {
+    /** Checks that entries round-trip; returns the kinds of those that were parsed and written back. */
+    private static Set<String> assertRoundTrips(String file, Rewriter rewriter) throws Exception {
         Set<String> kinds = new TreeSet<>();
         for (Map.Entry<String, JsonElement> entry : GoldenFiles.read(file).entrySet()) {
             String name = entry.getKey();
-            JsonElement rewritten = rewriter.rewritten(name, entry.getValue().getAsJsonObject());
+            JsonElement rewritten = rewriter.rewrite(name, entry.getValue().getAsJsonObject());
             if (rewritten != null) {
                 kinds.add(name.replaceAll("#.*", "").replaceAll("^(final|live/[a-z]+)/.*", "$1"));
-                assertEquals(entry.getValue(), GoldenFiles.reread(rewritten), name);
+                assertEquals(entry.getValue(), GoldenFiles.reparse(rewritten), name);
             }
         }
         return kinds;
@@ -58,7 +59,7 @@
 
     @Test
     void storedValues() throws Exception {
-        assertBuiltAlike(STORED_VALUES, GoldenStoredValues.built());
+        assertMatchesGoldenFile(STORED_VALUES, GoldenStoredValues.buildAll());
         assertEquals(
                 Set.of(
                         "final",
@@ -70,51 +71,51 @@
                         "live/team",
                         "live/types",
                         "live/view"),
-                assertRewrittenAlike(STORED_VALUES, GoldenStoredValues::rewritten));
+                assertRoundTrips(STORED_VALUES, GoldenStoredValues::rewrite));
     }
 
     @Test
     void messages() throws Exception {
-        assertBuiltAlike(MESSAGES, GoldenMessages.built());
+        assertMatchesGoldenFile(MESSAGES, GoldenMessages.buildAll());
         assertEquals(
                 Set.of("cloud-machine-page", "cloud-machine-types", "cloud-rented", "report", "submission"),
-                assertRewrittenAlike(MESSAGES, GoldenMessages::rewritten));
+                assertRoundTrips(MESSAGES, GoldenMessages::rewrite));
     }
 
-    /** A null and a field that nobody knows read as if they were left out. */
+    /** Null values and unknown fields are ignored. */
     @Test
     void submissionsWithNullsAndUnknownFields() throws Exception {
-        JsonObject least = GoldenFiles.read(MESSAGES).get("submission#least").getAsJsonObject();
-        JsonObject given = least.deepCopy();
+        JsonObject minimal = GoldenFiles.read(MESSAGES).get("submission#least").getAsJsonObject();
+        JsonObject extended = minimal.deepCopy();
         for (String field : Set.of("rigs", "hall", "airtimeS", "awaits")) {
-            assertFalse(given.has(field));
-            given.add(field, JsonNull.INSTANCE);
+            assertFalse(extended.has(field));
+            extended.add(field, JsonNull.INSTANCE);
         }
-        given.add("unknown", JsonParser.parseString("{\"x\":[1]}"));
-        assertEquals(least, GoldenFiles.reread(GoldenMessages.rewritten("submission#given", given)));
+        extended.add("unknown", JsonParser.parseString("{\"x\":[1]}"));
+        assertEquals(minimal, GoldenFiles.reparse(GoldenMessages.rewrite("submission#given", extended)));
     }
 
     @Test
-    void callsToTheStateService() throws Exception {
-        assertBuiltAlike(CALLS, GoldenCalls.built());
+    void callsToTheStore() throws Exception {
+        assertMatchesGoldenFile(STORE_CALLS, GoldenCalls.buildAll());
     }
 
-    /** The same conversation gives the answers to users and workers, and the calls that one controller makes. */
+    /** One scripted conversation yields both the controller's responses and the calls that it makes. */
     @Test
-    void answersAndCallsOfAController() throws Exception {
-        GoldenConversation conversation = new GoldenConversation().held();
-        assertBuiltAlike(ANSWERS, conversation.answers());
-        assertBuiltAlike(CONTROLLER_CALLS, conversation.calls());
+    void responsesAndCallsOfController() throws Exception {
+        GoldenConversation conversation = new GoldenConversation().runScript();
+        assertMatchesGoldenFile(RESPONSES, conversation.responses());
+        assertMatchesGoldenFile(CONTROLLER_CALLS, conversation.calls());
     }
 
-    /** Registrations of formats 1 and 2 are read, and count for what their versions understand. */
+    /** Registrations of formats 1 and 2 can be read, and yield the features that those versions support. */
     @Test
-    void membersOfEarlierFormats() throws Exception {
-        assertBuiltAlike(MEMBERS, GoldenStoredValues.earlierMembers());
-        Map<String, JsonElement> golden = GoldenFiles.read(MEMBERS);
-        assertEquals("false false", GoldenCalls.understoodBy(golden.get("live/member/node-0#format-1")));
-        assertEquals("true false", GoldenCalls.understoodBy(golden.get("live/member/node-0#format-2")));
-        JsonElement registration = new GoldenConversation().held().calls().get("controller-registration");
+    void registrationsOfEarlierFormats() throws Exception {
+        assertMatchesGoldenFile(EARLIER_REGISTRATIONS, GoldenStoredValues.earlierRegistrations());
+        Map<String, JsonElement> golden = GoldenFiles.read(EARLIER_REGISTRATIONS);
+        assertEquals("false false", GoldenCalls.supportedFeatures(golden.get("live/member/node-0#format-1")));
+        assertEquals("true false", GoldenCalls.supportedFeatures(golden.get("live/member/node-0#format-2")));
+        JsonElement registration = new GoldenConversation().runScript().calls().get("controller-registration");
         JsonElement present = registration
                 .getAsJsonObject()
                 .getAsJsonObject("body")
@@ -122,6 +123,6 @@
                 .get(0)
                 .getAsJsonObject()
                 .get("v");
-        assertEquals("true true", GoldenCalls.understoodBy(present));
+        assertEquals("true true", GoldenCalls.supportedFeatures(present));
     }
 }
--- a/src/test/java/org/havenford/golden/GoldenMessages.java
+++ b/src/test/java/org/havenford/golden/GoldenMessages.java
@@ -20,30 +20,32 @@
 import org.havenford.testing.JobSamples;
 
 /**
- * The bodies of messages to and from workers, users and the cloud. What the code only reads is rendered here in the form of
- * the protocol from what the code has read, so that every field that was understood is compared.
+ * Message bodies to and from agents, users and the cloud. A message that the main code only parses is written back here
+ * from the parsed value, so that every parsed field is compared.
  */
 final class GoldenMessages {
-    private static final String REPORT = "report";
+    private static final String HEARTBEAT = "report";
     private static final String SUBMISSION = "submission";
     private static final String MACHINE_PAGE = "cloud-machine-page";
     private static final String MACHINE_TYPES = "cloud-machine-types";
-    private static final String RENTED = "cloud-rented";
+    private static final String LAUNCHED = "cloud-rented";
 
     private GoldenMessages() {}
 
-    /** Every form, from fixed inputs. */
-    static Map<String, JsonElement> built() throws MalformedMessageException {
+    /** Builds a message of every format from fixed inputs. */
+    static Map<String, JsonElement> buildAll() throws MalformedMessageException {
         Map<String, JsonElement> messages = new LinkedHashMap<>();
         Map<String, String> inputs = new LinkedHashMap<>();
-        inputs.put(REPORT + "#empty", report("null", false, ""));
-        inputs.put(REPORT + "#notice", report("61.5", true, shot(0, "pulling", "") + "," + shot(1, "flushing", "")));
-        StringBuilder shots = new StringBuilder(shot(0, "running", ""));
+        inputs.put(HEARTBEAT + "#empty", heartbeat("null", false, ""));
+        inputs.put(
+                HEARTBEAT + "#notice",
+                heartbeat("61.5", true, attempt(0, "pulling", "") + "," + attempt(1, "flushing", "")));
+        StringBuilder attempts = new StringBuilder(attempt(0, "running", ""));
         int task = 1;
         for (String cause : List.of("done", "stopped", "error", "no_room", "busy", "unknown")) {
-            shots.append(',').append(shot(task++, "exited", cause));
+            attempts.append(',').append(attempt(task++, "exited", cause));
         }
-        inputs.put(REPORT + "#all-causes", report("null", true, shots.toString()));
+        inputs.put(HEARTBEAT + "#all-causes", heartbeat("null", true, attempts.toString()));
         JsonObject submission = JobSamples.submission("j-000412", 16, 8);
         inputs.put(SUBMISSION + "#least", submission.toString());
         submission.add("rigs", JsonParser.parseString("[\"g8\",\"small\"]"));
@@ -57,17 +59,17 @@
         inputs.put(MACHINE_PAGE + "#last", "{\"boxes\":[],\"truncated\":false}");
         inputs.put(
                 MACHINE_PAGE + "#more",
-                "{\"boxes\":[" + box(1, "starting") + "," + box(2, "running") + "," + box(3, "failed")
-                        + "],\"truncated\":true}");
-        inputs.put(RENTED + "#two", "{\"boxes\":[\"host-000001\",\"host-000002\"]}");
+                "{\"boxes\":[" + listedMachine(1, "starting") + "," + listedMachine(2, "running") + ","
+                        + listedMachine(3, "failed") + "],\"truncated\":true}");
+        inputs.put(LAUNCHED + "#two", "{\"boxes\":[\"host-000001\",\"host-000002\"]}");
         for (Map.Entry<String, String> input : inputs.entrySet()) {
-            messages.put(input.getKey(), rewritten(input.getKey(), Json.object(input.getValue())));
+            messages.put(input.getKey(), rewrite(input.getKey(), Json.object(input.getValue())));
         }
-        addWritten(messages);
+        addWriteOnlyMessages(messages);
         return messages;
     }
 
-    private static void addWritten(Map<String, JsonElement> messages) {
+    private static void addWriteOnlyMessages(Map<String, JsonElement> messages) {
         TaskId task = new TaskId("j-000412", 3);
         List<Command> commands = List.of(
                 new Command(Command.Op.RUN, task, 2, Duration.ZERO),
@@ -89,68 +91,68 @@
                 JsonParser.parseString(CloudMessages.returnRequestBody(List.of("host-000001", "host-000002"))));
     }
 
-    private static String report(String notice, boolean spot, String shots) {
+    private static String heartbeat(String notice, boolean spot, String attempts) {
         return "{\"box\":\"host-000231\",\"endpoint\":\"10.1.0.232:9000\",\"rig\":\"g8\",\"hall\":\"a\",\"borrowed\":"
                 + spot + ",\"shift\":2,\"tally\":88,\"baton\":17179869184,\"warningS\":" + notice + ",\"shots\":["
-                + shots + "]}";
+                + attempts + "]}";
     }
 
-    private static String shot(int task, String status, String cause) {
+    private static String attempt(int task, String status, String cause) {
         return "{\"shot\":\"j-000412/" + task + "\",\"take\":" + (task + 1) + ",\"status\":\"" + status + "\""
                 + (cause.isEmpty() ? "" : ",\"cause\":\"" + cause + "\"") + "}";
     }
 
-    private static String box(int number, String status) {
+    private static String listedMachine(int number, String status) {
         return "{\"nameId\":\"host-" + number + "\",\"endpoint\":\"10.1.0." + number
                 + ":9000\",\"rig\":\"g8\",\"hall\":\"a\",\"borrowed\":" + (number == 1) + ",\"status\":\"" + status
                 + "\",\"heldS\":61.5}";
     }
 
-    /** The message as it is understood, in the form of the protocol; null for what is only written. */
-    static JsonElement rewritten(String name, JsonObject message) throws MalformedMessageException {
+    /** Parses a message and writes it back in its wire format; returns null for formats that the code only writes. */
+    static JsonElement rewrite(String name, JsonObject message) throws MalformedMessageException {
         return switch (name.substring(0, name.indexOf('#'))) {
-            case REPORT -> report(Heartbeat.parse(message));
+            case HEARTBEAT -> writeHeartbeat(Heartbeat.parse(message));
             case SUBMISSION -> JobSpec.parse(message).toJson();
             case MACHINE_TYPES -> MachineType.toJson(MachineType.parseAll(message));
-            case MACHINE_PAGE -> page(CloudMessages.machinePage(message.toString()));
-            case RENTED ->
+            case MACHINE_PAGE -> writePage(CloudMessages.machinePage(message.toString()));
+            case LAUNCHED ->
                 JsonParser.parseString(
                         CloudMessages.returnRequestBody(CloudMessages.launchedMachines(message.toString())));
             default -> null;
         };
     }
 
-    private static JsonObject report(Heartbeat heartbeat) {
-        JsonObject out = new JsonObject();
-        out.addProperty("box", heartbeat.machine());
-        out.addProperty("endpoint", heartbeat.endpoint());
-        out.addProperty("rig", heartbeat.type());
-        out.addProperty("hall", heartbeat.zone());
-        out.addProperty("borrowed", heartbeat.spot());
-        out.addProperty("shift", heartbeat.incarnation());
-        out.addProperty("tally", heartbeat.sequence());
-        out.addProperty("baton", heartbeat.fencingToken());
+    private static JsonObject writeHeartbeat(Heartbeat heartbeat) {
+        JsonObject json = new JsonObject();
+        json.addProperty("box", heartbeat.machine());
+        json.addProperty("endpoint", heartbeat.endpoint());
+        json.addProperty("rig", heartbeat.type());
+        json.addProperty("hall", heartbeat.zone());
+        json.addProperty("borrowed", heartbeat.spot());
+        json.addProperty("shift", heartbeat.incarnation());
+        json.addProperty("tally", heartbeat.sequence());
+        json.addProperty("baton", heartbeat.fencingToken());
         if (heartbeat.spotNoticeSeconds() == null) {
-            out.add("warningS", JsonNull.INSTANCE);
+            json.add("warningS", JsonNull.INSTANCE);
         } else {
-            out.addProperty("warningS", heartbeat.spotNoticeSeconds());
+            json.addProperty("warningS", heartbeat.spotNoticeSeconds());
         }
-        JsonArray shots = new JsonArray();
+        JsonArray attempts = new JsonArray();
         for (Heartbeat.AttemptStatus entry : heartbeat.tasks()) {
-            JsonObject shot = new JsonObject();
-            shot.addProperty("shot", entry.task().toString());
-            shot.addProperty("take", entry.attempt());
-            shot.addProperty("status", status(entry.state()));
+            JsonObject attempt = new JsonObject();
+            attempt.addProperty("shot", entry.task().toString());
+            attempt.addProperty("take", entry.attempt());
+            attempt.addProperty("status", stateName(entry.state()));
             if (!entry.exitCause().isEmpty()) {
-                shot.addProperty("cause", entry.exitCause());
+                attempt.addProperty("cause", entry.exitCause());
             }
-            shots.add(shot);
+            attempts.add(attempt);
         }
-        out.add("shots", shots);
-        return out;
+        json.add("shots", attempts);
+        return json;
     }
 
-    private static String status(Heartbeat.State state) {
+    private static String stateName(Heartbeat.State state) {
         return switch (state) {
             case PULLING_IMAGE -> "pulling";
             case RUNNING -> "running";
@@ -159,28 +161,28 @@
         };
     }
 
-    private static JsonObject page(CloudMessages.Page page) {
-        JsonArray boxes = new JsonArray();
+    private static JsonObject writePage(CloudMessages.Page page) {
+        JsonArray machines = new JsonArray();
         for (CloudMessages.ListedMachine machine : page.machines()) {
-            JsonObject box = new JsonObject();
-            box.addProperty("nameId", machine.machine());
-            box.addProperty("endpoint", machine.endpoint());
-            box.addProperty("rig", machine.type());
-            box.addProperty("hall", machine.zone());
-            box.addProperty("borrowed", machine.spot());
-            box.addProperty(
+            JsonObject machineJson = new JsonObject();
+            machineJson.addProperty("nameId", machine.machine());
+            machineJson.addProperty("endpoint", machine.endpoint());
+            machineJson.addProperty("rig", machine.type());
+            machineJson.addProperty("hall", machine.zone());
+            machineJson.addProperty("borrowed", machine.spot());
+            machineJson.addProperty(
                     "status",
                     switch (machine.status()) {
                         case STARTING -> "starting";
                         case RUNNING -> "running";
                         case FAILED -> "failed";
                     });
-            box.addProperty("heldS", machine.age().toMillis() / 1e3);
-            boxes.add(box);
+            machineJson.addProperty("heldS", machine.age().toMillis() / 1e3);
+            machines.add(machineJson);
         }
-        JsonObject out = new JsonObject();
-        out.add("boxes", boxes);
-        out.addProperty("truncated", page.more());
-        return out;
+        JsonObject json = new JsonObject();
+        json.add("boxes", machines);
+        json.addProperty("truncated", page.more());
+        return json;
     }
 }
--- a/src/test/java/org/havenford/golden/GoldenStoredValues.java
+++ b/src/test/java/org/havenford/golden/GoldenStoredValues.java
@@ -33,26 +33,26 @@
 import org.havenford.testing.QuietObserver;
 
 /**
- * Builds a value of every stored form from fixed inputs, and writes values back after reading them. An entry is named by
- * the key it would be stored under, a {@code #}, and what is particular to it. One method stands for each form.
+ * Builds values of every stored format from fixed inputs, and parses values and writes them back. The name of an entry
+ * consists of the key under which it would be stored, a {@code #}, and its variant.
  */
 final class GoldenStoredValues {
-    private static final Instant AT = Instant.ofEpochMilli(1_700_000_000_000L);
-    private static final int LARGE = 16 * 1024;
+    private static final Instant TIMESTAMP = Instant.ofEpochMilli(1_700_000_000_000L);
+    private static final int LARGE_LIMIT = 16 * 1024;
     private static final int THINNED_LIMIT = 250;
-    private static final int SHORT_LIMIT = 900;
-    private static final int SCARCE_LIMIT = 255;
+    private static final int SHORT_FORM_LIMIT = 900;
+    private static final int FEWER_IMAGES_LIMIT = 255;
     private static final int FIRST_TASK = 64;
-    private static final int CHUNK_SIZE = 32;
+    private static final int RANGE_SIZE = 32;
 
     private GoldenStoredValues() {}
 
-    /** Every stored form that the present code writes. */
-    static Map<String, JsonElement> built() throws MalformedMessageException {
+    /** Builds a value of every stored format that the current version writes. */
+    static Map<String, JsonElement> buildAll() throws MalformedMessageException {
         Map<String, JsonElement> values = new LinkedHashMap<>();
         addViews(values);
         addJobs(values);
-        addTasks(values);
+        addTaskRanges(values);
         addMachines(values);
         values.put("live/team/red#plain", new TeamQuota().toJson());
         values.put(
@@ -66,30 +66,30 @@
         values.put(
                 "final/j-1#withdrawn",
                 FinalState.of(FinalState.Status.CANCELLED, 7).toJson());
-        values.put("final/j-1#done-at", new FinalState(FinalState.Status.DONE, 7, AT).toJson());
-        values.put("final/j-1#withdrawn-at", new FinalState(FinalState.Status.CANCELLED, 7, AT).toJson());
+        values.put("final/j-1#done-at", new FinalState(FinalState.Status.DONE, 7, TIMESTAMP).toJson());
+        values.put("final/j-1#withdrawn-at", new FinalState(FinalState.Status.CANCELLED, 7, TIMESTAMP).toJson());
         return values;
     }
 
     private static void addViews(Map<String, JsonElement> values) {
         TreeMap<String, Long> members = new TreeMap<>(Map.of("node-0", 4L, "node-1", 12L, "node-2", 5L));
-        TreeMap<String, String> moved = new TreeMap<>(Map.of("host-000001", "node-0", "host-000002", "node-1"));
-        TreeSet<String> resting = new TreeSet<>(List.of("node-2"));
+        TreeMap<String, String> reassigned = new TreeMap<>(Map.of("host-000001", "node-0", "host-000002", "node-1"));
+        TreeSet<String> cordoned = new TreeSet<>(List.of("node-2"));
         TreeMap<String, Long> evicted = new TreeMap<>(Map.of("node-3", 9L));
         values.put("live/view#empty", ClusterView.empty().toJson());
         values.put("live/view#plain", new ClusterView(2, members, new TreeMap<>(), new TreeSet<>()).toJson());
-        values.put("live/view#moved", new ClusterView(3, members, moved, new TreeSet<>()).toJson());
-        values.put("live/view#resting", new ClusterView(4, members, new TreeMap<>(), resting).toJson());
+        values.put("live/view#moved", new ClusterView(3, members, reassigned, new TreeSet<>()).toJson());
+        values.put("live/view#resting", new ClusterView(4, members, new TreeMap<>(), cordoned).toJson());
         values.put(
                 "live/view#evicted", new ClusterView(5, members, new TreeMap<>(), new TreeSet<>(), evicted).toJson());
-        values.put("live/view#all", new ClusterView(6, members, moved, resting, evicted).toJson());
+        values.put("live/view#all", new ClusterView(6, members, reassigned, cordoned, evicted).toJson());
     }
 
     private static void addJobs(Map<String, JsonElement> values) throws MalformedMessageException {
         JsonObject plain = JobSamples.submission("j-1", 40, 1.5);
-        JsonObject awaiting = plain.deepCopy();
-        awaiting.add("awaits", JsonParser.parseString("[\"j-8\",\"j-7\"]"));
-        JsonObject full = awaiting.deepCopy();
+        JsonObject dependent = plain.deepCopy();
+        dependent.add("awaits", JsonParser.parseString("[\"j-8\",\"j-7\"]"));
+        JsonObject full = dependent.deepCopy();
         full.add("rigs", JsonParser.parseString("[\"small\",\"large\"]"));
         full.addProperty("hall", "a");
         full.addProperty("cards", 2.0);
@@ -102,78 +102,81 @@
         values.put("live/job/j-1#cancelled", job(plain).header(true));
         values.put("live/job/j-1#together", job(together).header(false));
         values.put("live/job/j-1#apart", job(apart).header(false));
-        values.put("live/job/j-1#awaits", job(awaiting).header(false));
-        values.put("live/job/j-1#awaits-ready", job(awaiting).readyHeader(AT.plusSeconds(9)));
+        values.put("live/job/j-1#awaits", job(dependent).header(false));
+        values.put("live/job/j-1#awaits-ready", job(dependent).readyHeader(TIMESTAMP.plusSeconds(9)));
         values.put(
                 "live/job/j-1#awaits-ready-cancelled",
-                Job.parse(job(awaiting).readyHeader(AT.plusSeconds(9))).header(true));
+                Job.parse(job(dependent).readyHeader(TIMESTAMP.plusSeconds(9))).header(true));
         values.put("live/job/j-1#all-fields", job(full).header(false));
-        for (String urgency : List.of("production", "urgent", "low")) {
-            JsonObject of = plain.deepCopy();
-            of.addProperty("urgency", urgency);
-            values.put("live/job/j-1#" + urgency, job(of).header(false));
+        for (String priority : List.of("production", "urgent", "low")) {
+            JsonObject withPriority = plain.deepCopy();
+            withPriority.addProperty("urgency", priority);
+            values.put("live/job/j-1#" + priority, job(withPriority).header(false));
         }
     }
 
     private static Job job(JsonObject submission) throws MalformedMessageException {
-        return new Job(JobSpec.parse(submission), AT, CHUNK_SIZE, false);
+        return new Job(JobSpec.parse(submission), TIMESTAMP, RANGE_SIZE, false);
     }
 
-    private static void addTasks(Map<String, JsonElement> values) {
-        values.put("live/tasks/j-1/2#fresh", freshChunk().toJson());
-        TaskRange usual = freshChunk();
-        usual.claim(64, "host-000001", 1, AT, "node-0");
-        usual.claim(65, "host-000001", 1, AT, "");
+    private static void addTaskRanges(Map<String, JsonElement> values) {
+        values.put("live/tasks/j-1/2#fresh", newTaskRange().toJson());
+        TaskRange usual = newTaskRange();
+        usual.claim(64, "host-000001", 1, TIMESTAMP, "node-0");
+        usual.claim(65, "host-000001", 1, TIMESTAMP, "");
         usual.finish(65, 1.5, 20.2);
-        usual.claim(66, "host-000002", 3, AT, "");
+        usual.claim(66, "host-000002", 3, TIMESTAMP, "");
         usual.release(66, true, true);
-        usual.claim(66, "host-000003", 2, AT.plusSeconds(40), "");
-        usual.claim(95, "host-000003", 2, AT, "node-1");
+        usual.claim(66, "host-000003", 2, TIMESTAMP.plusSeconds(40), "");
+        usual.claim(95, "host-000003", 2, TIMESTAMP, "node-1");
         usual.release(95, false, true);
-        values.put("live/tasks/j-1/2#usual", usual.toJson(LARGE, LARGE, true));
-        TaskRange thinned = freshChunk();
-        for (int task = FIRST_TASK; task < FIRST_TASK + CHUNK_SIZE; task++) {
-            thinned.claim(task, "host-000001", 1, AT, "");
+        values.put("live/tasks/j-1/2#usual", usual.toJson(LARGE_LIMIT, LARGE_LIMIT, true));
+        TaskRange thinned = newTaskRange();
+        for (int task = FIRST_TASK; task < FIRST_TASK + RANGE_SIZE; task++) {
+            thinned.claim(task, "host-000001", 1, TIMESTAMP, "");
             thinned.finish(task, task / 10.0, 200 - task);
         }
         values.put("live/tasks/j-1/2#thinned", thinned.toJson(THINNED_LIMIT, THINNED_LIMIT, false));
-        TaskRange shortened = freshChunk();
-        for (int task = FIRST_TASK; task < FIRST_TASK + CHUNK_SIZE - 2; task++) {
-            shortened.claim(task, "host-0000" + task, 2, AT.plusMillis(250L * task), task % 3 == 0 ? "" : "node-1");
+        TaskRange shortened = newTaskRange();
+        for (int task = FIRST_TASK; task < FIRST_TASK + RANGE_SIZE - 2; task++) {
+            shortened.claim(
+                    task, "host-0000" + task, 2, TIMESTAMP.plusMillis(250L * task), task % 3 == 0 ? "" : "node-1");
         }
         shortened.release(70, true, true);
         shortened.release(71, false, false);
         shortened.finish(72, 2, 30);
-        values.put("live/tasks/j-1/2#short", shortened.toJson(SHORT_LIMIT, SHORT_LIMIT, true));
+        values.put("live/tasks/j-1/2#short", shortened.toJson(SHORT_FORM_LIMIT, SHORT_FORM_LIMIT, true));
     }
 
-    private static TaskRange freshChunk() {
-        return new TaskRange("j-1", FIRST_TASK, CHUNK_SIZE);
+    private static TaskRange newTaskRange() {
+        return new TaskRange("j-1", FIRST_TASK, RANGE_SIZE);
     }
 
     private static void addMachines(Map<String, JsonElement> values) {
         MachineBatch batch = MachineBatch.of(
-                "r-2-4-1", "large", "b", true, AT, List.of("host-000001", "host-000002", "host-000003"));
+                "r-2-4-1", "large", "b", true, TIMESTAMP, List.of("host-000001", "host-000002", "host-000003"));
         values.put("live/machine/r-2-4-1#in-service", batch.toJson());
         values.put(
                 "live/machine/r-2-4-1#all-services",
                 batch.with("host-000002", MachineBatch.ServiceState.RETIRING)
                         .with("host-000003", MachineBatch.ServiceState.RETURNING)
                         .toJson());
-        MachineStatuses statuses = new MachineStatuses(AT, new TreeMap<>());
-        values.put("live/heard/node-0/0#empty", statuses.toJson(LARGE));
+        MachineStatuses statuses = new MachineStatuses(TIMESTAMP, new TreeMap<>());
+        values.put("live/heard/node-0/0#empty", statuses.toJson(LARGE_LIMIT));
         int number = 0;
         for (Condition condition : Condition.values()) {
             List<String> images = List.of("img-" + number, "img-shared").subList(0, number % 3);
             statuses.machines().put("host-00000" + number++, new MachineStatuses.Status(condition, images));
         }
-        values.put("live/heard/node-0/0#all-conditions", statuses.toJson(LARGE));
-        values.put("live/heard/node-0/0#fewer-images", statuses.toJson(SCARCE_LIMIT));
-        values.put("live/booking/r-2-4-1#plain", new InstanceRequest("r-2-4-1", "large", "b", true, 12, AT).toJson());
+        values.put("live/heard/node-0/0#all-conditions", statuses.toJson(LARGE_LIMIT));
+        values.put("live/heard/node-0/0#fewer-images", statuses.toJson(FEWER_IMAGES_LIMIT));
+        values.put(
+                "live/booking/r-2-4-1#plain",
+                new InstanceRequest("r-2-4-1", "large", "b", true, 12, TIMESTAMP).toJson());
         values.put("live/types#plain", MachineType.toJson(types()));
     }
 
-    /** Two machine types, with and without cards. */
+    /** Returns two machine types, one with GPUs and one without. */
     static List<MachineType> types() {
         List<String> zones = List.of("a", "b");
         return List.of(
@@ -181,8 +184,8 @@
                 new MachineType("small", 4, 0, 32, 40, 0.5, 0.24, 0.08, Duration.ofMillis(20_500), zones));
     }
 
-    /** Registrations of earlier formats, as earlier versions have stored them; the present code only reads these. */
-    static Map<String, JsonElement> earlierMembers() throws IOException {
+    /** Returns member registrations as stored by versions of formats 1 and 2, which the current version only reads. */
+    static Map<String, JsonElement> earlierRegistrations() throws IOException {
         Map<String, JsonElement> values = new LinkedHashMap<>();
         for (int format = 1; format <= 2; format++) {
             Path samples = Path.of("src/test/resources/samples/format-" + format + ".txt");
@@ -197,8 +200,8 @@
         return values;
     }
 
-    /** The value as the present code writes it after reading it; null for what it only writes, or only reads. */
-    static JsonElement rewritten(String name, JsonObject value) throws MalformedMessageException {
+    /** Parses a value and writes it back; returns null for formats that the current version does not both read and write. */
+    static JsonElement rewrite(String name, JsonObject value) throws MalformedMessageException {
         String key = name.substring(0, name.indexOf('#'));
         if (key.equals(Keys.VIEW)) {
             return ClusterView.parse(value).toJson();
@@ -206,16 +209,18 @@
             Job job = Job.parse(value);
             return job.header(job.cancelled());
         } else if (key.startsWith(Keys.TASKS)) {
-            return freshChunk().read(value).toJson(value.has("s") ? SHORT_LIMIT : LARGE, LARGE, true);
+            return newTaskRange()
+                    .read(value)
+                    .toJson(value.has("s") ? SHORT_FORM_LIMIT : LARGE_LIMIT, LARGE_LIMIT, true);
         } else if (key.startsWith(Keys.MACHINES)) {
             return MachineBatch.parse(key.substring(Keys.MACHINES.length()), value)
                     .toJson();
         } else if (key.startsWith(Keys.MACHINE_STATUSES)) {
-            return MachineStatuses.parse(value).toJson(LARGE);
+            return MachineStatuses.parse(value).toJson(LARGE_LIMIT);
         } else if (key.startsWith(Keys.TEAMS)) {
             return TeamQuota.parse(value).toJson();
         } else if (key.startsWith(Keys.INSTANCE_REQUESTS)) {
-            return rewrittenBooking(key, value);
+            return rewriteInstanceRequest(key, value);
         } else if (key.equals(Keys.TYPES)) {
             return MachineType.toJson(MachineType.parseAll(value));
         } else if (key.startsWith(Keys.FINAL_STATES)) {
@@ -224,14 +229,14 @@
         return null;
     }
 
-    /** Bookings are read by the ledger alone. */
-    private static JsonElement rewrittenBooking(String key, JsonObject value) {
+    /** Parses an instance request through {@link ClusterState}, the only class that reads them, and writes it back. */
+    private static JsonElement rewriteInstanceRequest(String key, JsonObject value) {
         ClusterState clusterState = new ClusterState();
         clusterState.setObserver(new QuietObserver());
         clusterState.changed(key, value, 1);
         JsonArray all = new JsonArray();
-        List<InstanceRequest> bookings = new ArrayList<>(clusterState.instanceRequests());
-        bookings.forEach(booking -> all.add(booking.toJson()));
+        List<InstanceRequest> requests = new ArrayList<>(clusterState.instanceRequests());
+        requests.forEach(request -> all.add(request.toJson()));
         return all.size() == 1 ? all.get(0) : all;
     }
 }
--- a/src/test/java/org/havenford/protocol/MessagesTest.java
+++ b/src/test/java/org/havenford/protocol/MessagesTest.java
@@ -21,7 +21,7 @@
                     + "\"keyframeS\":0,\"flushS\":0,\"airtimeS\":900.0,\"new\":{\"x\":[1]}}";
 
     @Test
-    void aJobSurvivesTheStore() throws Exception {
+    void jobSpecRoundTrips() throws Exception {
         JobSpec spec = JobSpec.parse(Json.object(JOB));
         assertEquals(spec, JobSpec.parse(spec.toJson()));
         assertEquals(Duration.ofMinutes(15), spec.deadline());
@@ -52,7 +52,7 @@
         "rigs,'[1]'",
         "reel,'[]'"
     })
-    void aBadFieldIsNamed(String field, String value) throws Exception {
+    void errorNamesInvalidField(String field, String value) throws Exception {
         JsonObject json = Json.object(JOB);
         json.add(field, com.google.gson.JsonParser.parseString(value));
         MalformedMessageException e = assertThrows(MalformedMessageException.class, () -> JobSpec.parse(json));
@@ -61,34 +61,34 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "[]", "7", "{", "{} {}", "{\"a\":NaN}", "{a:1}", "\u0000"})
-    void whatIsNotAnObjectIsRefused(String text) {
+    void rejectsTextThatIsNotOneObject(String text) {
         assertThrows(MalformedMessageException.class, () -> Json.object(text));
     }
 
     @Test
-    void deepNestingDoesNotEndTheProcess() {
+    void rejectsDeeplyNestedText() {
         assertThrows(MalformedMessageException.class, () -> Json.object("{\"a\":" + "[".repeat(30_000)));
     }
 
     @Test
-    void settingsNeedTheirFields() {
+    void settingsErrorNamesMissingField() {
         MalformedMessageException e =
                 assertThrows(MalformedMessageException.class, () -> PlatformSettings.parse("{\"node_name\":\"a\"}"));
         assertTrue(e.getMessage().contains("endpoints"), e.getMessage());
     }
 
     @Test
-    void reportsAreOrderedBySessionAndSequence() throws Exception {
-        Heartbeat a = report(1, 90);
-        assertTrue(report(2, 1).newerThan(a));
-        assertTrue(report(1, 91).newerThan(a));
-        assertEquals(false, report(1, 90).newerThan(a));
+    void heartbeatsAreOrderedByIncarnationAndSequence() throws Exception {
+        Heartbeat a = heartbeat(1, 90);
+        assertTrue(heartbeat(2, 1).newerThan(a));
+        assertTrue(heartbeat(1, 91).newerThan(a));
+        assertEquals(false, heartbeat(1, 90).newerThan(a));
     }
 
-    private static Heartbeat report(long session, long seq) throws MalformedMessageException {
+    private static Heartbeat heartbeat(long incarnation, long sequence) throws MalformedMessageException {
         return Heartbeat.parse(Json.object(
                 "{\"box\":\"host-1\",\"endpoint\":\"10.0.0.1:9\",\"rig\":\"g8\",\"hall\":\"a\",\"borrowed\":false,"
-                        + "\"shift\":" + session + ",\"tally\":" + seq
+                        + "\"shift\":" + incarnation + ",\"tally\":" + sequence
                         + ",\"baton\":4294967296,\"shots\":[{\"shot\":\"j-1/0\",\"take\":1,\"status\":\"running\"}]}"));
     }
 }
--- a/src/test/java/org/havenford/testing/JobSamples.java
+++ b/src/test/java/org/havenford/testing/JobSamples.java
@@ -2,19 +2,19 @@
 
 import com.google.gson.JsonObject;
 
-/** Submissions for tests, to be changed field by field. */
+/** Sample submissions, whose fields a test can change. */
 public final class JobSamples {
     private JobSamples() {}
 
-    /** A submission of team red that says nothing of where its tasks may run, and does not await others. */
-    public static JsonObject submission(String id, int tasks, double cpus) {
+    /** Returns a submission of team red without placement constraints, a deadline or dependencies. */
+    public static JsonObject submission(String id, int taskCount, double cpus) {
         JsonObject json = new JsonObject();
         json.addProperty("nameId", id);
         json.addProperty("lineup", "class");
         json.addProperty("crew", "red");
         json.addProperty("shape", "batch");
         json.addProperty("urgency", "normal");
-        json.addProperty("shots", tasks);
+        json.addProperty("shots", taskCount);
         json.addProperty("vcpus", cpus);
         json.addProperty("cards", 0.0);
         json.addProperty("memGb", 1.0);
--- a/src/test/java/org/havenford/testing/ManualLoop.java
+++ b/src/test/java/org/havenford/testing/ManualLoop.java
@@ -6,11 +6,11 @@
 import java.util.PriorityQueue;
 import org.havenford.transport.EventLoop;
 
-/** An event loop whose clock stands still until a test moves it, and whose timers run only when the test says so. */
+/** An event loop whose clock advances, and whose timers run, only when a test calls for it. */
 public final class ManualLoop implements EventLoop {
     private static final Instant DEFAULT_START = Instant.ofEpochSecond(1_700_000_000L);
 
-    /** A task and when it is due. Tasks that are due at the same time run in the order in which they were scheduled. */
+    /** A task and its due time. Tasks with the same due time run in the order in which they were scheduled. */
     private record Timer(Instant due, long sequence, Runnable task) {}
 
     private final PriorityQueue<Timer> timers =
@@ -18,12 +18,12 @@
     private Instant now;
     private long timersScheduled;
 
-    /** Starts the clock at a fixed moment of the year 2023. */
+    /** Creates a loop whose clock starts at a fixed time in the year 2023. */
     public ManualLoop() {
         this(DEFAULT_START);
     }
 
-    /** Starts the clock at {@code start}. */
+    /** Creates a loop whose clock starts at {@code start}. */
     public ManualLoop(Instant start) {
         now = start;
     }
@@ -43,12 +43,12 @@
         timers.add(new Timer(now.plus(delay), timersScheduled++, task));
     }
 
-    /** Moves the clock without running any timer, as when the process is paused. */
+    /** Advances the clock without running any timer, as when the process is paused. */
     public void advance(Duration time) {
         now = now.plus(time);
     }
 
-    /** Moves the clock and runs each timer that becomes due meanwhile, at the time when it is due. */
+    /** Advances the clock and runs each timer that becomes due, at its due time. */
     public void runFor(Duration time) {
         Instant end = now.plus(time);
         while (!timers.isEmpty() && !timers.peek().due().isAfter(end)) {
@@ -59,7 +59,7 @@
         now = end;
     }
 
-    /** Runs the timer that is due first, without moving the clock. */
+    /** Runs the timer with the earliest due time, without advancing the clock. */
     public void runNextTimer() {
         timers.remove().task().run();
     }
--- a/src/test/java/org/havenford/testing/QuietObserver.java
+++ b/src/test/java/org/havenford/testing/QuietObserver.java
@@ -6,7 +6,7 @@
 import org.havenford.storage.records.LivenessProbe;
 import org.havenford.storage.records.MemberRegistration;
 
-/** For tests that read the ledger and need not be told of its changes. */
+/** An observer that ignores every change, for tests that only read the cluster state. */
 public final class QuietObserver implements ClusterState.Observer {
     @Override
     public void viewChanged(ClusterView view, long modRevision) {}
