--- a/src/test/java/org/havenford/simulator/FormatOneStandIn.java
+++ b/src/test/java/org/havenford/simulator/FormatOneStandIn.java
@@ -8,8 +8,8 @@
 import org.havenford.transport.HttpCalls.Reply;
 
 /**
- * What of this program's stored values the version before format 2 knows: all else is lost when it writes, and unseen when
- * it reads. A controller behind it stands for one of that version.
+ * Makes a controller of this version behave towards the state service like one of the version before format 2: fields
+ * that format 2 added are removed from the values that the controller writes and from those that it reads.
  */
 final class FormatOneStandIn {
     private static final Set<String> SINCE_FORMAT_2 = Set.of("format", "awaits", "_ready");
@@ -18,7 +18,7 @@
 
     private FormatOneStandIn() {}
 
-    /** A transaction as that version would have written it. */
+    /** Removes the added fields from the values of a transaction. */
     static String written(String body) {
         JsonObject transaction = JsonParser.parseString(body).getAsJsonObject();
         for (JsonElement write : transaction.getAsJsonArray("writes")) {
@@ -37,7 +37,10 @@
         }
     }
 
-    /** An answer of the state service as that version understands it; what it can't read breaks the trace. */
+    /**
+     * Removes the added fields from the values in a reply of the state service. A value that the older version cannot parse
+     * is recorded as a violation of the rule {@code unreadable}.
+     */
     static Reply read(ClusterSimulator simulator, String node, Reply reply) {
         if (reply.status() != 200 || !reply.body().startsWith("{")) {
             return reply;
--- a/src/test/java/org/havenford/simulator/NetworkFaults.java
+++ b/src/test/java/org/havenford/simulator/NetworkFaults.java
@@ -9,21 +9,21 @@
 import java.util.Objects;
 import java.util.Set;
 
-/** The faults of the simulated network that are in force at the moment, by address unless said otherwise. */
+/** Holds the active faults of the simulated network. Machines and controllers are given by their addresses. */
 final class NetworkFaults {
     private static final Duration RELEASE_DELAY = Duration.ofMillis(1);
 
-    /** A way that messages between two ends are disturbed. */
+    /** What happens to messages between two addresses. */
     enum Cut {
-        /** Messages vanish. */
+        /** Messages are lost. */
         DROP,
         /** Connections are refused at once. */
         RESET,
-        /** Messages are kept and delivered when the cut ends, however late. */
+        /** Messages are held and delivered when the cut ends, even long after their timeout. */
         HOLD
     }
 
-    /** A cut in force, and the zone or link that it belongs to. */
+    /** An active cut, or null if there is none, and the zone or link that it applies to. */
     private record ActiveCut(String scope, Cut cut) {}
 
     private final ClusterSimulator simulator;
@@ -31,25 +31,25 @@
     private final Map<String, Cut> cutZones = new HashMap<>();
     private final Map<String, String> zones = new HashMap<>();
     private final Map<String, List<Runnable>> held = new HashMap<>();
-    /** Controllers that the state service refuses alone; what their open watches would be told waits. */
+    /** Held replies to open watches, by the controller that the state service refuses. */
     private final Map<String, List<Runnable>> refused = new HashMap<>();
-    /** Machines that commands reach this much later. */
+    /** Additional delay of direct commands to a machine. */
     final Map<String, Duration> lateCommands = new HashMap<>();
-    /** Controllers that are told of changes in the state service this much later. */
+    /** Additional delay of replies to watches of a controller. */
     final Map<String, Duration> lateChanges = new HashMap<>();
-    /** Ends that nothing reaches, though all that they send arrives. */
+    /** Addresses that receive nothing, although what they send arrives. */
     final Set<String> deaf = new HashSet<>();
-    /** Machines that reach nobody by themselves, though their answers to commands arrive. */
+    /** Addresses whose own requests are lost, although their replies to requests of others arrive. */
     final Set<String> mute = new HashSet<>();
-    /** Milliseconds that a message may take on top of the usual few. */
+    /** Maximum additional latency of each message in milliseconds. */
     int slowLinks;
-    /** Machines whose heartbeats arrive a second time, this much later. */
+    /** Machines whose heartbeats arrive a second time, and the delay of that duplicate. */
     final Map<String, Duration> copies = new HashMap<>();
-    /** Controllers whose requests that change something are carried out a second time, this much later. */
+    /** Controllers whose POST requests are executed a second time, and the delay of that duplicate. */
     final Map<String, Duration> repeats = new HashMap<>();
-    /** Calls of a controller to the state service that take this much longer, and how many of them. */
+    /** Delay of the slow calls of a controller to the state service. */
     final Map<String, Duration> slowCalls = new HashMap<>();
-
+    /** Number of upcoming calls of a controller to the state service that are slow. */
     final Map<String, Integer> slowCallsLeft = new HashMap<>();
 
     NetworkFaults(ClusterSimulator simulator) {
@@ -60,49 +60,52 @@
         return one.compareTo(other) < 0 ? one + "~" + other : other + "~" + one;
     }
 
-    /** Cuts the link between two ends, in both directions. */
+    /** Cuts the link between two addresses in both directions. */
     void cut(String one, String other, Cut cut) {
         cutLinks.put(link(one, other), cut);
     }
 
-    /** Ends the cut between two ends; what it held arrives now. */
+    /** Ends the cut between two addresses and delivers the messages that it held. */
     void heal(String one, String other) {
         cutLinks.remove(link(one, other));
         release(held.remove(link(one, other)));
     }
 
-    /** Cuts off a zone from all that is not in it. */
+    /** Cuts a zone off from all addresses outside it. */
     void cutZone(String zone, Cut cut) {
         cutZones.put(zone, cut);
     }
 
-    /** Ends the cut of a zone; what it held arrives now. */
+    /** Ends the cut of a zone and delivers the messages that it held. */
     void healZone(String zone) {
         cutZones.remove(zone);
         release(held.remove(zone));
     }
 
-    /** Says in which zone an end is; users, cloud and state service are in none. */
+    /** Assigns an address to a zone; users, cloud and state service are in none. */
     void assignZone(String address, String zone) {
         zones.put(address, zone);
     }
 
-    /** The state service refuses one controller alone; its leases run out, and its open watches wait. */
+    /**
+     * Makes the state service refuse one controller. The controller can no longer renew its leases, and replies to its open
+     * watches are held.
+     */
     void refuse(String controller) {
         refused.put(controller, new ArrayList<>());
     }
 
-    /** The state service answers a controller again. */
+    /** Makes the state service serve a controller again and delivers the held replies to its watches. */
     void serve(String controller) {
         release(refused.remove(controller));
     }
 
-    /** Whether the state service refuses this controller. */
+    /** Returns whether the state service refuses a controller. */
     boolean refuses(String controller) {
         return refused.containsKey(controller);
     }
 
-    /** Keeps what a controller's watch would be told until the state service answers it again. */
+    /** Holds the reply to a watch of a refused controller until the state service serves the controller again. */
     void holdForRefused(String controller, Runnable delivery) {
         refused.get(controller).add(delivery);
     }
@@ -113,12 +116,12 @@
         }
     }
 
-    /** The cut on the way between two ends, or null; that of a zone comes before that of a link. */
+    /** Returns the cut between two addresses, or null. A cut of a zone takes precedence over one of the link. */
     Cut cutBetween(String one, String other) {
         return activeCut(one, other).cut;
     }
 
-    /** The cut of the link between two ends alone, or null. */
+    /** Returns the cut of the link between two addresses, or null; cuts of zones are ignored. */
     Cut cutOfLink(String one, String other) {
         return cutLinks.get(link(one, other));
     }
@@ -129,7 +132,7 @@
         return zone != null ? new ActiveCut(zone, cutZones.get(zone)) : new ActiveCut(link, cutLinks.get(link));
     }
 
-    /** The zone whose cut is between two ends, or null. */
+    /** Returns the zone whose cut separates two addresses, or null. */
     private String cutZoneBetween(String one, String other) {
         String zone = zones.get(one);
         String otherZone = zones.get(other);
@@ -142,7 +145,7 @@
         return cutZones.containsKey(otherZone) ? otherZone : null;
     }
 
-    /** Whether a message may go on its way; if it may not, it is held or lost as the cut demands. */
+    /** Returns whether a message may be delivered now. If not, it is held or lost, depending on the cut. */
     boolean passes(String from, String to, Runnable delivery) {
         ActiveCut active = activeCut(from, to);
         if (active.cut == Cut.HOLD) {
@@ -151,7 +154,7 @@
         return active.cut == null;
     }
 
-    /** Takes one of a controller's slow calls; null if none is left, else how much longer the call takes. */
+    /** Uses up one slow call of a controller; returns its delay, or null if none is left. */
     Duration takeSlowCall(String controller) {
         if (slowCallsLeft.getOrDefault(controller, 0) <= 0) {
             return null;
--- a/src/test/java/org/havenford/simulator/RandomDelays.java
+++ b/src/test/java/org/havenford/simulator/RandomDelays.java
@@ -2,13 +2,13 @@
 
 import java.util.SplittableRandom;
 
-/** Draws commands, changes and answers that arrive late, twice or not at all. */
+/** Generates random message faults of a trace: late commands, late watch replies, lost replies and duplicated requests. */
 final class RandomDelays {
     private static final int FIRST_SECOND = 10;
 
     private RandomDelays() {}
 
-    /** Draws so many delays, one after the other. */
+    /** Adds {@code count} random faults to the trace, in order of their start. */
     static void draw(SplittableRandom random, TraceBuilder trace, int controllers, int machines, int count) {
         int second = FIRST_SECOND;
         for (int i = 0; i < count; i++) {
--- a/src/test/java/org/havenford/simulator/RunningTasks.java
+++ b/src/test/java/org/havenford/simulator/RunningTasks.java
@@ -3,21 +3,21 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What really runs on the simulated machines, whatever the controllers know of it. */
+/** Determines which tasks actually run on the simulated machines, independently of the state of the controllers. */
 final class RunningTasks {
     private RunningTasks() {}
 
-    /** Whether a task runs; those on a machine that hangs count as ended when its lease is over. */
+    /** Returns whether a task runs; a task on a hung machine counts as ended once the lease of the agent has expired. */
     static boolean isRunning(SimulatedAgent agent, SimulatedAgent.Task task) {
         return task.on() && !(agent.hung && agent.leaseOver());
     }
 
-    /** The job of a task that is named job/index. */
+    /** Returns the job id in a task id of the form {@code job/index}. */
     static String jobOf(String task) {
         return task.substring(0, task.indexOf('/'));
     }
 
-    /** How many tasks of a job run in each zone. */
+    /** Returns the number of running tasks of a job in each zone that has any. */
     static Map<String, Integer> byZone(ClusterSimulator world, SimulatedUsers.Job job) {
         Map<String, Integer> byZone = new TreeMap<>();
         for (SimulatedAgent agent : world.workers.values()) {
--- a/src/test/java/org/havenford/simulator/SimulatedAgent.java
+++ b/src/test/java/org/havenford/simulator/SimulatedAgent.java
@@ -13,23 +13,23 @@
 import java.util.function.Consumer;
 import org.havenford.transport.HttpCalls.Reply;
 
-/** A stand-in for the agent of a machine: sends heartbeats, obeys commands and keeps its lease, as the protocol says. */
+/** Simulates a machine and its agent, which sends heartbeats, executes commands and ends all tasks if its lease expires. */
 final class SimulatedAgent implements ClusterSimulator.Server {
     private static final Duration TICK = Duration.ofMillis(500);
     private static final Duration LEASE_CHECK_INTERVAL = Duration.ofMillis(200);
-    /** Answers to heartbeats that come later than this are ignored. */
+    /** Timeout of a heartbeat; a reply that is processed later is ignored. */
     private static final Duration HEARTBEAT_TIMEOUT = Duration.ofSeconds(4);
-    /** How long after a heartbeat without an answer the next one is sent. */
+    /** How long after a failed heartbeat the next one is due, at another controller. */
     private static final Duration HEARTBEAT_RETRY_DELAY = Duration.ofSeconds(1);
 
-    /** One attempt of a task. */
+    /** One attempt of a task on the machine; the fields are named as in the protocol. */
     static final class Task {
         String shot;
         long take;
         String status;
         String cause;
 
-        /** The task has its image and has not ended. */
+        /** Returns whether the attempt has its image and has not exited. */
         boolean on() {
             return status.equals("running") || status.equals("flushing");
         }
@@ -61,23 +61,26 @@
     private final List<Instant> tokenRaisedAt = new ArrayList<>();
     final Map<String, Task> tasks = new LinkedHashMap<>();
     private final SimulatedTaskExecutor executor;
-    /** When the heartbeat was sent whose answer renewed the lease last. */
+    /** When the last heartbeat was sent whose reply renewed the lease. */
     private Instant leaseRenewed;
 
+    /** Whether the machine has booted and was not terminated. */
     private boolean up;
+    /** Whether the machine hangs: it sends nothing, and what it receives or executes is deferred until it resumes. */
     boolean hung;
+    /** Seconds until the spot machine is reclaimed, as reported in heartbeats; null without such a notice. */
     Double notice;
-    /** Every task that starts here fails. */
+    /** Whether every task that starts on this machine fails. */
     boolean faulty;
-    /** Tasks started here fetch this many times as long. */
+    /** Factor by which image pulls on this machine take longer. */
     double slowFetch = 1;
 
     private final List<Runnable> whileHung = new ArrayList<>();
-    /** Index of the controller that the heartbeats go to. */
+    /** Index of the controller that receives the heartbeats. */
     private int target;
 
     private boolean heartbeatInFlight;
-    /** Whether the next heartbeat is due at once. */
+    /** Whether the next heartbeat is sent without waiting for the heartbeat interval. */
     private boolean heartbeatDue;
 
     private Instant lastHeartbeat = Instant.EPOCH;
@@ -95,6 +98,7 @@
         return simulator.endpoints.apply(name);
     }
 
+    /** Starts the agent, which sends its heartbeats to a random controller at first. */
     void start() {
         up = true;
         leaseRenewed = simulator.now;
@@ -104,7 +108,7 @@
         checkLease();
     }
 
-    /** The machine is gone with all its tasks. */
+    /** Ends the machine and all tasks on it for good. */
     void vanish() {
         up = false;
         simulator.servers.remove(address());
@@ -112,7 +116,7 @@
         simulator.rules.touched();
     }
 
-    /** Whether heartbeats go to this controller at the moment. */
+    /** Returns whether the agent currently sends its heartbeats to this controller. */
     boolean reportsTo(String node) {
         return up && targetNode().equals(node);
     }
@@ -125,7 +129,7 @@
         return List.copyOf(simulator.nodes.keySet());
     }
 
-    /** When the worker first saw a higher token after a second of the day. */
+    /** Returns when the agent first saw a higher fencing token at or after a second of the run, or {@link Instant#MAX}. */
     Instant firstTokenAfter(double second) {
         Instant from = Instant.EPOCH.plusMillis((long) (second * 1000));
         return tokenRaisedAt.stream()
@@ -138,7 +142,7 @@
         return up;
     }
 
-    /** Stops the machine for a while, or lets it go on. */
+    /** Suspends or resumes the machine. On resumption, an expired lease ends its tasks before the deferred actions run. */
     void hang(boolean hangs) {
         hung = hangs;
         if (!hangs) {
@@ -148,7 +152,7 @@
         }
     }
 
-    /** What a hanging machine does is done when it goes on. */
+    /** Runs an action, or defers it until the machine resumes if it hangs; does nothing if the machine is not up. */
     void act(Runnable action) {
         if (!up) {
             return;
@@ -171,7 +175,10 @@
         });
     }
 
-    /** A hanging machine executes nothing, and what it held when its lease ran out is killed before it goes on. */
+    /**
+     * Returns whether the lease has expired. Tasks of a hung machine with an expired lease no longer run, although they are
+     * still listed: the machine executes nothing, and {@link #hang} ends them before it resumes.
+     */
     boolean leaseOver() {
         return simulator.now.isAfter(leaseRenewed.plus(simulator.template.agentLease()));
     }
@@ -182,7 +189,7 @@
         }
     }
 
-    /** The machine starts over and is back at once; its tasks are gone. */
+    /** Reboots the machine: it is back at once under a new incarnation, without its tasks. */
     void reboot() {
         newSession("back after a moment");
     }
@@ -243,7 +250,7 @@
         obey(commands);
     }
 
-    /** Turns to the controller that an answer names, if it names another one. */
+    /** Switches to the controller that a reply names; returns false if it names none, an unknown one or the current one. */
     private boolean redirected(Reply reply) {
         JsonObject json = JsonParser.parseString(reply.body()).getAsJsonObject();
         if (!json.has("director")) {
@@ -310,7 +317,7 @@
         }
     }
 
-    /** The state of a task has changed: the next heartbeat is due at once. */
+    /** Makes the next heartbeat due at once, because the state of a task has changed. */
     void reportSoon() {
         heartbeatDue = true;
     }
--- a/src/test/java/org/havenford/simulator/SimulatedCloud.java
+++ b/src/test/java/org/havenford/simulator/SimulatedCloud.java
@@ -17,22 +17,22 @@
 import java.util.function.Consumer;
 import org.havenford.transport.HttpCalls.Reply;
 
-/** A stand-in for the cloud: one small and one large type in each of three zones. */
+/** Simulates the cloud provider, which offers one small and one large machine type in each zone. */
 final class SimulatedCloud implements ClusterSimulator.Server {
-    /** CPUs and gigabytes of memory of each type of machine. */
+    /** CPUs and memory in GB by machine type. */
     static final Map<String, double[]> TYPES = types();
 
     static final double FETCH_GB_PER_S = 0.5;
     private static final double ORDINARY_PRICE_PER_CPU = 0.06;
     private static final double SPOT_PRICE_PER_CPU = 0.02;
     private static final int PER_OFFER = 3;
-    /** How much later than it happens a change shows in the list of machines. */
+    /** How long after a machine starts or terminates the machine list shows it. */
     private static final Duration LIST_LAG = Duration.ofSeconds(4);
 
     private static final int MIN_BOOT_MILLIS = 15_000;
     private static final int BOOT_JITTER_MILLIS = 10_000;
 
-    /** In a fixed order: that of Map.of differs from one JVM to the next. */
+    /** Returns the types in a fixed order; the iteration order of {@code Map.of} differs between runs of the JVM. */
     private static Map<String, double[]> types() {
         Map<String, double[]> types = new LinkedHashMap<>();
         types.put("small", new double[] {4, 32});
@@ -43,31 +43,32 @@
     private final ClusterSimulator simulator;
     private final Map<String, List<String>> bookings = new HashMap<>();
     private final TreeMap<String, JsonObject> listed = new TreeMap<>();
+    /** Names of machines that have terminated. */
     final Set<String> gone = new HashSet<>();
-    /** When each was returned. */
+    /** When each machine was returned, by name; machines that the cloud terminated are not in it. */
     final Map<String, Instant> returned = new HashMap<>();
 
-    /** When the first machine was rented, by kind: spot or ordinary. */
+    /** When the first machine of each kind was launched; the keys are {@code spot} and {@code ordinary} (on-demand). */
     final Map<String, Instant> firstRented = new HashMap<>();
 
     private int created;
     boolean outage;
     List<String> zones = List.of("a", "b", "c");
-    /** Zones in which machines rented from now on never come up. */
+    /** Zones in which machines launched from now on never finish booting. */
     final Set<String> darkZones = new HashSet<>();
-    /** How long machines rented from now on take to be up; null for the usual time. */
+    /** Boot time of machines launched from now on; null for a random time in the usual range. */
     Duration bootTime;
-    /** Machines that were rented so far. */
+    /** Number of machines launched on request of the controllers. */
     int rented;
 
-    /** Machines that the cloud has of each type, zone and kind. */
+    /** Maximum number of machines of each type, zone and kind (spot or on-demand). */
     int perOffer = PER_OFFER;
 
     SimulatedCloud(ClusterSimulator simulator) {
         this.simulator = simulator;
     }
 
-    /** Starts a machine, whose agent is up after some time and which the list shows after its lag. */
+    /** Launches a machine whose agent starts after {@code bootDelay}; the machine list shows it after {@link #LIST_LAG}. */
     SimulatedAgent boot(String type, String zone, boolean spot, Duration bootDelay) {
         String name = String.format("host-%06d", created++);
         JsonObject json = machineJson(name, type, zone, spot);
@@ -101,7 +102,7 @@
         return json;
     }
 
-    /** The machine is gone for good; the list shows it a while longer. */
+    /** Terminates a machine for good; the machine list shows it until {@link #LIST_LAG} has passed. */
     void terminate(String name) {
         gone.add(name);
         simulator.workers.get(name).vanish();
@@ -159,7 +160,7 @@
         }
     }
 
-    /** A page of the list, in the order of the machines' names. */
+    /** Returns a page of the machine list, sorted by name. */
     private Reply list(String path) {
         String since = path.contains("since=") ? path.replaceFirst(".*since=([^&]*).*", "$1") : "";
         int limit = Integer.parseInt(path.replaceFirst(".*limit=([0-9]+).*", "$1"));
@@ -179,7 +180,10 @@
         return new Reply(200, json.toString());
     }
 
-    /** Rents machines; a request with a booking that was carried out already is answered as before. */
+    /**
+     * Launches machines. A request that repeats the booking id of an earlier successful one launches nothing; its reply
+     * names the same machines again.
+     */
     private Reply rent(JsonObject request) {
         String booking = request.get("booking").getAsString();
         List<String> names = bookings.get(booking);
--- a/src/test/java/org/havenford/simulator/SimulatedNetwork.java
+++ b/src/test/java/org/havenford/simulator/SimulatedNetwork.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import org.havenford.transport.HttpCalls;
 
-/** HTTP requests between the parties of the simulation: late by a few milliseconds, and subject to {@link NetworkFaults}. */
+/** Simulates HTTP requests, with a latency of a few milliseconds and subject to {@link NetworkFaults}. */
 final class SimulatedNetwork {
     private static final int LATENCY_RANGE_MILLIS = 4;
     private static final Duration REFUSAL_DELAY = Duration.ofMillis(1);
@@ -35,12 +35,18 @@
         this.faults = new NetworkFaults(simulator);
     }
 
-    /** Sends a request; {@code done} is called once, with the answer or with what became of the request. */
+    /**
+     * Sends a request. {@code done} is called once, with the reply or with one of the substitutes
+     * {@link HttpCalls#NOT_SENT} and {@link HttpCalls#NO_ANSWER}.
+     */
     void call(String from, String to, Request request, Consumer<HttpCalls.Reply> done) {
         new Exchange(from, to, request, done).begin();
     }
 
-    /** Carries a message, or holds it or drops it as the faults demand. */
+    /**
+     * Delivers a message after a random latency, or holds or drops it according to the active faults. If the sender is
+     * frozen, the message is queued first.
+     */
     private void carry(String from, String to, Runnable delivery) {
         if (faults.deaf.contains(to)) {
             return;
@@ -55,14 +61,14 @@
         }
     }
 
-    /** One request and its answer. */
+    /** One request and its reply. */
     private final class Exchange {
         private final String from;
         private final String to;
         private final Request request;
         private final Consumer<HttpCalls.Reply> done;
         private final boolean toStore;
-        /** How much later the answer to a watch arrives; null for no delay. */
+        /** Additional delay of the reply to a watch; null for none. */
         private Duration answerDelay;
 
         private boolean over;
@@ -75,7 +81,7 @@
             this.toStore = to.equals(simulator.template.storeAddress());
         }
 
-        /** Whether the state service is asked for anything but its changes. */
+        /** Returns whether this is a request to the state service other than a watch. */
         private boolean isStoreCall() {
             return toStore && !request.isWatch();
         }
@@ -104,7 +110,7 @@
             send();
         }
 
-        /** Lets the request arrive a second time, if it is to do so. */
+        /** Delivers the request a second time if a fault duplicates it; the second reply is discarded. */
         private void sendCopy() {
             Duration delay = copyDelay();
             if (delay != null) {
@@ -112,7 +118,7 @@
             }
         }
 
-        /** How much later the request arrives a second time, or null. */
+        /** Returns the delay after which the request is delivered a second time, or null if it is not. */
         private Duration copyDelay() {
             if (request.isHeartbeat()) {
                 return faults.copies.get(from);
@@ -132,7 +138,7 @@
             });
         }
 
-        /** Hands the request to the server; false if none listens. */
+        /** Passes the request to the server at the destination; returns false if none listens there. */
         private boolean deliver(Consumer<HttpCalls.Reply> answer) {
             ClusterSimulator.Server server = simulator.servers.get(to);
             if (server == null) {
--- a/src/test/java/org/havenford/simulator/SimulatedPeerNetwork.java
+++ b/src/test/java/org/havenford/simulator/SimulatedPeerNetwork.java
@@ -13,7 +13,10 @@
 import java.util.function.Consumer;
 import org.havenford.transport.PeerNetwork;
 
-/** Byte streams between controllers: in order, late by a few milliseconds, and silent for good once a part was lost. */
+/**
+ * Simulates byte streams between controllers. Bytes arrive in order with a latency of a few milliseconds; once some were
+ * lost, nothing more arrives in that direction of the connection.
+ */
 final class SimulatedPeerNetwork {
     private static final Duration REFUSAL_DELAY = Duration.ofMillis(1);
     private static final int LATENCY_RANGE_MILLIS = 3;
@@ -21,10 +24,16 @@
     private final ClusterSimulator simulator;
     private final Map<String, Port> listening = new HashMap<>();
     private final List<Link> connections = new ArrayList<>();
-    /** Directions, as "from>to", in which nothing arrives. */
+    /** Directions, as {@code from>to}, in which nothing arrives. */
     final Set<String> oneWayCuts = new HashSet<>();
 
-    /** Where one process takes part: its node, and how it does what comes in, which may be later or never. */
+    /**
+     * The network endpoint of one controller process.
+     *
+     * @param alive returns whether the process still runs
+     * @param act runs an action in the process; later if the process is frozen, never if it has ended
+     * @param accepted called with each accepted connection; null unless the endpoint listens
+     */
     record Port(
             String node, BooleanSupplier alive, Consumer<Runnable> act, Consumer<PeerNetwork.Connection> accepted) {}
 
@@ -32,12 +41,12 @@
         this.simulator = simulator;
     }
 
-    /** The network as one run of a controller's process sees it. */
+    /** Returns the network for one process of a controller; see {@link Port} for the parameters. */
     PeerNetwork of(String node, BooleanSupplier alive, Consumer<Runnable> act) {
         return new ProcessNetwork(new Port(node, alive, act, null));
     }
 
-    /** The network as the process of one port uses it. */
+    /** The network as used by one process. */
     private final class ProcessNetwork implements PeerNetwork {
         private final Port self;
 
@@ -83,7 +92,7 @@
         here.run(() -> connected.accept(here));
     }
 
-    /** The cut on the way between two controllers, or null. */
+    /** Returns the cut between two controllers, or null. */
     private NetworkFaults.Cut cutBetweenNodes(String node, String other) {
         if (!simulator.nodes.containsKey(node) || !simulator.nodes.containsKey(other)) {
             return null;
@@ -97,7 +106,10 @@
         return oneWayCuts.contains(from + ">" + to) || oneWayCuts.contains(to + ">" + from);
     }
 
-    /** A process has ended: its connections are closed by its system, unless a cut keeps that from the other end. */
+    /**
+     * Closes the connections of a process that has ended, as its operating system would. The other end does not notice if
+     * a cut lies between them.
+     */
     void ended(String node) {
         for (Link link : List.copyOf(connections)) {
             for (End end : link.ends) {
@@ -108,7 +120,7 @@
         }
     }
 
-    /** A connection; once it is over nothing arrives on it. */
+    /** A connection; once it is closed nothing more arrives at either end. */
     private static final class Link {
         private boolean over;
         private List<End> ends;
@@ -137,7 +149,7 @@
             toPeer(() -> peer.arrived(copy));
         }
 
-        /** Delivers in order; what a cut swallows is lost with all that follows on this connection. */
+        /** Delivers to the peer in order. A cut of any kind drops this delivery and all later ones in this direction. */
         private void toPeer(Runnable delivery) {
             NetworkFaults.Cut cut = cutBetweenNodes(port.node, peer.port.node);
             broken |= cut != null || oneWayCuts.contains(port.node + ">" + peer.port.node);
--- a/src/test/java/org/havenford/simulator/SimulatedStore.java
+++ b/src/test/java/org/havenford/simulator/SimulatedStore.java
@@ -15,7 +15,7 @@
 import java.util.function.Consumer;
 import org.havenford.transport.HttpCalls.Reply;
 
-/** A stand-in for the state service: a key-value store with transactions, leases, watches and limits. */
+/** Simulates the state service: a key-value store with transactions, leases, watches, rate limits and size limits. */
 final class SimulatedStore implements ClusterSimulator.Server {
     private static final String CHANGES_PATH = "/changes";
     private static final String TRANSACTION_PATH = "/multi";
@@ -23,12 +23,12 @@
     private static final String VALUE_PATH = "/store/";
     private static final String BATCH_PREFIX = "live/machine/";
     private static final String MEMBER_PREFIX = "live/member/";
-    /** Small, so that even a small cluster has pages. */
+    /** Small, so that listing the keys of a small cluster takes several pages. */
     private static final int DEFAULT_PAGE_SIZE = 7;
 
     private static final int DEFAULT_MAX_OPERATIONS = 12;
 
-    /** A stored value, the revision at which it was written and the lease that it is bound to, if any. */
+    /** A stored value, its mod revision and the id of the lease that it is bound to, if any. */
     record StoredValue(JsonElement json, long revision, OptionalLong lease) {}
 
     private final ClusterSimulator simulator;
@@ -37,39 +37,39 @@
     final StoreWatches watches;
     final TreeMap<String, StoredValue> values = new TreeMap<>();
     private long revision = 1;
-    /** Requests that the service has accepted, and the writes in them. */
+    /** Number of requests that passed the rate limits. */
     int requests;
-
+    /** Number of operations in the transactions that passed the rate limits. */
     int written;
-    /** Requests that the service refused for its rate limits. */
+    /** Number of requests that were rejected with status 429 because of the rate limits. */
     int refused;
-    /** Transactions of which a condition failed. */
+    /** Number of transactions that were rejected because a condition failed. */
     int conflicts;
-    /** Members that were taken out of the view before their lease had ended. */
+    /** Number of operations that deleted a member key: evictions of members whose lease had not yet expired. */
     int evictions;
-    /** Changes made, and keys of conditions that failed, by the first two parts of the key. */
+    /** Number of applied operations by {@code set} or {@code delete} and category of the key, see {@link #kind}. */
     final TreeMap<String, Integer> changesOf = new TreeMap<>();
-
+    /** Number of failed conditions by category of the key. */
     final TreeMap<String, Integer> conflictsOf = new TreeMap<>();
-    /** Whether the service answers nothing but 503. */
+    /** Whether the service is unavailable: it answers requests with status 503, and watches not at all. */
     boolean outage;
 
     int pageSize = DEFAULT_PAGE_SIZE;
-    /** Transactions that are answered with nothing, and applied this much later. */
+    /** How long after their arrival late transactions are applied. */
     Duration lateTransactionDelay;
-
+    /** Number of upcoming transactions that are applied late and never answered. */
     int lateTransactions;
-    /** Transactions that are applied at once and left unanswered. */
+    /** Number of upcoming transactions that are applied at once but never answered. */
     int lostAnswers;
 
-    /** Limits, which may be lowered without notice. */
+    /** The maximum length of a value in characters. {@link #lowerLimits()} lowers this limit and the next ones. */
     private int valueBytes;
 
     private int maxOperations = DEFAULT_MAX_OPERATIONS;
     private double changesPerSecond;
-    /** Whether a value beyond the limit is answered with 400 and counted; else it fails the test. */
+    /** Whether a value beyond the size limit is rejected with status 400 and counted; otherwise it fails the test. */
     boolean rejectsTooLarge;
-
+    /** Number of transactions that were rejected for a value beyond the size limit. */
     int rejectedTooLarge;
 
     SimulatedStore(ClusterSimulator simulator) {
@@ -81,27 +81,30 @@
         this.changesPerSecond = simulator.template.storeChangesPerSecond();
     }
 
-    /** Lowers the limits to those that the deployment announces as the next ones. */
+    /** Lowers the limits to the future ones that the platform settings announce. */
     void lowerLimits() {
         valueBytes = simulator.template.valueBytes();
         maxOperations = simulator.template.maxTransactionOperations();
         changesPerSecond = simulator.template.nextStoreChangesPerSecond();
     }
 
-    /** Whether any value whose key has a prefix contains a text. */
+    /** Returns whether any value whose key has the prefix contains the text in its JSON form. */
     boolean holds(String prefix, String text) {
         return values.entrySet().stream()
                 .anyMatch(entry -> entry.getKey().startsWith(prefix)
                         && entry.getValue().json.toString().contains(text));
     }
 
-    /** The value of a key, or null. */
+    /** Returns the value of a key, or null if the key does not exist. */
     JsonElement value(String key) {
         StoredValue value = values.get(key);
         return value == null ? null : value.json;
     }
 
-    /** The record of the batch that a machine is in names another zone from now on: not a fault of the network, but of the writer. */
+    /**
+     * Overwrites the zone in the stored batch that contains a machine. This simulates a controller that writes a wrong
+     * record, not a fault of the network.
+     */
     void forgeZone(String machine, String zone) {
         for (Map.Entry<String, StoredValue> entry : List.copyOf(values.entrySet())) {
             if (entry.getKey().startsWith(BATCH_PREFIX)
@@ -119,7 +122,7 @@
         watches.notifyWatches();
     }
 
-    /** The service is available again; all leases start anew. */
+    /** Makes the service available again, renews all leases and answers pending watches. */
     void endOutage() {
         outage = false;
         leases.renewAll();
@@ -136,7 +139,7 @@
         watches.recordDelete(key);
     }
 
-    /** Deletes all keys that are bound to a lease. */
+    /** Deletes all keys that are bound to a lease, in one revision. */
     private void deleteValuesOf(long lease) {
         OptionalLong expired = OptionalLong.of(lease);
         List<String> keys = values.entrySet().stream()
@@ -189,7 +192,7 @@
             lostAnswers--;
             apply(StoreTransaction.parse(body));
         } else if (lateTransactions > 0) {
-            // Given up on by its sender, applied all the same.
+            // The sender times out, but the transaction is applied nevertheless.
             lateTransactions--;
             simulator.after(lateTransactionDelay, () -> apply(StoreTransaction.parse(body)));
         } else {
@@ -210,7 +213,7 @@
         } else if (method.equals("DELETE")) {
             known = leases.release(id);
         } else {
-            throw new AssertionError("a request that the protocol does not have: " + method + " " + path);
+            throw new AssertionError("request is not part of the state service's protocol: " + method + " " + path);
         }
         return new Reply(known ? 200 : 404, "{}");
     }
@@ -222,7 +225,7 @@
                 : new Reply(200, item(key, value).toString());
     }
 
-    /** A page of the keys with a prefix, in their order. */
+    /** Returns a page of the keys with a prefix, sorted by key. */
     private Reply list(Map<String, String> query) {
         String prefix = query.get("prefix");
         JsonArray items = new JsonArray();
@@ -264,7 +267,7 @@
 
     private Reply apply(StoreTransaction transaction) {
         if (transaction.exceeds(maxOperations)) {
-            throw new AssertionError("a transaction beyond the limits: " + transaction);
+            throw new AssertionError("transaction exceeds the limits of the state service: " + transaction);
         }
         Set<String> failed = failedConditions(transaction);
         if (!transaction.writes().stream().allMatch(write -> leases.permits(write.lease()))) {
@@ -318,12 +321,12 @@
             return;
         }
         if (write.valueLength() > valueBytes) {
-            throw new AssertionError("a value beyond the limit: " + write);
+            throw new AssertionError("value exceeds the size limit of the state service: " + write);
         }
         set(key, write.value(), write.lease());
     }
 
-    /** The first part of a key, or the first two of a key of the running cluster. */
+    /** Returns the category of a key: its first segment, or its first two if it starts with {@code live/}. */
     private static String kind(String key) {
         String[] parts = key.split("/");
         return key.startsWith("live/") && parts.length > 1 ? parts[0] + "/" + parts[1] : parts[0];
--- a/src/test/java/org/havenford/simulator/SimulatedTaskExecutor.java
+++ b/src/test/java/org/havenford/simulator/SimulatedTaskExecutor.java
@@ -4,11 +4,11 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Runs tasks on a simulated machine: fetches images, lets time pass and reports how the tasks end. */
+/** Simulates task attempts on one machine: the image pull, the run and the exit with a cause. */
 final class SimulatedTaskExecutor {
     private static final double CPU_TOLERANCE = 1e-6;
     private static final Duration AT_ONCE = Duration.ofMillis(1);
-    /** How long after its start a task fails that fails. */
+    /** How long after its start a failing task exits. */
     private static final Duration FAILS_AFTER = Duration.ofSeconds(1);
 
     private final ClusterSimulator simulator;
@@ -20,7 +20,7 @@
         this.agent = agent;
     }
 
-    /** Starts an attempt of a task; a command that is repeated changes nothing. */
+    /** Starts an attempt of a task; has no effect if the attempt is already listed. */
     void run(String shot, long take) {
         if (agent.tasks.containsKey(key(shot, take))) {
             return;
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Ends an attempt of a task if it is on the machine. */
+    /** Ends an attempt of a task if it is on the machine and has not exited. */
     void stop(String shot, long take) {
         SimulatedAgent.Task task = agent.tasks.get(key(shot, take));
         if (task != null && !task.isExited()) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Drops an attempt that has ended from the reports. */
+    /** Removes an attempt that has exited, so that heartbeats no longer report it. */
     void forget(String shot, long take) {
         SimulatedAgent.Task task = agent.tasks.get(key(shot, take));
         if (task != null && task.isExited()) {
@@ -87,6 +87,7 @@
         task.status = "running";
         agent.reportSoon();
         simulator.rules.started(agent, task);
+        // A task whose result is already stored exits almost at once.
         Duration length = simulator.users.finished.contains(task.shot) ? AT_ONCE : job.run(simulator.random);
         boolean fails = agent.faulty || job.broken;
         after(fails ? FAILS_AFTER : length, task, "running", () -> {
@@ -97,7 +98,7 @@
         });
     }
 
-    /** Goes on with a task after some time, unless it is gone or in another state by then. */
+    /** Runs the next step of an attempt after a delay, unless the attempt was removed or changed its status meanwhile. */
     private void after(Duration delay, SimulatedAgent.Task task, String status, Runnable next) {
         simulator.after(
                 delay,
--- a/src/test/java/org/havenford/simulator/SimulatorSettings.java
+++ b/src/test/java/org/havenford/simulator/SimulatorSettings.java
@@ -6,7 +6,7 @@
 import org.havenford.protocol.MalformedMessageException;
 import org.havenford.settings.PlatformSettings;
 
-/** Platform settings of the controllers of a {@link ClusterSimulator}, in the form of the settings file. */
+/** Creates the platform settings of the controllers of a {@link ClusterSimulator} as text of the settings file. */
 final class SimulatorSettings {
     static final int DEFAULT_NODES = 3;
     static final String DEFAULT_AGENTS = "{\"report_s\":3,\"lease_s\":20,\"cancel_s\":44}";
@@ -15,16 +15,16 @@
 
     private SimulatorSettings() {}
 
-    /** Settings of one of three controllers with the default limits. */
+    /** Returns the settings of one of three controllers with the default limits. */
     static PlatformSettings of(int node, String teams) {
         return of(node, DEFAULT_NODES, teams, DEFAULT_AGENTS, DEFAULT_STORE);
     }
 
     /**
-     * Settings of the controller {@code node-<node>}; node i is in the i-th zone, modulo the number of zones.
+     * Returns the settings of the controller {@code node-<node>}. The controllers are spread over the zones in turn.
      *
      * @param teams the elements of the list of teams, as JSON
-     * @param agents the limits of agents, as a JSON object
+     * @param agents the intervals and limits that apply to agents, as a JSON object
      * @param store the limits of the state service, as a JSON object
      */
     static PlatformSettings of(int node, int nodes, String teams, String agents, String store) {
@@ -36,13 +36,15 @@
     }
 
     /**
-     * Where a cluster's controllers and the services are reached.
+     * The addresses of the controllers of a cluster and of the services that it uses.
      *
-     * @param binds where each controller serves requests
-     * @param peers where each controller accepts connections of its peers
+     * @param binds the addresses at which the controllers serve HTTP requests
+     * @param peers the addresses at which the controllers accept peer connections
+     * @param cloud the address of the cloud
+     * @param state the address of the state service
      */
     record Addresses(List<String> binds, List<String> peers, String cloud, String state) {
-        /** The addresses in a simulator, which has no ports to run out of. */
+        /** Returns fixed addresses, as the simulated network does not use real ports. */
         private static Addresses simulated(int nodes) {
             return new Addresses(numbered(nodes, ":1"), numbered(nodes, ":2"), "cloud:1", "state:1");
         }
@@ -54,7 +56,7 @@
         }
     }
 
-    /** The text of a controller's settings file. */
+    /** Returns the text of the settings file of the controller {@code node-<node>}. */
     static String json(int node, Addresses addresses, String teams, String agents, String store) {
         return String.format(
                 "{\"node_name\":\"node-%d\",\"location\":\"%c\",\"bind\":\"%s\",\"cluster_listen\":\"%s\","
--- a/src/test/java/org/havenford/simulator/StoreLeases.java
+++ b/src/test/java/org/havenford/simulator/StoreLeases.java
@@ -8,9 +8,9 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongConsumer;
 
-/** The leases of the simulated state service. A lease that is not renewed expires, but never during an outage. */
+/** Manages the leases of the simulated state service. A lease that is not renewed expires, but not during an outage. */
 final class StoreLeases {
-    /** How much later than its end an expired lease is noticed. */
+    /** How long after its end a lease is removed. */
     private static final Duration EXPIRY_DELAY = Duration.ofMillis(20);
 
     private static final class Lease {
@@ -32,8 +32,8 @@
     /**
      * Creates an empty set of leases.
      *
-     * @param outage whether the service is unavailable at the moment
-     * @param expired called with the id of a lease once it has expired
+     * @param outage returns whether the service is currently unavailable
+     * @param expired called with the id of each lease that expires
      */
     StoreLeases(ClusterSimulator simulator, BooleanSupplier outage, LongConsumer expired) {
         this.simulator = simulator;
@@ -49,7 +49,7 @@
         return lastId;
     }
 
-    /** Extends a lease by its duration from now; false if there is no such lease. */
+    /** Renews a lease: it ends its full duration from now. Returns false if the lease does not exist. */
     boolean renew(long id) {
         Lease lease = leases.get(id);
         if (lease == null) {
@@ -60,7 +60,7 @@
         return true;
     }
 
-    /** Ends a lease before its time; false if there is no such lease. */
+    /** Ends a lease now; it is removed after {@link #EXPIRY_DELAY}. Returns false if the lease does not exist. */
     boolean release(long id) {
         Lease lease = leases.get(id);
         if (lease == null) {
@@ -71,12 +71,12 @@
         return true;
     }
 
-    /** Whether a write may be bound to this lease; a write without one always may. */
+    /** Returns whether an operation may name this lease: the lease exists, or the operation names none. */
     boolean permits(OptionalLong id) {
         return id.isEmpty() || leases.containsKey(id.getAsLong());
     }
 
-    /** Extends all leases, as the service does when an outage ends. */
+    /** Renews all leases, as the state service does at the end of an outage. */
     void renewAll() {
         leases.values().forEach(lease -> lease.end = simulator.now.plus(lease.duration));
         leases.keySet().forEach(this::scheduleExpiry);
--- a/src/test/java/org/havenford/simulator/StoreRateLimiter.java
+++ b/src/test/java/org/havenford/simulator/StoreRateLimiter.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** The rate limits of the simulated state service on requests and on changes; each allows bursts of one second's worth. */
+/** Limits the rates of requests and of changes with two token buckets, each of which holds one second's worth. */
 final class StoreRateLimiter {
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final ClusterSimulator simulator;
-    /** Null before the first request: the buckets are full then. */
+    /** The time of the last refill; null before the first request, which finds both buckets full. */
     private Instant refilled;
 
     private double requestTokens;
@@ -19,8 +19,8 @@
     }
 
     /**
-     * Whether a request with this many changes is within both limits, which are in units per second. A request that exceeds
-     * one limit is charged to the other all the same.
+     * Takes the tokens for a request with this many changes and returns whether both buckets had enough. A request that
+     * exceeds only one limit is still charged to the other.
      */
     boolean admits(double requestsPerSecond, double changesPerSecond, int changes) {
         if (refilled == null) {
--- a/src/test/java/org/havenford/simulator/StoreTransaction.java
+++ b/src/test/java/org/havenford/simulator/StoreTransaction.java
@@ -10,18 +10,19 @@
 import java.util.OptionalLong;
 
 /**
- * A transaction as a controller sends it to the state service: if all conditions hold, all writes are applied at once.
+ * A transaction that a controller sent to the state service: if all conditions hold, all operations are applied
+ * atomically.
  *
- * @param bodyLength length of the request's body in characters
+ * @param bodyLength the length of the request body in characters
  */
 record StoreTransaction(List<Condition> conditions, List<Write> writes, int bodyLength) {
     private static final int MAX_BODY_LENGTH = 64 * 1024;
     private static final int MAX_CONDITIONS_PER_OPERATION = 4;
 
-    /** A key must be at this revision; revision 0 says that it must not exist. */
+    /** Requires that a key has this mod revision; 0 means that the key must not exist. */
     record Condition(String key, long revision) {}
 
-    /** Sets a key, or deletes it if the value is null; a key that is bound to a lease is deleted when the lease expires. */
+    /** Sets a key and binds it to the lease, if any; or deletes the key, if the value is null. */
     record Write(String key, JsonElement value, OptionalLong lease) {
         boolean deletes() {
             return value == null;
@@ -40,7 +41,7 @@
         }
     }
 
-    /** Reads the body of a request; one that is not a transaction fails the test. */
+    /** Parses a request body; a body that is not a transaction fails the test with an exception. */
     static StoreTransaction parse(String body) {
         JsonObject json = JsonParser.parseString(body).getAsJsonObject();
         List<Condition> conditions = new ArrayList<>();
@@ -56,7 +57,7 @@
         return new StoreTransaction(conditions, writes, body.length());
     }
 
-    /** The number of writes in the body of a request. */
+    /** Returns the number of operations in a request body. */
     static int countWrites(String body) {
         return writes(JsonParser.parseString(body).getAsJsonObject()).size();
     }
@@ -65,14 +66,14 @@
         return json.getAsJsonArray("writes");
     }
 
-    /** Whether the transaction is too large for the service, given the most writes of one transaction. */
+    /** Returns whether the transaction exceeds the limits on operations, conditions or the length of the body. */
     boolean exceeds(int maxOperations) {
         return writes.size() > maxOperations
                 || conditions.size() > MAX_CONDITIONS_PER_OPERATION * maxOperations
                 || bodyLength > MAX_BODY_LENGTH;
     }
 
-    /** The length of the longest value that is written. */
+    /** Returns the length of the longest value that the transaction sets, or 0 if it sets none. */
     int longestValue() {
         return writes.stream().mapToInt(Write::valueLength).max().orElse(0);
     }
--- a/src/test/java/org/havenford/simulator/StoreWatches.java
+++ b/src/test/java/org/havenford/simulator/StoreWatches.java
@@ -11,11 +11,11 @@
 import java.util.function.LongSupplier;
 import org.havenford.transport.HttpCalls.Reply;
 
-/** The change log of the simulated state service, and the watches (long polls) that wait for new entries. */
+/** Keeps the change log of the simulated state service and the watches, long polls that wait for new entries in it. */
 final class StoreWatches {
     private static final int DEFAULT_KEPT_CHANGES = 10_000;
 
-    /** One change of a key; the value is null if the key was deleted. */
+    /** One change of a key; {@code value} is null if the key was deleted. */
     private record Change(long revision, String key, JsonElement value) {
         JsonObject json() {
             JsonObject json = new JsonObject();
@@ -28,7 +28,7 @@
         }
     }
 
-    /** A request for the changes of all keys with a prefix after a revision. */
+    /** A request for all changes after revision {@code since} of keys with the prefix. */
     record Watch(String prefix, long since, Consumer<Reply> answer) {}
 
     private final ClusterSimulator simulator;
@@ -36,18 +36,18 @@
     private final LongSupplier revision;
     private final List<Change> changes = new ArrayList<>();
     private final List<Watch> watches = new ArrayList<>();
-    /** The revision of the last change that is no longer kept. */
+    /** The revision of the newest change that was dropped from the log. */
     private long compactedRevision;
-    /** How many changes the service keeps: a watch that begins before them is answered 410. */
+    /** The maximum number of changes in the log; a watch that starts before the oldest of them is answered with 410. */
     int keptChanges = DEFAULT_KEPT_CHANGES;
-    /** Watches that were answered 410. */
+    /** Number of watches that were answered with 410. */
     int rejectedTooOld;
 
     /**
      * Creates an empty change log.
      *
-     * @param outage whether the service is unavailable at the moment
-     * @param revision the current revision of the service
+     * @param outage returns whether the service is currently unavailable
+     * @param revision returns the current revision of the service
      */
     StoreWatches(ClusterSimulator simulator, BooleanSupplier outage, LongSupplier revision) {
         this.simulator = simulator;
@@ -55,17 +55,20 @@
         this.revision = revision;
     }
 
-    /** Records that a key was set at the current revision. Watches are answered only by {@link #notifyWatches()}. */
+    /** Appends a put at the current revision to the log. Watches are answered only by {@link #notifyWatches()}. */
     void recordSet(String key, JsonElement value) {
         changes.add(new Change(revision.getAsLong(), key, value));
     }
 
-    /** Records that a key was deleted at the current revision. */
+    /** Appends a deletion at the current revision to the log, likewise without answering watches. */
     void recordDelete(String key) {
         changes.add(new Change(revision.getAsLong(), key, null));
     }
 
-    /** Answers a watch as soon as there are changes for it, and without any when {@code blockMillis} have passed. */
+    /**
+     * Answers a watch as soon as there are changes for it, or with an empty list after {@code blockMillis}. If that time
+     * ends during an outage, the watch stays open until there are changes.
+     */
     void open(Watch watch, long blockMillis) {
         if (answer(watch, blockMillis == 0 && !outage.getAsBoolean())) {
             return;
@@ -78,12 +81,12 @@
         });
     }
 
-    /** Answers all watches for which there are changes. */
+    /** Answers and removes all watches for which there are changes; does nothing during an outage. */
     void notifyWatches() {
         watches.removeIf(watch -> answer(watch, false));
     }
 
-    /** Answers a watch if there are changes for it, or in any case if {@code answerEmpty}; returns whether it did. */
+    /** Answers a watch if there are changes for it or {@code answerEmpty} is set; returns whether it was answered. */
     private boolean answer(Watch watch, boolean answerEmpty) {
         if (outage.getAsBoolean()) {
             return false;
