--- a/src/test/java/org/havenford/simulator/FormatOneStandIn.java
+++ b/src/test/java/org/havenford/simulator/FormatOneStandIn.java
@@ -12,26 +12,26 @@
  * that format 2 added are removed from the values that the controller writes and from those that it reads.
  */
 final class FormatOneStandIn {
-    private static final Set<String> SINCE_FORMAT_2 = Set.of("format", "awaits", "_ready");
-    private static final String TASKS = "live/tasks/";
-    private static final String SHORT_FORM = "s";
+    private static final Set<String> FIELDS_ADDED_IN_FORMAT_2 = Set.of("format", "awaits", "_ready");
+    private static final String TASK_RANGE_PREFIX = "live/tasks/";
+    private static final String COMPACT_CLAIMS = "s";
 
     private FormatOneStandIn() {}
 
     /** Removes the added fields from the values of a transaction. */
     static String written(String body) {
         JsonObject transaction = JsonParser.parseString(body).getAsJsonObject();
-        for (JsonElement write : transaction.getAsJsonArray("writes")) {
-            JsonObject json = write.getAsJsonObject();
+        for (JsonElement operation : transaction.getAsJsonArray("writes")) {
+            JsonObject json = operation.getAsJsonObject();
             if (json.has("set")) {
-                strip(json.get("set").getAsString(), json.get("v"));
+                removeAddedFields(json.get("set").getAsString(), json.get("v"));
             }
         }
         return transaction.toString();
     }
 
-    private static void strip(String key, JsonElement value) {
-        SINCE_FORMAT_2.forEach(value.getAsJsonObject()::remove);
+    private static void removeAddedFields(String key, JsonElement value) {
+        FIELDS_ADDED_IN_FORMAT_2.forEach(value.getAsJsonObject()::remove);
         if (key.startsWith("final/")) {
             value.getAsJsonObject().remove("at");
         }
@@ -49,25 +49,25 @@
         for (String list : new String[] {"items", "log"}) {
             JsonArray entries = body.has(list) ? body.getAsJsonArray(list) : new JsonArray();
             for (JsonElement entry : entries) {
-                readEntry(simulator, node, entry.getAsJsonObject());
+                translateEntry(simulator, node, entry.getAsJsonObject());
             }
         }
         if (body.has("k")) {
-            readEntry(simulator, node, body);
+            translateEntry(simulator, node, body);
         }
         return new Reply(200, body.toString());
     }
 
-    private static void readEntry(ClusterSimulator simulator, String node, JsonObject entry) {
+    private static void translateEntry(ClusterSimulator simulator, String node, JsonObject entry) {
         if (!entry.has("v")) {
             return;
         }
         String key = entry.get(entry.has("k") ? "k" : "set").getAsString();
         JsonElement value = entry.get("v").deepCopy();
-        if (key.startsWith(TASKS) && value.getAsJsonObject().has(SHORT_FORM)) {
+        if (key.startsWith(TASK_RANGE_PREFIX) && value.getAsJsonObject().has(COMPACT_CLAIMS)) {
             simulator.rules.broken("unreadable", key + " is in a form that " + node + " can't read");
         }
-        strip(key, value);
+        removeAddedFields(key, value);
         entry.add("v", value);
     }
 }
--- a/src/test/java/org/havenford/simulator/NetworkFaults.java
+++ b/src/test/java/org/havenford/simulator/NetworkFaults.java
@@ -27,12 +27,12 @@
     private record ActiveCut(String scope, Cut cut) {}
 
     private final ClusterSimulator simulator;
-    private final Map<String, Cut> cutLinks = new HashMap<>();
-    private final Map<String, Cut> cutZones = new HashMap<>();
-    private final Map<String, String> zones = new HashMap<>();
-    private final Map<String, List<Runnable>> held = new HashMap<>();
+    private final Map<String, Cut> linkCuts = new HashMap<>();
+    private final Map<String, Cut> zoneCuts = new HashMap<>();
+    private final Map<String, String> zonesByAddress = new HashMap<>();
+    private final Map<String, List<Runnable>> heldDeliveries = new HashMap<>();
     /** Held replies to open watches, by the controller that the state service refuses. */
-    private final Map<String, List<Runnable>> refused = new HashMap<>();
+    private final Map<String, List<Runnable>> heldWatchReplies = new HashMap<>();
     /** Additional delay of direct commands to a machine. */
     final Map<String, Duration> lateCommands = new HashMap<>();
     /** Additional delay of replies to watches of a controller. */
@@ -56,35 +56,35 @@
         this.simulator = simulator;
     }
 
-    private static String link(String one, String other) {
-        return one.compareTo(other) < 0 ? one + "~" + other : other + "~" + one;
+    private static String linkKey(String first, String second) {
+        return first.compareTo(second) < 0 ? first + "~" + second : second + "~" + first;
     }
 
     /** Cuts the link between two addresses in both directions. */
-    void cut(String one, String other, Cut cut) {
-        cutLinks.put(link(one, other), cut);
+    void cut(String first, String second, Cut cut) {
+        linkCuts.put(linkKey(first, second), cut);
     }
 
     /** Ends the cut between two addresses and delivers the messages that it held. */
-    void heal(String one, String other) {
-        cutLinks.remove(link(one, other));
-        release(held.remove(link(one, other)));
+    void heal(String first, String second) {
+        linkCuts.remove(linkKey(first, second));
+        release(heldDeliveries.remove(linkKey(first, second)));
     }
 
     /** Cuts a zone off from all addresses outside it. */
     void cutZone(String zone, Cut cut) {
-        cutZones.put(zone, cut);
+        zoneCuts.put(zone, cut);
     }
 
     /** Ends the cut of a zone and delivers the messages that it held. */
     void healZone(String zone) {
-        cutZones.remove(zone);
-        release(held.remove(zone));
+        zoneCuts.remove(zone);
+        release(heldDeliveries.remove(zone));
     }
 
     /** Assigns an address to a zone; users, cloud and state service are in none. */
     void assignZone(String address, String zone) {
-        zones.put(address, zone);
+        zonesByAddress.put(address, zone);
     }
 
     /**
@@ -92,22 +92,22 @@
      * watches are held.
      */
     void refuse(String controller) {
-        refused.put(controller, new ArrayList<>());
+        heldWatchReplies.put(controller, new ArrayList<>());
     }
 
     /** Makes the state service serve a controller again and delivers the held replies to its watches. */
     void serve(String controller) {
-        release(refused.remove(controller));
+        release(heldWatchReplies.remove(controller));
     }
 
     /** Returns whether the state service refuses a controller. */
-    boolean refuses(String controller) {
-        return refused.containsKey(controller);
+    boolean isRefused(String controller) {
+        return heldWatchReplies.containsKey(controller);
     }
 
     /** Holds the reply to a watch of a refused controller until the state service serves the controller again. */
-    void holdForRefused(String controller, Runnable delivery) {
-        refused.get(controller).add(delivery);
+    void holdWatchReply(String controller, Runnable delivery) {
+        heldWatchReplies.get(controller).add(delivery);
     }
 
     private void release(List<Runnable> deliveries) {
@@ -117,39 +117,41 @@
     }
 
     /** Returns the cut between two addresses, or null. A cut of a zone takes precedence over one of the link. */
-    Cut cutBetween(String one, String other) {
-        return activeCut(one, other).cut;
+    Cut cutBetween(String first, String second) {
+        return activeCut(first, second).cut;
     }
 
     /** Returns the cut of the link between two addresses, or null; cuts of zones are ignored. */
-    Cut cutOfLink(String one, String other) {
-        return cutLinks.get(link(one, other));
+    Cut cutOfLink(String first, String second) {
+        return linkCuts.get(linkKey(first, second));
     }
 
-    private ActiveCut activeCut(String one, String other) {
-        String zone = cutZoneBetween(one, other);
-        String link = link(one, other);
-        return zone != null ? new ActiveCut(zone, cutZones.get(zone)) : new ActiveCut(link, cutLinks.get(link));
+    private ActiveCut activeCut(String first, String second) {
+        String zone = cutZoneBetween(first, second);
+        String linkKey = linkKey(first, second);
+        return zone != null ? new ActiveCut(zone, zoneCuts.get(zone)) : new ActiveCut(linkKey, linkCuts.get(linkKey));
     }
 
     /** Returns the zone whose cut separates two addresses, or null. */
-    private String cutZoneBetween(String one, String other) {
-        String zone = zones.get(one);
-        String otherZone = zones.get(other);
+    private String cutZoneBetween(String first, String second) {
+        String zone = zonesByAddress.get(first);
+        String otherZone = zonesByAddress.get(second);
         if (Objects.equals(zone, otherZone)) {
             return null;
         }
-        if (cutZones.containsKey(zone)) {
+        if (zoneCuts.containsKey(zone)) {
             return zone;
         }
-        return cutZones.containsKey(otherZone) ? otherZone : null;
+        return zoneCuts.containsKey(otherZone) ? otherZone : null;
     }
 
     /** Returns whether a message may be delivered now. If not, it is held or lost, depending on the cut. */
     boolean passes(String from, String to, Runnable delivery) {
         ActiveCut active = activeCut(from, to);
         if (active.cut == Cut.HOLD) {
-            held.computeIfAbsent(active.scope, scope -> new ArrayList<>()).add(delivery);
+            heldDeliveries
+                    .computeIfAbsent(active.scope, scope -> new ArrayList<>())
+                    .add(delivery);
         }
         return active.cut == null;
     }
--- a/src/test/java/org/havenford/simulator/RunningTasks.java
+++ b/src/test/java/org/havenford/simulator/RunningTasks.java
@@ -9,18 +9,18 @@
 
     /** Returns whether a task runs; a task on a hung machine counts as ended once the lease of the agent has expired. */
     static boolean isRunning(SimulatedAgent agent, SimulatedAgent.Task task) {
-        return task.on() && !(agent.hung && agent.leaseOver());
+        return task.isExecuting() && !(agent.hung && agent.isLeaseExpired());
     }
 
     /** Returns the job id in a task id of the form {@code job/index}. */
-    static String jobOf(String task) {
-        return task.substring(0, task.indexOf('/'));
+    static String jobOf(String taskId) {
+        return taskId.substring(0, taskId.indexOf('/'));
     }
 
     /** Returns the number of running tasks of a job in each zone that has any. */
-    static Map<String, Integer> byZone(ClusterSimulator world, SimulatedUsers.Job job) {
+    static Map<String, Integer> byZone(ClusterSimulator simulator, SimulatedUsers.Job job) {
         Map<String, Integer> byZone = new TreeMap<>();
-        for (SimulatedAgent agent : world.workers.values()) {
+        for (SimulatedAgent agent : simulator.workers.values()) {
             for (SimulatedAgent.Task task : agent.tasks.values()) {
                 if (isRunning(agent, task) && jobOf(task.shot).equals(job.id)) {
                     byZone.merge(agent.zone, 1, Integer::sum);
--- a/src/test/java/org/havenford/simulator/SimulatedAgent.java
+++ b/src/test/java/org/havenford/simulator/SimulatedAgent.java
@@ -15,7 +15,7 @@
 
 /** Simulates a machine and its agent, which sends heartbeats, executes commands and ends all tasks if its lease expires. */
 final class SimulatedAgent implements ClusterSimulator.Server {
-    private static final Duration TICK = Duration.ofMillis(500);
+    private static final Duration HEARTBEAT_CHECK_INTERVAL = Duration.ofMillis(500);
     private static final Duration LEASE_CHECK_INTERVAL = Duration.ofMillis(200);
     /** Timeout of a heartbeat; a reply that is processed later is ignored. */
     private static final Duration HEARTBEAT_TIMEOUT = Duration.ofSeconds(4);
@@ -27,10 +27,10 @@
         String shot;
         long take;
         String status;
-        String cause;
+        String exitCause;
 
         /** Returns whether the attempt has its image and has not exited. */
-        boolean on() {
+        boolean isExecuting() {
             return status.equals("running") || status.equals("flushing");
         }
 
@@ -38,13 +38,13 @@
             return "exited".equals(status);
         }
 
-        private JsonObject json() {
+        private JsonObject toJson() {
             JsonObject json = new JsonObject();
             json.addProperty("shot", shot);
             json.addProperty("take", take);
             json.addProperty("status", status);
-            if (cause != null) {
-                json.addProperty("cause", cause);
+            if (exitCause != null) {
+                json.addProperty("cause", exitCause);
             }
             return json;
         }
@@ -55,14 +55,14 @@
     final String type;
     final String zone;
     final boolean spot;
-    long session = 1;
-    private long heartbeatNumber;
+    long incarnation = 1;
+    private long heartbeatSequence;
     long token;
-    private final List<Instant> tokenRaisedAt = new ArrayList<>();
+    private final List<Instant> tokenRaiseTimes = new ArrayList<>();
     final Map<String, Task> tasks = new LinkedHashMap<>();
     private final SimulatedTaskExecutor executor;
     /** When the last heartbeat was sent whose reply renewed the lease. */
-    private Instant leaseRenewed;
+    private Instant leaseRenewedAt;
 
     /** Whether the machine has booted and was not terminated. */
     private boolean up;
@@ -75,15 +75,15 @@
     /** Factor by which image pulls on this machine take longer. */
     double slowFetch = 1;
 
-    private final List<Runnable> whileHung = new ArrayList<>();
+    private final List<Runnable> deferredActions = new ArrayList<>();
     /** Index of the controller that receives the heartbeats. */
-    private int target;
+    private int targetIndex;
 
     private boolean heartbeatInFlight;
     /** Whether the next heartbeat is sent without waiting for the heartbeat interval. */
     private boolean heartbeatDue;
 
-    private Instant lastHeartbeat = Instant.EPOCH;
+    private Instant lastHeartbeatAt = Instant.EPOCH;
 
     SimulatedAgent(ClusterSimulator simulator, String name, String type, String zone, boolean spot) {
         this.simulator = simulator;
@@ -101,15 +101,15 @@
     /** Starts the agent, which sends its heartbeats to a random controller at first. */
     void start() {
         up = true;
-        leaseRenewed = simulator.now;
-        target = simulator.random.nextInt(simulator.nodes.size());
+        leaseRenewedAt = simulator.now;
+        targetIndex = simulator.random.nextInt(simulator.nodes.size());
         simulator.servers.put(address(), this);
-        tick();
+        checkHeartbeat();
         checkLease();
     }
 
     /** Ends the machine and all tasks on it for good. */
-    void vanish() {
+    void terminate() {
         up = false;
         simulator.servers.remove(address());
         tasks.clear();
@@ -122,7 +122,7 @@
     }
 
     private String targetNode() {
-        return nodeNames().get(target);
+        return nodeNames().get(targetIndex);
     }
 
     private List<String> nodeNames() {
@@ -132,7 +132,7 @@
     /** Returns when the agent first saw a higher fencing token at or after a second of the run, or {@link Instant#MAX}. */
     Instant firstTokenAfter(double second) {
         Instant from = Instant.EPOCH.plusMillis((long) (second * 1000));
-        return tokenRaisedAt.stream()
+        return tokenRaiseTimes.stream()
                 .filter(at -> !at.isBefore(from))
                 .findFirst()
                 .orElse(Instant.MAX);
@@ -146,19 +146,19 @@
     void hang(boolean hangs) {
         hung = hangs;
         if (!hangs) {
-            expireIfDue();
-            List.copyOf(whileHung).forEach(Runnable::run);
-            whileHung.clear();
+            endTasksIfLeaseExpired();
+            List.copyOf(deferredActions).forEach(Runnable::run);
+            deferredActions.clear();
         }
     }
 
     /** Runs an action, or defers it until the machine resumes if it hangs; does nothing if the machine is not up. */
-    void act(Runnable action) {
+    void runOrDefer(Runnable action) {
         if (!up) {
             return;
         }
         if (hung) {
-            whileHung.add(action);
+            deferredActions.add(action);
         } else {
             action.run();
         }
@@ -168,7 +168,7 @@
         simulator.after(LEASE_CHECK_INTERVAL, () -> {
             if (up) {
                 if (!hung) {
-                    expireIfDue();
+                    endTasksIfLeaseExpired();
                 }
                 checkLease();
             }
@@ -179,36 +179,36 @@
      * Returns whether the lease has expired. Tasks of a hung machine with an expired lease no longer run, although they are
      * still listed: the machine executes nothing, and {@link #hang} ends them before it resumes.
      */
-    boolean leaseOver() {
-        return simulator.now.isAfter(leaseRenewed.plus(simulator.template.agentLease()));
+    boolean isLeaseExpired() {
+        return simulator.now.isAfter(leaseRenewedAt.plus(simulator.template.agentLease()));
     }
 
-    private void expireIfDue() {
-        if (leaseOver()) {
-            newSession("lease over");
+    private void endTasksIfLeaseExpired() {
+        if (isLeaseExpired()) {
+            startIncarnation("lease over");
         }
     }
 
     /** Reboots the machine: it is back at once under a new incarnation, without its tasks. */
     void reboot() {
-        newSession("back after a moment");
+        startIncarnation("back after a moment");
     }
 
-    private void newSession(String why) {
+    private void startIncarnation(String reason) {
         tasks.clear();
-        session++;
-        leaseRenewed = simulator.now;
+        incarnation++;
+        leaseRenewedAt = simulator.now;
         heartbeatDue = true;
         simulator.rules.touched();
-        simulator.note(name + " " + why + ", session " + session);
+        simulator.note(name + " " + reason + ", session " + incarnation);
     }
 
-    private void tick() {
+    private void checkHeartbeat() {
         if (!up) {
             return;
         }
-        simulator.after(TICK, this::tick);
-        Duration since = Duration.between(lastHeartbeat, simulator.now);
+        simulator.after(HEARTBEAT_CHECK_INTERVAL, this::checkHeartbeat);
+        Duration since = Duration.between(lastHeartbeatAt, simulator.now);
         if (!hung
                 && !heartbeatInFlight
                 && (heartbeatDue || since.compareTo(simulator.template.heartbeatInterval()) >= 0)) {
@@ -219,48 +219,48 @@
     private void sendHeartbeat() {
         heartbeatInFlight = true;
         heartbeatDue = false;
-        lastHeartbeat = simulator.now;
+        lastHeartbeatAt = simulator.now;
         Instant sent = simulator.now;
-        long sentSession = session;
+        long sentIncarnation = incarnation;
         simulator.network.call(
                 address(),
                 simulator.nodes.get(targetNode()).settings.bind(),
                 new SimulatedNetwork.Request("POST", "/checkin", heartbeatBody(), HEARTBEAT_TIMEOUT),
-                reply -> act(() -> answered(reply, sent, sentSession)));
+                reply -> runOrDefer(() -> onHeartbeatReply(reply, sent, sentIncarnation)));
     }
 
-    private void answered(Reply reply, Instant sent, long sentSession) {
+    private void onHeartbeatReply(Reply reply, Instant sent, long sentIncarnation) {
         heartbeatInFlight = false;
         if (reply.status() == 200) {
-            accepted(JsonParser.parseString(reply.body()).getAsJsonObject(), sent, sentSession);
-        } else if (reply.status() != 421 || !redirected(reply)) {
-            lastHeartbeat =
+            applyReply(JsonParser.parseString(reply.body()).getAsJsonObject(), sent, sentIncarnation);
+        } else if (reply.status() != 421 || !followRedirect(reply)) {
+            lastHeartbeatAt =
                     simulator.now.minus(simulator.template.heartbeatInterval()).plus(HEARTBEAT_RETRY_DELAY);
-            target = (target + 1) % simulator.nodes.size();
+            targetIndex = (targetIndex + 1) % simulator.nodes.size();
         }
     }
 
-    private void accepted(JsonObject commands, Instant sent, long sentSession) {
-        if (sentSession != session
+    private void applyReply(JsonObject commands, Instant sent, long sentIncarnation) {
+        if (sentIncarnation != incarnation
                 || commands.get("baton").getAsLong() < token
                 || Duration.between(sent, simulator.now).compareTo(HEARTBEAT_TIMEOUT) > 0) {
             return;
         }
-        leaseRenewed = sent;
-        obey(commands);
+        leaseRenewedAt = sent;
+        executeCommands(commands);
     }
 
     /** Switches to the controller that a reply names; returns false if it names none, an unknown one or the current one. */
-    private boolean redirected(Reply reply) {
+    private boolean followRedirect(Reply reply) {
         JsonObject json = JsonParser.parseString(reply.body()).getAsJsonObject();
         if (!json.has("director")) {
             return false;
         }
-        int next = nodeNames().indexOf(json.get("director").getAsString());
-        if (next < 0 || next == target) {
+        int namedIndex = nodeNames().indexOf(json.get("director").getAsString());
+        if (namedIndex < 0 || namedIndex == targetIndex) {
             return false;
         }
-        target = next;
+        targetIndex = namedIndex;
         heartbeatDue = true;
         return true;
     }
@@ -272,53 +272,53 @@
         json.addProperty("rig", type);
         json.addProperty("hall", zone);
         json.addProperty("borrowed", spot);
-        json.addProperty("shift", session);
-        json.addProperty("tally", ++heartbeatNumber);
+        json.addProperty("shift", incarnation);
+        json.addProperty("tally", ++heartbeatSequence);
         json.addProperty("baton", token);
         if (notice != null) {
             json.addProperty("warningS", notice);
         }
         JsonArray reports = new JsonArray();
-        tasks.values().forEach(task -> reports.add(task.json()));
+        tasks.values().forEach(task -> reports.add(task.toJson()));
         json.add("shots", reports);
         return json.toString();
     }
 
     @Override
-    public void request(String method, String path, String body, Consumer<Reply> answer) {
-        act(() -> {
+    public void request(String method, String path, String body, Consumer<Reply> callback) {
+        runOrDefer(() -> {
             if (path.equals("/do")) {
                 JsonObject json = JsonParser.parseString(body).getAsJsonObject();
-                if (json.get("baton").getAsLong() < token || json.get("shift").getAsLong() != session) {
-                    answer.accept(new Reply(409, heartbeatBody()));
+                if (json.get("baton").getAsLong() < token || json.get("shift").getAsLong() != incarnation) {
+                    callback.accept(new Reply(409, heartbeatBody()));
                     return;
                 }
-                obey(json);
+                executeCommands(json);
             }
-            answer.accept(new Reply(200, heartbeatBody()));
+            callback.accept(new Reply(200, heartbeatBody()));
         });
     }
 
-    private void obey(JsonObject json) {
+    private void executeCommands(JsonObject json) {
         if (json.get("baton").getAsLong() > token) {
-            tokenRaisedAt.add(simulator.now);
+            tokenRaiseTimes.add(simulator.now);
             token = json.get("baton").getAsLong();
             heartbeatDue = true;
         }
         for (JsonElement element : json.getAsJsonArray("cues")) {
             JsonObject command = element.getAsJsonObject();
-            String shot = command.get("shot").getAsString();
-            long take = command.get("take").getAsLong();
+            String taskId = command.get("shot").getAsString();
+            long attempt = command.get("take").getAsLong();
             switch (command.get("cue").getAsString()) {
-                case "run" -> executor.run(shot, take);
-                case "stop" -> executor.stop(shot, take);
-                default -> executor.forget(shot, take);
+                case "run" -> executor.run(taskId, attempt);
+                case "stop" -> executor.stop(taskId, attempt);
+                default -> executor.forget(taskId, attempt);
             }
         }
     }
 
     /** Makes the next heartbeat due at once, because the state of a task has changed. */
-    void reportSoon() {
+    void requestHeartbeat() {
         heartbeatDue = true;
     }
 }
--- a/src/test/java/org/havenford/simulator/SimulatedCloud.java
+++ b/src/test/java/org/havenford/simulator/SimulatedCloud.java
@@ -22,10 +22,10 @@
     /** CPUs and memory in GB by machine type. */
     static final Map<String, double[]> TYPES = types();
 
-    static final double FETCH_GB_PER_S = 0.5;
-    private static final double ORDINARY_PRICE_PER_CPU = 0.06;
+    static final double IMAGE_PULL_GB_PER_S = 0.5;
+    private static final double ON_DEMAND_PRICE_PER_CPU = 0.06;
     private static final double SPOT_PRICE_PER_CPU = 0.02;
-    private static final int PER_OFFER = 3;
+    private static final int DEFAULT_MACHINES_PER_OFFER = 3;
     /** How long after a machine starts or terminates the machine list shows it. */
     private static final Duration LIST_LAG = Duration.ofSeconds(4);
 
@@ -41,17 +41,17 @@
     }
 
     private final ClusterSimulator simulator;
-    private final Map<String, List<String>> bookings = new HashMap<>();
-    private final TreeMap<String, JsonObject> listed = new TreeMap<>();
+    private final Map<String, List<String>> launchedByBooking = new HashMap<>();
+    private final TreeMap<String, JsonObject> listedMachines = new TreeMap<>();
     /** Names of machines that have terminated. */
     final Set<String> gone = new HashSet<>();
-    /** When each machine was returned, by name; machines that the cloud terminated are not in it. */
+    /** When a controller first returned each machine, by name. */
     final Map<String, Instant> returned = new HashMap<>();
 
     /** When the first machine of each kind was launched; the keys are {@code spot} and {@code ordinary} (on-demand). */
     final Map<String, Instant> firstRented = new HashMap<>();
 
-    private int created;
+    private int nextMachineNumber;
     boolean outage;
     List<String> zones = List.of("a", "b", "c");
     /** Zones in which machines launched from now on never finish booting. */
@@ -62,7 +62,7 @@
     int rented;
 
     /** Maximum number of machines of each type, zone and kind (spot or on-demand). */
-    int perOffer = PER_OFFER;
+    int perOffer = DEFAULT_MACHINES_PER_OFFER;
 
     SimulatedCloud(ClusterSimulator simulator) {
         this.simulator = simulator;
@@ -70,11 +70,11 @@
 
     /** Launches a machine whose agent starts after {@code bootDelay}; the machine list shows it after {@link #LIST_LAG}. */
     SimulatedAgent boot(String type, String zone, boolean spot, Duration bootDelay) {
-        String name = String.format("host-%06d", created++);
+        String name = String.format("host-%06d", nextMachineNumber++);
         JsonObject json = machineJson(name, type, zone, spot);
         simulator.after(LIST_LAG, () -> {
             if (!gone.contains(name)) {
-                listed.put(name, json);
+                listedMachines.put(name, json);
             }
         });
         SimulatedAgent agent = new SimulatedAgent(simulator, name, type, zone, spot);
@@ -105,23 +105,23 @@
     /** Terminates a machine for good; the machine list shows it until {@link #LIST_LAG} has passed. */
     void terminate(String name) {
         gone.add(name);
-        simulator.workers.get(name).vanish();
-        simulator.after(LIST_LAG, () -> listed.remove(name));
+        simulator.workers.get(name).terminate();
+        simulator.after(LIST_LAG, () -> listedMachines.remove(name));
     }
 
     @Override
-    public void request(String method, String path, String body, Consumer<Reply> answer) {
+    public void request(String method, String path, String body, Consumer<Reply> callback) {
         if (outage) {
-            answer.accept(new Reply(503, "{\"error\":\"trouble\"}"));
+            callback.accept(new Reply(503, "{\"error\":\"trouble\"}"));
         } else if (path.equals("/machine_types")) {
-            answer.accept(machineTypes());
+            callback.accept(machineTypes());
         } else if (path.equals("/machines")) {
-            answer.accept(rent(JsonParser.parseString(body).getAsJsonObject()));
+            callback.accept(launch(JsonParser.parseString(body).getAsJsonObject()));
         } else if (path.equals("/machines/return")) {
             returnMachines(JsonParser.parseString(body).getAsJsonObject().getAsJsonArray("boxes"));
-            answer.accept(new Reply(200, "{}"));
+            callback.accept(new Reply(200, "{}"));
         } else {
-            answer.accept(list(path));
+            callback.accept(listPage(path));
         }
     }
 
@@ -140,8 +140,8 @@
         json.addProperty("cards", 0);
         json.addProperty("memGb", size[1]);
         json.addProperty("localGb", 40);
-        json.addProperty("fetchGbPerS", FETCH_GB_PER_S);
-        json.addProperty("hourly", size[0] * ORDINARY_PRICE_PER_CPU);
+        json.addProperty("fetchGbPerS", IMAGE_PULL_GB_PER_S);
+        json.addProperty("hourly", size[0] * ON_DEMAND_PRICE_PER_CPU);
         json.addProperty("spotPrice", size[0] * SPOT_PRICE_PER_CPU);
         json.addProperty("bootS", 20);
         JsonArray zoneNames = new JsonArray();
@@ -161,13 +161,13 @@
     }
 
     /** Returns a page of the machine list, sorted by name. */
-    private Reply list(String path) {
-        String since = path.contains("since=") ? path.replaceFirst(".*since=([^&]*).*", "$1") : "";
+    private Reply listPage(String path) {
+        String after = path.contains("since=") ? path.replaceFirst(".*since=([^&]*).*", "$1") : "";
         int limit = Integer.parseInt(path.replaceFirst(".*limit=([0-9]+).*", "$1"));
         JsonArray machines = new JsonArray();
         boolean truncated = false;
         for (Map.Entry<String, JsonObject> machine :
-                listed.tailMap(since, false).entrySet()) {
+                listedMachines.tailMap(after, false).entrySet()) {
             truncated = machines.size() == limit;
             if (truncated) {
                 break;
@@ -184,9 +184,9 @@
      * Launches machines. A request that repeats the booking id of an earlier successful one launches nothing; its reply
      * names the same machines again.
      */
-    private Reply rent(JsonObject request) {
+    private Reply launch(JsonObject request) {
         String booking = request.get("booking").getAsString();
-        List<String> names = bookings.get(booking);
+        List<String> names = launchedByBooking.get(booking);
         if (names == null) {
             String type = request.get("rig").getAsString();
             String zone = request.get("hall").getAsString();
@@ -195,8 +195,8 @@
             if (count <= 0) {
                 return new Reply(503, "{\"error\":\"no capacity\"}");
             }
-            names = bootRented(type, zone, spot, count);
-            bookings.put(booking, names);
+            names = launchMachines(type, zone, spot, count);
+            launchedByBooking.put(booking, names);
             firstRented.putIfAbsent(spot ? "spot" : "ordinary", simulator.now);
         }
         JsonArray machines = new JsonArray();
@@ -215,11 +215,11 @@
                 .count();
     }
 
-    private List<String> bootRented(String type, String zone, boolean spot, int count) {
+    private List<String> launchMachines(String type, String zone, boolean spot, int count) {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            Duration usual = Duration.ofMillis(MIN_BOOT_MILLIS + simulator.random.nextInt(BOOT_JITTER_MILLIS));
-            names.add(boot(type, zone, spot, bootTime == null ? usual : bootTime).name);
+            Duration usualBootTime = Duration.ofMillis(MIN_BOOT_MILLIS + simulator.random.nextInt(BOOT_JITTER_MILLIS));
+            names.add(boot(type, zone, spot, bootTime == null ? usualBootTime : bootTime).name);
             rented++;
         }
         return names;
--- a/src/test/java/org/havenford/simulator/SimulatedNetwork.java
+++ b/src/test/java/org/havenford/simulator/SimulatedNetwork.java
@@ -10,7 +10,7 @@
     private static final Duration REFUSAL_DELAY = Duration.ofMillis(1);
     private static final HttpCalls.Reply NO_ANSWER = new HttpCalls.Reply(HttpCalls.NO_ANSWER, "");
     private static final HttpCalls.Reply NOT_SENT = new HttpCalls.Reply(HttpCalls.NOT_SENT, "");
-    private static final HttpCalls.Reply REFUSED = new HttpCalls.Reply(503, "{\"error\":\"refused\"}");
+    private static final HttpCalls.Reply REFUSED_BY_STORE = new HttpCalls.Reply(503, "{\"error\":\"refused\"}");
 
     /** A request; the body may be null. */
     record Request(String method, String path, String body, Duration timeout) {
@@ -18,7 +18,7 @@
             return path.startsWith("/changes");
         }
 
-        private boolean isCommand() {
+        private boolean isDirectCommand() {
             return path.startsWith("/do");
         }
 
@@ -36,23 +36,23 @@
     }
 
     /**
-     * Sends a request. {@code done} is called once, with the reply or with one of the substitutes
+     * Sends a request. {@code callback} is called once, with the reply or with one of the substitutes
      * {@link HttpCalls#NOT_SENT} and {@link HttpCalls#NO_ANSWER}.
      */
-    void call(String from, String to, Request request, Consumer<HttpCalls.Reply> done) {
-        new Exchange(from, to, request, done).begin();
+    void call(String from, String to, Request request, Consumer<HttpCalls.Reply> callback) {
+        new Exchange(from, to, request, callback).start();
     }
 
     /**
      * Delivers a message after a random latency, or holds or drops it according to the active faults. If the sender is
      * frozen, the message is queued first.
      */
-    private void carry(String from, String to, Runnable delivery) {
+    private void transmit(String from, String to, Runnable delivery) {
         if (faults.deaf.contains(to)) {
             return;
         }
         SimulatedController sender = simulator.controllerAt(from);
-        if (sender != null && sender.queueIfFrozen(() -> carry(from, to, delivery))) {
+        if (sender != null && sender.queueIfFrozen(() -> transmit(from, to, delivery))) {
             return;
         }
         if (faults.passes(from, to, delivery)) {
@@ -61,23 +61,26 @@
         }
     }
 
-    /** One request and its reply. */
+    /**
+     * One request and its reply. Late commands, slow calls and duplicates are delivered to the server without regard to cuts,
+     * deaf addresses and frozen senders; replies are subject to all of these.
+     */
     private final class Exchange {
         private final String from;
         private final String to;
         private final Request request;
-        private final Consumer<HttpCalls.Reply> done;
+        private final Consumer<HttpCalls.Reply> callback;
         private final boolean toStore;
         /** Additional delay of the reply to a watch; null for none. */
-        private Duration answerDelay;
+        private Duration watchReplyDelay;
 
-        private boolean over;
+        private boolean completed;
 
-        Exchange(String from, String to, Request request, Consumer<HttpCalls.Reply> done) {
+        Exchange(String from, String to, Request request, Consumer<HttpCalls.Reply> callback) {
             this.from = from;
             this.to = to;
             this.request = request;
-            this.done = done;
+            this.callback = callback;
             this.toStore = to.equals(simulator.template.storeAddress());
         }
 
@@ -86,40 +89,40 @@
             return toStore && !request.isWatch();
         }
 
-        void begin() {
+        void start() {
             simulator.after(request.timeout, () -> complete(NO_ANSWER));
             if (faults.mute.contains(from)) {
                 return;
             }
-            if (isStoreCall() && faults.refuses(from)) {
-                sendBack(REFUSED);
+            if (isStoreCall() && faults.isRefused(from)) {
+                sendReply(REFUSED_BY_STORE);
                 return;
             }
-            Duration commandDelay = request.isCommand() ? faults.lateCommands.get(to) : null;
-            answerDelay = request.isWatch() ? faults.lateChanges.get(from) : null;
+            Duration commandDelay = request.isDirectCommand() ? faults.lateCommands.get(to) : null;
+            watchReplyDelay = request.isWatch() ? faults.lateChanges.get(from) : null;
             if (commandDelay != null) {
-                simulator.after(commandDelay, () -> deliver(this::sendBack));
+                simulator.after(commandDelay, () -> deliver(this::sendReply));
                 return;
             }
-            sendCopy();
+            sendDuplicate();
             Duration callDelay = isStoreCall() ? faults.takeSlowCall(from) : null;
             if (callDelay != null) {
-                simulator.after(callDelay, () -> deliver(this::sendBack));
+                simulator.after(callDelay, () -> deliver(this::sendReply));
                 return;
             }
             send();
         }
 
         /** Delivers the request a second time if a fault duplicates it; the second reply is discarded. */
-        private void sendCopy() {
-            Duration delay = copyDelay();
+        private void sendDuplicate() {
+            Duration delay = duplicateDelay();
             if (delay != null) {
                 simulator.after(delay, () -> deliver(reply -> {}));
             }
         }
 
         /** Returns the delay after which the request is delivered a second time, or null if it is not. */
-        private Duration copyDelay() {
+        private Duration duplicateDelay() {
             if (request.isHeartbeat()) {
                 return faults.copies.get(from);
             }
@@ -131,41 +134,41 @@
                 simulator.after(REFUSAL_DELAY, () -> complete(NOT_SENT));
                 return;
             }
-            carry(from, to, () -> {
-                if (!deliver(this::answer)) {
-                    sendBack(NOT_SENT);
+            transmit(from, to, () -> {
+                if (!deliver(this::reply)) {
+                    sendReply(NOT_SENT);
                 }
             });
         }
 
         /** Passes the request to the server at the destination; returns false if none listens there. */
-        private boolean deliver(Consumer<HttpCalls.Reply> answer) {
+        private boolean deliver(Consumer<HttpCalls.Reply> replyCallback) {
             ClusterSimulator.Server server = simulator.servers.get(to);
             if (server == null) {
                 return false;
             }
-            server.request(request.method, request.path, request.body, answer);
+            server.request(request.method, request.path, request.body, replyCallback);
             return true;
         }
 
-        private void answer(HttpCalls.Reply reply) {
-            Duration delay = answerDelay == null ? Duration.ZERO : answerDelay;
-            Runnable delivery = () -> simulator.after(delay, () -> sendBack(reply));
-            if (toStore && request.isWatch() && faults.refuses(from)) {
-                faults.holdForRefused(from, delivery);
+        private void reply(HttpCalls.Reply reply) {
+            Duration delay = watchReplyDelay == null ? Duration.ZERO : watchReplyDelay;
+            Runnable delivery = () -> simulator.after(delay, () -> sendReply(reply));
+            if (toStore && request.isWatch() && faults.isRefused(from)) {
+                faults.holdWatchReply(from, delivery);
             } else {
                 delivery.run();
             }
         }
 
-        private void sendBack(HttpCalls.Reply reply) {
-            carry(to, from, () -> complete(reply));
+        private void sendReply(HttpCalls.Reply reply) {
+            transmit(to, from, () -> complete(reply));
         }
 
         private void complete(HttpCalls.Reply reply) {
-            if (!over) {
-                over = true;
-                done.accept(reply);
+            if (!completed) {
+                completed = true;
+                callback.accept(reply);
             }
         }
     }
--- a/src/test/java/org/havenford/simulator/SimulatedPeerNetwork.java
+++ b/src/test/java/org/havenford/simulator/SimulatedPeerNetwork.java
@@ -22,8 +22,8 @@
     private static final int LATENCY_RANGE_MILLIS = 3;
 
     private final ClusterSimulator simulator;
-    private final Map<String, Port> listening = new HashMap<>();
-    private final List<Link> connections = new ArrayList<>();
+    private final Map<String, Endpoint> listeners = new HashMap<>();
+    private final List<SimulatedConnection> connections = new ArrayList<>();
     /** Directions, as {@code from>to}, in which nothing arrives. */
     final Set<String> oneWayCuts = new HashSet<>();
 
@@ -31,65 +31,68 @@
      * The network endpoint of one controller process.
      *
      * @param alive returns whether the process still runs
-     * @param act runs an action in the process; later if the process is frozen, never if it has ended
-     * @param accepted called with each accepted connection; null unless the endpoint listens
+     * @param executor runs an action in the process; later if the process is frozen, never if it has ended
+     * @param onAccept called with each accepted connection; null unless the endpoint listens
      */
-    record Port(
-            String node, BooleanSupplier alive, Consumer<Runnable> act, Consumer<PeerNetwork.Connection> accepted) {}
+    record Endpoint(
+            String node,
+            BooleanSupplier alive,
+            Consumer<Runnable> executor,
+            Consumer<PeerNetwork.Connection> onAccept) {}
 
     SimulatedPeerNetwork(ClusterSimulator simulator) {
         this.simulator = simulator;
     }
 
-    /** Returns the network for one process of a controller; see {@link Port} for the parameters. */
-    PeerNetwork of(String node, BooleanSupplier alive, Consumer<Runnable> act) {
-        return new ProcessNetwork(new Port(node, alive, act, null));
+    /** Returns the network for one process of a controller; see {@link Endpoint} for the parameters. */
+    PeerNetwork of(String node, BooleanSupplier alive, Consumer<Runnable> executor) {
+        return new ProcessNetwork(new Endpoint(node, alive, executor, null));
     }
 
     /** The network as used by one process. */
     private final class ProcessNetwork implements PeerNetwork {
-        private final Port self;
+        private final Endpoint local;
 
-        ProcessNetwork(Port self) {
-            this.self = self;
+        ProcessNetwork(Endpoint local) {
+            this.local = local;
         }
 
         @Override
         public void listen(String address, Consumer<Connection> accepted) {
-            listening.put(address, new Port(self.node, self.alive, self.act, accepted));
+            listeners.put(address, new Endpoint(local.node, local.alive, local.executor, accepted));
         }
 
         @Override
         public void connect(String address, Duration timeout, Consumer<Connection> connected, Consumer<String> failed) {
-            simulator.behaviour.peer(simulator.now, self.node, address, "connect", new byte[0]);
-            Port other = listening.get(address);
+            simulator.behaviour.peer(simulator.now, local.node, address, "connect", new byte[0]);
+            Endpoint listener = listeners.get(address);
             String target = address.substring(0, address.indexOf(':'));
-            NetworkFaults.Cut cut = cutBetweenNodes(self.node, target);
-            boolean listens = other != null && other.alive.getAsBoolean();
+            NetworkFaults.Cut cut = cutBetweenNodes(local.node, target);
+            boolean listens = listener != null && listener.alive.getAsBoolean();
             if (cut == NetworkFaults.Cut.RESET || (cut == null && !listens)) {
                 fail(REFUSAL_DELAY, failed, "refused");
-            } else if (cut != null || isLost(self.node, target)) {
+            } else if (cut != null || isCutOneWay(local.node, target)) {
                 fail(timeout, failed, "no answer in time");
             } else {
-                open(self, other, connected);
+                open(local, listener, connected);
             }
         }
 
         private void fail(Duration delay, Consumer<String> failed, String reason) {
-            simulator.after(delay, () -> self.act.accept(() -> failed.accept(reason)));
+            simulator.after(delay, () -> local.executor.accept(() -> failed.accept(reason)));
         }
     }
 
-    private void open(Port dialer, Port acceptor, Consumer<PeerNetwork.Connection> connected) {
-        Link link = new Link();
-        End here = new End(link, dialer);
-        End there = new End(link, acceptor);
-        here.peer = there;
-        there.peer = here;
-        link.ends = List.of(here, there);
-        connections.add(link);
-        there.run(() -> acceptor.accepted.accept(there));
-        here.run(() -> connected.accept(here));
+    private void open(Endpoint dialer, Endpoint acceptor, Consumer<PeerNetwork.Connection> connected) {
+        SimulatedConnection connection = new SimulatedConnection();
+        ConnectionEnd dialerEnd = new ConnectionEnd(connection, dialer);
+        ConnectionEnd acceptorEnd = new ConnectionEnd(connection, acceptor);
+        dialerEnd.peer = acceptorEnd;
+        acceptorEnd.peer = dialerEnd;
+        connection.ends = List.of(dialerEnd, acceptorEnd);
+        connections.add(connection);
+        acceptorEnd.run(() -> acceptor.onAccept.accept(acceptorEnd));
+        dialerEnd.run(() -> connected.accept(dialerEnd));
     }
 
     /** Returns the cut between two controllers, or null. */
@@ -102,7 +105,7 @@
                 address, simulator.nodes.get(other).settings.bind());
     }
 
-    private boolean isLost(String from, String to) {
+    private boolean isCutOneWay(String from, String to) {
         return oneWayCuts.contains(from + ">" + to) || oneWayCuts.contains(to + ">" + from);
     }
 
@@ -111,9 +114,9 @@
      * a cut lies between them.
      */
     void ended(String node) {
-        for (Link link : List.copyOf(connections)) {
-            for (End end : link.ends) {
-                if (end.port.node.equals(node) && !link.over) {
+        for (SimulatedConnection connection : List.copyOf(connections)) {
+            for (ConnectionEnd end : connection.ends) {
+                if (end.endpoint.node.equals(node) && !connection.closed) {
                     end.close();
                 }
             }
@@ -121,39 +124,42 @@
     }
 
     /** A connection; once it is closed nothing more arrives at either end. */
-    private static final class Link {
-        private boolean over;
-        private List<End> ends;
+    private static final class SimulatedConnection {
+        private boolean closed;
+        private List<ConnectionEnd> ends;
     }
 
     /** One end of a connection. */
-    private final class End implements PeerNetwork.Connection {
-        private final Link link;
-        private final Port port;
-        private End peer;
+    private final class ConnectionEnd implements PeerNetwork.Connection {
+        private final SimulatedConnection connection;
+        private final Endpoint endpoint;
+        private ConnectionEnd peer;
         private Instant lastArrival = Instant.EPOCH;
-        private boolean broken;
+        /** Whether a delivery from this end was dropped, so that nothing more reaches the peer. */
+        private boolean stalled;
+
         private PeerNetwork.Receiver receiver;
-        private final List<byte[]> early = new ArrayList<>();
+        /** Chunks that arrived before a receiver was set. */
+        private final List<byte[]> receivedEarly = new ArrayList<>();
 
-        End(Link link, Port port) {
-            this.link = link;
-            this.port = port;
+        ConnectionEnd(SimulatedConnection connection, Endpoint endpoint) {
+            this.connection = connection;
+            this.endpoint = endpoint;
         }
 
         @Override
         public void send(ByteBuffer bytes) {
             byte[] copy = new byte[bytes.remaining()];
             bytes.get(copy);
-            simulator.behaviour.peer(simulator.now, port.node, peer.port.node, "send", copy);
-            toPeer(() -> peer.arrived(copy));
+            simulator.behaviour.peer(simulator.now, endpoint.node, peer.endpoint.node, "send", copy);
+            deliverToPeer(() -> peer.onArrival(copy));
         }
 
         /** Delivers to the peer in order. A cut of any kind drops this delivery and all later ones in this direction. */
-        private void toPeer(Runnable delivery) {
-            NetworkFaults.Cut cut = cutBetweenNodes(port.node, peer.port.node);
-            broken |= cut != null || oneWayCuts.contains(port.node + ">" + peer.port.node);
-            if (broken) {
+        private void deliverToPeer(Runnable delivery) {
+            NetworkFaults.Cut cut = cutBetweenNodes(endpoint.node, peer.endpoint.node);
+            stalled |= cut != null || oneWayCuts.contains(endpoint.node + ">" + peer.endpoint.node);
+            if (stalled) {
                 return;
             }
             Instant at = simulator.now.plusMillis(1 + simulator.random.nextInt(LATENCY_RANGE_MILLIS));
@@ -162,17 +168,17 @@
         }
 
         private void run(Runnable action) {
-            if (port.alive.getAsBoolean()) {
-                port.act.accept(action);
+            if (endpoint.alive.getAsBoolean()) {
+                endpoint.executor.accept(action);
             }
         }
 
-        private void arrived(byte[] bytes) {
-            if (link.over) {
+        private void onArrival(byte[] bytes) {
+            if (connection.closed) {
                 return;
             }
             if (receiver == null) {
-                early.add(bytes);
+                receivedEarly.add(bytes);
             } else {
                 receiver.received(ByteBuffer.wrap(bytes));
             }
@@ -186,21 +192,21 @@
         @Override
         public void receiver(PeerNetwork.Receiver newReceiver) {
             receiver = newReceiver;
-            List<byte[]> waiting = List.copyOf(early);
-            early.clear();
-            waiting.forEach(bytes -> simulator.after(Duration.ZERO, () -> run(() -> arrived(bytes))));
+            List<byte[]> buffered = List.copyOf(receivedEarly);
+            receivedEarly.clear();
+            buffered.forEach(bytes -> simulator.after(Duration.ZERO, () -> run(() -> onArrival(bytes))));
         }
 
         @Override
         public void close() {
-            if (link.over) {
+            if (connection.closed) {
                 return;
             }
-            simulator.behaviour.peer(simulator.now, port.node, peer.port.node, "close", new byte[0]);
-            toPeer(() -> {
-                if (!link.over) {
-                    link.over = true;
-                    connections.remove(link);
+            simulator.behaviour.peer(simulator.now, endpoint.node, peer.endpoint.node, "close", new byte[0]);
+            deliverToPeer(() -> {
+                if (!connection.closed) {
+                    connection.closed = true;
+                    connections.remove(connection);
                     if (peer.receiver != null) {
                         peer.receiver.closed("closed by the other end");
                     }
--- a/src/test/java/org/havenford/simulator/SimulatedStore.java
+++ b/src/test/java/org/havenford/simulator/SimulatedStore.java
@@ -17,11 +17,11 @@
 
 /** Simulates the state service: a key-value store with transactions, leases, watches, rate limits and size limits. */
 final class SimulatedStore implements ClusterSimulator.Server {
-    private static final String CHANGES_PATH = "/changes";
+    private static final String WATCH_PATH = "/changes";
     private static final String TRANSACTION_PATH = "/multi";
     private static final String LEASES_PATH = "/holds";
     private static final String VALUE_PATH = "/store/";
-    private static final String BATCH_PREFIX = "live/machine/";
+    private static final String MACHINE_BATCH_PREFIX = "live/machine/";
     private static final String MEMBER_PREFIX = "live/member/";
     /** Small, so that listing the keys of a small cluster takes several pages. */
     private static final int DEFAULT_PAGE_SIZE = 7;
@@ -29,7 +29,7 @@
     private static final int DEFAULT_MAX_OPERATIONS = 12;
 
     /** A stored value, its mod revision and the id of the lease that it is bound to, if any. */
-    record StoredValue(JsonElement json, long revision, OptionalLong lease) {}
+    record StoredValue(JsonElement json, long modRevision, OptionalLong leaseId) {}
 
     private final ClusterSimulator simulator;
     private final StoreLeases leases;
@@ -40,16 +40,16 @@
     /** Number of requests that passed the rate limits. */
     int requests;
     /** Number of operations in the transactions that passed the rate limits. */
-    int written;
+    int acceptedOperations;
     /** Number of requests that were rejected with status 429 because of the rate limits. */
     int refused;
     /** Number of transactions that were rejected because a condition failed. */
     int conflicts;
     /** Number of operations that deleted a member key: evictions of members whose lease had not yet expired. */
     int evictions;
-    /** Number of applied operations by {@code set} or {@code delete} and category of the key, see {@link #kind}. */
+    /** Number of applied operations, by kind ({@code set} or {@code delete}) and {@link #keyCategory}. */
     final TreeMap<String, Integer> changesOf = new TreeMap<>();
-    /** Number of failed conditions by category of the key. */
+    /** Number of failed conditions, by {@link #keyCategory}. */
     final TreeMap<String, Integer> conflictsOf = new TreeMap<>();
     /** Whether the service is unavailable: it answers requests with status 503, and watches not at all. */
     boolean outage;
@@ -63,10 +63,10 @@
     int lostAnswers;
 
     /** The maximum length of a value in characters. {@link #lowerLimits()} lowers this limit and the next ones. */
-    private int valueBytes;
+    private int maxValueLength;
 
     private int maxOperations = DEFAULT_MAX_OPERATIONS;
-    private double changesPerSecond;
+    private double maxChangesPerSecond;
     /** Whether a value beyond the size limit is rejected with status 400 and counted; otherwise it fails the test. */
     boolean rejectsTooLarge;
     /** Number of transactions that were rejected for a value beyond the size limit. */
@@ -74,18 +74,18 @@
 
     SimulatedStore(ClusterSimulator simulator) {
         this.simulator = simulator;
-        this.leases = new StoreLeases(simulator, () -> outage, this::deleteValuesOf);
+        this.leases = new StoreLeases(simulator, () -> outage, this::deleteKeysBoundTo);
         this.rateLimiter = new StoreRateLimiter(simulator);
         this.watches = new StoreWatches(simulator, () -> outage, () -> revision);
-        this.valueBytes = simulator.template.presentValueBytes();
-        this.changesPerSecond = simulator.template.storeChangesPerSecond();
+        this.maxValueLength = simulator.template.presentValueBytes();
+        this.maxChangesPerSecond = simulator.template.storeChangesPerSecond();
     }
 
     /** Lowers the limits to the future ones that the platform settings announce. */
     void lowerLimits() {
-        valueBytes = simulator.template.valueBytes();
+        maxValueLength = simulator.template.valueBytes();
         maxOperations = simulator.template.maxTransactionOperations();
-        changesPerSecond = simulator.template.nextStoreChangesPerSecond();
+        maxChangesPerSecond = simulator.template.nextStoreChangesPerSecond();
     }
 
     /** Returns whether any value whose key has the prefix contains the text in its JSON form. */
@@ -107,7 +107,7 @@
      */
     void forgeZone(String machine, String zone) {
         for (Map.Entry<String, StoredValue> entry : List.copyOf(values.entrySet())) {
-            if (entry.getKey().startsWith(BATCH_PREFIX)
+            if (entry.getKey().startsWith(MACHINE_BATCH_PREFIX)
                     && entry.getValue()
                             .json
                             .getAsJsonObject()
@@ -129,8 +129,8 @@
         watches.notifyWatches();
     }
 
-    private void set(String key, JsonElement value, OptionalLong lease) {
-        values.put(key, new StoredValue(value, revision, lease));
+    private void set(String key, JsonElement value, OptionalLong leaseId) {
+        values.put(key, new StoredValue(value, revision, leaseId));
         watches.recordSet(key, value);
     }
 
@@ -140,10 +140,10 @@
     }
 
     /** Deletes all keys that are bound to a lease, in one revision. */
-    private void deleteValuesOf(long lease) {
-        OptionalLong expired = OptionalLong.of(lease);
+    private void deleteKeysBoundTo(long leaseId) {
+        OptionalLong expired = OptionalLong.of(leaseId);
         List<String> keys = values.entrySet().stream()
-                .filter(entry -> entry.getValue().lease.equals(expired))
+                .filter(entry -> entry.getValue().leaseId.equals(expired))
                 .map(Map.Entry::getKey)
                 .toList();
         if (!keys.isEmpty()) {
@@ -153,12 +153,13 @@
         }
     }
 
-    private boolean admits(String path, String body) {
-        int writes = path.equals(TRANSACTION_PATH) ? StoreTransaction.countWrites(body) : 0;
-        boolean admitted = rateLimiter.admits(simulator.template.storeRequestsPerSecond(), changesPerSecond, writes);
+    private boolean admit(String path, String body) {
+        int operations = path.equals(TRANSACTION_PATH) ? StoreTransaction.countOperations(body) : 0;
+        boolean admitted =
+                rateLimiter.tryAcquire(simulator.template.storeRequestsPerSecond(), maxChangesPerSecond, operations);
         if (admitted) {
             requests++;
-            written += writes;
+            acceptedOperations += operations;
         } else {
             refused++;
         }
@@ -166,28 +167,28 @@
     }
 
     @Override
-    public void request(String method, String path, String body, Consumer<Reply> answer) {
-        if (!outage && !admits(path, body)) {
-            answer.accept(new Reply(429, "{\"error\":\"too many\"}"));
-        } else if (path.startsWith(CHANGES_PATH)) {
-            Map<String, String> query = query(path);
-            watches.open(
-                    new StoreWatches.Watch(query.get("prefix"), Long.parseLong(query.get("since")), answer),
+    public void request(String method, String path, String body, Consumer<Reply> callback) {
+        if (!outage && !admit(path, body)) {
+            callback.accept(new Reply(429, "{\"error\":\"too many\"}"));
+        } else if (path.startsWith(WATCH_PATH)) {
+            Map<String, String> query = queryParameters(path);
+            watches.addWatch(
+                    new StoreWatches.Watch(query.get("prefix"), Long.parseLong(query.get("since")), callback),
                     Long.parseLong(query.getOrDefault("blockMs", "0")));
         } else if (outage) {
-            answer.accept(new Reply(503, "{\"error\":\"trouble\"}"));
+            callback.accept(new Reply(503, "{\"error\":\"trouble\"}"));
         } else if (path.equals(TRANSACTION_PATH)) {
-            transaction(body, answer);
+            handleTransaction(body, callback);
         } else if (path.startsWith(LEASES_PATH)) {
-            answer.accept(leaseRequest(method, path, body));
+            callback.accept(handleLeaseRequest(method, path, body));
         } else if (path.startsWith(VALUE_PATH)) {
-            answer.accept(read(path.substring(VALUE_PATH.length())));
+            callback.accept(readKey(path.substring(VALUE_PATH.length())));
         } else {
-            answer.accept(list(query(path)));
+            callback.accept(listPage(queryParameters(path)));
         }
     }
 
-    private void transaction(String body, Consumer<Reply> answer) {
+    private void handleTransaction(String body, Consumer<Reply> callback) {
         if (lostAnswers > 0) {
             lostAnswers--;
             apply(StoreTransaction.parse(body));
@@ -196,37 +197,37 @@
             lateTransactions--;
             simulator.after(lateTransactionDelay, () -> apply(StoreTransaction.parse(body)));
         } else {
-            answer.accept(apply(StoreTransaction.parse(body)));
+            callback.accept(apply(StoreTransaction.parse(body)));
         }
     }
 
-    private Reply leaseRequest(String method, String path, String body) {
+    private Reply handleLeaseRequest(String method, String path, String body) {
         if (path.equals(LEASES_PATH)) {
             JsonObject json = JsonParser.parseString(body).getAsJsonObject();
             long id = leases.grant(Duration.ofMillis(json.get("lifeMs").getAsLong()));
             return new Reply(200, "{\"permit\":" + id + "}");
         }
         long id = Long.parseLong(path.split("/")[2]);
-        boolean known;
+        boolean found;
         if (path.endsWith("/touch")) {
-            known = leases.renew(id);
+            found = leases.renew(id);
         } else if (method.equals("DELETE")) {
-            known = leases.release(id);
+            found = leases.release(id);
         } else {
             throw new AssertionError("request is not part of the state service's protocol: " + method + " " + path);
         }
-        return new Reply(known ? 200 : 404, "{}");
+        return new Reply(found ? 200 : 404, "{}");
     }
 
-    private Reply read(String key) {
+    private Reply readKey(String key) {
         StoredValue value = values.get(key);
         return value == null
                 ? new Reply(404, "{\"edition\":" + revision + "}")
-                : new Reply(200, item(key, value).toString());
+                : new Reply(200, toJson(key, value).toString());
     }
 
     /** Returns a page of the keys with a prefix, sorted by key. */
-    private Reply list(Map<String, String> query) {
+    private Reply listPage(Map<String, String> query) {
         String prefix = query.get("prefix");
         JsonArray items = new JsonArray();
         boolean truncated = false;
@@ -239,7 +240,7 @@
                 truncated = true;
                 break;
             }
-            items.add(item(entry.getKey(), entry.getValue()));
+            items.add(toJson(entry.getKey(), entry.getValue()));
         }
         JsonObject json = new JsonObject();
         json.add("items", items);
@@ -248,15 +249,15 @@
         return new Reply(200, json.toString());
     }
 
-    private static JsonObject item(String key, StoredValue value) {
+    private static JsonObject toJson(String key, StoredValue value) {
         JsonObject json = new JsonObject();
         json.addProperty("k", key);
         json.add("v", value.json);
-        json.addProperty("stamp", value.revision);
+        json.addProperty("stamp", value.modRevision);
         return json;
     }
 
-    private static Map<String, String> query(String path) {
+    private static Map<String, String> queryParameters(String path) {
         Map<String, String> query = new HashMap<>();
         for (String parameter : path.substring(path.indexOf('?') + 1).split("&")) {
             String[] nameAndValue = parameter.split("=", 2);
@@ -269,65 +270,65 @@
         if (transaction.exceeds(maxOperations)) {
             throw new AssertionError("transaction exceeds the limits of the state service: " + transaction);
         }
-        Set<String> failed = failedConditions(transaction);
-        if (!transaction.writes().stream().allMatch(write -> leases.permits(write.lease()))) {
+        Set<String> failedKeys = failedConditions(transaction);
+        if (!transaction.operations().stream().allMatch(operation -> leases.allowsLeaseId(operation.leaseId()))) {
             return new Reply(400, "{\"error\":\"no such lease\"}");
         }
-        if (rejectsTooLarge && transaction.longestValue() > valueBytes) {
+        if (rejectsTooLarge && transaction.longestValueLength() > maxValueLength) {
             rejectedTooLarge++;
             return new Reply(400, "{\"error\":\"too large\"}");
         }
-        if (!failed.isEmpty()) {
-            return conflict(failed);
+        if (!failedKeys.isEmpty()) {
+            return conflict(failedKeys);
         }
-        if (!transaction.writes().isEmpty()) {
+        if (!transaction.operations().isEmpty()) {
             revision++;
         }
-        transaction.writes().forEach(this::apply);
+        transaction.operations().forEach(this::apply);
         watches.notifyWatches();
         return new Reply(200, "{\"edition\":" + revision + "}");
     }
 
     private Set<String> failedConditions(StoreTransaction transaction) {
-        Set<String> failed = new HashSet<>();
+        Set<String> failedKeys = new HashSet<>();
         for (StoreTransaction.Condition condition : transaction.conditions()) {
             StoredValue value = values.get(condition.key());
-            if ((value == null ? 0 : value.revision) != condition.revision()) {
-                failed.add(condition.key());
+            if ((value == null ? 0 : value.modRevision) != condition.modRevision()) {
+                failedKeys.add(condition.key());
             }
         }
-        return failed;
+        return failedKeys;
     }
 
-    private Reply conflict(Set<String> failed) {
+    private Reply conflict(Set<String> failedKeys) {
         conflicts++;
         JsonArray keys = new JsonArray();
-        failed.forEach(keys::add);
-        failed.forEach(key -> conflictsOf.merge(kind(key), 1, Integer::sum));
+        failedKeys.forEach(keys::add);
+        failedKeys.forEach(key -> conflictsOf.merge(keyCategory(key), 1, Integer::sum));
         JsonObject json = new JsonObject();
         json.add("failed", keys);
         json.addProperty("edition", revision);
         return new Reply(409, json.toString());
     }
 
-    private void apply(StoreTransaction.Write write) {
-        String key = write.key();
-        changesOf.merge((write.deletes() ? "delete " : "set ") + kind(key), 1, Integer::sum);
-        if (write.deletes()) {
+    private void apply(StoreTransaction.Operation operation) {
+        String key = operation.key();
+        changesOf.merge((operation.isDelete() ? "delete " : "set ") + keyCategory(key), 1, Integer::sum);
+        if (operation.isDelete()) {
             if (key.startsWith(MEMBER_PREFIX)) {
                 evictions++;
             }
             delete(key);
             return;
         }
-        if (write.valueLength() > valueBytes) {
-            throw new AssertionError("value exceeds the size limit of the state service: " + write);
+        if (operation.valueLength() > maxValueLength) {
+            throw new AssertionError("value exceeds the size limit of the state service: " + operation);
         }
-        set(key, write.value(), write.lease());
+        set(key, operation.value(), operation.leaseId());
     }
 
     /** Returns the category of a key: its first segment, or its first two if it starts with {@code live/}. */
-    private static String kind(String key) {
+    private static String keyCategory(String key) {
         String[] parts = key.split("/");
         return key.startsWith("live/") && parts.length > 1 ? parts[0] + "/" + parts[1] : parts[0];
     }
--- a/src/test/java/org/havenford/simulator/SimulatedTaskExecutor.java
+++ b/src/test/java/org/havenford/simulator/SimulatedTaskExecutor.java
@@ -7,13 +7,13 @@
 /** Simulates task attempts on one machine: the image pull, the run and the exit with a cause. */
 final class SimulatedTaskExecutor {
     private static final double CPU_TOLERANCE = 1e-6;
-    private static final Duration AT_ONCE = Duration.ofMillis(1);
+    private static final Duration SHORT_DELAY = Duration.ofMillis(1);
     /** How long after its start a failing task exits. */
-    private static final Duration FAILS_AFTER = Duration.ofSeconds(1);
+    private static final Duration FAILURE_DELAY = Duration.ofSeconds(1);
 
     private final ClusterSimulator simulator;
     private final SimulatedAgent agent;
-    private final Set<String> images = new HashSet<>();
+    private final Set<String> pulledImages = new HashSet<>();
 
     SimulatedTaskExecutor(ClusterSimulator simulator, SimulatedAgent agent) {
         this.simulator = simulator;
@@ -21,44 +21,45 @@
     }
 
     /** Starts an attempt of a task; has no effect if the attempt is already listed. */
-    void run(String shot, long take) {
-        if (agent.tasks.containsKey(key(shot, take))) {
+    void run(String taskId, long attempt) {
+        if (agent.tasks.containsKey(attemptKey(taskId, attempt))) {
             return;
         }
-        agent.reportSoon();
+        agent.requestHeartbeat();
         SimulatedAgent.Task task = new SimulatedAgent.Task();
-        task.shot = shot;
-        task.take = take;
-        boolean busy = agent.tasks.values().stream().anyMatch(other -> other.shot.equals(shot) && !other.isExited());
-        agent.tasks.put(key(shot, take), task);
+        task.shot = taskId;
+        task.take = attempt;
+        boolean hasOtherAttempt =
+                agent.tasks.values().stream().anyMatch(other -> other.shot.equals(taskId) && !other.isExited());
+        agent.tasks.put(attemptKey(taskId, attempt), task);
         SimulatedUsers.Job job = jobOf(task);
-        if (busy || job == null) {
-            reject(task, busy ? "busy" : "unknown");
+        if (hasOtherAttempt || job == null) {
+            reject(task, hasOtherAttempt ? "busy" : "unknown");
         } else if (job.cpus + cpusOfOthers(task) > SimulatedCloud.TYPES.get(agent.type)[0] + CPU_TOLERANCE) {
             reject(task, "no_room");
         } else {
-            fetch(task, job);
+            pullImage(task, job);
         }
     }
 
     /** Ends an attempt of a task if it is on the machine and has not exited. */
-    void stop(String shot, long take) {
-        SimulatedAgent.Task task = agent.tasks.get(key(shot, take));
+    void stop(String taskId, long attempt) {
+        SimulatedAgent.Task task = agent.tasks.get(attemptKey(taskId, attempt));
         if (task != null && !task.isExited()) {
             exit(task, "stopped");
         }
     }
 
     /** Removes an attempt that has exited, so that heartbeats no longer report it. */
-    void forget(String shot, long take) {
-        SimulatedAgent.Task task = agent.tasks.get(key(shot, take));
+    void forget(String taskId, long attempt) {
+        SimulatedAgent.Task task = agent.tasks.get(attemptKey(taskId, attempt));
         if (task != null && task.isExited()) {
-            agent.tasks.remove(key(shot, take));
+            agent.tasks.remove(attemptKey(taskId, attempt));
         }
     }
 
-    private static String key(String shot, long take) {
-        return shot + "#" + take;
+    private static String attemptKey(String taskId, long attempt) {
+        return taskId + "#" + attempt;
     }
 
     private SimulatedUsers.Job jobOf(SimulatedAgent.Task task) {
@@ -72,25 +73,25 @@
                 .sum();
     }
 
-    private void fetch(SimulatedAgent.Task task, SimulatedUsers.Job job) {
+    private void pullImage(SimulatedAgent.Task task, SimulatedUsers.Job job) {
         task.status = "pulling";
-        Duration duration = images.contains(job.image)
-                ? AT_ONCE
-                : Duration.ofMillis((long) (1000 / SimulatedCloud.FETCH_GB_PER_S * job.imageGb * agent.slowFetch));
-        after(duration, task, "pulling", () -> {
-            images.add(job.image);
-            start(task, job);
+        Duration duration = pulledImages.contains(job.image)
+                ? SHORT_DELAY
+                : Duration.ofMillis((long) (1000 / SimulatedCloud.IMAGE_PULL_GB_PER_S * job.imageGb * agent.slowFetch));
+        continueAfter(duration, task, "pulling", () -> {
+            pulledImages.add(job.image);
+            startRun(task, job);
         });
     }
 
-    private void start(SimulatedAgent.Task task, SimulatedUsers.Job job) {
+    private void startRun(SimulatedAgent.Task task, SimulatedUsers.Job job) {
         task.status = "running";
-        agent.reportSoon();
+        agent.requestHeartbeat();
         simulator.rules.started(agent, task);
         // A task whose result is already stored exits almost at once.
-        Duration length = simulator.users.finished.contains(task.shot) ? AT_ONCE : job.run(simulator.random);
+        Duration runTime = simulator.users.finished.contains(task.shot) ? SHORT_DELAY : job.run(simulator.random);
         boolean fails = agent.faulty || job.broken;
-        after(fails ? FAILS_AFTER : length, task, "running", () -> {
+        continueAfter(fails ? FAILURE_DELAY : runTime, task, "running", () -> {
             if (!fails) {
                 simulator.users.finished.add(task.shot);
             }
@@ -99,25 +100,25 @@
     }
 
     /** Runs the next step of an attempt after a delay, unless the attempt was removed or changed its status meanwhile. */
-    private void after(Duration delay, SimulatedAgent.Task task, String status, Runnable next) {
+    private void continueAfter(Duration delay, SimulatedAgent.Task task, String status, Runnable nextStep) {
         simulator.after(
                 delay,
-                () -> agent.act(() -> {
-                    if (agent.tasks.get(key(task.shot, task.take)) == task && task.status.equals(status)) {
-                        next.run();
+                () -> agent.runOrDefer(() -> {
+                    if (agent.tasks.get(attemptKey(task.shot, task.take)) == task && task.status.equals(status)) {
+                        nextStep.run();
                     }
                 }));
     }
 
     private static void reject(SimulatedAgent.Task task, String cause) {
         task.status = "exited";
-        task.cause = cause;
+        task.exitCause = cause;
     }
 
     private void exit(SimulatedAgent.Task task, String cause) {
         task.status = "exited";
-        task.cause = cause;
-        agent.reportSoon();
+        task.exitCause = cause;
+        agent.requestHeartbeat();
         simulator.rules.touched();
     }
 }
--- a/src/test/java/org/havenford/simulator/SimulatorSettings.java
+++ b/src/test/java/org/havenford/simulator/SimulatorSettings.java
@@ -6,7 +6,7 @@
 import org.havenford.protocol.MalformedMessageException;
 import org.havenford.settings.PlatformSettings;
 
-/** Creates the platform settings of the controllers of a {@link ClusterSimulator} as text of the settings file. */
+/** Creates the platform settings of the controllers of a {@link ClusterSimulator}, parsed or as text of the settings file. */
 final class SimulatorSettings {
     static final int DEFAULT_NODES = 3;
     static final String DEFAULT_AGENTS = "{\"report_s\":3,\"lease_s\":20,\"cancel_s\":44}";
@@ -29,7 +29,7 @@
      */
     static PlatformSettings of(int node, int nodes, String teams, String agents, String store) {
         try {
-            return PlatformSettings.parse(json(node, Addresses.simulated(nodes), teams, agents, store));
+            return PlatformSettings.parse(json(node, Addresses.ofSimulator(nodes), teams, agents, store));
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
@@ -38,18 +38,18 @@
     /**
      * The addresses of the controllers of a cluster and of the services that it uses.
      *
-     * @param binds the addresses at which the controllers serve HTTP requests
-     * @param peers the addresses at which the controllers accept peer connections
+     * @param bindAddresses the addresses at which the controllers serve HTTP requests
+     * @param peerAddresses the addresses at which the controllers accept peer connections
      * @param cloud the address of the cloud
      * @param state the address of the state service
      */
-    record Addresses(List<String> binds, List<String> peers, String cloud, String state) {
+    record Addresses(List<String> bindAddresses, List<String> peerAddresses, String cloud, String state) {
         /** Returns fixed addresses, as the simulated network does not use real ports. */
-        private static Addresses simulated(int nodes) {
-            return new Addresses(numbered(nodes, ":1"), numbered(nodes, ":2"), "cloud:1", "state:1");
+        private static Addresses ofSimulator(int nodes) {
+            return new Addresses(nodeAddresses(nodes, ":1"), nodeAddresses(nodes, ":2"), "cloud:1", "state:1");
         }
 
-        private static List<String> numbered(int nodes, String port) {
+        private static List<String> nodeAddresses(int nodes, String port) {
             return IntStream.range(0, nodes)
                     .mapToObj(node -> "node-" + node + port)
                     .toList();
@@ -65,9 +65,9 @@
                         + "\"cloud\":{\"rps\":5,\"list_lag_s\":4}}}",
                 node,
                 zone(node),
-                addresses.binds().get(node),
-                addresses.peers().get(node),
-                others(node, addresses.peers()),
+                addresses.bindAddresses().get(node),
+                addresses.peerAddresses().get(node),
+                others(node, addresses.peerAddresses()),
                 addresses.cloud(),
                 addresses.state(),
                 teams,
@@ -75,12 +75,12 @@
                 store);
     }
 
-    private static String others(int node, List<String> peers) {
-        return IntStream.range(0, peers.size())
+    private static String others(int node, List<String> peerAddresses) {
+        return IntStream.range(0, peerAddresses.size())
                 .filter(other -> other != node)
                 .mapToObj(other -> String.format(
                         "{\"node_name\":\"node-%d\",\"location\":\"%c\",\"peer_addr\":\"%s\"}",
-                        other, zone(other), peers.get(other)))
+                        other, zone(other), peerAddresses.get(other)))
                 .collect(Collectors.joining(","));
     }
 
--- a/src/test/java/org/havenford/simulator/StoreLeases.java
+++ b/src/test/java/org/havenford/simulator/StoreLeases.java
@@ -24,21 +24,21 @@
     }
 
     private final ClusterSimulator simulator;
-    private final BooleanSupplier outage;
-    private final LongConsumer expired;
+    private final BooleanSupplier isUnavailable;
+    private final LongConsumer onExpiry;
     private final Map<Long, Lease> leases = new HashMap<>();
     private long lastId;
 
     /**
      * Creates an empty set of leases.
      *
-     * @param outage returns whether the service is currently unavailable
-     * @param expired called with the id of each lease that expires
+     * @param isUnavailable returns whether the service is currently unavailable
+     * @param onExpiry called with the id of each lease that expires
      */
-    StoreLeases(ClusterSimulator simulator, BooleanSupplier outage, LongConsumer expired) {
+    StoreLeases(ClusterSimulator simulator, BooleanSupplier isUnavailable, LongConsumer onExpiry) {
         this.simulator = simulator;
-        this.outage = outage;
-        this.expired = expired;
+        this.isUnavailable = isUnavailable;
+        this.onExpiry = onExpiry;
     }
 
     /** Grants a new lease and returns its id. */
@@ -72,7 +72,7 @@
     }
 
     /** Returns whether an operation may name this lease: the lease exists, or the operation names none. */
-    boolean permits(OptionalLong id) {
+    boolean allowsLeaseId(OptionalLong id) {
         return id.isEmpty() || leases.containsKey(id.getAsLong());
     }
 
@@ -84,13 +84,14 @@
 
     private void scheduleExpiry(long id) {
         Lease lease = leases.get(id);
-        simulator.after(Duration.between(simulator.now, lease.end).plus(EXPIRY_DELAY), () -> expireIfDue(id, lease));
+        simulator.after(
+                Duration.between(simulator.now, lease.end).plus(EXPIRY_DELAY), () -> removeIfExpired(id, lease));
     }
 
-    private void expireIfDue(long id, Lease lease) {
-        if (leases.get(id) == lease && !outage.getAsBoolean() && !simulator.now.isBefore(lease.end)) {
+    private void removeIfExpired(long id, Lease lease) {
+        if (leases.get(id) == lease && !isUnavailable.getAsBoolean() && !simulator.now.isBefore(lease.end)) {
             leases.remove(id);
-            expired.accept(id);
+            onExpiry.accept(id);
         }
     }
 }
--- a/src/test/java/org/havenford/simulator/StoreRateLimiter.java
+++ b/src/test/java/org/havenford/simulator/StoreRateLimiter.java
@@ -9,7 +9,7 @@
 
     private final ClusterSimulator simulator;
     /** The time of the last refill; null before the first request, which finds both buckets full. */
-    private Instant refilled;
+    private Instant lastRefill;
 
     private double requestTokens;
     private double changeTokens;
@@ -22,14 +22,14 @@
      * Takes the tokens for a request with this many changes and returns whether both buckets had enough. A request that
      * exceeds only one limit is still charged to the other.
      */
-    boolean admits(double requestsPerSecond, double changesPerSecond, int changes) {
-        if (refilled == null) {
-            refilled = simulator.now;
+    boolean tryAcquire(double requestsPerSecond, double changesPerSecond, int changes) {
+        if (lastRefill == null) {
+            lastRefill = simulator.now;
             requestTokens = requestsPerSecond;
             changeTokens = changesPerSecond;
         }
-        long elapsedNanos = Duration.between(refilled, simulator.now).toNanos();
-        refilled = simulator.now;
+        long elapsedNanos = Duration.between(lastRefill, simulator.now).toNanos();
+        lastRefill = simulator.now;
         requestTokens = refill(requestTokens, requestsPerSecond, elapsedNanos);
         changeTokens = refill(changeTokens, changesPerSecond, elapsedNanos);
         boolean requestAllowed = requestTokens >= 1;
--- a/src/test/java/org/havenford/simulator/StoreTransaction.java
+++ b/src/test/java/org/havenford/simulator/StoreTransaction.java
@@ -15,16 +15,16 @@
  *
  * @param bodyLength the length of the request body in characters
  */
-record StoreTransaction(List<Condition> conditions, List<Write> writes, int bodyLength) {
+record StoreTransaction(List<Condition> conditions, List<Operation> operations, int bodyLength) {
     private static final int MAX_BODY_LENGTH = 64 * 1024;
     private static final int MAX_CONDITIONS_PER_OPERATION = 4;
 
     /** Requires that a key has this mod revision; 0 means that the key must not exist. */
-    record Condition(String key, long revision) {}
+    record Condition(String key, long modRevision) {}
 
     /** Sets a key and binds it to the lease, if any; or deletes the key, if the value is null. */
-    record Write(String key, JsonElement value, OptionalLong lease) {
-        boolean deletes() {
+    record Operation(String key, JsonElement value, OptionalLong leaseId) {
+        boolean isDelete() {
             return value == null;
         }
 
@@ -32,12 +32,12 @@
             return value == null ? 0 : value.toString().length();
         }
 
-        private static Write parse(JsonObject json) {
-            OptionalLong lease =
+        private static Operation parse(JsonObject json) {
+            OptionalLong leaseId =
                     json.has("permit") ? OptionalLong.of(json.get("permit").getAsLong()) : OptionalLong.empty();
             return json.has("set")
-                    ? new Write(json.get("set").getAsString(), Objects.requireNonNull(json.get("v"), "v"), lease)
-                    : new Write(json.get("delete").getAsString(), null, lease);
+                    ? new Operation(json.get("set").getAsString(), Objects.requireNonNull(json.get("v"), "v"), leaseId)
+                    : new Operation(json.get("delete").getAsString(), null, leaseId);
         }
     }
 
@@ -50,31 +50,31 @@
             conditions.add(new Condition(
                     condition.get("k").getAsString(), condition.get("stamp").getAsLong()));
         }
-        List<Write> writes = new ArrayList<>();
-        for (JsonElement element : writes(json)) {
-            writes.add(Write.parse(element.getAsJsonObject()));
+        List<Operation> operations = new ArrayList<>();
+        for (JsonElement element : operations(json)) {
+            operations.add(Operation.parse(element.getAsJsonObject()));
         }
-        return new StoreTransaction(conditions, writes, body.length());
+        return new StoreTransaction(conditions, operations, body.length());
     }
 
     /** Returns the number of operations in a request body. */
-    static int countWrites(String body) {
-        return writes(JsonParser.parseString(body).getAsJsonObject()).size();
+    static int countOperations(String body) {
+        return operations(JsonParser.parseString(body).getAsJsonObject()).size();
     }
 
-    private static JsonArray writes(JsonObject json) {
+    private static JsonArray operations(JsonObject json) {
         return json.getAsJsonArray("writes");
     }
 
     /** Returns whether the transaction exceeds the limits on operations, conditions or the length of the body. */
     boolean exceeds(int maxOperations) {
-        return writes.size() > maxOperations
+        return operations.size() > maxOperations
                 || conditions.size() > MAX_CONDITIONS_PER_OPERATION * maxOperations
                 || bodyLength > MAX_BODY_LENGTH;
     }
 
     /** Returns the length of the longest value that the transaction sets, or 0 if it sets none. */
-    int longestValue() {
-        return writes.stream().mapToInt(Write::valueLength).max().orElse(0);
+    int longestValueLength() {
+        return operations.stream().mapToInt(Operation::valueLength).max().orElse(0);
     }
 }
--- a/src/test/java/org/havenford/simulator/StoreWatches.java
+++ b/src/test/java/org/havenford/simulator/StoreWatches.java
@@ -17,7 +17,7 @@
 
     /** One change of a key; {@code value} is null if the key was deleted. */
     private record Change(long revision, String key, JsonElement value) {
-        JsonObject json() {
+        JsonObject toJson() {
             JsonObject json = new JsonObject();
             json.addProperty(value == null ? "delete" : "set", key);
             if (value != null) {
@@ -29,11 +29,11 @@
     }
 
     /** A request for all changes after revision {@code since} of keys with the prefix. */
-    record Watch(String prefix, long since, Consumer<Reply> answer) {}
+    record Watch(String prefix, long since, Consumer<Reply> callback) {}
 
     private final ClusterSimulator simulator;
-    private final BooleanSupplier outage;
-    private final LongSupplier revision;
+    private final BooleanSupplier isUnavailable;
+    private final LongSupplier currentRevision;
     private final List<Change> changes = new ArrayList<>();
     private final List<Watch> watches = new ArrayList<>();
     /** The revision of the newest change that was dropped from the log. */
@@ -46,55 +46,55 @@
     /**
      * Creates an empty change log.
      *
-     * @param outage returns whether the service is currently unavailable
-     * @param revision returns the current revision of the service
+     * @param isUnavailable returns whether the service is currently unavailable
+     * @param currentRevision returns the current revision of the service
      */
-    StoreWatches(ClusterSimulator simulator, BooleanSupplier outage, LongSupplier revision) {
+    StoreWatches(ClusterSimulator simulator, BooleanSupplier isUnavailable, LongSupplier currentRevision) {
         this.simulator = simulator;
-        this.outage = outage;
-        this.revision = revision;
+        this.isUnavailable = isUnavailable;
+        this.currentRevision = currentRevision;
     }
 
     /** Appends a put at the current revision to the log. Watches are answered only by {@link #notifyWatches()}. */
     void recordSet(String key, JsonElement value) {
-        changes.add(new Change(revision.getAsLong(), key, value));
+        changes.add(new Change(currentRevision.getAsLong(), key, value));
     }
 
     /** Appends a deletion at the current revision to the log, likewise without answering watches. */
     void recordDelete(String key) {
-        changes.add(new Change(revision.getAsLong(), key, null));
+        changes.add(new Change(currentRevision.getAsLong(), key, null));
     }
 
     /**
      * Answers a watch as soon as there are changes for it, or with an empty list after {@code blockMillis}. If that time
      * ends during an outage, the watch stays open until there are changes.
      */
-    void open(Watch watch, long blockMillis) {
-        if (answer(watch, blockMillis == 0 && !outage.getAsBoolean())) {
+    void addWatch(Watch watch, long blockMillis) {
+        if (answerIfReady(watch, blockMillis == 0 && !isUnavailable.getAsBoolean())) {
             return;
         }
         watches.add(watch);
         simulator.after(Duration.ofMillis(Math.max(1, blockMillis)), () -> {
-            if (!outage.getAsBoolean() && watches.remove(watch)) {
-                answer(watch, true);
+            if (!isUnavailable.getAsBoolean() && watches.remove(watch)) {
+                answerIfReady(watch, true);
             }
         });
     }
 
     /** Answers and removes all watches for which there are changes; does nothing during an outage. */
     void notifyWatches() {
-        watches.removeIf(watch -> answer(watch, false));
+        watches.removeIf(watch -> answerIfReady(watch, false));
     }
 
     /** Answers a watch if there are changes for it or {@code answerEmpty} is set; returns whether it was answered. */
-    private boolean answer(Watch watch, boolean answerEmpty) {
-        if (outage.getAsBoolean()) {
+    private boolean answerIfReady(Watch watch, boolean answerEmpty) {
+        if (isUnavailable.getAsBoolean()) {
             return false;
         }
         compact();
         if (watch.since < compactedRevision) {
             rejectedTooOld++;
-            watch.answer.accept(new Reply(410, "{\"error\":\"too old\"}"));
+            watch.callback.accept(new Reply(410, "{\"error\":\"too old\"}"));
             return true;
         }
         JsonArray log = changesFor(watch);
@@ -102,9 +102,9 @@
             return false;
         }
         JsonObject json = new JsonObject();
-        json.addProperty("edition", revision.getAsLong());
+        json.addProperty("edition", currentRevision.getAsLong());
         json.add("log", log);
-        watch.answer.accept(new Reply(200, json.toString()));
+        watch.callback.accept(new Reply(200, json.toString()));
         return true;
     }
 
@@ -122,7 +122,7 @@
         JsonArray log = new JsonArray();
         for (Change change : changes.subList(from, changes.size())) {
             if (change.key.startsWith(watch.prefix)) {
-                log.add(change.json());
+                log.add(change.toJson());
             }
         }
         return log;
