--- a/src/test/java/org/havenford/simulator/FormatOneStandIn.java
+++ b/src/test/java/org/havenford/simulator/FormatOneStandIn.java
@@ -8,36 +8,39 @@
 import org.havenford.transport.HttpCalls.Reply;
 
 /**
- * What of this program's stored values the version before format 2 knows: all else is lost when it writes, and unseen when
- * it reads. A controller behind it stands for one of that version.
+ * Makes a controller of this version behave towards the state service like one of the version before format 2: fields
+ * that format 2 added are removed from the values that the controller writes and from those that it reads.
  */
 final class FormatOneStandIn {
-    private static final Set<String> SINCE_FORMAT_2 = Set.of("format", "awaits", "_ready");
-    private static final String TASKS = "live/tasks/";
-    private static final String SHORT_FORM = "s";
+    private static final Set<String> FIELDS_ADDED_IN_FORMAT_2 = Set.of("format", "awaits", "_ready");
+    private static final String TASK_RANGE_PREFIX = "live/tasks/";
+    private static final String COMPACT_CLAIMS = "s";
 
     private FormatOneStandIn() {}
 
-    /** A transaction as that version would have written it. */
+    /** Removes the added fields from the values of a transaction. */
     static String written(String body) {
         JsonObject transaction = JsonParser.parseString(body).getAsJsonObject();
-        for (JsonElement write : transaction.getAsJsonArray("writes")) {
-            JsonObject json = write.getAsJsonObject();
+        for (JsonElement operation : transaction.getAsJsonArray("writes")) {
+            JsonObject json = operation.getAsJsonObject();
             if (json.has("set")) {
-                strip(json.get("set").getAsString(), json.get("v"));
+                removeAddedFields(json.get("set").getAsString(), json.get("v"));
             }
         }
         return transaction.toString();
     }
 
-    private static void strip(String key, JsonElement value) {
-        SINCE_FORMAT_2.forEach(value.getAsJsonObject()::remove);
+    private static void removeAddedFields(String key, JsonElement value) {
+        FIELDS_ADDED_IN_FORMAT_2.forEach(value.getAsJsonObject()::remove);
         if (key.startsWith("final/")) {
             value.getAsJsonObject().remove("at");
         }
     }
 
-    /** An answer of the state service as that version understands it; what it can't read breaks the trace. */
+    /**
+     * Removes the added fields from the values in a reply of the state service. A value that the older version cannot parse
+     * is recorded as a violation of the rule {@code unreadable}.
+     */
     static Reply read(ClusterSimulator simulator, String node, Reply reply) {
         if (reply.status() != 200 || !reply.body().startsWith("{")) {
             return reply;
@@ -46,25 +49,25 @@
         for (String list : new String[] {"items", "log"}) {
             JsonArray entries = body.has(list) ? body.getAsJsonArray(list) : new JsonArray();
             for (JsonElement entry : entries) {
-                readEntry(simulator, node, entry.getAsJsonObject());
+                translateEntry(simulator, node, entry.getAsJsonObject());
             }
         }
         if (body.has("k")) {
-            readEntry(simulator, node, body);
+            translateEntry(simulator, node, body);
         }
         return new Reply(200, body.toString());
     }
 
-    private static void readEntry(ClusterSimulator simulator, String node, JsonObject entry) {
+    private static void translateEntry(ClusterSimulator simulator, String node, JsonObject entry) {
         if (!entry.has("v")) {
             return;
         }
         String key = entry.get(entry.has("k") ? "k" : "set").getAsString();
         JsonElement value = entry.get("v").deepCopy();
-        if (key.startsWith(TASKS) && value.getAsJsonObject().has(SHORT_FORM)) {
+        if (key.startsWith(TASK_RANGE_PREFIX) && value.getAsJsonObject().has(COMPACT_CLAIMS)) {
             simulator.rules.broken("unreadable", key + " is in a form that " + node + " can't read");
         }
-        strip(key, value);
+        removeAddedFields(key, value);
         entry.add("v", value);
     }
 }
--- a/src/test/java/org/havenford/simulator/StoreTransaction.java
+++ b/src/test/java/org/havenford/simulator/StoreTransaction.java
@@ -10,20 +10,21 @@
 import java.util.OptionalLong;
 
 /**
- * A transaction as a controller sends it to the state service: if all conditions hold, all writes are applied at once.
+ * A transaction that a controller sent to the state service: if all conditions hold, all operations are applied
+ * atomically.
  *
- * @param bodyLength length of the request's body in characters
+ * @param bodyLength the length of the request body in characters
  */
-record StoreTransaction(List<Condition> conditions, List<Write> writes, int bodyLength) {
+record StoreTransaction(List<Condition> conditions, List<Operation> operations, int bodyLength) {
     private static final int MAX_BODY_LENGTH = 64 * 1024;
     private static final int MAX_CONDITIONS_PER_OPERATION = 4;
 
-    /** A key must be at this revision; revision 0 says that it must not exist. */
-    record Condition(String key, long revision) {}
+    /** Requires that a key has this mod revision; 0 means that the key must not exist. */
+    record Condition(String key, long modRevision) {}
 
-    /** Sets a key, or deletes it if the value is null; a key that is bound to a lease is deleted when the lease expires. */
-    record Write(String key, JsonElement value, OptionalLong lease) {
-        boolean deletes() {
+    /** Sets a key and binds it to the lease, if any; or deletes the key, if the value is null. */
+    record Operation(String key, JsonElement value, OptionalLong leaseId) {
+        boolean isDelete() {
             return value == null;
         }
 
@@ -31,16 +32,16 @@
             return value == null ? 0 : value.toString().length();
         }
 
-        private static Write parse(JsonObject json) {
-            OptionalLong lease =
+        private static Operation parse(JsonObject json) {
+            OptionalLong leaseId =
                     json.has("permit") ? OptionalLong.of(json.get("permit").getAsLong()) : OptionalLong.empty();
             return json.has("set")
-                    ? new Write(json.get("set").getAsString(), Objects.requireNonNull(json.get("v"), "v"), lease)
-                    : new Write(json.get("delete").getAsString(), null, lease);
+                    ? new Operation(json.get("set").getAsString(), Objects.requireNonNull(json.get("v"), "v"), leaseId)
+                    : new Operation(json.get("delete").getAsString(), null, leaseId);
         }
     }
 
-    /** Reads the body of a request; one that is not a transaction fails the test. */
+    /** Parses a request body; a body that is not a transaction fails the test with an exception. */
     static StoreTransaction parse(String body) {
         JsonObject json = JsonParser.parseString(body).getAsJsonObject();
         List<Condition> conditions = new ArrayList<>();
@@ -49,31 +50,31 @@
             conditions.add(new Condition(
                     condition.get("k").getAsString(), condition.get("stamp").getAsLong()));
         }
-        List<Write> writes = new ArrayList<>();
-        for (JsonElement element : writes(json)) {
-            writes.add(Write.parse(element.getAsJsonObject()));
+        List<Operation> operations = new ArrayList<>();
+        for (JsonElement element : operations(json)) {
+            operations.add(Operation.parse(element.getAsJsonObject()));
         }
-        return new StoreTransaction(conditions, writes, body.length());
+        return new StoreTransaction(conditions, operations, body.length());
     }
 
-    /** The number of writes in the body of a request. */
-    static int countWrites(String body) {
-        return writes(JsonParser.parseString(body).getAsJsonObject()).size();
+    /** Returns the number of operations in a request body. */
+    static int countOperations(String body) {
+        return operations(JsonParser.parseString(body).getAsJsonObject()).size();
     }
 
-    private static JsonArray writes(JsonObject json) {
+    private static JsonArray operations(JsonObject json) {
         return json.getAsJsonArray("writes");
     }
 
-    /** Whether the transaction is too large for the service, given the most writes of one transaction. */
+    /** Returns whether the transaction exceeds the limits on operations, conditions or the length of the body. */
     boolean exceeds(int maxOperations) {
-        return writes.size() > maxOperations
+        return operations.size() > maxOperations
                 || conditions.size() > MAX_CONDITIONS_PER_OPERATION * maxOperations
                 || bodyLength > MAX_BODY_LENGTH;
     }
 
-    /** The length of the longest value that is written. */
-    int longestValue() {
-        return writes.stream().mapToInt(Write::valueLength).max().orElse(0);
+    /** Returns the length of the longest value that the transaction sets, or 0 if it sets none. */
+    int longestValueLength() {
+        return operations.stream().mapToInt(Operation::valueLength).max().orElse(0);
     }
 }
--- a/src/test/java/org/havenford/simulator/StoreWatches.java
+++ b/src/test/java/org/havenford/simulator/StoreWatches.java
@@ -11,13 +11,13 @@
 import java.util.function.LongSupplier;
 import org.havenford.transport.HttpCalls.Reply;
 
-/** The change log of the simulated state service, and the watches (long polls) that wait for new entries. */
+/** Keeps the change log of the simulated state service and the watches, long polls that wait for new entries in it. */
 final class StoreWatches {
     private static final int DEFAULT_KEPT_CHANGES = 10_000;
 
-    /** One change of a key; the value is null if the key was deleted. */
+    /** One change of a key; {@code value} is null if the key was deleted. */
     private record Change(long revision, String key, JsonElement value) {
-        JsonObject json() {
+        JsonObject toJson() {
             JsonObject json = new JsonObject();
             json.addProperty(value == null ? "delete" : "set", key);
             if (value != null) {
@@ -28,70 +28,73 @@
         }
     }
 
-    /** A request for the changes of all keys with a prefix after a revision. */
-    record Watch(String prefix, long since, Consumer<Reply> answer) {}
+    /** A request for all changes after revision {@code since} of keys with the prefix. */
+    record Watch(String prefix, long since, Consumer<Reply> callback) {}
 
     private final ClusterSimulator simulator;
-    private final BooleanSupplier outage;
-    private final LongSupplier revision;
+    private final BooleanSupplier isUnavailable;
+    private final LongSupplier currentRevision;
     private final List<Change> changes = new ArrayList<>();
     private final List<Watch> watches = new ArrayList<>();
-    /** The revision of the last change that is no longer kept. */
+    /** The revision of the newest change that was dropped from the log. */
     private long compactedRevision;
-    /** How many changes the service keeps: a watch that begins before them is answered 410. */
+    /** The maximum number of changes in the log; a watch that starts before the oldest of them is answered with 410. */
     int keptChanges = DEFAULT_KEPT_CHANGES;
-    /** Watches that were answered 410. */
+    /** Number of watches that were answered with 410. */
     int rejectedTooOld;
 
     /**
      * Creates an empty change log.
      *
-     * @param outage whether the service is unavailable at the moment
-     * @param revision the current revision of the service
+     * @param isUnavailable returns whether the service is currently unavailable
+     * @param currentRevision returns the current revision of the service
      */
-    StoreWatches(ClusterSimulator simulator, BooleanSupplier outage, LongSupplier revision) {
+    StoreWatches(ClusterSimulator simulator, BooleanSupplier isUnavailable, LongSupplier currentRevision) {
         this.simulator = simulator;
-        this.outage = outage;
-        this.revision = revision;
+        this.isUnavailable = isUnavailable;
+        this.currentRevision = currentRevision;
     }
 
-    /** Records that a key was set at the current revision. Watches are answered only by {@link #notifyWatches()}. */
+    /** Appends a put at the current revision to the log. Watches are answered only by {@link #notifyWatches()}. */
     void recordSet(String key, JsonElement value) {
-        changes.add(new Change(revision.getAsLong(), key, value));
+        changes.add(new Change(currentRevision.getAsLong(), key, value));
     }
 
-    /** Records that a key was deleted at the current revision. */
+    /** Appends a deletion at the current revision to the log, likewise without answering watches. */
     void recordDelete(String key) {
-        changes.add(new Change(revision.getAsLong(), key, null));
+        changes.add(new Change(currentRevision.getAsLong(), key, null));
     }
 
-    /** Answers a watch as soon as there are changes for it, and without any when {@code blockMillis} have passed. */
-    void open(Watch watch, long blockMillis) {
-        if (answer(watch, blockMillis == 0 && !outage.getAsBoolean())) {
+    /**
+     * Answers a watch as soon as there are changes for it, or with an empty list after {@code blockMillis}. If that time
+     * ends during an outage, the watch stays open until there are changes.
+     */
+    void addWatch(Watch watch, long blockMillis) {
+        if (answerIfReady(watch, blockMillis == 0 && !isUnavailable.getAsBoolean())) {
             return;
         }
         watches.add(watch);
         simulator.after(Duration.ofMillis(Math.max(1, blockMillis)), () -> {
-            if (!outage.getAsBoolean() && watches.remove(watch)) {
-                answer(watch, true);
+            if (!isUnavailable.getAsBoolean() && watches.remove(watch)) {
+                answerIfReady(watch, true);
             }
         });
     }
 
-    /** Answers all watches for which there are changes. */
+    /** Answers and removes all watches for which there are changes; does nothing during an outage. */
     void notifyWatches() {
-        watches.removeIf(watch -> answer(watch, false));
+        watches.removeIf(watch -> answerIfReady(watch, false));
     }
 
-    /** Answers a watch if there are changes for it, or in any case if {@code answerEmpty}; returns whether it did. */
-    private boolean answer(Watch watch, boolean answerEmpty) {
-        if (outage.getAsBoolean()) {
+    /** Answers a watch if there are changes for it or {@code answerEmpty} is set; returns whether it was answered. */
+    private boolean answerIfReady(Watch watch, boolean answerEmpty) {
+        if (isUnavailable.getAsBoolean()) {
             return false;
         }
         compact();
         if (watch.since < compactedRevision) {
             rejectedTooOld++;
-            watch.answer.accept(new Reply(410, "{\"error\":\"too old\"}"));
+            watch.callback.accept(new Reply(410, "{\"error\":\"too old\"}"));
             return true;
         }
         JsonArray log = changesFor(watch);
@@ -99,9 +102,9 @@
             return false;
         }
         JsonObject json = new JsonObject();
-        json.addProperty("edition", revision.getAsLong());
+        json.addProperty("edition", currentRevision.getAsLong());
         json.add("log", log);
-        watch.answer.accept(new Reply(200, json.toString()));
+        watch.callback.accept(new Reply(200, json.toString()));
         return true;
     }
 
@@ -119,7 +122,7 @@
         JsonArray log = new JsonArray();
         for (Change change : changes.subList(from, changes.size())) {
             if (change.key.startsWith(watch.prefix)) {
-                log.add(change.json());
+                log.add(change.toJson());
             }
         }
         return log;
