--- a/src/test/java/org/havenford/simulator/BehaviourDigest.java
+++ b/src/test/java/org/havenford/simulator/BehaviourDigest.java
@@ -25,14 +25,14 @@
     private static final Path DIRECTORY = Path.of("src/test/resources/digests");
     private static final Path FILE = DIRECTORY.resolve("behaviour.txt");
     /** {@code write} renews the kept digests of the runs that are played instead of comparing them. */
-    private static final boolean WRITES = "write".equals(System.getProperty("havenford.digests"));
+    private static final boolean UPDATES_DIGESTS = "write".equals(System.getProperty("havenford.digests"));
     /** A directory in which each run leaves its messages as text, to be compared line by line. */
-    private static final String MESSAGES = System.getProperty("havenford.digests.messages");
+    private static final String MESSAGES_DIRECTORY = System.getProperty("havenford.digests.messages");
 
     private static final int HEX_DIGITS = 16;
 
     private final MessageDigest digest;
-    private final StringBuilder messages = MESSAGES == null ? null : new StringBuilder();
+    private final StringBuilder messageText = MESSAGES_DIRECTORY == null ? null : new StringBuilder();
 
     BehaviourDigest() {
         try {
@@ -53,8 +53,8 @@
     }
 
     /** A controller opens or closes a peer connection, or sends over it. */
-    void peer(Instant now, String node, String other, String what, byte[] bytes) {
-        add(now, "peer", node, other, what, HexFormat.of().formatHex(bytes));
+    void peer(Instant now, String node, String other, String event, byte[] bytes) {
+        add(now, "peer", node, other, event, HexFormat.of().formatHex(bytes));
     }
 
     /** Each part is preceded by its length, so that no two sequences of messages look the same. */
@@ -67,8 +67,12 @@
             digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(length).flip());
             digest.update(bytes);
         }
-        if (messages != null) {
-            messages.append(nanos).append(' ').append(String.join(" ", parts)).append('\n');
+        if (messageText != null) {
+            messageText
+                    .append(nanos)
+                    .append(' ')
+                    .append(String.join(" ", parts))
+                    .append('\n');
         }
     }
 
@@ -76,17 +80,17 @@
     void assertKept(String name) {
         String actual = HexFormat.of().formatHex(digest.digest()).substring(0, HEX_DIGITS);
         try {
-            if (messages != null) {
-                Path directory = Files.createDirectories(Path.of(MESSAGES));
-                Files.writeString(directory.resolve(name.replace('/', '-') + ".txt"), messages);
+            if (messageText != null) {
+                Path directory = Files.createDirectories(Path.of(MESSAGES_DIRECTORY));
+                Files.writeString(directory.resolve(name.replace('/', '-') + ".txt"), messageText);
             }
-            Map<String, String> kept = read();
-            if (WRITES) {
-                kept.put(name, actual);
-                write(kept);
+            Map<String, String> digests = read();
+            if (UPDATES_DIGESTS) {
+                digests.put(name, actual);
+                write(digests);
             }
             assertEquals(
-                    kept.get(name),
+                    digests.get(name),
                     actual,
                     () -> "The controllers' messages in " + name + " are not those kept in " + FILE + ".");
         } catch (IOException e) {
@@ -95,20 +99,20 @@
     }
 
     private static Map<String, String> read() throws IOException {
-        Map<String, String> kept = new TreeMap<>();
+        Map<String, String> digests = new TreeMap<>();
         if (Files.exists(FILE)) {
             for (String line : Files.readAllLines(FILE)) {
                 String[] words = line.split(" ");
-                kept.put(words[0], words[1]);
+                digests.put(words[0], words[1]);
             }
         }
-        return kept;
+        return digests;
     }
 
-    private static void write(Map<String, String> kept) throws IOException {
+    private static void write(Map<String, String> digests) throws IOException {
         Files.createDirectories(DIRECTORY);
         StringBuilder text = new StringBuilder();
-        kept.forEach(
+        digests.forEach(
                 (name, value) -> text.append(name).append(' ').append(value).append('\n'));
         Files.writeString(FILE, text);
     }
--- a/src/test/java/org/havenford/simulator/ClusterSimulator.java
+++ b/src/test/java/org/havenford/simulator/ClusterSimulator.java
@@ -84,7 +84,7 @@
         return Duration.between(Instant.EPOCH, now).toMillis() / 1e3;
     }
 
-    private static Instant momentOf(double second) {
+    private static Instant instantOf(double second) {
         return Instant.EPOCH.plusMillis((long) (second * 1000));
     }
 
@@ -95,7 +95,7 @@
 
     /** Schedules an event at a second of the run. */
     void at(double second, Runnable task) {
-        schedule(momentOf(second), task);
+        schedule(instantOf(second), task);
     }
 
     private void schedule(Instant at, Runnable task) {
@@ -105,7 +105,7 @@
 
     /** Lets all events up to a second of the run happen, and checks the rules after each. */
     void runUntil(double second) {
-        Instant end = momentOf(second);
+        Instant end = instantOf(second);
         while (!queue.isEmpty() && !queue.peek().at.isAfter(end)) {
             Event event = queue.poll();
             now = event.at;
--- a/src/test/java/org/havenford/simulator/ControllerProcess.java
+++ b/src/test/java/org/havenford/simulator/ControllerProcess.java
@@ -9,15 +9,15 @@
 
 /** A controller as a process of its own, whose signals a test gives. */
 final class ControllerProcess {
-    private final Path settings;
-    private final Path operator;
-    private final Path log;
+    private final Path settingsFile;
+    private final Path operatorSettingsFile;
+    private final Path logFile;
     private Process process;
 
     ControllerProcess(Path directory, String node, String settingsJson, String operatorXml) throws IOException {
-        settings = Files.writeString(directory.resolve(node + ".json"), settingsJson);
-        operator = Files.writeString(directory.resolve(node + ".xml"), operatorXml);
-        log = directory.resolve(node + ".log");
+        settingsFile = Files.writeString(directory.resolve(node + ".json"), settingsJson);
+        operatorSettingsFile = Files.writeString(directory.resolve(node + ".xml"), operatorXml);
+        logFile = directory.resolve(node + ".log");
     }
 
     void start() throws IOException {
@@ -30,12 +30,12 @@
                 System.getProperty("java.class.path"),
                 Main.class.getName(),
                 "--operator",
-                operator.toString(),
+                operatorSettingsFile.toString(),
                 "--config",
-                settings.toString()));
+                settingsFile.toString()));
         process = new ProcessBuilder(command)
                 .redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile.toFile()))
                 .start();
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** Stops the process where it is. */
-    void stop() throws IOException {
+    void suspend() throws IOException {
         signal("STOP");
     }
 
@@ -74,6 +74,6 @@
 
     /** What the process has logged so far. */
     String log() throws IOException {
-        return Files.exists(log) ? Files.readString(log) : "";
+        return Files.exists(logFile) ? Files.readString(logFile) : "";
     }
 }
--- a/src/test/java/org/havenford/simulator/FailoverMeasurement.java
+++ b/src/test/java/org/havenford/simulator/FailoverMeasurement.java
@@ -20,9 +20,9 @@
  */
 class FailoverMeasurement {
     /** Evictions of the same node are spaced, so each controller of a cluster is killed once. */
-    private static final int KILLS_OF_A_CLUSTER = 3;
+    private static final int FAILURES_PER_CLUSTER = 3;
 
-    private static final int LONGEST_MILLIS = 120_000;
+    private static final int MAX_MILLIS = 120_000;
     private static final int SIGNIFICANT_DIGITS = 3;
     /** The epoch of the view stands in a token's upper half. */
     private static final int EPOCH_SHIFT = 32;
@@ -30,9 +30,9 @@
     private final int kills = Integer.getInteger("havenford.measure.kills", 30);
     private final int machines = Integer.getInteger("havenford.measure.machines", 60);
     private final boolean standby = !Boolean.getBoolean("havenford.measure.withoutStandby");
-    private final boolean stops = Boolean.getBoolean("havenford.measure.stop");
-    private final Histogram firstAgent = new Histogram(LONGEST_MILLIS, SIGNIFICANT_DIGITS);
-    private final Histogram lastAgent = new Histogram(LONGEST_MILLIS, SIGNIFICANT_DIGITS);
+    private final boolean suspends = Boolean.getBoolean("havenford.measure.stop");
+    private final Histogram firstAgentMillis = new Histogram(MAX_MILLIS, SIGNIFICANT_DIGITS);
+    private final Histogram lastAgentMillis = new Histogram(MAX_MILLIS, SIGNIFICANT_DIGITS);
     private int tasksDone;
     private int starts;
     private int evictions;
@@ -41,40 +41,40 @@
     Path directory;
 
     /**
-     * Kills or stops one controller after the other amid bursts, and tells how long it takes until the first and the last
+     * Kills or suspends one controller after the other amid bursts, and tells how long it takes until the first and the last
      * worker of its machines have seen a token of a new owner.
      */
     @Test
-    void measureTakeovers() throws Exception {
-        for (int kill = 0; kill < kills; kill += KILLS_OF_A_CLUSTER) {
-            measureCluster(Files.createDirectory(directory.resolve("world-" + kill)));
+    void measureFailovers() throws Exception {
+        for (int kill = 0; kill < kills; kill += FAILURES_PER_CLUSTER) {
+            measureCluster(Files.createDirectory(directory.resolve("cluster-" + kill)));
         }
         report();
     }
 
-    private void measureCluster(Path logs) throws Exception {
+    private void measureCluster(Path logDirectory) throws Exception {
         String operatorXml = standby ? SubmissionBurst.STANDBY_ON : SubmissionBurst.STANDBY_OFF;
-        try (LoopbackCluster loopback = SubmissionBurst.start(logs, operatorXml, machines)) {
-            for (int node = 0; node < KILLS_OF_A_CLUSTER; node++) {
-                SubmissionBurst.submit(loopback, 100 + node * SubmissionBurst.RENDERS, 2);
+        try (LoopbackCluster loopback = SubmissionBurst.start(logDirectory, operatorXml, machines)) {
+            for (int node = 0; node < FAILURES_PER_CLUSTER; node++) {
+                SubmissionBurst.submit(loopback, 100 + node * SubmissionBurst.TASKS, 2);
                 loopback.runUntil(() -> false, 2);
-                measureTakeover(loopback, "node-" + node);
+                measureFailover(loopback, "node-" + node);
                 assertTrue(loopback.runUntil(
-                        () -> SubmissionBurst.allDone(loopback), 3 * SubmissionBurst.PATIENCE_SECONDS));
+                        () -> SubmissionBurst.allDone(loopback), 3 * SubmissionBurst.TIMEOUT_SECONDS));
                 loopback.runUntil(() -> false, 5);
             }
-            assertEquals(List.of(), loopback.world.rules.broken);
-            tasksDone += loopback.world.users.finished.size();
-            starts += loopback.world.rules.starts;
-            evictions += loopback.world.store.evictions;
+            assertEquals(List.of(), loopback.simulator.rules.broken);
+            tasksDone += loopback.simulator.users.finished.size();
+            starts += loopback.simulator.rules.starts;
+            evictions += loopback.simulator.store.evictions;
         }
     }
 
-    private void measureTakeover(LoopbackCluster loopback, String node) throws IOException, InterruptedException {
-        Set<SimulatedAgent> agents = loopback.world.workers.values().stream()
+    private void measureFailover(LoopbackCluster loopback, String node) throws IOException, InterruptedException {
+        Set<SimulatedAgent> agents = loopback.simulator.workers.values().stream()
                 .filter(agent -> agent.up() && agent.reportsTo(node))
                 .collect(Collectors.toSet());
-        long epoch = loopback.world
+        long epoch = loopback.simulator
                 .store
                 .value("live/view")
                 .getAsJsonObject()
@@ -82,21 +82,21 @@
                 .getAsLong();
         ControllerProcess controller = loopback.controllers.get(node);
         double from = loopback.seconds();
-        if (stops) {
-            controller.stop();
+        if (suspends) {
+            controller.suspend();
         } else {
             controller.kill();
         }
         loopback.runUntil(
                 () -> agents.stream().anyMatch(agent -> agent.token >> EPOCH_SHIFT > epoch),
-                SubmissionBurst.PATIENCE_SECONDS);
-        firstAgent.recordValue(millisSince(from, loopback));
+                SubmissionBurst.TIMEOUT_SECONDS);
+        firstAgentMillis.recordValue(millisSince(from, loopback));
         boolean all = loopback.runUntil(
                 () -> agents.stream().noneMatch(agent -> agent.up() && agent.token >> EPOCH_SHIFT <= epoch),
-                SubmissionBurst.PATIENCE_SECONDS);
+                SubmissionBurst.TIMEOUT_SECONDS);
         assertTrue(all, "some machines of " + node + " were not taken over");
-        lastAgent.recordValue(millisSince(from, loopback));
-        if (stops) {
+        lastAgentMillis.recordValue(millisSince(from, loopback));
+        if (suspends) {
             controller.resume();
         } else {
             controller.start();
@@ -112,11 +112,11 @@
                 "standby %s, %s, %d machines, %d kills: first worker %s, last worker %s; "
                         + "tasks %d, starts %d, evictions %d%n",
                 standby ? "on" : "off",
-                stops ? "stopped" : "killed",
+                suspends ? "stopped" : "killed",
                 machines,
-                lastAgent.getTotalCount(),
-                percentiles(firstAgent),
-                percentiles(lastAgent),
+                lastAgentMillis.getTotalCount(),
+                percentiles(firstAgentMillis),
+                percentiles(lastAgentMillis),
                 tasksDone,
                 starts,
                 evictions);
--- a/src/test/java/org/havenford/simulator/FairnessInvariant.java
+++ b/src/test/java/org/havenford/simulator/FairnessInvariant.java
@@ -11,47 +11,47 @@
 /** What users look at when a run is over: no class, no team and no class's largest jobs may starve. */
 final class FairnessInvariant {
     private static final String RULE = "unserved";
-    private static final Duration LARGE_BEGIN_WITHIN = Duration.ofMinutes(4);
+    private static final Duration MAX_START_DELAY = Duration.ofMinutes(4);
     /** Jobs of at least this part of the largest's tasks count as the largest. */
-    private static final double LARGE = 0.8;
+    private static final double LARGEST_SHARE = 0.8;
 
-    private final ClusterSimulator world;
+    private final ClusterSimulator simulator;
     private final InvariantChecker checker;
-    private final Map<String, Integer> largestOfClass = new HashMap<>();
+    private final Map<String, Integer> maxTasksByClass = new HashMap<>();
     private final Map<String, List<SimulatedUsers.Job>> groups = new TreeMap<>();
 
-    FairnessInvariant(ClusterSimulator world, InvariantChecker checker) {
-        this.world = world;
+    FairnessInvariant(ClusterSimulator simulator, InvariantChecker checker) {
+        this.simulator = simulator;
         this.checker = checker;
-        for (SimulatedUsers.Job job : world.users.jobs.values()) {
-            largestOfClass.merge(job.lineup, job.tasks, Math::max);
+        for (SimulatedUsers.Job job : simulator.users.jobs.values()) {
+            maxTasksByClass.merge(job.jobClass, job.tasks, Math::max);
         }
     }
 
     /** Checks all jobs that were accepted and neither fail nor were cancelled. */
     void check() {
-        for (SimulatedUsers.Job job : world.users.jobs.values()) {
+        for (SimulatedUsers.Job job : simulator.users.jobs.values()) {
             if (!job.accepted || job.broken || job.cancelTold != null || job.takenAlong != null) {
                 continue;
             }
-            group("class " + job.lineup, job);
-            group("team " + job.team, job);
-            if (job.tasks >= largestOfClass.get(job.lineup) * LARGE) {
-                group("largest of class " + job.lineup, job);
-                checkBegin(job);
+            addToGroup("class " + job.jobClass, job);
+            addToGroup("team " + job.team, job);
+            if (job.tasks >= maxTasksByClass.get(job.jobClass) * LARGEST_SHARE) {
+                addToGroup("largest of class " + job.jobClass, job);
+                checkStartDelay(job);
             }
         }
         groups.forEach(this::checkMajorityDone);
     }
 
-    private void group(String group, SimulatedUsers.Job job) {
+    private void addToGroup(String group, SimulatedUsers.Job job) {
         groups.computeIfAbsent(group, name -> new ArrayList<>()).add(job);
     }
 
-    private void checkBegin(SimulatedUsers.Job job) {
-        Instant latest = job.submitted.plus(LARGE_BEGIN_WITHIN);
+    private void checkStartDelay(SimulatedUsers.Job job) {
+        Instant latest = job.submitted.plus(MAX_START_DELAY);
         boolean inTime = job.begun != null && !job.begun.isAfter(latest);
-        if (job.awaits.isEmpty() && latest.isBefore(world.now) && !inTime) {
+        if (job.prerequisites.isEmpty() && latest.isBefore(simulator.now) && !inTime) {
             checker.broken(RULE, job.id + ", of the largest of its class, has not begun in time");
         }
     }
--- a/src/test/java/org/havenford/simulator/GuestWorkTest.java
+++ b/src/test/java/org/havenford/simulator/GuestWorkTest.java
@@ -13,9 +13,9 @@
 class GuestWorkTest {
     private static final int NODES = 3;
     private static final int MACHINES = 120;
-    private static final int SINGLE_TASKS = 400;
-    private static final int SINGLE_TASKS_A_SECOND = 25;
-    private static final int TASKS_OF_HUGE_JOB = 6000;
+    private static final int SINGLE_TASK_JOBS = 400;
+    private static final int SINGLE_TASK_JOBS_PER_SECOND = 25;
+    private static final int LARGE_JOB_TASKS = 6000;
     private static final String TEAMS =
             "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0},{\"name\":\"guest\",\"cpus\":0,\"cpus_max\":0}";
 
@@ -28,52 +28,54 @@
                 "{\"rps\":250,\"write_rps\":60,\"value_kb\":8,\"txn_ops\":12}");
     }
 
-    private static ClusterSimulator world() {
-        ClusterSimulator world = new ClusterSimulator(21, settings(0));
+    private static ClusterSimulator startCluster() {
+        ClusterSimulator simulator = new ClusterSimulator(21, settings(0));
         for (int i = 0; i < NODES; i++) {
-            world.addNode(settings(i));
+            simulator.addNode(settings(i));
         }
-        world.store.pageSize = 500;
+        simulator.store.pageSize = 500;
         for (int i = 0; i < MACHINES; i++) {
-            world.cloud.boot("large", List.of("a", "b", "c").get(i % 3), false, Duration.ofMillis(100 + 20 * i));
+            simulator.cloud.boot("large", List.of("a", "b", "c").get(i % 3), false, Duration.ofMillis(100 + 20 * i));
         }
-        return world;
+        return simulator;
     }
 
-    private static double waitSeconds(SimulatedUsers.Job job) {
+    private static double startDelaySeconds(SimulatedUsers.Job job) {
         return Duration.between(job.submitted, job.begun).toMillis() / 1e3;
     }
 
     /** Urgent work begins as it would alone, and all that the guest sends is accepted and done. */
     @Test
-    void urgentWorkDoesNotWaitForGuests() {
-        ClusterSimulator world = world();
-        List<String> urgent = new ArrayList<>();
+    void urgentJobsDoNotWaitForLowPriorityTeam() {
+        ClusterSimulator simulator = startCluster();
+        List<String> urgentJobs = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             String id = "j-" + (100 + i);
-            urgent.add(id);
-            world.at(20 + i, () -> world.users.submit(id, "red", 12, 4, 15, List.of("urgent", "class=flash")));
+            urgentJobs.add(id);
+            simulator.at(20 + i, () -> simulator.users.submit(id, "red", 12, 4, 15, List.of("urgent", "class=flash")));
         }
-        world.at(30, () -> world.users.submit("j-1", "guest", TASKS_OF_HUGE_JOB, 1, 6, List.of("low", "class=scan")));
-        for (int i = 0; i < SINGLE_TASKS; i++) {
+        simulator.at(
+                30, () -> simulator.users.submit("j-1", "guest", LARGE_JOB_TASKS, 1, 6, List.of("low", "class=scan")));
+        for (int i = 0; i < SINGLE_TASK_JOBS; i++) {
             String id = "j-" + (1000 + i);
-            double at = 40 + i / (double) SINGLE_TASKS_A_SECOND;
-            world.at(at, () -> world.users.submit(id, "guest", 1, 0.25, 20, List.of("low", "class=dust")));
+            double at = 40 + i / (double) SINGLE_TASK_JOBS_PER_SECOND;
+            simulator.at(at, () -> simulator.users.submit(id, "guest", 1, 0.25, 20, List.of("low", "class=dust")));
         }
-        world.runUntil(200);
-        List<Double> waits = urgent.stream()
-                .map(id -> waitSeconds(world.users.jobs.get(id)))
+        simulator.runUntil(200);
+        List<Double> waits = urgentJobs.stream()
+                .map(id -> startDelaySeconds(simulator.users.jobs.get(id)))
                 .sorted()
                 .toList();
-        world.runUntil(420);
+        simulator.runUntil(420);
         String counts = "urgent waits p50 " + waits.get(50) + " p90 " + waits.get(90) + " max " + waits.get(99)
-                + ", changes " + world.store.changesOf + ", conflicts " + world.store.conflictsOf + ", requests "
-                + world.store.requests + ", refused " + world.store.refused;
+                + ", changes " + simulator.store.changesOf + ", conflicts " + simulator.store.conflictsOf
+                + ", requests "
+                + simulator.store.requests + ", refused " + simulator.store.refused;
         System.out.println(counts);
-        assertEquals(List.of(), world.rules.broken);
+        assertEquals(List.of(), simulator.rules.broken);
         assertTrue(waits.get(90) < 4, counts);
         assertTrue(waits.get(99) < 10, counts);
-        assertTrue(world.users.jobs.values().stream().allMatch(job -> job.doneTold != null), counts);
-        world.behaviour.assertKept("guest-work");
+        assertTrue(simulator.users.jobs.values().stream().allMatch(job -> job.doneTold != null), counts);
+        simulator.behaviour.assertKept("guest-work");
     }
 }
--- a/src/test/java/org/havenford/simulator/InvariantChecker.java
+++ b/src/test/java/org/havenford/simulator/InvariantChecker.java
@@ -14,12 +14,12 @@
     /** Sums of CPUs may differ from a limit by this much through rounding. */
     static final double CPU_TOLERANCE = 1e-6;
 
-    private static final Duration ANSWERED_WITHIN = Duration.ofSeconds(75);
-    private static final Duration WITHOUT_CHANGE_CHECKED_EVERY = Duration.ofMillis(500);
-    private static final Duration WAITING_CHECKED_EVERY = Duration.ofSeconds(5);
-    private static final int VIOLATIONS_KEPT = 20;
+    private static final Duration MAX_TIME_WITHOUT_ANSWER = Duration.ofSeconds(75);
+    private static final Duration UNCHANGED_CHECK_INTERVAL = Duration.ofMillis(500);
+    private static final Duration WAITING_CHECK_INTERVAL = Duration.ofSeconds(5);
+    private static final int MAX_RECORDED_VIOLATIONS = 20;
 
-    private final ClusterSimulator world;
+    private final ClusterSimulator simulator;
     private final PlacementInvariant placement;
     private final WaitingInvariant waiting;
     private final TakeoverInvariant takeover;
@@ -30,40 +30,40 @@
     /** Starts after their job's cancellation was confirmed: counted by users, broken only after the time allowed. */
     int startsAfterCancel;
 
-    private final Map<String, Integer> startsOf = new HashMap<>();
-    private final Map<String, Instant> lastStartOf = new HashMap<>();
-    private boolean touched = true;
-    private Instant waitingChecked = Instant.MIN;
-    private Instant checked = Instant.MIN;
+    private final Map<String, Integer> startsByJob = new HashMap<>();
+    private final Map<String, Instant> lastStartByJob = new HashMap<>();
+    private boolean changed = true;
+    private Instant lastWaitingCheck = Instant.MIN;
+    private Instant lastCheck = Instant.MIN;
     /** When the last fault of the run is over; from then on users expect answers. */
     Instant troublesOver = Instant.EPOCH;
     /** Runs played from a trace know when their faults are over. */
     boolean checkWaits;
 
-    InvariantChecker(ClusterSimulator world) {
-        this.world = world;
-        placement = new PlacementInvariant(world, this);
-        waiting = new WaitingInvariant(world, this);
-        takeover = new TakeoverInvariant(world, this);
+    InvariantChecker(ClusterSimulator simulator) {
+        this.simulator = simulator;
+        placement = new PlacementInvariant(simulator, this);
+        waiting = new WaitingInvariant(simulator, this);
+        takeover = new TakeoverInvariant(simulator, this);
     }
 
     /** Records a violation of a rule. */
     void broken(String rule, String detail) {
-        String line = String.format("%.3f %s: %s", world.seconds(), rule, detail);
-        if (broken.size() < VIOLATIONS_KEPT) {
+        String line = String.format("%.3f %s: %s", simulator.seconds(), rule, detail);
+        if (broken.size() < MAX_RECORDED_VIOLATIONS) {
             broken.add(line);
         }
-        world.note("BROKEN " + rule + " " + detail);
+        simulator.note("BROKEN " + rule + " " + detail);
     }
 
     /** How many times tasks of a job have started. */
     int starts(String job) {
-        return startsOf.getOrDefault(job, 0);
+        return startsByJob.getOrDefault(job, 0);
     }
 
     /** When a task of a job started last; {@link Instant#MIN} if none has. */
     Instant lastStart(String job) {
-        return lastStartOf.getOrDefault(job, Instant.MIN);
+        return lastStartByJob.getOrDefault(job, Instant.MIN);
     }
 
     /** A controller has ended. */
@@ -78,20 +78,20 @@
 
     /** Something has changed on a machine: the next check is due at once. */
     void touched() {
-        touched = true;
+        changed = true;
     }
 
     /** A task has started on a machine. */
     void started(SimulatedAgent agent, SimulatedAgent.Task task) {
         String jobId = RunningTasks.jobOf(task.shot);
         starts++;
-        startsOf.merge(jobId, 1, Integer::sum);
-        lastStartOf.put(jobId, world.now);
-        touched = true;
-        world.note(task.shot + " take " + task.take + " starts on " + agent.name);
-        SimulatedUsers.Job job = world.users.jobs.get(jobId);
+        startsByJob.merge(jobId, 1, Integer::sum);
+        lastStartByJob.put(jobId, simulator.now);
+        changed = true;
+        simulator.note(task.shot + " take " + task.take + " starts on " + agent.name);
+        SimulatedUsers.Job job = simulator.users.jobs.get(jobId);
         if (job.begun == null) {
-            job.begun = world.now;
+            job.begun = simulator.now;
         }
         checkRunsOnce(agent, task);
         placement.check(agent, task, job);
@@ -100,7 +100,7 @@
     }
 
     private void checkRunsOnce(SimulatedAgent agent, SimulatedAgent.Task task) {
-        for (SimulatedAgent other : world.workers.values()) {
+        for (SimulatedAgent other : simulator.workers.values()) {
             for (SimulatedAgent.Task attempt : other.tasks.values()) {
                 if (attempt != task && RunningTasks.isRunning(other, attempt) && attempt.shot.equals(task.shot)) {
                     broken("ran_twice", task.shot + " on " + other.name + " and " + agent.name);
@@ -110,8 +110,8 @@
     }
 
     private void checkDependenciesDone(SimulatedAgent.Task task, SimulatedUsers.Job job) {
-        for (String dependency : job.awaits) {
-            JsonElement end = world.store.value("final/" + dependency);
+        for (String dependency : job.prerequisites) {
+            JsonElement end = simulator.store.value("final/" + dependency);
             if (end == null
                     || !end.getAsJsonObject().get("status").getAsString().equals("done")) {
                 broken("too_early", task.shot + " starts before " + dependency + " is done");
@@ -122,7 +122,7 @@
     private void checkNotCancelled(SimulatedAgent.Task task, SimulatedUsers.Job job) {
         if (job.cancelTold != null) {
             startsAfterCancel++;
-            world.note(task.shot + " starts after its job was cancelled");
+            simulator.note(task.shot + " starts after its job was cancelled");
         }
         if (isCancellationOverdue(job)) {
             broken("ran_cancelled", task.shot + " starts");
@@ -132,19 +132,20 @@
     /** Whether a job was confirmed as cancelled longer ago than its tasks may go on. */
     private boolean isCancellationOverdue(SimulatedUsers.Job job) {
         return job.cancelTold != null
-                && Duration.between(job.cancelTold, world.now).compareTo(world.template.cancellationLimit()) > 0;
+                && Duration.between(job.cancelTold, simulator.now).compareTo(simulator.template.cancellationLimit())
+                        > 0;
     }
 
     /** Checks all running tasks, if something has changed or the last check is long ago. */
     void check() {
-        if (!touched && world.now.isBefore(checked.plus(WITHOUT_CHANGE_CHECKED_EVERY))) {
+        if (!changed && simulator.now.isBefore(lastCheck.plus(UNCHANGED_CHECK_INTERVAL))) {
             return;
         }
-        touched = false;
-        checked = world.now;
+        changed = false;
+        lastCheck = simulator.now;
         Map<String, Double> cpusByTeam = checkRunningTasks();
-        if (checkWaits && !world.now.isBefore(waitingChecked.plus(WAITING_CHECKED_EVERY))) {
-            waitingChecked = world.now;
+        if (checkWaits && !simulator.now.isBefore(lastWaitingCheck.plus(WAITING_CHECK_INTERVAL))) {
+            lastWaitingCheck = simulator.now;
             checkWaiting(cpusByTeam);
         }
         cpusByTeam.forEach(this::checkQuota);
@@ -153,12 +154,12 @@
     /** Checks that no task of a cancelled job goes on, and returns the CPUs that each team's running tasks have. */
     private Map<String, Double> checkRunningTasks() {
         Map<String, Double> cpusByTeam = new HashMap<>();
-        for (SimulatedAgent agent : world.workers.values()) {
+        for (SimulatedAgent agent : simulator.workers.values()) {
             for (SimulatedAgent.Task task : agent.tasks.values()) {
                 if (!RunningTasks.isRunning(agent, task)) {
                     continue;
                 }
-                SimulatedUsers.Job job = world.users.jobs.get(RunningTasks.jobOf(task.shot));
+                SimulatedUsers.Job job = simulator.users.jobs.get(RunningTasks.jobOf(task.shot));
                 cpusByTeam.merge(job.team, job.cpus, Double::sum);
                 if (isCancellationOverdue(job)) {
                     broken("ran_cancelled", task.shot + " is still on " + agent.name);
@@ -169,7 +170,7 @@
     }
 
     private void checkWaiting(Map<String, Double> cpusByTeam) {
-        if (world.now.isBefore(troublesOver)) {
+        if (simulator.now.isBefore(troublesOver)) {
             waiting.reset();
         } else {
             waiting.check(cpusByTeam);
@@ -177,16 +178,16 @@
     }
 
     private void checkQuota(String team, double cpus) {
-        PlatformSettings.Team limit = world.template.teams().get(team);
+        PlatformSettings.Team limit = simulator.template.teams().get(team);
         if (limit.cpusMax() > 0 && cpus > limit.cpusMax() + CPU_TOLERANCE) {
             broken("quota", team + " uses " + cpus);
         }
     }
 
     /** A question about a job had no answer: after the faults none may stay without one for longer than this. */
-    void unanswered(SimulatedUsers.Job job) {
-        Instant since = job.answered.isAfter(troublesOver) ? job.answered : troublesOver;
-        if (Duration.between(since, world.now).compareTo(ANSWERED_WITHIN) > 0) {
+    void checkUnanswered(SimulatedUsers.Job job) {
+        Instant since = job.lastAnsweredAt.isAfter(troublesOver) ? job.lastAnsweredAt : troublesOver;
+        if (Duration.between(since, simulator.now).compareTo(MAX_TIME_WITHOUT_ANSWER) > 0) {
             double second = Duration.between(Instant.EPOCH, since).toMillis() / 1e3;
             broken("forgotten", job.id + " has had no answer since " + second);
         }
@@ -194,6 +195,6 @@
 
     /** Checks what users look at when a run is over: that no kind of work has starved. */
     void endOfDay() {
-        new FairnessInvariant(world, this).check();
+        new FairnessInvariant(simulator, this).check();
     }
 }
--- a/src/test/java/org/havenford/simulator/JobAnswerChecker.java
+++ b/src/test/java/org/havenford/simulator/JobAnswerChecker.java
@@ -13,7 +13,7 @@
     private static final String DONE = "done";
 
     /** What a user knew when asking: an answer may be overtaken on its way, but not be older than that. */
-    record Question(SimulatedUsers.Job job, String knownStatus, Instant asked) {}
+    record Query(SimulatedUsers.Job job, String knownStatus, Instant askedAt) {}
 
     private final ClusterSimulator simulator;
     private final SimulatedUsers users;
@@ -24,38 +24,38 @@
     }
 
     /** A question that is asked now. */
-    Question question(SimulatedUsers.Job job) {
-        return new Question(job, job.lastStatus, simulator.now);
+    Query newQuery(SimulatedUsers.Job job) {
+        return new Query(job, job.lastStatus, simulator.now);
     }
 
     /** The status in an answer that describes a job. */
-    static String statusIn(Reply reply) {
+    static String statusOf(Reply reply) {
         return JsonParser.parseString(reply.body())
                 .getAsJsonObject()
                 .get("status")
                 .getAsString();
     }
 
-    /** Checks the answer to a question, and keeps what the user knows now. */
-    void check(Question question, Reply reply) {
-        SimulatedUsers.Job job = question.job;
+    /** Checks the answer to a query, and keeps what the user knows now. */
+    void check(Query query, Reply reply) {
+        SimulatedUsers.Job job = query.job;
         if (reply.status() == 404) {
             simulator.rules.broken("forgotten", job.id + " is answered 404");
         }
         if (reply.status() != 200) {
-            simulator.rules.unanswered(job);
+            simulator.rules.checkUnanswered(job);
             return;
         }
-        job.answered = simulator.now;
-        String status = statusIn(reply);
-        checkFinality(question, status);
+        job.lastAnsweredAt = simulator.now;
+        String status = statusOf(reply);
+        checkFinality(query, status);
         if (status.equals(CANCELLED)) {
             checkCancellation(job);
         } else {
-            checkPrerequisites(question, status);
+            checkPrerequisites(query, status);
         }
         if (status.equals(DONE) && job.doneTold == null) {
-            toldDone(job);
+            recordDone(job);
         }
         if (!isFinal(job.lastStatus)) {
             job.lastStatus = status;
@@ -66,14 +66,14 @@
         return status.equals(DONE) || status.equals(CANCELLED);
     }
 
-    private void checkFinality(Question question, String status) {
-        if (isFinal(question.knownStatus) && !status.equals(question.knownStatus)) {
-            simulator.rules.broken("went_back", question.job.id + " was " + question.knownStatus + " and is " + status);
+    private void checkFinality(Query query, String status) {
+        if (isFinal(query.knownStatus) && !status.equals(query.knownStatus)) {
+            simulator.rules.broken("went_back", query.job.id + " was " + query.knownStatus + " and is " + status);
         }
     }
 
     private void checkCancellation(SimulatedUsers.Job job) {
-        if (job.cancelTold == null && !users.mayBeWithdrawn(job)) {
+        if (job.cancelTold == null && !users.mayBeCancelled(job)) {
             simulator.rules.broken("went_back", job.id + " is cancelled by nobody");
         } else if (job.takenAlong == null) {
             job.takenAlong = simulator.now;
@@ -81,30 +81,30 @@
     }
 
     /** A job that needs a cancelled one must be cancelled as well within the time allowed. */
-    private void checkPrerequisites(Question question, String status) {
-        Instant cancelled = prerequisiteCancelled(question.job);
+    private void checkPrerequisites(Query query, String status) {
+        Instant cancelled = prerequisiteCancelledAt(query.job);
         if (cancelled != null
-                && Duration.between(cancelled, question.asked).compareTo(simulator.template.cancellationLimit()) > 0) {
+                && Duration.between(cancelled, query.askedAt).compareTo(simulator.template.cancellationLimit()) > 0) {
             simulator.rules.broken(
                     "orphaned",
-                    question.job.id + " is " + status + ", though a job before it was cancelled at "
+                    query.job.id + " is " + status + ", though a job before it was cancelled at "
                             + Duration.between(Instant.EPOCH, cancelled).toMillis() / 1e3);
         }
     }
 
     /** When a user was first told that a job which this one needs is cancelled, or null. */
-    private Instant prerequisiteCancelled(SimulatedUsers.Job job) {
+    private Instant prerequisiteCancelledAt(SimulatedUsers.Job job) {
         Instant first = null;
-        for (String id : job.awaits) {
+        for (String id : job.prerequisites) {
             SimulatedUsers.Job prerequisite = users.jobs.get(id);
             Instant at =
-                    prerequisite.cancelTold != null ? prerequisite.cancelTold : prerequisiteCancelled(prerequisite);
+                    prerequisite.cancelTold != null ? prerequisite.cancelTold : prerequisiteCancelledAt(prerequisite);
             first = first == null || (at != null && at.isBefore(first)) ? at : first;
         }
         return first == null || job.submitted.isBefore(first) ? first : job.submitted;
     }
 
-    private void toldDone(SimulatedUsers.Job job) {
+    private void recordDone(SimulatedUsers.Job job) {
         job.doneTold = simulator.now;
         for (int task = 0; task < job.tasks; task++) {
             if (!users.finished.contains(job.id + "/" + task)) {
@@ -112,6 +112,6 @@
             }
         }
         simulator.note(job.id + " done");
-        users.lookClosely(job);
+        users.queryAllControllers(job);
     }
 }
--- a/src/test/java/org/havenford/simulator/LoopbackCluster.java
+++ b/src/test/java/org/havenford/simulator/LoopbackCluster.java
@@ -33,23 +33,23 @@
 
 /**
  * The stand-ins of a {@link ClusterSimulator} in real time and over HTTP on loopback, around controllers that are real processes. All
- * stand-ins run on the thread that drives this world; requests that come in wait in a queue for it.
+ * stand-ins run on the thread that drives this simulator; requests that come in wait in a queue for it.
  */
 final class LoopbackCluster implements AutoCloseable {
     private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(70);
     private static final String STORE = "{\"rps\":600,\"write_rps\":300,\"value_kb\":8,\"txn_ops\":12}";
     private static final String HOST = "127.0.0.1";
     private static final int FIRST_PORT = 20_000;
-    private static final int PORTS = 12_000;
+    private static final int PORT_COUNT = 12_000;
     /** Worlds of other processes begin elsewhere. */
-    private static int nextPort = (int) (ProcessHandle.current().pid() * 397 % PORTS);
+    private static int nextPort = (int) (ProcessHandle.current().pid() * 397 % PORT_COUNT);
 
-    final ClusterSimulator world;
+    final ClusterSimulator simulator;
     final Map<String, ControllerProcess> controllers = new LinkedHashMap<>();
     private final Map<String, HttpServer> servers = new HashMap<>();
     private final Map<String, String> endpoints = new HashMap<>();
-    private final ConcurrentLinkedQueue<Runnable> inbox = new ConcurrentLinkedQueue<>();
-    private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
+    private final ConcurrentLinkedQueue<Runnable> pendingTasks = new ConcurrentLinkedQueue<>();
+    private final ExecutorService executor = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "loopback");
         thread.setDaemon(true);
         return thread;
@@ -57,7 +57,7 @@
     private final HttpClient client = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofSeconds(2))
-            .executor(threads)
+            .executor(executor)
             .build();
     private final long startNanos = System.nanoTime();
 
@@ -73,15 +73,15 @@
         for (int i = 0; i < nodes; i++) {
             settings.add(SimulatorSettings.json(i, addresses, teams, SimulatorSettings.DEFAULT_AGENTS, STORE));
         }
-        world = new ClusterSimulator(1, PlatformSettings.parse(settings.get(0)));
-        world.endpoints = this::endpoint;
+        simulator = new ClusterSimulator(1, PlatformSettings.parse(settings.get(0)));
+        simulator.endpoints = this::endpointOf;
         serve(addresses.state());
         serve(addresses.cloud());
         for (int i = 0; i < nodes; i++) {
             PlatformSettings parsed = PlatformSettings.parse(settings.get(i));
-            world.addRemoteNode(parsed);
+            simulator.addRemoteNode(parsed);
             String bind = parsed.bind();
-            world.servers.put(bind, (method, path, body, answer) -> forward(bind, method, path, body, answer));
+            simulator.servers.put(bind, (method, path, body, answer) -> forward(bind, method, path, body, answer));
             ControllerProcess process = new ControllerProcess(directory, parsed.node(), settings.get(i), operatorXml);
             controllers.put(parsed.node(), process);
             process.start();
@@ -92,7 +92,7 @@
     private static synchronized List<String> freeAddresses(int count) throws IOException {
         List<String> addresses = new ArrayList<>();
         while (addresses.size() < count) {
-            int port = FIRST_PORT + nextPort++ % PORTS;
+            int port = FIRST_PORT + nextPort++ % PORT_COUNT;
             try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 addresses.add(HOST + ":" + socket.getLocalPort());
             } catch (BindException e) {
@@ -102,7 +102,7 @@
         return addresses;
     }
 
-    private String endpoint(String machine) {
+    private String endpointOf(String machine) {
         return endpoints.computeIfAbsent(machine, name -> {
             try {
                 String address = freeAddresses(1).get(0);
@@ -114,11 +114,11 @@
         });
     }
 
-    /** Answers HTTP at an address with whatever the world has there. */
+    /** Answers HTTP at an address with whatever the simulator has there. */
     private void serve(String address) throws IOException {
         int port = Integer.parseInt(address.substring(address.indexOf(':') + 1));
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 64);
-        server.setExecutor(threads);
+        server.setExecutor(executor);
         server.createContext("/", exchange -> handle(address, exchange));
         server.start();
         servers.put(address, server);
@@ -127,8 +127,8 @@
     private void handle(String address, HttpExchange exchange) throws IOException {
         String body = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
         CompletableFuture<Reply> reply = new CompletableFuture<>();
-        inbox.add(() -> {
-            ClusterSimulator.Server server = world.servers.get(address);
+        pendingTasks.add(() -> {
+            ClusterSimulator.Server server = simulator.servers.get(address);
             if (server != null) {
                 server.request(
                         exchange.getRequestMethod(), exchange.getRequestURI().toString(), body, reply::complete);
@@ -159,24 +159,24 @@
                 .whenComplete((response, failure) -> {
                     Reply reply =
                             failure == null ? new Reply(response.statusCode(), response.body()) : new Reply(0, "");
-                    inbox.add(() -> answer.accept(reply));
+                    pendingTasks.add(() -> answer.accept(reply));
                 });
     }
 
-    /** Seconds since this world began. */
+    /** Seconds since this simulator began. */
     double seconds() {
         return (System.nanoTime() - startNanos) / 1e9;
     }
 
-    /** Drives the world until a condition holds, for so many seconds at most; returns whether it held. */
-    boolean runUntil(BooleanSupplier holds, double maximumSeconds) throws InterruptedException {
-        double end = seconds() + maximumSeconds;
+    /** Drives the simulator until a condition holds, for so many seconds at most; returns whether it held. */
+    boolean runUntil(BooleanSupplier condition, double timeoutSeconds) throws InterruptedException {
+        double end = seconds() + timeoutSeconds;
         while (seconds() < end) {
-            for (Runnable next = inbox.poll(); next != null; next = inbox.poll()) {
+            for (Runnable next = pendingTasks.poll(); next != null; next = pendingTasks.poll()) {
                 next.run();
             }
-            world.runUntil(seconds());
-            if (holds.getAsBoolean()) {
+            simulator.runUntil(seconds());
+            if (condition.getAsBoolean()) {
                 return true;
             }
             Thread.sleep(1);
@@ -190,6 +190,6 @@
             controller.kill();
         }
         servers.values().forEach(server -> server.stop(0));
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/test/java/org/havenford/simulator/PlacementInvariant.java
+++ b/src/test/java/org/havenford/simulator/PlacementInvariant.java
@@ -6,41 +6,41 @@
 final class PlacementInvariant {
     private static final String RULE = "wrong_place";
 
-    private final ClusterSimulator world;
+    private final ClusterSimulator simulator;
     private final InvariantChecker checker;
 
-    PlacementInvariant(ClusterSimulator world, InvariantChecker checker) {
-        this.world = world;
+    PlacementInvariant(ClusterSimulator simulator, InvariantChecker checker) {
+        this.simulator = simulator;
         this.checker = checker;
     }
 
     /** Checks a task that has just started. */
     void check(SimulatedAgent agent, SimulatedAgent.Task task, SimulatedUsers.Job job) {
         if (!allowsType(agent, job)) {
-            violated("type", task.shot + " on " + agent.name + ", which is " + agent.type + ", not of " + job.types);
+            report("type", task.shot + " on " + agent.name + ", which is " + agent.type + ", not of " + job.types);
         }
         if (!allowsZone(agent, job)) {
-            violated("zone", task.shot + " in zone " + agent.zone + ", not " + job.zone);
+            report("zone", task.shot + " in zone " + agent.zone + ", not " + job.zone);
         }
-        if (!allowsKind(agent, job)) {
-            violated("kind", task.shot + " on " + agent.name + ", a spot machine");
+        if (!allowsSpotOrOnDemand(agent, job)) {
+            report("kind", task.shot + " on " + agent.name + ", a spot machine");
         }
-        Map<String, Integer> byZone = RunningTasks.byZone(world, job);
+        Map<String, Integer> byZone = RunningTasks.byZone(simulator, job);
         if (job.together && byZone.size() > 1) {
-            violated("together", task.shot + " on " + agent.name + ", tasks by zone " + byZone);
+            report("together", task.shot + " on " + agent.name + ", tasks by zone " + byZone);
         }
-        if (job.apart && byZone.getOrDefault(agent.zone, 0) > mostInOneZone(job)) {
-            violated("apart", task.shot + " on " + agent.name + ", of " + job.tasks + " tasks by zone " + byZone);
+        if (job.apart && byZone.getOrDefault(agent.zone, 0) > maxTasksPerZone(job)) {
+            report("apart", task.shot + " on " + agent.name + ", of " + job.tasks + " tasks by zone " + byZone);
         }
     }
 
-    private void violated(String constraint, String detail) {
+    private void report(String constraint, String detail) {
         checker.broken(RULE, constraint + ": " + detail);
     }
 
     /** Whether a job allows a machine, as far as that does not depend on where its other tasks run. */
     static boolean allowsMachine(SimulatedAgent agent, SimulatedUsers.Job job) {
-        return allowsKind(agent, job) && allowsType(agent, job) && allowsZone(agent, job);
+        return allowsSpotOrOnDemand(agent, job) && allowsType(agent, job) && allowsZone(agent, job);
     }
 
     private static boolean allowsType(SimulatedAgent agent, SimulatedUsers.Job job) {
@@ -51,17 +51,17 @@
         return job.zone == null || job.zone.equals(agent.zone);
     }
 
-    private static boolean allowsKind(SimulatedAgent agent, SimulatedUsers.Job job) {
+    private static boolean allowsSpotOrOnDemand(SimulatedAgent agent, SimulatedUsers.Job job) {
         return job.spot || !agent.spot;
     }
 
     /** Whether one more task may start in the machine's zone beside those that run now. */
     static boolean allowsOneMore(SimulatedAgent agent, SimulatedUsers.Job job, Map<String, Integer> byZone) {
         return (!job.together || byZone.isEmpty() || byZone.containsKey(agent.zone))
-                && (!job.apart || byZone.getOrDefault(agent.zone, 0) < mostInOneZone(job));
+                && (!job.apart || byZone.getOrDefault(agent.zone, 0) < maxTasksPerZone(job));
     }
 
-    private static int mostInOneZone(SimulatedUsers.Job job) {
+    private static int maxTasksPerZone(SimulatedUsers.Job job) {
         return (job.tasks + 1) / 2;
     }
 }
--- a/src/test/java/org/havenford/simulator/SimulatedController.java
+++ b/src/test/java/org/havenford/simulator/SimulatedController.java
@@ -21,7 +21,7 @@
     /** How long a process that freezes still acts, though what it sends no longer goes out. */
     private static final Duration FREEZE_DELAY = Duration.ofMillis(300);
     /** The most by which a controller's clock is fast or slow is half of this part. */
-    private static final double CLOCK_DRIFT_RANGE = 0.001;
+    private static final double CLOCK_RATE_RANGE = 0.001;
 
     private static final long TIME_OF_DAY_OFFSET_SECONDS = 1_700_000_000L;
 
@@ -32,14 +32,14 @@
     /** It runs the version before format 2, which knows nothing of limits to come. */
     private boolean runsFormatOne;
 
-    private Run run;
+    private ProcessInstance process;
     /** Nothing that comes in or is due happens, and what it had queued has not gone out. */
     private boolean frozen;
     /** What it sends is queued. */
-    private boolean sendsQueued;
+    private boolean queuesMessages;
 
-    private final List<Runnable> unsent = new ArrayList<>();
-    private final List<Runnable> whileFrozen = new ArrayList<>();
+    private final List<Runnable> queuedMessages = new ArrayList<>();
+    private final List<Runnable> deferredActions = new ArrayList<>();
 
     /**
      * Creates a controller that is not started.
@@ -61,63 +61,63 @@
 
     /** Starts the process if it does not run. */
     void start() {
-        if (run != null) {
+        if (process != null) {
             return;
         }
-        run = new Run();
+        process = new ProcessInstance();
         simulator.servers.put(settings.bind(), this);
-        run.startStandby();
-        run.controller.start();
+        process.startStandby();
+        process.controller.start();
         simulator.note("start " + settings.node());
     }
 
     /** Ends the process without warning. */
     void crash() {
-        if (run == null) {
+        if (process == null) {
             return;
         }
-        run.dead = true;
-        run = null;
+        process.ended = true;
+        process = null;
         simulator.peerNetwork.ended(settings.node());
-        sendsQueued = false;
+        queuesMessages = false;
         frozen = false;
-        unsent.clear();
-        whileFrozen.clear();
+        queuedMessages.clear();
+        deferredActions.clear();
         simulator.servers.remove(settings.bind());
         simulator.note("crash " + settings.node());
     }
 
     /** For a moment before it freezes what it sends is only queued, as when it stops in the middle of a round. */
     void freeze() {
-        sendsQueued = true;
-        simulator.after(FREEZE_DELAY, () -> frozen = sendsQueued);
+        queuesMessages = true;
+        simulator.after(FREEZE_DELAY, () -> frozen = queuesMessages);
     }
 
     /** Its clocks have run on; all that it had queued, that is due and that came meanwhile happens now. */
     void thaw() {
-        sendsQueued = false;
+        queuesMessages = false;
         frozen = false;
-        List<Runnable> all = new ArrayList<>(unsent);
-        all.addAll(whileFrozen);
-        unsent.clear();
-        whileFrozen.clear();
-        all.forEach(Runnable::run);
+        List<Runnable> pending = new ArrayList<>(queuedMessages);
+        pending.addAll(deferredActions);
+        queuedMessages.clear();
+        deferredActions.clear();
+        pending.forEach(Runnable::run);
     }
 
     /** Queues what it sends if it is frozen or about to freeze; false if it may go out. */
     boolean queueIfFrozen(Runnable message) {
-        if (sendsQueued) {
-            unsent.add(message);
+        if (queuesMessages) {
+            queuedMessages.add(message);
         }
-        return sendsQueued;
+        return queuesMessages;
     }
 
-    private void act(Run actor, Runnable action) {
-        if (actor.dead) {
+    private void runOrDefer(ProcessInstance target, Runnable action) {
+        if (target.ended) {
             return;
         }
         if (frozen) {
-            whileFrozen.add(() -> act(actor, action));
+            deferredActions.add(() -> runOrDefer(target, action));
         } else {
             action.run();
         }
@@ -125,16 +125,16 @@
 
     @Override
     public void request(String method, String path, String body, Consumer<HttpCalls.Reply> answer) {
-        Run served = run;
+        ProcessInstance served = process;
         if (served == null) {
             return;
         }
         byte[] bytes = body == null ? new byte[0] : body.getBytes(StandardCharsets.UTF_8);
         HttpServer.Request request = new HttpServer.Request(method, path, bytes);
-        act(
+        runOrDefer(
                 served,
                 () -> served.controller.handle(request, reply -> {
-                    if (!served.dead) {
+                    if (!served.ended) {
                         simulator.behaviour.answer(
                                 simulator.now, settings.node(), method, path, reply.status(), reply.body());
                         answer.accept(new HttpCalls.Reply(reply.status(), reply.body()));
@@ -143,18 +143,18 @@
     }
 
     /** One run of the process; what it had scheduled ends with it, what it had sent does not. */
-    private final class Run implements EventLoop, HttpCalls {
-        private boolean dead;
-        private final double drift = 1 + (simulator.random.nextDouble() - 0.5) * CLOCK_DRIFT_RANGE;
-        private final Instant started = simulator.now;
-        private final boolean isFormatOne = runsFormatOne;
-        private final Controller controller =
-                new Controller(this, this, isFormatOne ? formatOneSettings : settings, OperatorSettings.DEFAULTS);
+    private final class ProcessInstance implements EventLoop, HttpCalls {
+        private boolean ended;
+        private final double clockRate = 1 + (simulator.random.nextDouble() - 0.5) * CLOCK_RATE_RANGE;
+        private final Instant startedAt = simulator.now;
+        private final boolean startedWithFormatOne = runsFormatOne;
+        private final Controller controller = new Controller(
+                this, this, startedWithFormatOne ? formatOneSettings : settings, OperatorSettings.DEFAULTS);
 
         void startStandby() {
-            if (simulator.withStandby && !isFormatOne && !simulator.withoutStandby.contains(settings.node())) {
+            if (simulator.withStandby && !startedWithFormatOne && !simulator.withoutStandby.contains(settings.node())) {
                 PeerNetwork network =
-                        simulator.peerNetwork.of(settings.node(), () -> !dead, action -> act(this, action));
+                        simulator.peerNetwork.of(settings.node(), () -> !ended, action -> runOrDefer(this, action));
                 new WarmStandby(controller.standbyHost(), network, settings, StandbySettings.OFF).start();
             }
         }
@@ -162,7 +162,7 @@
         @Override
         public Instant now() {
             return Instant.EPOCH.plusNanos(
-                    (long) (Duration.between(started, simulator.now).toNanos() * drift));
+                    (long) (Duration.between(startedAt, simulator.now).toNanos() * clockRate));
         }
 
         @Override
@@ -172,14 +172,14 @@
 
         @Override
         public void after(Duration delay, Runnable task) {
-            simulator.after(delay, () -> act(this, task));
+            simulator.after(delay, () -> runOrDefer(this, task));
         }
 
         @Override
         public void call(
                 String address, String method, String path, String body, Duration timeout, Consumer<Reply> done) {
             simulator.behaviour.request(simulator.now, settings.node(), address, method, path, body);
-            boolean translated = isFormatOne && address.equals(simulator.template.storeAddress());
+            boolean translated = startedWithFormatOne && address.equals(simulator.template.storeAddress());
             String sent = translated && path.equals("/multi") ? FormatOneStandIn.written(body) : body;
             Consumer<Reply> received =
                     reply -> done.accept(translated ? FormatOneStandIn.read(simulator, settings.node(), reply) : reply);
@@ -187,7 +187,7 @@
                     settings.bind(),
                     address,
                     new SimulatedNetwork.Request(method, path, sent, timeout),
-                    reply -> act(this, () -> received.accept(reply)));
+                    reply -> runOrDefer(this, () -> received.accept(reply)));
         }
     }
 }
--- a/src/test/java/org/havenford/simulator/SimulatedUsers.java
+++ b/src/test/java/org/havenford/simulator/SimulatedUsers.java
@@ -26,9 +26,9 @@
     private static final int MIN_POLL_MILLIS = 4000;
     private static final int POLL_JITTER_MILLIS = 2000;
     /** How long after an event users ask all controllers about the job, if they look closely. */
-    private static final int[] CLOSE_LOOK_MILLIS = {0, 3, 12, 40};
+    private static final int[] REPEATED_QUERY_DELAYS_MILLIS = {0, 3, 12, 40};
 
-    private static final int IMAGES = 3;
+    private static final int IMAGE_COUNT = 3;
 
     static final class Job {
         String id;
@@ -45,25 +45,25 @@
 
         double imageGb = 1;
         String zone;
-        String urgency = "normal";
-        double due;
+        String priority = "normal";
+        double dueSeconds;
         /** Submitted with a mistake: each of its tasks fails on every machine. */
         boolean broken;
 
         boolean accepted;
         Instant cancelTold;
-        String lineup = "class";
+        String jobClass = "class";
         Instant submitted;
         Instant begun;
         /** When a question about the job was answered last. */
-        Instant answered = Instant.EPOCH;
+        Instant lastAnsweredAt = Instant.EPOCH;
 
         String lastStatus = "";
         Instant doneTold;
         /** Told to be withdrawn with a job that it needs, without having been asked for. */
         Instant takenAlong;
 
-        final List<String> awaits = new ArrayList<>();
+        final List<String> prerequisites = new ArrayList<>();
 
         /** How long a task of the job runs: the expected time, give or take a fifth. */
         Duration run(SplittableRandom random) {
@@ -71,7 +71,7 @@
         }
 
         /** Whether the user has been told that the job is over, one way or the other. */
-        boolean isKnownToBeOver() {
+        boolean isKnownToHaveEnded() {
             return doneTold != null || cancelTold != null || takenAlong != null;
         }
 
@@ -91,26 +91,26 @@
                 case "apart" -> apart = true;
                 case "together" -> together = true;
                 case "ordinary" -> spot = false;
-                case "urgent", "normal", "low" -> urgency = flag;
+                case "urgent", "normal", "low" -> priority = flag;
                 default -> throw new IllegalArgumentException("unknown option of a job: " + flag);
             }
         }
 
         private void applyValue(String name, String value) {
             switch (name) {
-                case "class" -> lineup = value;
+                case "class" -> jobClass = value;
                 case "zone" -> zone = value;
                 case "types" -> types = Set.of(value.split(","));
                 case "image-gb" -> imageGb = Double.parseDouble(value);
-                case "awaits" -> awaits.addAll(List.of(value.split(",")));
-                case "due" -> due = Double.parseDouble(value);
+                case "awaits" -> prerequisites.addAll(List.of(value.split(",")));
+                case "due" -> dueSeconds = Double.parseDouble(value);
                 default -> throw new IllegalArgumentException("unknown option of a job: " + name + "=" + value);
             }
         }
     }
 
     private final ClusterSimulator simulator;
-    private final JobAnswerChecker answers;
+    private final JobAnswerChecker answerChecker;
     /** Jobs that were asked to be cancelled, whatever the answer. */
     final Set<String> cancelAsked = new HashSet<>();
 
@@ -126,16 +126,16 @@
 
     SimulatedUsers(ClusterSimulator simulator) {
         this.simulator = simulator;
-        this.answers = new JobAnswerChecker(simulator, this);
+        this.answerChecker = new JobAnswerChecker(simulator, this);
     }
 
     /** Asks about and repeats a job at all controllers, if users look closely. */
-    void lookClosely(Job job) {
+    void queryAllControllers(Job job) {
         if (!looksClosely) {
             return;
         }
         for (SimulatedController node : simulator.nodes.values()) {
-            for (int millis : CLOSE_LOOK_MILLIS) {
+            for (int millis : REPEATED_QUERY_DELAYS_MILLIS) {
                 simulator.after(Duration.ofMillis(millis), () -> {
                     ask(job.id, node.settings.bind());
                     repeat(job.id, node.settings.bind());
@@ -152,12 +152,12 @@
         job.tasks = tasks;
         job.cpus = cpus;
         job.runSeconds = runS;
-        job.image = "img-" + (Integer.parseInt(id.substring(2)) % IMAGES);
+        job.image = "img-" + (Integer.parseInt(id.substring(2)) % IMAGE_COUNT);
         job.spot = true;
         options.forEach(job::apply);
         job.submitted = simulator.now;
         jobs.put(id, job);
-        send(job);
+        postSubmission(job);
         return job;
     }
 
@@ -165,12 +165,12 @@
     static JsonObject body(Job job) {
         JsonObject json = new JsonObject();
         json.addProperty("nameId", job.id);
-        json.addProperty("lineup", job.lineup);
+        json.addProperty("lineup", job.jobClass);
         json.addProperty("crew", job.team);
         json.addProperty("shape", "batch");
-        json.addProperty("urgency", job.urgency);
-        if (job.due > 0) {
-            json.addProperty("airtimeS", job.due);
+        json.addProperty("urgency", job.priority);
+        if (job.dueSeconds > 0) {
+            json.addProperty("airtimeS", job.dueSeconds);
         }
         json.addProperty("shots", job.tasks);
         addResources(json, job);
@@ -178,9 +178,9 @@
         json.addProperty("guessS", job.runSeconds);
         json.addProperty("keyframeS", 0.0);
         json.addProperty("flushS", 0.0);
-        if (!job.awaits.isEmpty()) {
+        if (!job.prerequisites.isEmpty()) {
             JsonArray prerequisites = new JsonArray();
-            job.awaits.forEach(prerequisites::add);
+            job.prerequisites.forEach(prerequisites::add);
             json.add("awaits", prerequisites);
         }
         return json;
@@ -208,49 +208,56 @@
         }
     }
 
-    private String someNode() {
-        List<SimulatedController> all = List.copyOf(simulator.nodes.values());
-        return all.get(simulator.random.nextInt(all.size())).settings.bind();
+    private String randomAddress() {
+        List<SimulatedController> controllers = List.copyOf(simulator.nodes.values());
+        return controllers
+                .get(simulator.random.nextInt(controllers.size()))
+                .settings
+                .bind();
     }
 
-    private void send(Job job) {
-        boolean prerequisitesAccepted = job.awaits.stream().allMatch(id -> jobs.get(id).accepted);
-        post(someNode(), SUBMISSIONS_PATH, body(job).toString(), reply -> submitted(job, prerequisitesAccepted, reply));
+    private void postSubmission(Job job) {
+        boolean prerequisitesAccepted = job.prerequisites.stream().allMatch(id -> jobs.get(id).accepted);
+        post(
+                randomAddress(),
+                SUBMISSIONS_PATH,
+                body(job).toString(),
+                reply -> onSubmissionAnswered(job, prerequisitesAccepted, reply));
     }
 
-    private void submitted(Job job, boolean prerequisitesAccepted, Reply reply) {
+    private void onSubmissionAnswered(Job job, boolean prerequisitesAccepted, Reply reply) {
         int status = reply.status();
         boolean prerequisiteUnknown = status == 422 && !prerequisitesAccepted;
         if (status == 201 || status == 200) {
-            accepted(job);
+            onAccepted(job);
         } else if ((status == 400 || status == 422) && !prerequisiteUnknown) {
             simulator.rules.broken("forgotten", job.id + " refused with " + status);
         } else {
-            simulator.after(RETRY_DELAY, () -> send(job));
+            simulator.after(RETRY_DELAY, () -> postSubmission(job));
         }
     }
 
-    private void accepted(Job job) {
+    private void onAccepted(Job job) {
         boolean first = !job.accepted;
         if (first) {
             simulator.note(job.id + " accepted");
         }
         job.accepted = true;
-        job.answered = simulator.now;
+        job.lastAnsweredAt = simulator.now;
         poll(job);
         if (first) {
-            lookClosely(job);
+            queryAllControllers(job);
         }
     }
 
     private void poll(Job job) {
-        int often = Math.max(1, pollRateFactor);
-        int millis = (MIN_POLL_MILLIS + simulator.random.nextInt(POLL_JITTER_MILLIS)) / often;
+        int rateFactor = Math.max(1, pollRateFactor);
+        int millis = (MIN_POLL_MILLIS + simulator.random.nextInt(POLL_JITTER_MILLIS)) / rateFactor;
         simulator.after(Duration.ofMillis(millis), () -> {
-            JobAnswerChecker.Question question = answers.question(job);
-            get(someNode(), job, reply -> {
-                answers.check(question, reply);
-                if (!job.isKnownToBeOver() || simulator.random.nextInt(3) > 0) {
+            JobAnswerChecker.Query query = answerChecker.newQuery(job);
+            get(randomAddress(), job, reply -> {
+                answerChecker.check(query, reply);
+                if (!job.isKnownToHaveEnded() || simulator.random.nextInt(3) > 0) {
                     poll(job);
                 }
             });
@@ -269,13 +276,14 @@
     }
 
     /** Whether the job, or one that it needs, was asked to be cancelled. */
-    boolean mayBeWithdrawn(Job job) {
-        return cancelAsked.contains(job.id) || job.awaits.stream().anyMatch(needed -> mayBeWithdrawn(jobs.get(needed)));
+    boolean mayBeCancelled(Job job) {
+        return cancelAsked.contains(job.id)
+                || job.prerequisites.stream().anyMatch(prerequisite -> mayBeCancelled(jobs.get(prerequisite)));
     }
 
-    /** A single question. */
+    /** A single query. */
     void ask(String id) {
-        ask(id, someNode());
+        ask(id, randomAddress());
     }
 
     private void ask(String id, String address) {
@@ -283,13 +291,13 @@
         if (job == null || !job.accepted) {
             return;
         }
-        JobAnswerChecker.Question question = answers.question(job);
-        get(address, job, reply -> answers.check(question, reply));
+        JobAnswerChecker.Query query = answerChecker.newQuery(job);
+        get(address, job, reply -> answerChecker.check(query, reply));
     }
 
     /** The submission once more, whatever has become of the job: an accepted one is known for good. */
     void repeat(String id) {
-        repeat(id, someNode());
+        repeat(id, randomAddress());
     }
 
     private void repeat(String id, String address) {
@@ -298,13 +306,13 @@
             return;
         }
         boolean wasAccepted = job.accepted;
-        JobAnswerChecker.Question question = answers.question(job);
+        JobAnswerChecker.Query query = answerChecker.newQuery(job);
         post(address, SUBMISSIONS_PATH, body(job).toString(), reply -> {
             int status = reply.status();
             if (wasAccepted && status >= 201 && status < 500 && status != 429) {
                 simulator.rules.broken("forgotten", id + " sent again is answered " + status);
             } else if (wasAccepted && status == 200) {
-                answers.check(question, reply);
+                answerChecker.check(query, reply);
             }
         });
     }
@@ -316,24 +324,25 @@
             return;
         }
         cancelAsked.add(id);
-        String address =
-                node == null ? someNode() : simulator.nodes.get(node).settings.bind();
+        String address = node == null
+                ? randomAddress()
+                : simulator.nodes.get(node).settings.bind();
         post(address, SUBMISSIONS_PATH + "/" + id + "/abort", null, reply -> {
             if (reply.status() == 200) {
-                cancelAnswered(job, JobAnswerChecker.statusIn(reply));
+                onCancelAnswered(job, JobAnswerChecker.statusOf(reply));
             } else {
                 simulator.after(RETRY_DELAY, () -> cancel(id, null));
             }
         });
     }
 
-    private void cancelAnswered(Job job, String status) {
+    private void onCancelAnswered(Job job, String status) {
         simulator.note(job.id + " cancel answered " + status);
         if (status.equals(JobAnswerChecker.CANCELLED)) {
             job.cancelTold = simulator.now;
             simulator.rules.touched();
             job.lastStatus = JobAnswerChecker.CANCELLED;
-            lookClosely(job);
+            queryAllControllers(job);
         }
     }
 }
--- a/src/test/java/org/havenford/simulator/SubmissionBurst.java
+++ b/src/test/java/org/havenford/simulator/SubmissionBurst.java
@@ -13,10 +13,10 @@
     static final String STANDBY_ON = "<havenford><standby>on</standby></havenford>";
     static final String STANDBY_OFF = "<havenford><standby>off</standby></havenford>";
     /** Longer than any take-over takes: an assertion that waits fails only when nothing happens at all. */
-    static final double PATIENCE_SECONDS = 60;
+    static final double TIMEOUT_SECONDS = 60;
 
-    static final int RENDERS = 200;
-    private static final int RENDERS_PER_JOB = 10;
+    static final int TASKS = 200;
+    private static final int TASKS_PER_JOB = 10;
     private static final String TEAM = "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}";
     private static final List<String> ZONES = List.of("a", "b", "c");
 
@@ -26,15 +26,15 @@
     static LoopbackCluster start(Path directory, String operatorXml, int machines)
             throws IOException, MalformedMessageException, InterruptedException {
         LoopbackCluster loopback = new LoopbackCluster(directory, 3, TEAM, operatorXml);
-        loopback.world.cloud.perOffer = machines / ZONES.size();
+        loopback.simulator.cloud.perOffer = machines / ZONES.size();
         for (int i = 0; i < machines; i++) {
-            loopback.world.cloud.boot("large", ZONES.get(i % ZONES.size()), false, Duration.ofMillis(500));
+            loopback.simulator.cloud.boot("large", ZONES.get(i % ZONES.size()), false, Duration.ofMillis(500));
         }
         boolean ready = false;
         try {
             ready = loopback.runUntil(
-                    () -> loopback.world.workers.values().stream().allMatch(agent -> agent.token > 0),
-                    PATIENCE_SECONDS);
+                    () -> loopback.simulator.workers.values().stream().allMatch(agent -> agent.token > 0),
+                    TIMEOUT_SECONDS);
             assertTrue(ready, "the controllers did not come up");
             return loopback;
         } finally {
@@ -47,13 +47,13 @@
 
     /** Two hundred tasks of four CPUs each. */
     static void submit(LoopbackCluster loopback, int firstJob, double runSeconds) {
-        for (int i = 0; i < RENDERS / RENDERS_PER_JOB; i++) {
-            loopback.world.users.submit(
-                    "j-" + (firstJob + i), "red", RENDERS_PER_JOB, 4, runSeconds, List.of("image-gb=0.2"));
+        for (int i = 0; i < TASKS / TASKS_PER_JOB; i++) {
+            loopback.simulator.users.submit(
+                    "j-" + (firstJob + i), "red", TASKS_PER_JOB, 4, runSeconds, List.of("image-gb=0.2"));
         }
     }
 
     static boolean allDone(LoopbackCluster loopback) {
-        return loopback.world.users.jobs.values().stream().allMatch(job -> job.doneTold != null);
+        return loopback.simulator.users.jobs.values().stream().allMatch(job -> job.doneTold != null);
     }
 }
--- a/src/test/java/org/havenford/simulator/WaitingInvariant.java
+++ b/src/test/java/org/havenford/simulator/WaitingInvariant.java
@@ -11,14 +11,14 @@
  * that fails on every machine has no task that is ever done: it must be tried often enough.
  */
 final class WaitingInvariant {
-    private static final Duration MAXIMUM_WAIT = Duration.ofSeconds(90);
+    private static final Duration MAX_WAIT = Duration.ofSeconds(90);
 
-    private final ClusterSimulator world;
+    private final ClusterSimulator simulator;
     private final InvariantChecker checker;
     private final Map<String, Instant> waitingSince = new HashMap<>();
 
-    WaitingInvariant(ClusterSimulator world, InvariantChecker checker) {
-        this.world = world;
+    WaitingInvariant(ClusterSimulator simulator, InvariantChecker checker) {
+        this.simulator = simulator;
         this.checker = checker;
     }
 
@@ -29,13 +29,13 @@
 
     /** Checks all jobs, given the CPUs that each team's running tasks have. */
     void check(Map<String, Double> cpusByTeam) {
-        for (SimulatedUsers.Job job : world.users.jobs.values()) {
+        for (SimulatedUsers.Job job : simulator.users.jobs.values()) {
             if (!couldStart(job, cpusByTeam)) {
                 waitingSince.remove(job.id);
                 continue;
             }
-            Instant since = waitingSince.computeIfAbsent(job.id, id -> world.now);
-            if (Duration.between(since, world.now).compareTo(MAXIMUM_WAIT) > 0) {
+            Instant since = waitingSince.computeIfAbsent(job.id, id -> simulator.now);
+            if (Duration.between(since, simulator.now).compareTo(MAX_WAIT) > 0) {
                 checker.broken("waited", job.id + " has waited beside fitting room");
                 waitingSince.remove(job.id);
             }
@@ -43,33 +43,34 @@
     }
 
     private boolean couldStart(SimulatedUsers.Job job, Map<String, Double> cpusByTeam) {
-        if (!isPending(job) || !isWithinLimitOfTeam(job, cpusByTeam)) {
+        if (!isPending(job) || !isWithinTeamLimit(job, cpusByTeam)) {
             return false;
         }
-        Map<String, Integer> byZone = RunningTasks.byZone(world, job);
-        return world.workers.values().stream()
+        Map<String, Integer> byZone = RunningTasks.byZone(simulator, job);
+        return simulator.workers.values().stream()
                 .anyMatch(agent -> hasRoom(agent, job) && PlacementInvariant.allowsOneMore(agent, job, byZone));
     }
 
     private boolean isPending(SimulatedUsers.Job job) {
-        return isOpen(job) && hasUnstartedTask(job) && !(job.broken && wasTriedLately(job));
+        return isOpen(job) && hasUnstartedTask(job) && !(job.broken && hasStartedRecently(job));
     }
 
     private boolean isOpen(SimulatedUsers.Job job) {
         return job.accepted
                 && job.doneTold == null
-                && !world.users.mayBeWithdrawn(job)
-                && job.awaits.stream().allMatch(dependency -> world.store.value("final/" + dependency) != null);
+                && !simulator.users.mayBeCancelled(job)
+                && job.prerequisites.stream()
+                        .allMatch(dependency -> simulator.store.value("final/" + dependency) != null);
     }
 
-    private boolean wasTriedLately(SimulatedUsers.Job job) {
-        return checker.lastStart(job.id).plus(MAXIMUM_WAIT).isAfter(world.now);
+    private boolean hasStartedRecently(SimulatedUsers.Job job) {
+        return checker.lastStart(job.id).plus(MAX_WAIT).isAfter(simulator.now);
     }
 
     private boolean hasUnstartedTask(SimulatedUsers.Job job) {
         for (int index = 0; index < job.tasks; index++) {
             String task = job.id + "/" + index;
-            if (!world.users.finished.contains(task) && !isOnAnyMachine(task)) {
+            if (!simulator.users.finished.contains(task) && !isOnAnyMachine(task)) {
                 return true;
             }
         }
@@ -77,12 +78,12 @@
     }
 
     private boolean isOnAnyMachine(String name) {
-        return world.workers.values().stream()
+        return simulator.workers.values().stream()
                 .anyMatch(agent -> agent.tasks.values().stream().anyMatch(task -> task.shot.equals(name)));
     }
 
-    private boolean isWithinLimitOfTeam(SimulatedUsers.Job job, Map<String, Double> cpusByTeam) {
-        PlatformSettings.Team team = world.template.teams().get(job.team);
+    private boolean isWithinTeamLimit(SimulatedUsers.Job job, Map<String, Double> cpusByTeam) {
+        PlatformSettings.Team team = simulator.template.teams().get(job.team);
         return team.cpusMax() <= 0
                 || cpusByTeam.getOrDefault(job.team, 0.0) + job.cpus <= team.cpusMax() + InvariantChecker.CPU_TOLERANCE;
     }
@@ -100,7 +101,7 @@
     private double cpusInUse(SimulatedAgent agent) {
         return agent.tasks.values().stream()
                 .filter(task -> !task.status.equals("exited"))
-                .mapToDouble(task -> world.users.jobs.get(RunningTasks.jobOf(task.shot)).cpus)
+                .mapToDouble(task -> simulator.users.jobs.get(RunningTasks.jobOf(task.shot)).cpus)
                 .sum();
     }
 }
