--- a/src/test/java/org/havenford/simulator/BehaviourDigest.java
+++ b/src/test/java/org/havenford/simulator/BehaviourDigest.java
@@ -17,16 +17,17 @@
 import java.util.TreeMap;
 
 /**
- * A digest over everything that the controllers of one {@link ClusterSimulator} send, in order and with the simulated time: requests,
- * answers to requests, and what goes over peer connections. Two versions of the controllers with the same digest behave
- * alike in that run. The expected digests are kept in src/test/resources/digests; see the README.md there.
+ * A digest of all messages that the controllers of one {@link ClusterSimulator} send, in order and with their simulated
+ * time: requests, answers to requests, and events and data of peer connections. Two versions of the controllers with the
+ * same digest behave identically in that run. The expected digests are stored in src/test/resources/digests; see the
+ * README.md there.
  */
 final class BehaviourDigest {
     private static final Path DIRECTORY = Path.of("src/test/resources/digests");
     private static final Path FILE = DIRECTORY.resolve("behaviour.txt");
-    /** {@code write} renews the kept digests of the runs that are played instead of comparing them. */
+    /** Whether the stored digests of the executed runs are updated instead of compared. */
     private static final boolean UPDATES_DIGESTS = "write".equals(System.getProperty("havenford.digests"));
-    /** A directory in which each run leaves its messages as text, to be compared line by line. */
+    /** The directory to which each run writes its messages as text, for comparison line by line; null for none. */
     private static final String MESSAGES_DIRECTORY = System.getProperty("havenford.digests.messages");
 
     private static final int HEX_DIGITS = 16;
@@ -42,22 +43,22 @@
         }
     }
 
-    /** A controller sends a request. */
+    /** Adds a request sent by a controller. */
     void request(Instant now, String node, String address, String method, String path, String body) {
         add(now, "request", node, address, method, path, body);
     }
 
-    /** A controller answers a request. */
+    /** Adds the answer of a controller to a request. */
     void answer(Instant now, String node, String method, String path, int status, String body) {
         add(now, "answer", node, method, path, Integer.toString(status), body);
     }
 
-    /** A controller opens or closes a peer connection, or sends over it. */
+    /** Adds an event of a peer connection: a controller connects, sends or closes. */
     void peer(Instant now, String node, String other, String event, byte[] bytes) {
         add(now, "peer", node, other, event, HexFormat.of().formatHex(bytes));
     }
 
-    /** Each part is preceded by its length, so that no two sequences of messages look the same. */
+    /** Adds a message, each part prefixed with its length, so that different messages never give the same input. */
     private void add(Instant now, String... parts) {
         long nanos = Duration.between(Instant.EPOCH, now).toNanos();
         digest.update(ByteBuffer.allocate(Long.BYTES).putLong(nanos).flip());
@@ -76,7 +77,7 @@
         }
     }
 
-    /** Ends the digest and compares it with the one kept under this name; a name without a kept digest fails. */
+    /** Completes the digest and asserts that it equals the one stored under a name; fails if none is stored. */
     void assertKept(String name) {
         String actual = HexFormat.of().formatHex(digest.digest()).substring(0, HEX_DIGITS);
         try {
@@ -92,7 +93,8 @@
             assertEquals(
                     digests.get(name),
                     actual,
-                    () -> "The controllers' messages in " + name + " are not those kept in " + FILE + ".");
+                    () -> "The digest of the controllers' messages in " + name + " differs from the one in " + FILE
+                            + ".");
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/test/java/org/havenford/simulator/ClusterSimulator.java
+++ b/src/test/java/org/havenford/simulator/ClusterSimulator.java
@@ -18,16 +18,17 @@
 import org.havenford.transport.HttpCalls;
 
 /**
- * A deterministic discrete-event simulation in one thread: clock, event queue, network, state service, cloud, agents and
- * users, written from the published protocol, around the real controllers. The same seed gives the same run.
+ * A deterministic, single-threaded discrete-event simulation of a cluster. It simulates the clock, the network, the store,
+ * the cloud, the agents and the users according to the published protocol, and runs the real controllers against them.
+ * Runs with the same seed are identical.
  */
 public final class ClusterSimulator {
-    /** A party that answers HTTP requests. */
+    /** An endpoint that answers HTTP requests. */
     interface Server {
         void request(String method, String path, String body, Consumer<HttpCalls.Reply> answer);
     }
 
-    /** Something that happens at a moment; events of the same moment happen in the order in which they were scheduled. */
+    /** A scheduled event. Events scheduled for the same instant run in the order in which they were scheduled. */
     private record Event(Instant at, long order, Runnable task) {}
 
     final SplittableRandom random;
@@ -36,9 +37,9 @@
     private final PriorityQueue<Event> queue =
             new PriorityQueue<>(Comparator.comparing(Event::at).thenComparingLong(Event::order));
 
-    /** All that answers requests, by address. */
+    /** The HTTP endpoints by address. */
     final Map<String, Server> servers = new HashMap<>();
-    /** The controllers by node name. */
+    /** The controllers by node name, in the order in which they were added. */
     final Map<String, SimulatedController> nodes = new LinkedHashMap<>();
 
     private final Map<String, SimulatedController> controllersByAddress = new HashMap<>();
@@ -51,20 +52,21 @@
     final SimulatedUsers users = new SimulatedUsers(this);
     /** The agents by machine name. */
     final Map<String, SimulatedAgent> workers = new LinkedHashMap<>();
-    /** Whether controllers have a standby, and which of them have none all the same. */
+    /** Whether controllers run a warm standby, except those in {@link #withoutStandby}. */
     boolean withStandby;
 
+    /** The names of controllers that run no standby even if {@link #withStandby} is set. */
     final Set<String> withoutStandby = new HashSet<>();
 
     final List<String> log = new ArrayList<>();
     final BehaviourDigest behaviour = new BehaviourDigest();
-    /** Where the agent of a machine is reached. */
+    /** Returns the address of the agent on the machine with a given name. */
     UnaryOperator<String> endpoints = machine -> machine + ":9000";
 
     /**
      * Creates a cluster without controllers and machines.
      *
-     * @param template settings that hold for all controllers
+     * @param template provides the settings that are the same for all controllers, such as addresses, teams and limits
      */
     ClusterSimulator(long seed, PlatformSettings template) {
         this.random = new SplittableRandom(seed);
@@ -74,12 +76,12 @@
         servers.put(template.cloudAddress(), cloud);
     }
 
-    /** Adds a line with the simulated time to the log of the run. */
+    /** Appends a line to the log of the run, prefixed with the simulated time. */
     void note(String line) {
         log.add(String.format("%8.3f %s", seconds(), line));
     }
 
-    /** The simulated time since the start of the run. */
+    /** Returns the simulated time since the start of the run, in seconds. */
     double seconds() {
         return Duration.between(Instant.EPOCH, now).toMillis() / 1e3;
     }
@@ -88,12 +90,12 @@
         return Instant.EPOCH.plusMillis((long) (second * 1000));
     }
 
-    /** Schedules an event some time from now. */
+    /** Schedules a task after a delay from the current simulated time. */
     void after(Duration delay, Runnable task) {
         schedule(now.plus(delay), task);
     }
 
-    /** Schedules an event at a second of the run. */
+    /** Schedules a task at a simulated time, in seconds since the start of the run. */
     void at(double second, Runnable task) {
         schedule(instantOf(second), task);
     }
@@ -103,7 +105,7 @@
         scheduledEvents++;
     }
 
-    /** Lets all events up to a second of the run happen, and checks the rules after each. */
+    /** Runs all events up to a simulated time, in seconds, and checks the invariants after each of them. */
     void runUntil(double second) {
         Instant end = instantOf(second);
         while (!queue.isEmpty() && !queue.peek().at.isAfter(end)) {
@@ -115,17 +117,22 @@
         now = end;
     }
 
-    /** The controller in this process that is reached at an address, or null. */
+    /** Returns the simulated controller with an address, or null if no controller of this process has it. */
     SimulatedController controllerAt(String address) {
         return controllersByAddress.get(address);
     }
 
-    /** Adds and starts a controller of this version. */
+    /** Adds and starts a controller of the current version. */
     void addNode(PlatformSettings settings) {
         addNode(settings, null);
     }
 
-    /** Adds and starts a controller, where {@code oldSettings} are given of the version before until it is upgraded. */
+    /**
+     * Adds and starts a controller.
+     *
+     * @param oldSettings if not null, the controller runs the version before format 2 with these settings until it is
+     *     upgraded
+     */
     void addNode(PlatformSettings settings, PlatformSettings oldSettings) {
         SimulatedController controller = new SimulatedController(this, settings, oldSettings);
         nodes.put(settings.node(), controller);
@@ -134,7 +141,7 @@
         controller.start();
     }
 
-    /** A controller that runs elsewhere: agents and users know its address. */
+    /** Registers a controller that runs in another process, so that agents and users have its address. */
     void addRemoteNode(PlatformSettings settings) {
         nodes.put(settings.node(), new SimulatedController(this, settings, null));
     }
--- a/src/test/java/org/havenford/simulator/ControllerProcess.java
+++ b/src/test/java/org/havenford/simulator/ControllerProcess.java
@@ -7,19 +7,21 @@
 import java.util.List;
 import org.havenford.Main;
 
-/** A controller as a process of its own, whose signals a test gives. */
+/** A controller in a process of its own, which a test can start, kill, suspend and resume. */
 final class ControllerProcess {
     private final Path settingsFile;
     private final Path operatorSettingsFile;
     private final Path logFile;
     private Process process;
 
+    /** Writes the settings files to a directory, which also receives the log; does not start the process. */
     ControllerProcess(Path directory, String node, String settingsJson, String operatorXml) throws IOException {
         settingsFile = Files.writeString(directory.resolve(node + ".json"), settingsJson);
         operatorSettingsFile = Files.writeString(directory.resolve(node + ".xml"), operatorXml);
         logFile = directory.resolve(node + ".log");
     }
 
+    /** Starts the process, with the class path of this test; its output is appended to the log file. */
     void start() throws IOException {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -39,7 +41,7 @@
                 .start();
     }
 
-    /** Ends the process without a warning, as SIGKILL does. */
+    /** Kills the process with SIGKILL, also if it is suspended, and waits for its end. */
     void kill() throws IOException {
         signal("CONT");
         process.destroyForcibly();
@@ -50,12 +52,12 @@
         }
     }
 
-    /** Stops the process where it is. */
+    /** Suspends the process with SIGSTOP. */
     void suspend() throws IOException {
         signal("STOP");
     }
 
-    /** Lets a stopped process go on. */
+    /** Resumes a suspended process with SIGCONT. */
     void resume() throws IOException {
         signal("CONT");
     }
@@ -72,7 +74,7 @@
         }
     }
 
-    /** What the process has logged so far. */
+    /** Returns what the process has logged so far. */
     String log() throws IOException {
         return Files.exists(logFile) ? Files.readString(logFile) : "";
     }
--- a/src/test/java/org/havenford/simulator/FailoverMeasurement.java
+++ b/src/test/java/org/havenford/simulator/FailoverMeasurement.java
@@ -14,17 +14,18 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Measures how long takeovers take. Not part of the build, since times depend on the machine:
- * {@code mvn test -Dtest=FailoverMeasurement}. System properties under {@code havenford.measure} say what is measured:
- * {@code kills}, {@code machines}, {@code withoutStandby}, and {@code stop} to stop controllers instead of killing them.
+ * Measures the duration of failovers. Not part of the build, since times depend on the machine:
+ * {@code mvn test -Dtest=FailoverMeasurement}. The system properties under {@code havenford.measure} select what is
+ * measured: {@code kills}, {@code machines}, {@code withoutStandby}, and {@code stop} to suspend controllers instead of
+ * killing them.
  */
 class FailoverMeasurement {
-    /** Evictions of the same node are spaced, so each controller of a cluster is killed once. */
+    /** Evictions of the same node are a minimum time apart, so each controller of a cluster fails only once. */
     private static final int FAILURES_PER_CLUSTER = 3;
 
     private static final int MAX_MILLIS = 120_000;
     private static final int SIGNIFICANT_DIGITS = 3;
-    /** The epoch of the view stands in a token's upper half. */
+    /** The upper 32 bits of a fencing token hold the epoch of the view. */
     private static final int EPOCH_SHIFT = 32;
 
     private final int kills = Integer.getInteger("havenford.measure.kills", 30);
@@ -41,8 +42,8 @@
     Path directory;
 
     /**
-     * Kills or suspends one controller after the other amid bursts, and tells how long it takes until the first and the last
-     * worker of its machines have seen a token of a new owner.
+     * Kills or suspends one controller after the other during bursts of submissions, and measures the time until the first
+     * and the last of its agents have received a fencing token of a later view.
      */
     @Test
     void measureFailovers() throws Exception {
@@ -109,7 +110,7 @@
 
     private void report() {
         System.out.printf(
-                "standby %s, %s, %d machines, %d kills: first worker %s, last worker %s; "
+                "standby %s, %s, %d machines, %d kills: first agent %s, last agent %s; "
                         + "tasks %d, starts %d, evictions %d%n",
                 standby ? "on" : "off",
                 suspends ? "stopped" : "killed",
--- a/src/test/java/org/havenford/simulator/FairnessInvariant.java
+++ b/src/test/java/org/havenford/simulator/FairnessInvariant.java
@@ -8,11 +8,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What users look at when a run is over: no class, no team and no class's largest jobs may starve. */
+/** Checks at the end of a run that no class, no team and none of the largest jobs of a class was starved. */
 final class FairnessInvariant {
     private static final String RULE = "unserved";
+    /** Within this time of its submission one of the largest jobs must have started, if it has no prerequisites. */
     private static final Duration MAX_START_DELAY = Duration.ofMinutes(4);
-    /** Jobs of at least this part of the largest's tasks count as the largest. */
+    /** Jobs with at least this share of the tasks of the largest job of their class count as the largest jobs. */
     private static final double LARGEST_SHARE = 0.8;
 
     private final ClusterSimulator simulator;
@@ -28,7 +29,7 @@
         }
     }
 
-    /** Checks all jobs that were accepted and neither fail nor were cancelled. */
+    /** Checks all jobs that were accepted, except those that always fail or were cancelled. */
     void check() {
         for (SimulatedUsers.Job job : simulator.users.jobs.values()) {
             if (!job.accepted || job.broken || job.cancelTold != null || job.takenAlong != null) {
@@ -52,14 +53,15 @@
         Instant latest = job.submitted.plus(MAX_START_DELAY);
         boolean inTime = job.begun != null && !job.begun.isAfter(latest);
         if (job.prerequisites.isEmpty() && latest.isBefore(simulator.now) && !inTime) {
-            checker.broken(RULE, job.id + ", of the largest of its class, has not begun in time");
+            checker.broken(RULE, job.id + ", one of the largest jobs of its class, did not start in time");
         }
     }
 
+    /** Checks that at least half of the jobs of a group were reported as done. */
     private void checkMajorityDone(String group, List<SimulatedUsers.Job> jobs) {
         long done = jobs.stream().filter(job -> job.doneTold != null).count();
         if (done * 2 < jobs.size()) {
-            checker.broken(RULE, group + ": " + done + " of " + jobs.size());
+            checker.broken(RULE, group + ": " + done + " of " + jobs.size() + " jobs done");
         }
     }
 }
--- a/src/test/java/org/havenford/simulator/GuestWorkTest.java
+++ b/src/test/java/org/havenford/simulator/GuestWorkTest.java
@@ -9,7 +9,11 @@
 import org.havenford.settings.PlatformSettings;
 import org.junit.jupiter.api.Test;
 
-/** A guest team without a guarantee sends one huge job and hundreds of jobs of one task, beside urgent work of others. */
+/**
+ * One team submits a huge job and hundreds of single-task jobs of low priority while another team submits urgent jobs.
+ * Neither team has a guaranteed share or a limit. Guards against urgent jobs being delayed, and against low-priority jobs
+ * being lost or starved.
+ */
 class GuestWorkTest {
     private static final int NODES = 3;
     private static final int MACHINES = 120;
@@ -44,7 +48,7 @@
         return Duration.between(job.submitted, job.begun).toMillis() / 1e3;
     }
 
-    /** Urgent work begins as it would alone, and all that the guest sends is accepted and done. */
+    /** Checks that urgent jobs start within seconds and that all jobs of both teams are done in the end. */
     @Test
     void urgentJobsDoNotWaitForLowPriorityTeam() {
         ClusterSimulator simulator = startCluster();
--- a/src/test/java/org/havenford/simulator/InvariantChecker.java
+++ b/src/test/java/org/havenford/simulator/InvariantChecker.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import org.havenford.settings.PlatformSettings;
 
-/** The rules of the protocol, checked after every event against what is really on the machines. */
+/** Checks the rules of the protocol after every event, against the actual state of the simulated machines. */
 final class InvariantChecker {
-    /** Sums of CPUs may differ from a limit by this much through rounding. */
+    /** The tolerance for rounding errors when a sum of CPUs is compared with a limit. */
     static final double CPU_TOLERANCE = 1e-6;
 
     private static final Duration MAX_TIME_WITHOUT_ANSWER = Duration.ofSeconds(75);
@@ -23,21 +23,27 @@
     private final PlacementInvariant placement;
     private final WaitingInvariant waiting;
     private final TakeoverInvariant takeover;
-    /** The first violations, with their time and rule. */
+    /** The first violations, each with its time and rule. */
     final List<String> broken = new ArrayList<>();
 
+    /** How many tasks have started. */
     int starts;
-    /** Starts after their job's cancellation was confirmed: counted by users, broken only after the time allowed. */
+    /**
+     * How many tasks started after the cancellation of their job was confirmed. Such a start is a violation only once the
+     * cancellation limit has passed.
+     */
     int startsAfterCancel;
 
     private final Map<String, Integer> startsByJob = new HashMap<>();
     private final Map<String, Instant> lastStartByJob = new HashMap<>();
+    /** Whether the state of a machine has changed since the last check. */
     private boolean changed = true;
+
     private Instant lastWaitingCheck = Instant.MIN;
     private Instant lastCheck = Instant.MIN;
-    /** When the last fault of the run is over; from then on users expect answers. */
+    /** When the last fault of the run ends; the rules on unanswered queries and waiting jobs apply only from then on. */
     Instant troublesOver = Instant.EPOCH;
-    /** Runs played from a trace know when their faults are over. */
+    /** Whether waiting jobs are checked. Only runs of a trace set this, because they set {@link #troublesOver}. */
     boolean checkWaits;
 
     InvariantChecker(ClusterSimulator simulator) {
@@ -56,32 +62,32 @@
         simulator.note("BROKEN " + rule + " " + detail);
     }
 
-    /** How many times tasks of a job have started. */
+    /** Returns how many times tasks of a job have started. */
     int starts(String job) {
         return startsByJob.getOrDefault(job, 0);
     }
 
-    /** When a task of a job started last; {@link Instant#MIN} if none has. */
+    /** Returns when a task of a job last started; {@link Instant#MIN} if none has. */
     Instant lastStart(String job) {
         return lastStartByJob.getOrDefault(job, Instant.MIN);
     }
 
-    /** A controller has ended. */
+    /** Records which agents report to a controller that is about to crash. */
     void crashed(String node) {
         takeover.controllerEnded(node);
     }
 
-    /** Checks that the agents of the controller that ended last have turned to new owners. */
+    /** Checks that new owners have taken over the agents of the controller that crashed last. */
     void tokensRenewed() {
         takeover.check();
     }
 
-    /** Something has changed on a machine: the next check is due at once. */
+    /** Records a change on a machine, which makes the next check due at once. */
     void touched() {
         changed = true;
     }
 
-    /** A task has started on a machine. */
+    /** Records the start of a task and checks the rules on starts. */
     void started(SimulatedAgent agent, SimulatedAgent.Task task) {
         String jobId = RunningTasks.jobOf(task.shot);
         starts++;
@@ -125,18 +131,21 @@
             simulator.note(task.shot + " starts after its job was cancelled");
         }
         if (isCancellationOverdue(job)) {
-            broken("ran_cancelled", task.shot + " starts");
+            broken("ran_cancelled", task.shot + " starts after the cancellation limit");
         }
     }
 
-    /** Whether a job was confirmed as cancelled longer ago than its tasks may go on. */
+    /** Returns whether the cancellation limit has passed since the cancellation of a job was confirmed. */
     private boolean isCancellationOverdue(SimulatedUsers.Job job) {
         return job.cancelTold != null
                 && Duration.between(job.cancelTold, simulator.now).compareTo(simulator.template.cancellationLimit())
                         > 0;
     }
 
-    /** Checks all running tasks, if something has changed or the last check is long ago. */
+    /**
+     * Checks all running tasks, if a machine has changed or {@link #UNCHANGED_CHECK_INTERVAL} has passed since the last
+     * check.
+     */
     void check() {
         if (!changed && simulator.now.isBefore(lastCheck.plus(UNCHANGED_CHECK_INTERVAL))) {
             return;
@@ -151,7 +160,10 @@
         cpusByTeam.forEach(this::checkQuota);
     }
 
-    /** Checks that no task of a cancelled job goes on, and returns the CPUs that each team's running tasks have. */
+    /**
+     * Checks that no task of a cancelled job is running beyond the cancellation limit. Returns the CPUs used by the running
+     * tasks of each team.
+     */
     private Map<String, Double> checkRunningTasks() {
         Map<String, Double> cpusByTeam = new HashMap<>();
         for (SimulatedAgent agent : simulator.workers.values()) {
@@ -162,7 +174,7 @@
                 SimulatedUsers.Job job = simulator.users.jobs.get(RunningTasks.jobOf(task.shot));
                 cpusByTeam.merge(job.team, job.cpus, Double::sum);
                 if (isCancellationOverdue(job)) {
-                    broken("ran_cancelled", task.shot + " is still on " + agent.name);
+                    broken("ran_cancelled", task.shot + " is still running on " + agent.name);
                 }
             }
         }
@@ -180,11 +192,14 @@
     private void checkQuota(String team, double cpus) {
         PlatformSettings.Team limit = simulator.template.teams().get(team);
         if (limit.cpusMax() > 0 && cpus > limit.cpusMax() + CPU_TOLERANCE) {
-            broken("quota", team + " uses " + cpus);
+            broken("quota", team + " uses " + cpus + " CPUs");
         }
     }
 
-    /** A question about a job had no answer: after the faults none may stay without one for longer than this. */
+    /**
+     * Records that a query of a job failed, and checks that the job has not been without an answer for longer than
+     * {@link #MAX_TIME_WITHOUT_ANSWER}. Time before the end of the last fault does not count.
+     */
     void checkUnanswered(SimulatedUsers.Job job) {
         Instant since = job.lastAnsweredAt.isAfter(troublesOver) ? job.lastAnsweredAt : troublesOver;
         if (Duration.between(since, simulator.now).compareTo(MAX_TIME_WITHOUT_ANSWER) > 0) {
@@ -193,7 +208,7 @@
         }
     }
 
-    /** Checks what users look at when a run is over: that no kind of work has starved. */
+    /** Checks at the end of a run that no class, team or large job was starved. */
     void endOfDay() {
         new FairnessInvariant(simulator, this).check();
     }
--- a/src/test/java/org/havenford/simulator/JobAnswerChecker.java
+++ b/src/test/java/org/havenford/simulator/JobAnswerChecker.java
@@ -5,14 +5,17 @@
 import java.time.Instant;
 import org.havenford.transport.HttpCalls.Reply;
 
-/** Checks what users are told about their jobs against what they were told before and what the machines have done. */
+/** Checks answers about jobs against earlier answers and against the tasks that the machines have completed. */
 final class JobAnswerChecker {
-    /** The status of a cancelled job, as the protocol has it. */
+    /** The status of a cancelled job in the protocol. */
     static final String CANCELLED = "withdrawn";
 
     private static final String DONE = "done";
 
-    /** What a user knew when asking: an answer may be overtaken on its way, but not be older than that. */
+    /**
+     * A query of a job's status, with the status that the user knew when sending it. Answers to concurrent queries may
+     * arrive out of order, so an answer is compared with this status and not with the latest one.
+     */
     record Query(SimulatedUsers.Job job, String knownStatus, Instant askedAt) {}
 
     private final ClusterSimulator simulator;
@@ -23,12 +26,12 @@
         this.users = users;
     }
 
-    /** A question that is asked now. */
+    /** Returns a query of a job that is sent now. */
     Query newQuery(SimulatedUsers.Job job) {
         return new Query(job, job.lastStatus, simulator.now);
     }
 
-    /** The status in an answer that describes a job. */
+    /** Returns the job status in the body of an answer. */
     static String statusOf(Reply reply) {
         return JsonParser.parseString(reply.body())
                 .getAsJsonObject()
@@ -36,11 +39,11 @@
                 .getAsString();
     }
 
-    /** Checks the answer to a query, and keeps what the user knows now. */
+    /** Checks the answer to a query and updates what the user knows of the job. */
     void check(Query query, Reply reply) {
         SimulatedUsers.Job job = query.job;
         if (reply.status() == 404) {
-            simulator.rules.broken("forgotten", job.id + " is answered 404");
+            simulator.rules.broken("forgotten", job.id + " was answered with status 404");
         }
         if (reply.status() != 200) {
             simulator.rules.checkUnanswered(job);
@@ -66,33 +69,40 @@
         return status.equals(DONE) || status.equals(CANCELLED);
     }
 
+    /** Checks that a final status never changes. */
     private void checkFinality(Query query, String status) {
         if (isFinal(query.knownStatus) && !status.equals(query.knownStatus)) {
             simulator.rules.broken("went_back", query.job.id + " was " + query.knownStatus + " and is " + status);
         }
     }
 
+    /** Checks that a cancelled job, or one of its prerequisites, was requested to be cancelled. */
     private void checkCancellation(SimulatedUsers.Job job) {
         if (job.cancelTold == null && !users.mayBeCancelled(job)) {
-            simulator.rules.broken("went_back", job.id + " is cancelled by nobody");
+            simulator.rules.broken(
+                    "went_back",
+                    job.id + " is cancelled, but no cancellation of it or of a prerequisite was requested");
         } else if (job.takenAlong == null) {
             job.takenAlong = simulator.now;
         }
     }
 
-    /** A job that needs a cancelled one must be cancelled as well within the time allowed. */
+    /** Checks that a job is cancelled within the cancellation limit after one of its prerequisites was cancelled. */
     private void checkPrerequisites(Query query, String status) {
         Instant cancelled = prerequisiteCancelledAt(query.job);
         if (cancelled != null
                 && Duration.between(cancelled, query.askedAt).compareTo(simulator.template.cancellationLimit()) > 0) {
             simulator.rules.broken(
                     "orphaned",
-                    query.job.id + " is " + status + ", though a job before it was cancelled at "
+                    query.job.id + " is " + status + ", though a prerequisite was cancelled at "
                             + Duration.between(Instant.EPOCH, cancelled).toMillis() / 1e3);
         }
     }
 
-    /** When a user was first told that a job which this one needs is cancelled, or null. */
+    /**
+     * Returns when the first requested cancellation of a direct or indirect prerequisite was confirmed, or when the job was
+     * submitted if that was later. Returns null if no such cancellation was confirmed.
+     */
     private Instant prerequisiteCancelledAt(SimulatedUsers.Job job) {
         Instant first = null;
         for (String id : job.prerequisites) {
@@ -104,11 +114,13 @@
         return first == null || job.submitted.isBefore(first) ? first : job.submitted;
     }
 
+    /** Records that a job was reported as done, and checks that all its tasks have completed. */
     private void recordDone(SimulatedUsers.Job job) {
         job.doneTold = simulator.now;
         for (int task = 0; task < job.tasks; task++) {
             if (!users.finished.contains(job.id + "/" + task)) {
-                simulator.rules.broken("not_done", job.id + "/" + task + " is not done");
+                simulator.rules.broken(
+                        "not_done", job.id + "/" + task + " has not completed, though its job was reported as done");
             }
         }
         simulator.note(job.id + " done");
--- a/src/test/java/org/havenford/simulator/LargeFleetFailoverTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetFailoverTest.java
@@ -9,7 +9,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** A controller that owns a third of four thousand machines ends: its workers are told in rounds, urgent work first. */
+/**
+ * Crashes a controller that owns about a third of 4000 machines. The other controllers must contact its agents within two
+ * seconds, those with urgent tasks first, and no task may start twice.
+ */
 class LargeFleetFailoverTest {
     private static final String TEAM = "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":0}";
     private static final String AGENTS = "{\"report_s\":4,\"lease_s\":26,\"cancel_s\":46}";
@@ -33,13 +36,13 @@
         simulator.at(40, () -> simulator.users.submit("j-1", "red", URGENT_TASKS, 4, 60, List.of("urgent")));
         simulator.runUntil(CRASH_SECOND);
         simulator.rules.crashed("node-0");
-        List<SimulatedAgent> orphanedAgents = simulator.workers.values().stream()
+        List<SimulatedAgent> agents = simulator.workers.values().stream()
                 .filter(agent -> agent.reportsTo("node-0"))
                 .toList();
-        List<SimulatedAgent> agentsWithUrgentTasks =
-                orphanedAgents.stream().filter(agent -> !agent.tasks.isEmpty()).toList();
-        assertTrue(orphanedAgents.size() > MACHINES / 5, orphanedAgents.size() + " machines");
-        assertTrue(agentsWithUrgentTasks.size() > 10, agentsWithUrgentTasks.size() + " machines with urgent work");
+        List<SimulatedAgent> urgentAgents =
+                agents.stream().filter(agent -> !agent.tasks.isEmpty()).toList();
+        assertTrue(agents.size() > MACHINES / 5, agents.size() + " machines");
+        assertTrue(urgentAgents.size() > 10, urgentAgents.size() + " machines with urgent tasks");
         simulator.nodes.get("node-0").crash();
 
         simulator.runUntil(CRASH_SECOND + 2);
@@ -47,21 +50,18 @@
         simulator.runUntil(180);
 
         assertEquals(List.of(), simulator.rules.broken);
-        assertEquals(URGENT_TASKS, simulator.rules.starts, "nothing was started twice");
+        assertEquals(URGENT_TASKS, simulator.rules.starts, "a task was started more than once");
         assertTrue(simulator.users.jobs.get("j-1").doneTold != null);
-        Stream<Instant> idleTokenTimes = orphanedAgents.stream()
-                .filter(agent -> !agentsWithUrgentTasks.contains(agent))
+        Stream<Instant> idleTimes = agents.stream()
+                .filter(agent -> !urgentAgents.contains(agent))
                 .map(agent -> agent.firstTokenAfter(CRASH_SECOND));
-        Instant lastUrgentTokenTime = agentsWithUrgentTasks.stream()
+        Instant lastUrgentTime = urgentAgents.stream()
                 .map(agent -> agent.firstTokenAfter(CRASH_SECOND))
                 .max(Instant::compareTo)
                 .orElseThrow();
-        long idleBeforeUrgent =
-                idleTokenTimes.filter(at -> at.isBefore(lastUrgentTokenTime)).count();
-        // Each of the two successors finishes its own urgent machines within its first rounds.
-        assertTrue(
-                idleBeforeUrgent < orphanedAgents.size() / 4,
-                idleBeforeUrgent + " idle machines came before urgent work");
+        long idleFirst = idleTimes.filter(at -> at.isBefore(lastUrgentTime)).count();
+        // Each new owner contacts its urgent agents in its first rounds, maybe after idle ones of the other owner.
+        assertTrue(idleFirst < agents.size() / 4, idleFirst + " idle machines came before the last urgent one");
         simulator.behaviour.assertKept("grown/takeover");
     }
 }
--- a/src/test/java/org/havenford/simulator/LoopbackCluster.java
+++ b/src/test/java/org/havenford/simulator/LoopbackCluster.java
@@ -32,8 +32,9 @@
 import org.havenford.transport.HttpCalls.Reply;
 
 /**
- * The stand-ins of a {@link ClusterSimulator} in real time and over HTTP on loopback, around controllers that are real processes. All
- * stand-ins run on the thread that drives this simulator; requests that come in wait in a queue for it.
+ * Runs the simulated store, cloud, agents and users of a {@link ClusterSimulator} in real time, and serves them over HTTP on
+ * the loopback interface to controllers that are real processes. The simulation runs on the thread that calls
+ * {@link #runUntil}; incoming requests are queued for that thread.
  */
 final class LoopbackCluster implements AutoCloseable {
     private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(70);
@@ -41,14 +42,16 @@
     private static final String HOST = "127.0.0.1";
     private static final int FIRST_PORT = 20_000;
     private static final int PORT_COUNT = 12_000;
-    /** Worlds of other processes begin elsewhere. */
+    /** Starts at an offset that depends on the process id, so that concurrent test processes rarely try the same ports. */
     private static int nextPort = (int) (ProcessHandle.current().pid() * 397 % PORT_COUNT);
 
     final ClusterSimulator simulator;
     final Map<String, ControllerProcess> controllers = new LinkedHashMap<>();
     private final Map<String, HttpServer> servers = new HashMap<>();
     private final Map<String, String> endpoints = new HashMap<>();
+    /** Requests and answers that the simulation thread has still to handle. */
     private final ConcurrentLinkedQueue<Runnable> pendingTasks = new ConcurrentLinkedQueue<>();
+
     private final ExecutorService executor = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "loopback");
         thread.setDaemon(true);
@@ -61,7 +64,7 @@
             .build();
     private final long startNanos = System.nanoTime();
 
-    /** Starts that many controllers, all with the same operators' settings, in zones a, b and c. */
+    /** Starts the controllers in zones a, b and c, all with the same operator settings. */
     LoopbackCluster(Path directory, int nodes, String teams, String operatorXml)
             throws IOException, MalformedMessageException {
         SimulatorSettings.Addresses addresses = new SimulatorSettings.Addresses(
@@ -88,7 +91,10 @@
         }
     }
 
-    /** Ports below those that the system gives to outgoing connections, which could take one before it is listened on. */
+    /**
+     * Returns free loopback addresses. Their ports lie below the ephemeral range of the system, since an outgoing connection
+     * could otherwise take a port before a server listens on it.
+     */
     private static synchronized List<String> freeAddresses(int count) throws IOException {
         List<String> addresses = new ArrayList<>();
         while (addresses.size() < count) {
@@ -96,12 +102,13 @@
             try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 addresses.add(HOST + ":" + socket.getLocalPort());
             } catch (BindException e) {
-                // Somebody else listens there.
+                // The port is in use; the next one is tried.
             }
         }
         return addresses;
     }
 
+    /** Returns the address of the agent on a machine, and starts an HTTP server there on first use. */
     private String endpointOf(String machine) {
         return endpoints.computeIfAbsent(machine, name -> {
             try {
@@ -114,7 +121,7 @@
         });
     }
 
-    /** Answers HTTP at an address with whatever the simulator has there. */
+    /** Starts an HTTP server that passes requests to the simulated server with the same address. */
     private void serve(String address) throws IOException {
         int port = Integer.parseInt(address.substring(address.indexOf(':') + 1));
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 64);
@@ -141,13 +148,14 @@
             exchange.sendResponseHeaders(answer.status(), bytes.length == 0 ? -1 : bytes.length);
             exchange.getResponseBody().write(bytes);
         } catch (RuntimeException e) {
+            // No answer in time: the connection is closed without a response.
             exchange.getResponseBody();
         } finally {
             exchange.close();
         }
     }
 
-    /** Carries a call of a worker or a user to a controller's process. */
+    /** Forwards a call of an agent or a user to the process of a controller; a failed call is answered with status 0. */
     private void forward(String bind, String method, String path, String body, Consumer<Reply> answer) {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + bind + path))
                 .timeout(Duration.ofSeconds(5))
@@ -163,12 +171,12 @@
                 });
     }
 
-    /** Seconds since this simulator began. */
+    /** Returns the seconds since this cluster was created. */
     double seconds() {
         return (System.nanoTime() - startNanos) / 1e9;
     }
 
-    /** Drives the simulator until a condition holds, for so many seconds at most; returns whether it held. */
+    /** Runs the simulation in real time until a condition holds or time is up. Returns whether the condition held. */
     boolean runUntil(BooleanSupplier condition, double timeoutSeconds) throws InterruptedException {
         double end = seconds() + timeoutSeconds;
         while (seconds() < end) {
--- a/src/test/java/org/havenford/simulator/LoopbackFailoverTest.java
+++ b/src/test/java/org/havenford/simulator/LoopbackFailoverTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Controllers as real processes on loopback are killed and stopped amid a burst; rules and counts are asserted, not times. */
+/**
+ * Kills one controller process and suspends another during a burst of submissions, and checks that every task completes and
+ * starts exactly once. Times are not asserted, since they depend on the machine.
+ */
 class LoopbackFailoverTest {
     @TempDir
     Path directory;
@@ -49,16 +52,16 @@
     private static void awaitStarts(LoopbackCluster loopback, int count) throws InterruptedException {
         assertTrue(
                 loopback.runUntil(() -> loopback.simulator.rules.starts >= count, SubmissionBurst.TIMEOUT_SECONDS),
-                "start " + count + " did not come");
+                "fewer than " + count + " tasks were started");
     }
 
     private static void awaitEvictions(LoopbackCluster loopback, int count) throws InterruptedException {
         assertTrue(
                 loopback.runUntil(() -> loopback.simulator.store.evictions >= count, SubmissionBurst.TIMEOUT_SECONDS),
-                "eviction " + count + " did not come");
+                "fewer than " + count + " evictions took place");
     }
 
-    /** What is no frame, or one of another version or length, ends its connection and nothing else. */
+    /** Sends bytes that are no valid frame (HTTP, wrong version, wrong lengths); each closes only its own connection. */
     private static void sendMalformedFrames(LoopbackCluster loopback) throws IOException {
         byte[][] malformedFrames = {
             "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII),
@@ -73,7 +76,7 @@
                 try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                     socket.setSoTimeout(10_000);
                     socket.getOutputStream().write(frame);
-                    assertEquals(-1, socket.getInputStream().read(), "the connection is closed");
+                    assertEquals(-1, socket.getInputStream().read(), "the connection must be closed");
                 }
             }
         }
--- a/src/test/java/org/havenford/simulator/PlacementInvariant.java
+++ b/src/test/java/org/havenford/simulator/PlacementInvariant.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** A task starts only where all five constraints of its job allow it, given the job's other tasks that run then. */
+/** Checks that a task starts only on a machine that satisfies all five placement constraints of its job. */
 final class PlacementInvariant {
     private static final String RULE = "wrong_place";
 
@@ -14,7 +14,7 @@
         this.checker = checker;
     }
 
-    /** Checks a task that has just started. */
+    /** Checks a task that has just started, given the tasks of its job that are running. */
     void check(SimulatedAgent agent, SimulatedAgent.Task task, SimulatedUsers.Job job) {
         if (!allowsType(agent, job)) {
             report("type", task.shot + " on " + agent.name + ", which is " + agent.type + ", not of " + job.types);
@@ -38,7 +38,7 @@
         checker.broken(RULE, constraint + ": " + detail);
     }
 
-    /** Whether a job allows a machine, as far as that does not depend on where its other tasks run. */
+    /** Returns whether a machine satisfies the constraints that do not depend on where other tasks of the job run. */
     static boolean allowsMachine(SimulatedAgent agent, SimulatedUsers.Job job) {
         return allowsSpotOrOnDemand(agent, job) && allowsType(agent, job) && allowsZone(agent, job);
     }
@@ -55,12 +55,13 @@
         return job.spot || !agent.spot;
     }
 
-    /** Whether one more task may start in the machine's zone beside those that run now. */
+    /** Returns whether one more task of the job may start in the zone of the machine, given its running tasks by zone. */
     static boolean allowsOneMore(SimulatedAgent agent, SimulatedUsers.Job job, Map<String, Integer> byZone) {
         return (!job.together || byZone.isEmpty() || byZone.containsKey(agent.zone))
                 && (!job.apart || byZone.getOrDefault(agent.zone, 0) < maxTasksPerZone(job));
     }
 
+    /** Returns how many tasks of a job with the {@code apart} constraint may run in one zone: half, rounded up. */
     private static int maxTasksPerZone(SimulatedUsers.Job job) {
         return (job.tasks + 1) / 2;
     }
--- a/src/test/java/org/havenford/simulator/SimulatedController.java
+++ b/src/test/java/org/havenford/simulator/SimulatedController.java
@@ -16,11 +16,11 @@
 import org.havenford.transport.HttpServer;
 import org.havenford.transport.PeerNetwork;
 
-/** A real controller in the simulation, whose process can be started, ended, frozen and upgraded. */
+/** A real controller in the simulation, in a process that can be started, crashed, frozen and upgraded. */
 final class SimulatedController implements ClusterSimulator.Server {
-    /** How long a process that freezes still acts, though what it sends no longer goes out. */
+    /** How long a process keeps running before it freezes; HTTP messages that it sends in this time are queued. */
     private static final Duration FREEZE_DELAY = Duration.ofMillis(300);
-    /** The most by which a controller's clock is fast or slow is half of this part. */
+    /** The width of the range of clock rates: a monotonic clock runs at most half of this fraction too fast or too slow. */
     private static final double CLOCK_RATE_RANGE = 0.001;
 
     private static final long TIME_OF_DAY_OFFSET_SECONDS = 1_700_000_000L;
@@ -29,13 +29,14 @@
     final PlatformSettings settings;
     /** The settings of the version before format 2; null for a controller that never ran it. */
     private final PlatformSettings formatOneSettings;
-    /** It runs the version before format 2, which knows nothing of limits to come. */
+    /** Whether the next process runs the version before format 2, which ignores announced limits of the store. */
     private boolean runsFormatOne;
 
+    /** The running process; null while the controller is down. */
     private ProcessInstance process;
-    /** Nothing that comes in or is due happens, and what it had queued has not gone out. */
+    /** Whether the process is suspended: incoming messages and due tasks are deferred until it thaws. */
     private boolean frozen;
-    /** What it sends is queued. */
+    /** Whether outgoing HTTP messages are queued instead of sent; set shortly before the process is suspended. */
     private boolean queuesMessages;
 
     private final List<Runnable> queuedMessages = new ArrayList<>();
@@ -44,7 +45,8 @@
     /**
      * Creates a controller that is not started.
      *
-     * @param formatOneSettings if not null, it runs the version before format 2 with these settings until it is upgraded
+     * @param formatOneSettings if not null, the controller runs the version before format 2 with these settings until it
+     *     is upgraded
      */
     SimulatedController(ClusterSimulator simulator, PlatformSettings settings, PlatformSettings formatOneSettings) {
         this.simulator = simulator;
@@ -53,13 +55,13 @@
         this.runsFormatOne = formatOneSettings != null;
     }
 
-    /** Its process is ended, and comes back with this version when it is started again. */
+    /** Ends the process; the next start runs the current version. */
     void upgrade() {
         crash();
         runsFormatOne = false;
     }
 
-    /** Starts the process if it does not run. */
+    /** Starts the process unless it is running. */
     void start() {
         if (process != null) {
             return;
@@ -71,7 +73,7 @@
         simulator.note("start " + settings.node());
     }
 
-    /** Ends the process without warning. */
+    /** Ends the process at once, with all its queued messages and deferred actions, as SIGKILL does. */
     void crash() {
         if (process == null) {
             return;
@@ -87,13 +89,19 @@
         simulator.note("crash " + settings.node());
     }
 
-    /** For a moment before it freezes what it sends is only queued, as when it stops in the middle of a round. */
+    /**
+     * Suspends the process after a short delay. HTTP messages sent during the delay are queued until the process thaws, as
+     * if it had been suspended in the middle of a round.
+     */
     void freeze() {
         queuesMessages = true;
         simulator.after(FREEZE_DELAY, () -> frozen = queuesMessages);
     }
 
-    /** Its clocks have run on; all that it had queued, that is due and that came meanwhile happens now. */
+    /**
+     * Resumes the process: sends the queued messages, then runs the tasks that became due and handles the messages that
+     * arrived meanwhile. The clocks have advanced during the freeze.
+     */
     void thaw() {
         queuesMessages = false;
         frozen = false;
@@ -104,7 +112,7 @@
         pending.forEach(Runnable::run);
     }
 
-    /** Queues what it sends if it is frozen or about to freeze; false if it may go out. */
+    /** Queues an outgoing message if the process is frozen or about to freeze. Returns whether the message was queued. */
     boolean queueIfFrozen(Runnable message) {
         if (queuesMessages) {
             queuedMessages.add(message);
@@ -112,6 +120,7 @@
         return queuesMessages;
     }
 
+    /** Runs an action of a process, or defers it while the process is frozen; drops it if the process has ended. */
     private void runOrDefer(ProcessInstance target, Runnable action) {
         if (target.ended) {
             return;
@@ -142,7 +151,10 @@
                 }));
     }
 
-    /** One run of the process; what it had scheduled ends with it, what it had sent does not. */
+    /**
+     * One process of the controller, from start to crash. Its scheduled tasks are dropped when it ends; messages that it has
+     * sent are still delivered.
+     */
     private final class ProcessInstance implements EventLoop, HttpCalls {
         private boolean ended;
         private final double clockRate = 1 + (simulator.random.nextDouble() - 0.5) * CLOCK_RATE_RANGE;
--- a/src/test/java/org/havenford/simulator/SimulatedUsers.java
+++ b/src/test/java/org/havenford/simulator/SimulatedUsers.java
@@ -14,9 +14,12 @@
 import java.util.function.Consumer;
 import org.havenford.transport.HttpCalls.Reply;
 
-/** Users behind a load balancer that tries the controllers at random: they submit, ask about, repeat and cancel jobs. */
+/**
+ * Simulated users who submit, poll, resubmit and cancel jobs. A load balancer sends each request to a controller that is
+ * drawn at random.
+ */
 final class SimulatedUsers {
-    /** What the network calls the end that all users share. */
+    /** The network address that all users share. */
     private static final String ADDRESS = "users";
 
     private static final String SUBMISSIONS_PATH = "/submissions";
@@ -25,11 +28,12 @@
     private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
     private static final int MIN_POLL_MILLIS = 4000;
     private static final int POLL_JITTER_MILLIS = 2000;
-    /** How long after an event users ask all controllers about the job, if they look closely. */
+    /** The delays after an event at which all controllers are queried about the job, if {@link #looksClosely} is set. */
     private static final int[] REPEATED_QUERY_DELAYS_MILLIS = {0, 3, 12, 40};
 
     private static final int IMAGE_COUNT = 3;
 
+    /** A job, with what its user knows of it and the times at which the user received that. */
     static final class Job {
         String id;
         String team;
@@ -40,42 +44,50 @@
         boolean spot;
         boolean apart;
         boolean together;
-        /** The only allowed types of machines; empty for any. */
+        /** The allowed machine types; empty if all are allowed. */
         Set<String> types = Set.of();
 
         double imageGb = 1;
         String zone;
         String priority = "normal";
         double dueSeconds;
-        /** Submitted with a mistake: each of its tasks fails on every machine. */
+        /** Whether every task of the job fails on every machine, as with an error in the submitted program. */
         boolean broken;
 
         boolean accepted;
+        /** When the user's cancellation request was confirmed; null before that. */
         Instant cancelTold;
+
         String jobClass = "class";
         Instant submitted;
+        /** When the first task of the job started; null before that. */
         Instant begun;
-        /** When a question about the job was answered last. */
+        /** When a submission or query of the job was last answered. */
         Instant lastAnsweredAt = Instant.EPOCH;
 
+        /** The status in the last answer; a final status is kept. */
         String lastStatus = "";
+        /** When an answer first reported the job as done. */
         Instant doneTold;
-        /** Told to be withdrawn with a job that it needs, without having been asked for. */
+        /**
+         * When the answer to a query first reported the job as cancelled. If {@link #cancelTold} is null, it was cancelled
+         * with a prerequisite or its own cancellation has not been confirmed yet.
+         */
         Instant takenAlong;
 
         final List<String> prerequisites = new ArrayList<>();
 
-        /** How long a task of the job runs: the expected time, give or take a fifth. */
+        /** Draws the running time of a task: the expected time of the job, plus or minus up to 20%. */
         Duration run(SplittableRandom random) {
             return Duration.ofMillis((long) (runSeconds * 1000 * (0.8 + 0.4 * random.nextDouble())));
         }
 
-        /** Whether the user has been told that the job is over, one way or the other. */
+        /** Returns whether an answer has reported the job as done or cancelled. */
         boolean isKnownToHaveEnded() {
             return doneTold != null || cancelTold != null || takenAlong != null;
         }
 
-        /** Applies an option of the {@code submit} line of a trace, see src/test/resources/traces/README.md. */
+        /** Applies an option of a {@code submit} line of a trace, see src/test/resources/traces/README.md. */
         private void apply(String option) {
             int separator = option.indexOf('=');
             if (separator < 0) {
@@ -92,7 +104,7 @@
                 case "together" -> together = true;
                 case "ordinary" -> spot = false;
                 case "urgent", "normal", "low" -> priority = flag;
-                default -> throw new IllegalArgumentException("unknown option of a job: " + flag);
+                default -> throw new IllegalArgumentException("unknown job option: " + flag);
             }
         }
 
@@ -104,24 +116,27 @@
                 case "image-gb" -> imageGb = Double.parseDouble(value);
                 case "awaits" -> prerequisites.addAll(List.of(value.split(",")));
                 case "due" -> dueSeconds = Double.parseDouble(value);
-                default -> throw new IllegalArgumentException("unknown option of a job: " + name + "=" + value);
+                default -> throw new IllegalArgumentException("unknown job option: " + name + "=" + value);
             }
         }
     }
 
     private final ClusterSimulator simulator;
     private final JobAnswerChecker answerChecker;
-    /** Jobs that were asked to be cancelled, whatever the answer. */
+    /** The ids of jobs whose cancellation was requested, whatever the answer. */
     final Set<String> cancelAsked = new HashSet<>();
 
     final Map<String, Job> jobs = new LinkedHashMap<>();
-    /** Tasks whose result is kept. */
+    /** The tasks that have completed successfully, as job/index. */
     final Set<String> finished = new HashSet<>();
 
-    /** How many times as often as usual users ask about their jobs. */
+    /** The factor by which users poll their jobs more often than by default. */
     int pollRateFactor = 1;
 
-    /** Whether users ask and repeat at all controllers within milliseconds of an acceptance, an end or a cancellation. */
+    /**
+     * Whether users query and resubmit a job at all controllers within milliseconds of its acceptance, its completion or the
+     * confirmation of its cancellation.
+     */
     boolean looksClosely;
 
     SimulatedUsers(ClusterSimulator simulator) {
@@ -129,7 +144,7 @@
         this.answerChecker = new JobAnswerChecker(simulator, this);
     }
 
-    /** Asks about and repeats a job at all controllers, if users look closely. */
+    /** Queries and resubmits a job several times at every controller, if {@link #looksClosely} is set. */
     void queryAllControllers(Job job) {
         if (!looksClosely) {
             return;
@@ -144,7 +159,11 @@
         }
     }
 
-    /** Submits a job and repeats the submission until it is answered; the options are those of a trace's line. */
+    /**
+     * Submits a job and retries until it is accepted.
+     *
+     * @param options the options of a {@code submit} line of a trace
+     */
     Job submit(String id, String team, int tasks, double cpus, double runS, List<String> options) {
         Job job = new Job();
         job.id = id;
@@ -161,7 +180,7 @@
         return job;
     }
 
-    /** The submission of a job, as the protocol has it. */
+    /** Returns the submission of a job in the format of the protocol. */
     static JsonObject body(Job job) {
         JsonObject json = new JsonObject();
         json.addProperty("nameId", job.id);
@@ -231,7 +250,7 @@
         if (status == 201 || status == 200) {
             onAccepted(job);
         } else if ((status == 400 || status == 422) && !prerequisiteUnknown) {
-            simulator.rules.broken("forgotten", job.id + " refused with " + status);
+            simulator.rules.broken("forgotten", job.id + " was rejected with status " + status);
         } else {
             simulator.after(RETRY_DELAY, () -> postSubmission(job));
         }
@@ -275,13 +294,13 @@
         simulator.network.call(ADDRESS, address, request, done);
     }
 
-    /** Whether the job, or one that it needs, was asked to be cancelled. */
+    /** Returns whether cancellation of the job, or of one of its direct or indirect prerequisites, was requested. */
     boolean mayBeCancelled(Job job) {
         return cancelAsked.contains(job.id)
                 || job.prerequisites.stream().anyMatch(prerequisite -> mayBeCancelled(jobs.get(prerequisite)));
     }
 
-    /** A single query. */
+    /** Queries an accepted job once, at a random controller. */
     void ask(String id) {
         ask(id, randomAddress());
     }
@@ -295,7 +314,10 @@
         get(address, job, reply -> answerChecker.check(query, reply));
     }
 
-    /** The submission once more, whatever has become of the job: an accepted one is known for good. */
+    /**
+     * Submits a job again at a random controller, whatever its state. A job that has been accepted must be recognized from
+     * then on, also after its end.
+     */
     void repeat(String id) {
         repeat(id, randomAddress());
     }
@@ -310,14 +332,18 @@
         post(address, SUBMISSIONS_PATH, body(job).toString(), reply -> {
             int status = reply.status();
             if (wasAccepted && status >= 201 && status < 500 && status != 429) {
-                simulator.rules.broken("forgotten", id + " sent again is answered " + status);
+                simulator.rules.broken("forgotten", id + " was resubmitted and answered with status " + status);
             } else if (wasAccepted && status == 200) {
                 answerChecker.check(query, reply);
             }
         });
     }
 
-    /** Cancels a job at a controller, or at any if {@code node} is null, until the cancellation is answered. */
+    /**
+     * Requests the cancellation of a job and retries at random controllers until the request is answered.
+     *
+     * @param node the controller of the first request; null for a random one
+     */
     void cancel(String id, String node) {
         Job job = jobs.get(id);
         if (job == null) {
--- a/src/test/java/org/havenford/simulator/SubmissionBurst.java
+++ b/src/test/java/org/havenford/simulator/SubmissionBurst.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import org.havenford.protocol.MalformedMessageException;
 
-/** Two hundred queued renders on three controllers in real time: what tests and measurements of take-overs share. */
+/** A real-time cluster of three controllers and a burst of 200 tasks, shared by failover tests and measurements. */
 final class SubmissionBurst {
     static final String STANDBY_ON = "<havenford><standby>on</standby></havenford>";
     static final String STANDBY_OFF = "<havenford><standby>off</standby></havenford>";
-    /** Longer than any take-over takes: an assertion that waits fails only when nothing happens at all. */
+    /** Longer than any failover takes, so that waiting times out only if the awaited event does not happen at all. */
     static final double TIMEOUT_SECONDS = 60;
 
     static final int TASKS = 200;
@@ -22,7 +22,7 @@
 
     private SubmissionBurst() {}
 
-    /** Three controllers and so many machines whose workers have all been answered. */
+    /** Starts three controllers and the machines, and waits until every agent has received a fencing token. */
     static LoopbackCluster start(Path directory, String operatorXml, int machines)
             throws IOException, MalformedMessageException, InterruptedException {
         LoopbackCluster loopback = new LoopbackCluster(directory, 3, TEAM, operatorXml);
@@ -35,17 +35,17 @@
             ready = loopback.runUntil(
                     () -> loopback.simulator.workers.values().stream().allMatch(agent -> agent.token > 0),
                     TIMEOUT_SECONDS);
-            assertTrue(ready, "the controllers did not come up");
+            assertTrue(ready, "not every agent received a fencing token");
             return loopback;
         } finally {
             if (!ready) {
-                // Nobody else would end the processes.
+                // The caller receives no cluster to close, so the controller processes must be ended here.
                 loopback.close();
             }
         }
     }
 
-    /** Two hundred tasks of four CPUs each. */
+    /** Submits {@link #TASKS} tasks of four CPUs each, in jobs of ten tasks. */
     static void submit(LoopbackCluster loopback, int firstJob, double runSeconds) {
         for (int i = 0; i < TASKS / TASKS_PER_JOB; i++) {
             loopback.simulator.users.submit(
@@ -53,6 +53,7 @@
         }
     }
 
+    /** Returns whether all submitted jobs were reported as done. */
     static boolean allDone(LoopbackCluster loopback) {
         return loopback.simulator.users.jobs.values().stream().allMatch(job -> job.doneTold != null);
     }
--- a/src/test/java/org/havenford/simulator/TakeoverInvariant.java
+++ b/src/test/java/org/havenford/simulator/TakeoverInvariant.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The agents of a controller that ended turn to owners of the view in force. */
+/** Checks that the agents of a crashed controller have received a fencing token of the current view from a new owner. */
 final class TakeoverInvariant {
     private static final String RULE = "not taken over";
-    /** The epoch of the view stands in a token's upper half. */
+    /** The upper 32 bits of a fencing token hold the epoch of the view. */
     private static final int EPOCH_SHIFT = 32;
 
     private final ClusterSimulator simulator;
@@ -18,7 +18,7 @@
         this.checker = checker;
     }
 
-    /** Remembers the agents that report to a controller as it ends, in place of those of the controller before. */
+    /** Records the agents that report to a controller as it crashes, and drops those recorded for an earlier crash. */
     void controllerEnded(String node) {
         orphanedAgents.clear();
         simulator.workers.values().stream()
@@ -26,7 +26,7 @@
                 .forEach(orphanedAgents::add);
     }
 
-    /** Checks that each agent of the controller that ended last has seen a token of the view in force. */
+    /** Checks that each responsive agent of the controller that crashed last has received a token of the current view. */
     void check() {
         long epoch = simulator
                 .store
@@ -35,11 +35,11 @@
                 .get("epoch")
                 .getAsLong();
         if (orphanedAgents.isEmpty()) {
-            checker.broken(RULE, "no worker reported to the controller that ended");
+            checker.broken(RULE, "no agent reported to the controller that crashed");
         }
         for (SimulatedAgent agent : orphanedAgents) {
             if (agent.up() && !agent.hung && agent.token >> EPOCH_SHIFT < epoch) {
-                checker.broken(RULE, agent.name + " has seen no token of epoch " + epoch);
+                checker.broken(RULE, agent.name + " has received no token of epoch " + epoch);
             }
         }
     }
--- a/src/test/java/org/havenford/simulator/WaitingInvariant.java
+++ b/src/test/java/org/havenford/simulator/WaitingInvariant.java
@@ -7,8 +7,8 @@
 import org.havenford.settings.PlatformSettings;
 
 /**
- * Once all faults are over no job may wait for long while a machine that fits has room and its team is under its limit. A job
- * that fails on every machine has no task that is ever done: it must be tried often enough.
+ * Checks that, once all faults are over, no job waits for long while a suitable machine has room and the team is below its
+ * limit. Jobs that fail on every machine never complete a task; they must instead be started often enough.
  */
 final class WaitingInvariant {
     private static final Duration MAX_WAIT = Duration.ofSeconds(90);
@@ -22,12 +22,12 @@
         this.checker = checker;
     }
 
-    /** Forgets who waits: while there are faults, nobody counts as waiting. */
+    /** Clears the waiting times; waits do not count while there are faults. */
     void reset() {
         waitingSince.clear();
     }
 
-    /** Checks all jobs, given the CPUs that each team's running tasks have. */
+    /** Checks all jobs, given the CPUs used by the running tasks of each team. */
     void check(Map<String, Double> cpusByTeam) {
         for (SimulatedUsers.Job job : simulator.users.jobs.values()) {
             if (!couldStart(job, cpusByTeam)) {
@@ -36,7 +36,7 @@
             }
             Instant since = waitingSince.computeIfAbsent(job.id, id -> simulator.now);
             if (Duration.between(since, simulator.now).compareTo(MAX_WAIT) > 0) {
-                checker.broken("waited", job.id + " has waited beside fitting room");
+                checker.broken("waited", job.id + " is waiting although a suitable machine has room");
                 waitingSince.remove(job.id);
             }
         }
