--- a/src/test/java/org/havenford/simulator/InterfaceTest.java
+++ b/src/test/java/org/havenford/simulator/InterfaceTest.java
@@ -14,7 +14,7 @@
 import org.havenford.transport.HttpCalls.Reply;
 import org.junit.jupiter.api.Test;
 
-/** What users are answered, over the real routes of a controller. */
+/** Tests the HTTP API of a controller: its replies to users, and to malformed heartbeats. */
 class InterfaceTest {
     private final ClusterSimulator world =
             new ClusterSimulator(7, SimulatorSettings.of(0, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":8}"));
@@ -60,7 +60,7 @@
         assertEquals(400, ask("POST", "/checkin", "{\"box\":7}").status());
     }
 
-    /** A submission of one task with a field set to the given JSON. */
+    /** Returns a submission of one task in which a field has the given JSON value. */
     private static String with(String id, String field, String value) {
         String job = job(id, "red", 1, 1).replaceFirst("\"" + field + "\":[^,}]*,", "");
         return job.replaceFirst("}$", ",\"" + field + "\":" + value + "}");
@@ -73,22 +73,23 @@
     @Test
     void whereASubmissionMayRun() {
         start();
-        assertEquals(422, submit(with("j-1", "rigs", "[]")), "no type is allowed");
+        assertEquals(422, submit(with("j-1", "rigs", "[]")), "an empty list allows no machine type");
         assertEquals(422, submit(with("j-1", "rigs", "[\"none\"]")));
         assertEquals(400, submit(with("j-1", "rigs", "\"small\"")));
         assertEquals(400, submit(with("j-1", "rigs", "[7]")));
         assertEquals(422, submit(with("j-1", "hall", "\"nowhere\"")));
         assertEquals(400, submit(with("j-1", "hall", "7")));
-        assertEquals(400, submit(with("j-1", "together", "null")), "it is missing");
+        assertEquals(400, submit(with("j-1", "together", "null")), "null counts as a missing field");
         assertEquals(400, submit(with("j-1", "apart", "\"yes\"")));
         assertEquals(404, ask("GET", "/submissions/j-1", null).status());
         assertEquals(201, submit(with("j-1", "rigs", "[\"small\",\"none\"]")));
-        assertEquals(200, submit(with("j-1", "hall", "\"nowhere\"")), "known already, whatever is sent now");
+        assertEquals(
+                200, submit(with("j-1", "hall", "\"nowhere\"")), "already accepted, so the new constraint is ignored");
         String stored = world.store.value("live/job/j-1").toString();
         assertTrue(stored.contains("\"rigs\":[\"small\"]"), stored);
         assertTrue(!stored.contains("nowhere"), stored);
-        assertEquals(201, submit(with("j-2", "rigs", "null")), "any type");
-        assertEquals(201, submit(with("j-3", "hall", "null")), "any zone");
+        assertEquals(201, submit(with("j-2", "rigs", "null")), "null allows any machine type");
+        assertEquals(201, submit(with("j-3", "hall", "null")), "null allows any zone");
     }
 
     private static String awaiting(String id, String awaits) {
@@ -116,7 +117,9 @@
         assertEquals(
                 200, ask("POST", "/submissions", awaiting("j-1", "[\"j-2\"]")).status());
         assertEquals(
-                200, ask("POST", "/submissions", awaiting("j-1", "[\"j-99\"]")).status(), "known already");
+                200,
+                ask("POST", "/submissions", awaiting("j-1", "[\"j-99\"]")).status(),
+                "already accepted, so the new dependency is ignored");
         assertEquals(
                 422,
                 ask("POST", "/submissions", awaiting("j-3", "[\"j-2\",\"j-98\"]"))
@@ -125,14 +128,18 @@
         ask("POST", "/submissions/j-2/abort", null);
         assertTrue(ask("GET", "/submissions/j-1", null).body().contains("withdrawn"));
         assertEquals(
-                201, ask("POST", "/submissions", awaiting("j-4", "[\"j-2\"]")).status(), "accepted all the same");
+                201,
+                ask("POST", "/submissions", awaiting("j-4", "[\"j-2\"]")).status(),
+                "accepted although its dependency is cancelled");
         assertTrue(ask("GET", "/submissions/j-4", null).body().contains("withdrawn"));
         world.store.outage = true;
         assertEquals(
-                503, ask("POST", "/submissions", awaiting("j-5", "[\"j-97\"]")).status(), "not known, so not refused");
+                503,
+                ask("POST", "/submissions", awaiting("j-5", "[\"j-97\"]")).status(),
+                "an unknown dependency is not rejected while the store is unavailable");
     }
 
-    /** The README's own lines, with a team of these settings. */
+    /** Submits the pipeline example of README.md, with its team replaced by the one in the settings of this test. */
     @Test
     void thePipelineOfTheReadme() throws IOException {
         start();
@@ -154,7 +161,7 @@
         assertTrue(ask("GET", "/submissions/j-2", null).body().contains("withdrawn"));
     }
 
-    /** Sixty names are more than one transaction can compare. */
+    /** Verifying 60 dependencies takes more conditions than one transaction may have. */
     @Test
     void aLongListOfAwaitedJobsIsReadInSeveralCalls() {
         start();
@@ -164,7 +171,7 @@
             assertEquals(
                     201, ask("POST", "/submissions", job("j-" + i, "red", 1, 1)).status());
         }
-        // Over, so that after a start they are found in the store alone.
+        // Cancelled jobs are not held by a restarted controller and can only be found in the store.
         for (int i = 100; i < 160; i++) {
             ask("POST", "/submissions/j-" + i + "/abort", null);
         }
@@ -173,7 +180,7 @@
         assertEquals(
                 201,
                 ask("POST", "/submissions", awaiting("j-1", names.toString())).status());
-        assertTrue(world.store.requests - requests >= 3, "24 names a call");
+        assertTrue(world.store.requests - requests >= 3, "60 dependencies at 24 per call need 3 calls");
         assertTrue(ask("GET", "/submissions/j-1", null).body().contains("withdrawn"));
         names.add(30, "\"j-99\"");
         restart();
@@ -187,7 +194,7 @@
                 ask("POST", "/submissions", awaiting("j-3", names.toString())).status());
     }
 
-    /** A repeat of an accepted job is answered with its state, whatever became of the jobs it names. */
+    /** Repeats the submission of an accepted job after its dependency was cancelled: the reply is the state of the job. */
     @Test
     void aRepeatIsKnownWhateverBecameOfItsNeeds() {
         start();
@@ -221,7 +228,10 @@
         assertTrue(ask("POST", "/submissions/j-5/abort", null).body().contains("\"done\""));
     }
 
-    /** During an outage nothing is promised, and nothing is held back: the answer is a time to come back. */
+    /**
+     * During an outage of the store, a submission is neither accepted nor held until the outage ends: the reply is 503 at
+     * once.
+     */
     @Test
     void anOutageIsSaidAtOnce() {
         start();
--- a/src/test/java/org/havenford/simulator/LargeFleetTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetTest.java
@@ -10,7 +10,10 @@
 import org.havenford.settings.PlatformSettings;
 import org.junit.jupiter.api.Test;
 
-/** What only shows at size: counts of what the state service is asked for, and that no kind of work starves. */
+/**
+ * Tests properties that show only with many machines or jobs: the load on the state service, and that no kind of work
+ * starves.
+ */
 class LargeFleetTest {
     private static final int NODES = 7;
     private static final String TEAMS =
@@ -29,7 +32,7 @@
                 "{\"rps\":150,\"write_rps\":50,\"value_kb\":16,\"txn_ops\":12}");
     }
 
-    /** Seven controllers and a thousand machines within a service of 150 requests and 50 changes a second. */
+    /** Runs seven controllers and 1000 machines with a state service that admits 150 requests and 50 writes per second. */
     @Test
     void aThousandMachinesWithinTheLimitsOfTheService() {
         ClusterSimulator world = new ClusterSimulator(11, settings(0));
@@ -40,7 +43,10 @@
         world.behaviour.assertKept("grown/a-thousand-machines");
     }
 
-    /** Half as many machines again as the largest deployment, in four zones: what a task costs stays what it was. */
+    /**
+     * Runs 1850 machines in four zones, half as many again as the largest deployment with seven controllers. The number of
+     * requests and writes per task stays within the same bounds as with 1000 machines.
+     */
     @Test
     void aTaskCostsNoMoreOnEighteenHundredMachinesOfSevenControllers() {
         ClusterSimulator world = new ClusterSimulator(14, settings(0));
@@ -52,7 +58,7 @@
         world.behaviour.assertKept("grown/eighteen-hundred-machines");
     }
 
-    /** The same on three controllers with larger limits and no team's limit. */
+    /** Runs 1600 machines on three controllers, with higher limits of the state service and an unlimited team. */
     @Test
     void sixteenHundredMachinesOfThreeControllersWithinTheLimitsOfTheService() {
         String agents = "{\"report_s\":4,\"lease_s\":26,\"cancel_s\":46}";
@@ -67,8 +73,8 @@
     }
 
     /**
-     * A list of machines takes more pages than calls may go out at once. It is read to its end all the same: a machine that is
-     * gone is noticed sooner than by its silence alone.
+     * The machine list of the cloud has more pages than the number of calls that may be in flight at once. It is still read to
+     * its end: a terminated machine is removed sooner than by its missing heartbeats alone.
      */
     @Test
     void aLongListOfMachinesIsReadToItsEnd() {
@@ -82,11 +88,12 @@
         world.runUntil(30);
         world.cloud.terminate("host-003333");
         world.runUntil(75);
-        assertTrue(!world.store.holds("live/machine/", "host-003333"), "the machine is off the record");
+        assertTrue(
+                !world.store.holds("live/machine/", "host-003333"), "the record of the terminated machine is deleted");
         world.behaviour.assertKept("grown/long-list");
     }
 
-    /** The largest deployment, on three controllers: plain work and a burst. */
+    /** Runs the largest deployment with three controllers, 4000 machines, under normal and urgent jobs. */
     @Test
     void fourThousandMachinesOfThreeControllersWithinTheLimitsOfTheService() {
         String agents = "{\"report_s\":4,\"lease_s\":26,\"cancel_s\":46}";
@@ -100,12 +107,12 @@
     }
 
     /**
-     * What runs on a fleet: so many machines from the start, and a job a second of {@code leastTasks} tasks and up to
-     * {@code moreTasks} more, of the teams in turn.
+     * The workload of a run: machines that boot at the start, and one job per second, submitted by the teams in turn, with at
+     * least {@code leastTasks} and fewer than {@code leastTasks + moreTasks} tasks.
      */
     private record Workload(int machines, int jobs, int leastTasks, int moreTasks, List<String> teams) {}
 
-    /** What the state service was asked for. */
+    /** Counts of requests, writes, conflicts and rejected requests at the state service. */
     private record StoreCounts(int requests, int taskChanges, int conflicts, int refused) {
         static StoreCounts of(ClusterSimulator world) {
             return new StoreCounts(
@@ -121,7 +128,10 @@
         }
     }
 
-    /** Plays the workload, and checks that all is done, each task started once, at a bounded cost for each task. */
+    /**
+     * Runs the workload and asserts that all jobs are done, that each task started once, and that the store load per task
+     * is bounded.
+     */
     private static void assertCheapAndDone(ClusterSimulator world, Workload workload) {
         world.store.pageSize = 500;
         boot(world, workload.machines());
@@ -146,11 +156,12 @@
         }
     }
 
-    /** Schedules the jobs and returns how many tasks they have. */
+    /** Schedules the submissions and returns the total number of tasks. */
     private static int submit(ClusterSimulator world, Workload workload) {
         int tasks = 0;
-        // Drawn apart from the delays of messages: or each call more or less would make it another run, at times with
-        // more work than the teams' limits take.
+        // Uses a separate random generator. With the one that also draws message delays, each additional or omitted
+        // call
+        // would change the job sizes, at times to more work than the limits of the teams allow.
         SplittableRandom sizes = new SplittableRandom(workload.jobs());
         for (int i = 0; i < workload.jobs(); i++) {
             int size = workload.leastTasks() + sizes.nextInt(workload.moreTasks());
@@ -168,14 +179,15 @@
                 List.of(),
                 world.users.jobs.values().stream()
                         .filter(job -> job.doneTold == null)
-                        .map(job -> job.id + " of " + job.tasks + " by " + job.team + ", begun " + job.begun)
+                        .map(job ->
+                                job.id + " with " + job.tasks + " tasks of team " + job.team + ", started " + job.begun)
                         .toList(),
                 () -> world.store.changesOf + " " + world.store.conflictsOf);
     }
 
     private static void assertWithinBudget(ClusterSimulator world, int tasks, StoreCounts counts) {
         double longestWait = longestWaitSeconds(world);
-        String all = "tasks " + tasks + ", longest wait " + longestWait + " s, " + counts + "; changes "
+        String all = "tasks " + tasks + ", longest wait " + longestWait + " s, " + counts + "; writes "
                 + world.store.changesOf + ", conflicts " + world.store.conflictsOf;
         assertTrue(counts.taskChanges < 1.6 * tasks, all);
         assertTrue(counts.requests < 5 * tasks, all);
@@ -184,7 +196,7 @@
         assertTrue(longestWait < 10, all);
     }
 
-    /** The longest time from a submission to the job's first start. */
+    /** Returns the longest time in seconds from the submission of a job to the start of its first task. */
     private static double longestWaitSeconds(ClusterSimulator world) {
         return world.users.jobs.values().stream()
                         .mapToLong(job ->
@@ -194,7 +206,10 @@
                 / 1e3;
     }
 
-    /** Renting and returning go their own way; what counts here is what a task costs. */
+    /**
+     * Returns the number of writes except those of machine records, whose number depends on launched and returned
+     * instances.
+     */
     private static int changesOfTasks(ClusterSimulator world) {
         return world.store.changesOf.entrySet().stream()
                 .filter(e -> !e.getKey().contains("live/machine"))
@@ -202,7 +217,7 @@
                 .sum();
     }
 
-    /** Limits a tenth as high make the service slow, not broken. */
+    /** With less than a tenth of the default request and write rates, the state service is slow, but all jobs complete. */
     @Test
     void aServiceWithATenthOfTheLimitsIsSlowButAllIsDone() {
         String team = "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":24}";
@@ -223,7 +238,7 @@
         assertEquals(List.of(), world.rules.broken);
         assertTrue(
                 world.users.jobs.values().stream().allMatch(job -> job.doneTold != null),
-                () -> "all jobs are done: " + world.store.requests + " " + world.store.refused + " "
+                () -> "not all jobs are done: " + world.store.requests + " " + world.store.refused + " "
                         + world.store.changesOf + " "
                         + world.users.jobs.values().stream()
                                 .map(job -> job.id + job.accepted + job.begun + job.doneTold)
@@ -231,7 +246,10 @@
         world.behaviour.assertKept("grown/tenth-of-the-limits");
     }
 
-    /** While urgent work asks for more than there is, the rest still gets its turn, the largest jobs within four minutes. */
+    /**
+     * While urgent jobs request more capacity than there is, other jobs still run, and the largest of them start within four
+     * minutes.
+     */
     @Test
     void noKindOfWorkStarvesInABurst() {
         ClusterSimulator world = new ClusterSimulator(12, SimulatorSettings.of(0, UNLIMITED_TEAM));
@@ -253,7 +271,7 @@
         }
         world.runUntil(320);
         assertEquals(List.of(), world.rules.broken);
-        assertTrue(world.users.jobs.get("j-2001").begun != null, "the largest has begun while the burst goes on");
+        assertTrue(world.users.jobs.get("j-2001").begun != null, "the largest job starts during the burst");
         world.runUntil(900);
         world.rules.endOfDay();
         assertEquals(List.of(), world.rules.broken);
--- a/src/test/java/org/havenford/simulator/OperationsScenario.java
+++ b/src/test/java/org/havenford/simulator/OperationsScenario.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Troubles, and with them failing jobs, a guest's small jobs, a burst of questions, and machines that boot late or never. */
+/**
+ * Extends {@link TroublesScenario} with failing jobs, small low-priority jobs, a burst of status queries, other boot times,
+ * a zone whose machines never boot, a process pause, and reset connections to the agents.
+ */
 final class OperationsScenario {
     private static final int SEED_OFFSET = 7;
     private static final int FAILING_JOBS = 3;
--- a/src/test/java/org/havenford/simulator/PlacementScenario.java
+++ b/src/test/java/org/havenford/simulator/PlacementScenario.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A run on tens of machines in which most jobs say where they may run, with small and large images, amid faults. */
+/**
+ * Draws a run on 18 to 35 machines in which most jobs have placement constraints and images of various sizes, with faults
+ * and delays.
+ */
 final class PlacementScenario {
     private static final int JOBS = 26;
     private static final int FAULTS = 10;
@@ -12,15 +15,15 @@
 
     private PlacementScenario() {}
 
-    /** Draws the run and its number of controllers. */
+    /** Draws a trace, including the number of controllers. */
     static List<String> draw(long seed) {
         return draw(seed, RandomNames.drawControllers(new SplittableRandom(seed), 3, 3, 5, 7), 0);
     }
 
-    /** Draws the run; jobs submitted until the second {@code dependenciesFrom} depend on none. */
+    /** Draws a trace. Jobs submitted at or before the second {@code dependenciesFrom} have no dependencies. */
     static List<String> draw(long seed, int controllers, int dependenciesFrom) {
         SplittableRandom random = new SplittableRandom(seed);
-        // The first number of the seed's sequence says how many controllers there are.
+        // Skips the first number of the sequence, with which the other overload selects the number of controllers.
         random.nextInt(4);
         TraceBuilder trace = new TraceBuilder();
         trace.add("seed " + seed, "nodes " + controllers, "team red 32 " + (60 + random.nextInt(60)), "team blue 0 0");
@@ -32,7 +35,7 @@
         new RandomFaults(random, trace, controllers, machines, JOBS).draw(FAULTS);
         RandomDelays.draw(random, trace, controllers, machines, DELAYS);
         if (random.nextInt(3) == 0) {
-            // A controller that was away for a while has to read all keys again.
+            // With a short change log, a controller that was disconnected for a while has to read all keys again.
             trace.add("keep-changes " + (20 + random.nextInt(80)));
         }
         trace.removeExpectationsOfCancelledJobs(dependencies.byJob());
@@ -62,7 +65,7 @@
         }
     }
 
-    /** Team, size and options of a job; each constraint comes alone and together with others. */
+    /** Draws the team, size and options of a submission. Placement constraints occur alone and in combination. */
     private static String drawRequest(SplittableRandom random) {
         StringBuilder request = new StringBuilder(random.nextBoolean() ? "red" : "blue");
         int tasks = random.nextInt(6) == 0 ? 20 + random.nextInt(40) : 1 + random.nextInt(12);
@@ -89,7 +92,7 @@
             case 3, 4, 5 -> constraints.add("apart");
             case 6 -> constraints.addAll(List.of("together", "apart"));
             default -> {
-                // Free to run in any zone.
+                // No constraint on how the tasks are spread over zones.
             }
         }
         if (random.nextInt(5) == 0) {
--- a/src/test/java/org/havenford/simulator/PlacementTest.java
+++ b/src/test/java/org/havenford/simulator/PlacementTest.java
@@ -10,13 +10,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Where tasks may run: the checker knows all five constraints, and runs are drawn in which most jobs have some. */
+/**
+ * Tests that the checker detects violations of all five placement constraints, and runs scenarios in which most jobs have
+ * some.
+ */
 class PlacementTest {
-    /** What the checker finds when a broken controller starts tasks of one job on the given machines. */
+    /**
+     * Returns the placement violations reported when a defective controller starts tasks of one job on the given machines.
+     */
     private static List<String> placementViolations(String job, String... machines) {
         List<String> lines = new ArrayList<>(List.of(
                 "team red 0 0",
-                // Nothing fits beside this job, so the machines start only what is forged.
+                // The run ends before an agent can have pulled the image (2 s), so only the forged attempts start.
                 "machine small a ordinary",
                 "machine large b ordinary",
                 "machine small a spot",
--- a/src/test/java/org/havenford/simulator/RandomDependencies.java
+++ b/src/test/java/org/havenford/simulator/RandomDependencies.java
@@ -7,9 +7,9 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** Draws which jobs a job depends on: users name only jobs that were accepted before. */
+/** Draws the dependencies of the jobs of one trace. A job depends only on jobs that were probably accepted before it. */
 final class RandomDependencies {
-    /** By then a submission has been accepted, if the controllers can be reached. */
+    /** The time within which a submission is accepted if the controllers are reachable. */
     private static final int ACCEPTED_WITHIN_SECONDS = 4;
 
     private final SplittableRandom random;
@@ -17,13 +17,16 @@
     private final Map<String, Integer> submittedAt = new TreeMap<>();
     private final Map<String, List<String>> dependencies = new HashMap<>();
 
-    /** Creates the draws of one trace; jobs submitted until the second {@code from} depend on none. */
+    /** Creates a generator for one trace. Jobs submitted at or before the second {@code from} have no dependencies. */
     RandomDependencies(SplittableRandom random, int from) {
         this.random = random;
         this.from = from;
     }
 
-    /** Draws the dependencies of a job, and returns them as an option of its submission: empty, or with a space in front. */
+    /**
+     * Draws the dependencies of a job and returns them as a submission option with a leading space, or an empty string if
+     * it has none.
+     */
     String drawOption(String job, int second) {
         List<String> drawn = draw(second);
         if (second <= from) {
@@ -47,7 +50,7 @@
         return drawn;
     }
 
-    /** The jobs that each job depends on. */
+    /** Returns the direct dependencies of each job, by job id. */
     Map<String, List<String>> byJob() {
         return dependencies;
     }
--- a/src/test/java/org/havenford/simulator/RandomFaults.java
+++ b/src/test/java/org/havenford/simulator/RandomFaults.java
@@ -4,24 +4,27 @@
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
 
-/** Draws faults of controllers, machines, the state service and the connections between them, one after the other. */
+/** Draws a sequence of faults of controllers, machines, the state service and the connections between them. */
 final class RandomFaults {
     private static final int FIRST_SECOND = 10;
     private static final int LONGEST_OUTAGE_SECONDS = 12;
 
-    /** A fault's moment, duration and whom it hits; what a kind of fault does not use is drawn all the same. */
+    /**
+     * The start, duration, targets and cut mode of a fault. All components are drawn for every fault, also those that its kind
+     * does not use.
+     */
     private record Fault(int second, String controller, String machine, int length, String cut) {
         int end() {
             return second + length;
         }
 
-        /** The end of a fault that lasts twice as long as others. */
+        /** Returns the end of a fault of a kind that lasts twice the drawn duration. */
         int lateEnd() {
             return second + 2 * length;
         }
     }
 
-    /** The kinds of faults; their places are part of what a seed means. */
+    /** The kinds of faults. A seed selects them by index, so reordering the list changes the runs of all seeds. */
     private static final List<BiConsumer<RandomFaults, Fault>> KINDS = List.of(
             RandomFaults::crash,
             RandomFaults::crashAllOneByOne,
@@ -58,7 +61,7 @@
         this.jobs = jobs;
     }
 
-    /** Draws so many faults. */
+    /** Draws the given number of faults. */
     void draw(int count) {
         int second = FIRST_SECOND;
         for (int i = 0; i < count; i++) {
@@ -155,7 +158,10 @@
                         + (1 + random.nextInt(20)) / 10.0);
     }
 
-    /** The store refuses one controller, which is asked for a cancellation, and then is out for all. */
+    /**
+     * Lets the store refuse one controller, cancels a job at a controller drawn separately, and then makes the store
+     * unavailable.
+     */
     private void cancellationDuringRefusalAndOutage(Fault fault) {
         trace.at(fault.second(), "refuse " + fault.controller());
         trace.at(fault.second(), "cancel " + drawJob() + " " + drawController());
--- a/src/test/java/org/havenford/simulator/RandomNames.java
+++ b/src/test/java/org/havenford/simulator/RandomNames.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Names of controllers, machines, jobs and zones in drawn traces. */
+/** The names of controllers, machines, jobs and zones in randomized traces. */
 final class RandomNames {
     static final int FIRST_JOB = 100;
     private static final List<String> ZONES = List.of("a", "b", "c");
@@ -26,7 +26,7 @@
         return ZONES.get(random.nextInt(ZONES.size()));
     }
 
-    /** Draws one of the given numbers of controllers; a number that stands twice is twice as likely. */
+    /** Draws one of the given numbers of controllers; a number that is listed twice is twice as likely. */
     static int drawControllers(SplittableRandom random, int... choices) {
         return choices[random.nextInt(choices.length)];
     }
--- a/src/test/java/org/havenford/simulator/RandomizedScenarios.java
+++ b/src/test/java/org/havenford/simulator/RandomizedScenarios.java
@@ -7,19 +7,20 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 
-/** Plays runs whose work and faults are drawn from a seed and written as traces; the same seed gives the same trace. */
+/** Runs traces whose jobs and faults are drawn from a seed. The same seed gives the same trace. */
 final class RandomizedScenarios {
-    /** How many seeds of each kind are played, in twelfths of its usual number. */
+    /** The default of {@code havenford.seeds}, with which each kind of scenario runs its default number of seeds. */
     private static final int USUAL_SCALE = 12;
 
     private RandomizedScenarios() {}
 
     /**
-     * Plays runs of consecutive seeds. The system property {@code havenford.seeds} scales how many of each kind are played
-     * (12 by default), {@code havenford.firstSeed} says where they begin. The seeds that are played by default have a kept
-     * {@link BehaviourDigest} under {@code kind}. A seed that fails is kept as a trace.
+     * Returns a test for each of a number of consecutive seeds. The system property {@code havenford.seeds} (12 by default)
+     * scales the number of seeds of every kind of scenario; {@code havenford.firstSeed} sets the first seed. For the default
+     * seeds, the run is compared with the stored {@link BehaviourDigest} named {@code kind/seed}. A failure message contains
+     * the trace; a failing seed is to be added to the traces in src/test/resources/traces.
      *
-     * @param usually how many seeds are played by default
+     * @param usually the number of seeds that run by default
      * @param scenario draws the trace of a seed
      */
     static Stream<DynamicTest> play(String kind, int usually, LongFunction<List<String>> scenario) {
--- a/src/test/java/org/havenford/simulator/StandbyScenario.java
+++ b/src/test/java/org/havenford/simulator/StandbyScenario.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Troubles, and cuts between controllers, while all of them or all but one have a warm standby. */
+/**
+ * Extends {@link TroublesScenario} with network partitions between controllers and process pauses, while all controllers, or
+ * all but one, run a warm standby.
+ */
 final class StandbyScenario {
     private static final int SEED_OFFSET = 11;
     private static final int CUTS = 4;
--- a/src/test/java/org/havenford/simulator/TraceArguments.java
+++ b/src/test/java/org/havenford/simulator/TraceArguments.java
@@ -3,7 +3,9 @@
 import java.time.Duration;
 import java.util.List;
 
-/** The words that follow the name of a command or expectation on a line of a trace, counted from zero. */
+/**
+ * The arguments of a trace line: the words after its keyword or after the name of its command or expectation, from index 0.
+ */
 record TraceArguments(List<String> words) {
     private static final double MILLIS_PER_SECOND = 1000;
 
@@ -11,7 +13,7 @@
         return words.get(index);
     }
 
-    /** The word at an index, or null if the line has fewer words. */
+    /** Returns the argument at an index, or null if the line has fewer arguments. */
     String optionalWord(int index) {
         return index < words.size() ? words.get(index) : null;
     }
@@ -24,22 +26,22 @@
         return Double.parseDouble(word(index));
     }
 
-    /** A number of seconds, cut to whole milliseconds. */
+    /** Parses an argument as a decimal number of seconds, truncated to whole milliseconds. */
     Duration seconds(int index) {
         return Duration.ofMillis((long) (decimal(index) * MILLIS_PER_SECOND));
     }
 
-    /** Whether the word is {@code on}; anything else counts as off. */
+    /** Returns whether the argument is {@code on}; any other word counts as off. */
     boolean isOn(int index) {
         return word(index).equals("on");
     }
 
-    /** The words from an index to the end of the line. */
+    /** Returns the arguments from an index to the end of the line. */
     List<String> from(int index) {
         return words.subList(index, words.size());
     }
 
-    /** The words as they stood on the line, separated by single spaces. */
+    /** Returns all arguments in the order of the line, separated by single spaces. */
     String text() {
         return String.join(" ", words);
     }
--- a/src/test/java/org/havenford/simulator/TraceBuilder.java
+++ b/src/test/java/org/havenford/simulator/TraceBuilder.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The lines of a trace while it is drawn. Their order matters: what happens at the same time happens in that order. */
+/** Collects the lines of a generated trace. Commands with the same time run in the order in which they were added. */
 final class TraceBuilder {
     private static final String EXPECT_DONE = "expect done ";
     private static final int COMMAND = 2;
@@ -14,41 +14,42 @@
 
     private final List<String> lines = new ArrayList<>();
 
-    /** Adds whole lines. */
+    /** Adds complete lines. */
     void add(String... more) {
         lines.addAll(List.of(more));
     }
 
-    /** Adds the lines of another trace. */
+    /** Adds all lines of another trace. */
     void addAll(List<String> more) {
         lines.addAll(more);
     }
 
-    /** Adds a command at a second of the run. */
+    /** Adds a command that runs at a whole second of the simulated time. */
     void at(int second, String command) {
         lines.add("at " + second + " " + command);
     }
 
-    /** Adds a command at a second of the run. */
+    /** Adds a command that runs at a time given in seconds of the simulated time. */
     void at(double second, String command) {
         lines.add("at " + second + " " + command);
     }
 
-    /** Adds a command some tenths of a second after a second of the run. */
+    /** Adds a command that runs a number of tenths of a second after a whole second of the simulated time. */
     void at(int second, int tenths, String command) {
         lines.add("at " + second + "." + tenths + " " + command);
     }
 
-    /** Adds the expectation that a job is done at the end. */
+    /** Adds the expectation that a job is done at the end of the run. */
     void expectDone(String job) {
         lines.add(EXPECT_DONE + job);
     }
 
     /**
-     * Removes the expectation of an end from jobs that may be cancelled: one that is cancelled at a drawn moment may be over by
-     * then or not, and what depends on it shares its fate.
+     * Removes the expectation that a job is done from every job with a {@code cancel} command and from all jobs that depend on
+     * one, directly or indirectly. A job that is cancelled at a random time may or may not be done by then, and a cancellation
+     * also cancels the dependent jobs.
      *
-     * @param dependencies the jobs that each job depends on
+     * @param dependencies the direct dependencies of each job, by job id
      */
     void removeExpectationsOfCancelledJobs(Map<String, List<String>> dependencies) {
         Set<String> cancelled = cancelledJobs();
@@ -76,7 +77,7 @@
         return cancelled;
     }
 
-    /** The lines so far. */
+    /** Returns the lines added so far; the list is not a copy. */
     List<String> lines() {
         return lines;
     }
--- a/src/test/java/org/havenford/simulator/TraceCommands.java
+++ b/src/test/java/org/havenford/simulator/TraceCommands.java
@@ -4,9 +4,9 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The commands of traces by name: what users do, faults of each part of the cluster, and forged events. */
+/** The commands of the trace language by name: user requests, faults of each part of the cluster, and forged events. */
 final class TraceCommands {
-    /** Carries out a command with the words that follow its name. */
+    /** The implementation of a command, called with the words that follow its name on the line. */
     @FunctionalInterface
     private interface Command {
         void run(ClusterSimulator world, TraceArguments words);
@@ -15,13 +15,13 @@
     private static final Map<String, Command> COMMANDS = commands();
     private static final String SUBMIT = "submit";
     private static final String HOST_PREFIX = "host-";
-    /** Higher than the number of any attempt that a controller starts in a trace. */
+    /** An attempt number above every attempt number that a controller assigns in a trace. */
     private static final int FORGED_ATTEMPT = 99;
 
     private TraceCommands() {}
 
     /**
-     * Carries out a command now, and notes it in the log unless it is a submission.
+     * Runs a command at the current simulated time and, unless it is a submission, adds it to the log of the run.
      *
      * @throws IllegalArgumentException if there is no such command
      */
@@ -58,7 +58,10 @@
         commands.put("close-looks", (world, words) -> world.users.looksClosely = words.isOn(0));
     }
 
-    /** Identifier, team, number of tasks, CPUs of a task, its seconds, options. */
+    /**
+     * Submits a job. The arguments are job id, team, number of tasks, CPUs per task, run time of a task in seconds, and
+     * options.
+     */
     private static void submit(ClusterSimulator world, TraceArguments words) {
         world.users.submit(
                 words.word(0), words.word(1), words.integer(2), words.decimal(3), words.decimal(4), words.from(5));
@@ -170,7 +173,10 @@
         commands.put("notice", (world, words) -> agent(world, words).notice = words.decimal(1));
     }
 
-    /** Not faults but what a defective controller would do: they show that the checker sees what it should. */
+    /**
+     * Adds commands that imitate a defective controller, with which tests verify that {@link InvariantChecker} detects
+     * violations.
+     */
     private static void addForgeries(Map<String, Command> commands) {
         commands.put("forge-zone", (world, words) -> world.store.forgeZone(words.word(0), words.word(1)));
         commands.put("forge-cancelled", (world, words) -> {
@@ -205,7 +211,10 @@
         return address(world, words.word(index));
     }
 
-    /** The address of a controller, a machine, the users, or a service that is named without its port. */
+    /**
+     * Returns the network address of a controller, a machine, the users, or a service that the trace names without its
+     * port.
+     */
     private static String address(ClusterSimulator world, String name) {
         if (world.nodes.containsKey(name)) {
             return world.nodes.get(name).settings.bind();
--- a/src/test/java/org/havenford/simulator/TraceExpectations.java
+++ b/src/test/java/org/havenford/simulator/TraceExpectations.java
@@ -8,24 +8,24 @@
 import java.util.function.BiFunction;
 import java.util.function.BiPredicate;
 
-/** What a trace may expect at its end, by name. */
+/** The expectations that a trace can state about the end of its run, by name. */
 final class TraceExpectations {
-    /** Checked by {@link InvariantChecker#endOfDay} before the others, so it always holds here. */
+    /** Checked by {@link InvariantChecker#endOfDay} before all other expectations, so its predicate here is always true. */
     private static final String SERVED = "served";
 
     private static final Map<String, BiPredicate<ClusterSimulator, TraceArguments>> RULES = rules();
-    /** For expectations of a count, what was counted instead. */
+    /** For expectations about a count, the text that reports the actual count. */
     private static final Map<String, BiFunction<ClusterSimulator, TraceArguments, String>> COUNTS = counts();
 
     private TraceExpectations() {}
 
-    /** Whether the expectation is that no class, no team and no class's largest jobs starve. */
+    /** Returns whether the expectation is {@code served}: no class, no team and no class's largest jobs starve. */
     static boolean isThatAllAreServed(TraceScenario.Expectation expectation) {
         return expectation.name().equals(SERVED);
     }
 
     /**
-     * Returns what is wrong if the expectation does not hold.
+     * Returns a description of the violation if the expectation does not hold.
      *
      * @throws IllegalArgumentException if there is no such expectation
      */
@@ -117,7 +117,10 @@
         return Instant.EPOCH.plusSeconds(Long.parseLong(words.word(index)));
     }
 
-    /** Whether what is named has happened not before a moment, or never. */
+    /**
+     * Returns whether the event named by the first argument occurred at or after the second argument's time, or never
+     * occurred.
+     */
     private static boolean isNotBefore(Map<String, Instant> happened, TraceArguments words) {
         return !happened.getOrDefault(words.word(0), Instant.MAX).isBefore(moment(words, 1));
     }
--- a/src/test/java/org/havenford/simulator/TracePlayer.java
+++ b/src/test/java/org/havenford/simulator/TracePlayer.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import org.havenford.settings.PlatformSettings;
 
-/** Plays a trace in a {@link ClusterSimulator}. See src/test/resources/traces/README.md. */
+/** Runs a trace in a {@link ClusterSimulator}. The trace language is described in src/test/resources/traces/README.md. */
 final class TracePlayer {
     private static final Duration BOOT_TIME = Duration.ofMillis(100);
 
-    /** A run that is over: its simulator, and the rules and expectations that did not hold. */
+    /** The result of a finished run: its simulator, and a line for each violated invariant and expectation. */
     record Result(ClusterSimulator world, List<String> violations) {
-        /** The simulator's log as one text. */
+        /** Returns the log of the run as one text. */
         String log() {
             return String.join("\n", world.log);
         }
@@ -19,7 +19,7 @@
 
     private TracePlayer() {}
 
-    /** Plays the lines of a trace to its end. */
+    /** Parses the lines of a trace and runs it to its end. */
     static Result play(List<String> lines) {
         TraceScenario scenario = TraceScenario.parse(lines);
         ClusterSimulator world = cluster(scenario);
--- a/src/test/java/org/havenford/simulator/TraceScenario.java
+++ b/src/test/java/org/havenford/simulator/TraceScenario.java
@@ -10,22 +10,22 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 
-/** A trace as it was read: the cluster that it describes, what happens in it, and what is expected at its end. */
+/** A parsed trace: the configuration of the cluster, the steps of the run, and the expectations about its end. */
 final class TraceScenario {
-    /** What happens in a run, in the order of the lines. */
+    /** A step of a run. Steps with the same time run in the order of their lines. */
     sealed interface Step permits Machine, TimedCommand {}
 
-    /** A machine that runs from the beginning. */
+    /** A machine that boots at the start of the run. */
     record Machine(String type, String zone, boolean spot) implements Step {}
 
-    /** A command at a moment of the simulated time. */
+    /** A command that runs at a time given in seconds of the simulated time. */
     record TimedCommand(double second, String name, TraceArguments arguments) implements Step {}
 
-    /** What has to hold when the run is over. */
+    /** A condition that has to hold at the end of the run. */
     record Expectation(String name, TraceArguments arguments) {}
 
     private static final Map<String, BiConsumer<TraceScenario, TraceArguments>> LINES = lines();
-    /** Commands that users send in the normal course; all others make trouble. */
+    /** Regular requests of users. All other commands count as faults, see {@link #lastTrouble()}. */
     private static final Set<String> COMMANDS_OF_USERS = Set.of("submit", "cancel", "ask", "repeat");
 
     private final List<String> teams = new ArrayList<>();
@@ -37,21 +37,21 @@
     private final List<Step> steps = new ArrayList<>();
     private final List<Expectation> expectations = new ArrayList<>();
 
-    /** Whether the controllers have a warm standby. */
+    /** Whether the controllers run a warm standby. */
     boolean standby;
-    /** Controllers without a standby although the others have one. */
+    /** Controllers that run without a warm standby although {@link #standby} is set. */
     final Set<String> withoutStandby = new HashSet<>();
-    /** How many changes the store keeps for watches that begin in the past. */
+    /** The number of changes that the store keeps for watches that start at an earlier revision. */
     int keptChanges = 10_000;
-    /** How many machines of a type and zone the cloud has; 0 for its default. */
+    /** The number of machines that the cloud has of each type, zone and kind (spot or on-demand); 0 for the default. */
     int machinesPerOffer;
 
     private TraceScenario() {}
 
     /**
-     * Reads the lines of a trace.
+     * Parses the lines of a trace.
      *
-     * @throws IllegalArgumentException if a line begins with an unknown word or has a number in a wrong form
+     * @throws IllegalArgumentException if a line starts with an unknown word or contains a malformed number
      */
     static TraceScenario parse(List<String> lines) {
         TraceScenario scenario = new TraceScenario();
@@ -73,7 +73,7 @@
         parser.accept(this, new TraceArguments(words.subList(1, words.size())));
     }
 
-    /** What each kind of line means, by the word that it begins with. */
+    /** Returns the parser of each kind of line, by the first word of the line. */
     private static Map<String, BiConsumer<TraceScenario, TraceArguments>> lines() {
         Map<String, BiConsumer<TraceScenario, TraceArguments>> lines = new HashMap<>();
         lines.put("next", TraceScenario::announceLowerLimits);
@@ -126,22 +126,24 @@
         return nodes;
     }
 
-    /** The teams as elements of a JSON list. */
+    /** Returns the teams as the comma-separated elements of a JSON array. */
     String teams() {
         return String.join(",", teams);
     }
 
-    /** The limits of the state service as JSON, with the announced lower ones if the trace has any. */
+    /**
+     * Returns the limits of the state service as a JSON object, including the announced lower limits if the trace has any.
+     */
     String store() {
         return store;
     }
 
-    /** Whether the controllers begin with the version before, which writes the first format. */
+    /** Returns whether the controllers start with the previous version, which writes storage format 1. */
     boolean startsWithPreviousFormat() {
         return previousFormat;
     }
 
-    /** The second of the simulated time at which the run ends. */
+    /** Returns the simulated time in seconds at which the run ends. */
     double end() {
         return end;
     }
@@ -154,7 +156,7 @@
         return expectations;
     }
 
-    /** When the last command comes that is not a user's; the epoch if there is none. */
+    /** Returns the time of the last command that is not a regular user request, or the epoch if there is none. */
     Instant lastTrouble() {
         Instant last = Instant.EPOCH;
         for (Step step : steps) {
--- a/src/test/java/org/havenford/simulator/TraceTest.java
+++ b/src/test/java/org/havenford/simulator/TraceTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Plays the kept traces, and some seeded runs with random troubles. */
+/** Runs the traces in src/test/resources/traces and randomized scenarios with faults. */
 class TraceTest {
     private static final Path TRACES = Path.of("src/test/resources/traces");
 
@@ -40,7 +40,7 @@
         return TracePlayer.play(List.of(trace)).violations();
     }
 
-    /** The checker would be worth nothing if it could not fail. */
+    /** Verifies that the invariant checker reports forged attempts that run a task twice and exceed the limit of a team. */
     @Test
     void theCheckerSeesATaskThatRunsTwiceAndAnExceededQuota() {
         List<String> wrong = violations(
@@ -55,7 +55,7 @@
         assertTrue(wrong.stream().anyMatch(violation -> violation.contains("quota")), wrong::toString);
     }
 
-    /** A start before the needed job is over, by a controller that is broken. */
+    /** Forges an attempt of a task, as a defective controller would, before the job that it depends on is done. */
     @Test
     void theCheckerSeesAStartThatIsTooEarly() {
         List<String> wrong = violations(
@@ -68,7 +68,9 @@
         assertTrue(wrong.stream().anyMatch(violation -> violation.contains("too_early")), wrong::toString);
     }
 
-    /** A user is told of a cancellation that nobody has stored: what needs the job stays pending for too long. */
+    /**
+     * Forges the confirmation of a cancellation that is not in the store, so the dependent job stays pending for too long.
+     */
     @Test
     void theCheckerSeesAnOrphanedJob() {
         List<String> wrong = violations(
@@ -81,7 +83,10 @@
         assertTrue(wrong.stream().anyMatch(violation -> violation.contains("orphaned")), wrong::toString);
     }
 
-    /** Jobs of one task, four a second for two minutes, a quarter of them cancelled, while a controller ends. */
+    /**
+     * Submits four single-task jobs per second for two minutes and cancels a quarter of them, while a controller crashes and
+     * restarts and the store has an outage of four seconds.
+     */
     @Test
     void oneTaskJobsAreDoneAlthoughAQuarterIsCancelledAndAControllerEnds() {
         List<String> lines = new ArrayList<>(List.of(
@@ -128,7 +133,7 @@
         return RandomizedScenarios.play("operations", 12, OperationsScenario::draw);
     }
 
-    /** The same while the controllers come back one by one with this version, whereupon the store's limits fall. */
+    /** Runs {@link TroublesScenario} during a rolling upgrade, after which the limits of the store are lowered. */
     @TestFactory
     Stream<DynamicTest> randomTroublesAmidAnUpgrade() {
         return RandomizedScenarios.play("upgrade", 6, seed -> UpgradeScenario.draw(seed, TroublesScenario::draw));
--- a/src/test/java/org/havenford/simulator/TroublesScenario.java
+++ b/src/test/java/org/havenford/simulator/TroublesScenario.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A run on four machines with jobs of two teams, some of them cancelled, amid faults of all kinds. */
+/** Draws a run on four machines with jobs of two teams, some of them cancelled, and with faults of all kinds. */
 final class TroublesScenario {
     private static final int MACHINES = 4;
     private static final int JOBS = 14;
@@ -11,15 +11,15 @@
 
     private TroublesScenario() {}
 
-    /** Draws the run and its number of controllers. */
+    /** Draws a trace, including the number of controllers. */
     static List<String> draw(long seed) {
         return draw(seed, RandomNames.drawControllers(new SplittableRandom(seed), 3, 3, 5, 7), 0);
     }
 
-    /** Draws the run; jobs submitted until the second {@code dependenciesFrom} depend on none. */
+    /** Draws a trace. Jobs submitted at or before the second {@code dependenciesFrom} have no dependencies. */
     static List<String> draw(long seed, int controllers, int dependenciesFrom) {
         SplittableRandom random = new SplittableRandom(seed);
-        // The first number of the seed's sequence says how many controllers there are.
+        // Skips the first number of the sequence, with which the other overload selects the number of controllers.
         random.nextInt(4);
         TraceBuilder trace = new TraceBuilder();
         trace.add(
--- a/src/test/java/org/havenford/simulator/UpgradeScenario.java
+++ b/src/test/java/org/havenford/simulator/UpgradeScenario.java
@@ -4,11 +4,12 @@
 import java.util.SplittableRandom;
 
 /**
- * Another scenario while the controllers restart one by one with this version, whereupon the store's limits fall. Nothing new
- * is asked of the service before all controllers have this version.
+ * Runs another scenario during a rolling upgrade: the controllers start with storage format 1 and restart one by one with
+ * this version, then the limits of the store are lowered. Job dependencies, which format 1 does not have, are drawn only for
+ * jobs submitted after the last upgrade.
  */
 final class UpgradeScenario {
-    /** Draws a scenario for a number of controllers whose jobs depend on others only after a second of the run. */
+    /** A scenario for a given number of controllers, in which only jobs submitted after a given second have dependencies. */
     @FunctionalInterface
     interface Amid {
         List<String> draw(long seed, int controllers, int dependenciesFrom);
@@ -16,7 +17,7 @@
 
     private UpgradeScenario() {}
 
-    /** Draws the upgrade, and what goes on meanwhile. */
+    /** Draws the upgrade and, from the same seed, the scenario that runs at the same time. */
     static List<String> draw(long seed, Amid scenario) {
         SplittableRandom random = new SplittableRandom(-seed);
         int controllers = RandomNames.drawControllers(random, 3, 5, 7);
@@ -26,7 +27,7 @@
         return trace.lines();
     }
 
-    /** Returns the second after which all controllers have this version. */
+    /** Draws the upgrade of all controllers and returns the second after which all of them run this version. */
     private static int drawUpgrade(SplittableRandom random, int controllers, TraceBuilder trace) {
         trace.add("version format-1", "next 2 4 75");
         int second = 6 + random.nextInt(6);
