--- a/src/test/java/org/havenford/simulator/TroublesScenario.java
+++ b/src/test/java/org/havenford/simulator/FaultScenario.java
@@ -4,12 +4,12 @@
 import java.util.SplittableRandom;
 
 /** Draws a run on four machines with jobs of two teams, some of them cancelled, and with faults of all kinds. */
-final class TroublesScenario {
+final class FaultScenario {
     private static final int MACHINES = 4;
     private static final int JOBS = 14;
     private static final int FAULTS = 6;
 
-    private TroublesScenario() {}
+    private FaultScenario() {}
 
     /** Draws a trace, including the number of controllers. */
     static List<String> draw(long seed) {
@@ -44,7 +44,7 @@
     private static void drawJob(
             SplittableRandom random, TraceBuilder trace, RandomDependencies dependencies, String job) {
         int second = 3 + random.nextInt(90);
-        String dependsOn = dependencies.drawOption(job, second);
+        String dependencyOption = dependencies.drawOption(job, second);
         String team = random.nextBoolean() ? "red" : "blue";
         int tasks = 1 + random.nextInt(8);
         int cpus = 1 + random.nextInt(4);
@@ -54,7 +54,7 @@
         trace.at(
                 second,
                 "submit " + job + " " + team + " " + tasks + " " + cpus + " " + runSeconds + apart + ordinary
-                        + dependsOn);
+                        + dependencyOption);
         if (random.nextInt(4) == 0) {
             trace.at(second + 3 + random.nextInt(20), "cancel " + job);
         } else {
--- a/src/test/java/org/havenford/simulator/OperationsScenario.java
+++ b/src/test/java/org/havenford/simulator/OperationsScenario.java
@@ -4,7 +4,7 @@
 import java.util.SplittableRandom;
 
 /**
- * Extends {@link TroublesScenario} with failing jobs, small low-priority jobs, a burst of status queries, other boot times,
+ * Extends {@link FaultScenario} with failing jobs, small low-priority jobs, a burst of status queries, other boot times,
  * a zone whose machines never boot, a process pause, and reset connections to the agents.
  */
 final class OperationsScenario {
@@ -13,9 +13,9 @@
     private static final int FIRST_FAILING_JOB = 300;
     private static final int SMALL_JOBS = 20;
     private static final int FIRST_SMALL_JOB = 400;
-    private static final int BURST_SECONDS = 40;
-    private static final int OTHER_BOOT_TIMES_SECONDS = 60;
-    private static final int RESET_SECONDS = 40;
+    private static final int QUERY_BURST_SECONDS = 40;
+    private static final int CHANGED_BOOT_TIME_SECONDS = 60;
+    private static final int CONNECTION_RESET_SECONDS = 40;
 
     private OperationsScenario() {}
 
@@ -23,11 +23,11 @@
         SplittableRandom random = new SplittableRandom(seed + SEED_OFFSET);
         int controllers = RandomNames.drawControllers(random, 3, 5, 7);
         TraceBuilder trace = new TraceBuilder();
-        trace.addAll(TroublesScenario.draw(seed, controllers, 0));
+        trace.addAll(FaultScenario.draw(seed, controllers, 0));
         trace.add("per-offer 6");
         drawFailingJobs(random, trace);
         drawSmallJobs(random, trace);
-        drawBurstOfQuestions(random, trace);
+        drawQueryBurst(random, trace);
         drawBootTimes(random, trace);
         drawZoneWithoutMachines(random, trace);
         drawPause(random, controllers, trace);
@@ -47,24 +47,26 @@
     }
 
     private static void drawSmallJobs(SplittableRandom random, TraceBuilder trace) {
-        int from = 10 + random.nextInt(60);
+        int firstSecond = 10 + random.nextInt(60);
         for (int i = 0; i < SMALL_JOBS; i++) {
             String job = RandomNames.job(FIRST_SMALL_JOB + i);
-            trace.at(from + i / 10.0, "submit " + job + " blue 1 1 " + (3 + random.nextInt(20)) + " low class=dust");
+            trace.at(
+                    firstSecond + i / 10.0,
+                    "submit " + job + " blue 1 1 " + (3 + random.nextInt(20)) + " low class=dust");
             trace.expectDone(job);
         }
     }
 
-    private static void drawBurstOfQuestions(SplittableRandom random, TraceBuilder trace) {
+    private static void drawQueryBurst(SplittableRandom random, TraceBuilder trace) {
         int second = 10 + random.nextInt(60);
         trace.at(second, "polls-as-often 8");
-        trace.at(second + BURST_SECONDS, "polls-as-often 1");
+        trace.at(second + QUERY_BURST_SECONDS, "polls-as-often 1");
     }
 
     private static void drawBootTimes(SplittableRandom random, TraceBuilder trace) {
         int second = 5 + random.nextInt(50);
         trace.at(second, random.nextBoolean() ? "boots 1" : "boots 70");
-        trace.at(second + OTHER_BOOT_TIMES_SECONDS, "boots-usually");
+        trace.at(second + CHANGED_BOOT_TIME_SECONDS, "boots-usually");
     }
 
     private static void drawZoneWithoutMachines(SplittableRandom random, TraceBuilder trace) {
@@ -84,6 +86,6 @@
         String controller = RandomNames.controller(random.nextInt(controllers));
         int second = 10 + random.nextInt(60);
         trace.at(second, "reset-workers " + controller);
-        trace.at(second + RESET_SECONDS, "reach " + controller);
+        trace.at(second + CONNECTION_RESET_SECONDS, "reach " + controller);
     }
 }
--- a/src/test/java/org/havenford/simulator/PlacementScenario.java
+++ b/src/test/java/org/havenford/simulator/PlacementScenario.java
@@ -56,8 +56,8 @@
     private static void drawJob(
             SplittableRandom random, TraceBuilder trace, RandomDependencies dependencies, String job) {
         int second = 3 + random.nextInt(110);
-        String dependsOn = dependencies.drawOption(job, second);
-        trace.at(second, "submit " + job + " " + drawRequest(random) + dependsOn);
+        String dependencyOption = dependencies.drawOption(job, second);
+        trace.at(second, "submit " + job + " " + drawRequest(random) + dependencyOption);
         if (random.nextInt(6) == 0) {
             trace.at(second + 3 + random.nextInt(20), "cancel " + job);
         } else {
--- a/src/test/java/org/havenford/simulator/PlacementTest.java
+++ b/src/test/java/org/havenford/simulator/PlacementTest.java
@@ -42,32 +42,32 @@
     }
 
     @Test
-    void theCheckerSeesATypeThatIsNotAllowed() {
+    void checkerReportsAMachineTypeThatIsNotAllowed() {
         assertOneViolation("type", placementViolations("1 1 30 types=large", "host-000000"));
         assertEquals(List.of(), placementViolations("1 1 30 types=large", "host-000001"));
     }
 
     @Test
-    void theCheckerSeesAZoneThatIsNotAllowed() {
+    void checkerReportsAZoneThatIsNotAllowed() {
         assertOneViolation("zone", placementViolations("1 1 30 zone=b", "host-000000"));
         assertEquals(List.of(), placementViolations("1 1 30 zone=b", "host-000001"));
     }
 
     @Test
-    void theCheckerSeesASpotMachineThatIsNotAllowed() {
+    void checkerReportsASpotMachineThatIsNotAllowed() {
         assertOneViolation("kind", placementViolations("1 1 30 ordinary", "host-000002"));
         assertEquals(List.of(), placementViolations("1 1 30 ordinary", "host-000000"));
     }
 
     @Test
-    void theCheckerSeesTasksInTwoZonesThatMustStayTogether() {
+    void checkerReportsTasksInTwoZonesThatMustStayTogether() {
         assertOneViolation(
                 "together", placementViolations("3 1 30 together", "host-000001", "host-000003", "host-000000"));
         assertEquals(List.of(), placementViolations("3 1 30 together", "host-000001", "host-000003", "host-000003"));
     }
 
     @Test
-    void theCheckerSeesTooManyTasksInAZoneThatMustStayApart() {
+    void checkerReportsTooManyTasksInOneZoneThatMustStayApart() {
         assertOneViolation("apart", placementViolations("3 1 30 apart", "host-000001", "host-000003", "host-000003"));
         assertEquals(List.of(), placementViolations("3 1 30 apart", "host-000001", "host-000003", "host-000000"));
     }
--- a/src/test/java/org/havenford/simulator/RandomDependencies.java
+++ b/src/test/java/org/havenford/simulator/RandomDependencies.java
@@ -13,14 +13,17 @@
     private static final int ACCEPTED_WITHIN_SECONDS = 4;
 
     private final SplittableRandom random;
-    private final int from;
+    private final int dependenciesFrom;
     private final Map<String, Integer> submittedAt = new TreeMap<>();
     private final Map<String, List<String>> dependencies = new HashMap<>();
 
-    /** Creates a generator for one trace. Jobs submitted at or before the second {@code from} have no dependencies. */
-    RandomDependencies(SplittableRandom random, int from) {
+    /**
+     * Creates a generator for one trace. Jobs submitted at or before the second {@code dependenciesFrom} have no
+     * dependencies.
+     */
+    RandomDependencies(SplittableRandom random, int dependenciesFrom) {
         this.random = random;
-        this.from = from;
+        this.dependenciesFrom = dependenciesFrom;
     }
 
     /**
@@ -29,7 +32,7 @@
      */
     String drawOption(String job, int second) {
         List<String> drawn = draw(second);
-        if (second <= from) {
+        if (second <= dependenciesFrom) {
             drawn.clear();
         }
         submittedAt.put(job, second);
--- a/src/test/java/org/havenford/simulator/RandomizedScenarios.java
+++ b/src/test/java/org/havenford/simulator/RandomizedScenarios.java
@@ -10,7 +10,7 @@
 /** Runs traces whose jobs and faults are drawn from a seed. The same seed gives the same trace. */
 final class RandomizedScenarios {
     /** The default of {@code havenford.seeds}, with which each kind of scenario runs its default number of seeds. */
-    private static final int USUAL_SCALE = 12;
+    private static final int DEFAULT_SCALE = 12;
 
     private RandomizedScenarios() {}
 
@@ -20,23 +20,23 @@
      * seeds, the run is compared with the stored {@link BehaviourDigest} named {@code kind/seed}. A failure message contains
      * the trace; a failing seed is to be added to the traces in src/test/resources/traces.
      *
-     * @param usually the number of seeds that run by default
+     * @param defaultSeeds the number of seeds that run by default
      * @param scenario draws the trace of a seed
      */
-    static Stream<DynamicTest> play(String kind, int usually, LongFunction<List<String>> scenario) {
-        int seeds = Integer.getInteger("havenford.seeds", USUAL_SCALE) * usually / USUAL_SCALE;
+    static Stream<DynamicTest> play(String kind, int defaultSeeds, LongFunction<List<String>> scenario) {
+        int seeds = Integer.getInteger("havenford.seeds", DEFAULT_SCALE) * defaultSeeds / DEFAULT_SCALE;
         long first = Long.getLong("havenford.firstSeed", 1);
         return Stream.iterate(first, seed -> seed + 1)
                 .limit(seeds)
                 .map(seed -> DynamicTest.dynamicTest("seed " + seed, () -> {
-                    TracePlayer.Result result = playTrace(scenario.apply(seed));
-                    if (seed >= 1 && seed <= usually) {
-                        result.world().behaviour.assertKept(kind + "/" + seed);
+                    TracePlayer.Result result = playAndAssertNoViolations(scenario.apply(seed));
+                    if (seed >= 1 && seed <= defaultSeeds) {
+                        result.simulator().behaviour.assertKept(kind + "/" + seed);
                     }
                 }));
     }
 
-    private static TracePlayer.Result playTrace(List<String> lines) {
+    private static TracePlayer.Result playAndAssertNoViolations(List<String> lines) {
         TracePlayer.Result result = TracePlayer.play(lines);
         assertEquals(List.of(), result.violations(), () -> String.join("\n", lines) + "\n--\n" + result.log());
         return result;
--- a/src/test/java/org/havenford/simulator/StandbyScenario.java
+++ b/src/test/java/org/havenford/simulator/StandbyScenario.java
@@ -4,12 +4,12 @@
 import java.util.SplittableRandom;
 
 /**
- * Extends {@link TroublesScenario} with network partitions between controllers and process pauses, while all controllers, or
+ * Extends {@link FaultScenario} with network partitions between controllers and process pauses, while all controllers, or
  * all but one, run a warm standby.
  */
 final class StandbyScenario {
     private static final int SEED_OFFSET = 11;
-    private static final int CUTS = 4;
+    private static final int PARTITIONS = 4;
     private static final int PAUSES = 2;
 
     private StandbyScenario() {}
@@ -22,8 +22,8 @@
         if (random.nextInt(3) == 0) {
             trace.add("standby-off " + drawController(random, controllers));
         }
-        for (int i = 0; i < CUTS; i++) {
-            drawCut(random, controllers, trace);
+        for (int i = 0; i < PARTITIONS; i++) {
+            drawPartition(random, controllers, trace);
         }
         for (int i = 0; i < PAUSES; i++) {
             String controller = drawController(random, controllers);
@@ -31,11 +31,11 @@
             trace.at(second, "freeze " + controller);
             trace.at(second + 1 + random.nextInt(12), "thaw " + controller);
         }
-        trace.addAll(TroublesScenario.draw(seed, controllers, 0));
+        trace.addAll(FaultScenario.draw(seed, controllers, 0));
         return trace.lines();
     }
 
-    private static void drawCut(SplittableRandom random, int controllers, TraceBuilder trace) {
+    private static void drawPartition(SplittableRandom random, int controllers, TraceBuilder trace) {
         String one = drawController(random, controllers);
         String other = drawController(random, controllers);
         int second = 10 + random.nextInt(90);
--- a/src/test/java/org/havenford/simulator/TraceBuilder.java
+++ b/src/test/java/org/havenford/simulator/TraceBuilder.java
@@ -9,19 +9,19 @@
 /** Collects the lines of a generated trace. Commands with the same time run in the order in which they were added. */
 final class TraceBuilder {
     private static final String EXPECT_DONE = "expect done ";
-    private static final int COMMAND = 2;
-    private static final int FIRST_ARGUMENT = 3;
+    private static final int COMMAND_INDEX = 2;
+    private static final int FIRST_ARGUMENT_INDEX = 3;
 
     private final List<String> lines = new ArrayList<>();
 
     /** Adds complete lines. */
-    void add(String... more) {
-        lines.addAll(List.of(more));
+    void add(String... added) {
+        lines.addAll(List.of(added));
     }
 
     /** Adds all lines of another trace. */
-    void addAll(List<String> more) {
-        lines.addAll(more);
+    void addAll(List<String> added) {
+        lines.addAll(added);
     }
 
     /** Adds a command that runs at a whole second of the simulated time. */
@@ -53,12 +53,12 @@
      */
     void removeExpectationsOfCancelledJobs(Map<String, List<String>> dependencies) {
         Set<String> cancelled = cancelledJobs();
-        boolean grows = true;
-        while (grows) {
-            grows = false;
+        boolean changed = true;
+        while (changed) {
+            changed = false;
             for (Map.Entry<String, List<String>> job : dependencies.entrySet()) {
                 if (job.getValue().stream().anyMatch(cancelled::contains)) {
-                    grows |= cancelled.add(job.getKey());
+                    changed |= cancelled.add(job.getKey());
                 }
             }
         }
@@ -70,8 +70,8 @@
         Set<String> cancelled = new HashSet<>();
         for (String line : lines) {
             String[] words = line.split(" ");
-            if (words.length > FIRST_ARGUMENT && words[COMMAND].equals("cancel")) {
-                cancelled.add(words[FIRST_ARGUMENT]);
+            if (words.length > FIRST_ARGUMENT_INDEX && words[COMMAND_INDEX].equals("cancel")) {
+                cancelled.add(words[FIRST_ARGUMENT_INDEX]);
             }
         }
         return cancelled;
--- a/src/test/java/org/havenford/simulator/TraceCommands.java
+++ b/src/test/java/org/havenford/simulator/TraceCommands.java
@@ -9,7 +9,7 @@
     /** The implementation of a command, called with the words that follow its name on the line. */
     @FunctionalInterface
     private interface Command {
-        void run(ClusterSimulator world, TraceArguments words);
+        void run(ClusterSimulator simulator, TraceArguments args);
     }
 
     private static final Map<String, Command> COMMANDS = commands();
@@ -25,199 +25,217 @@
      *
      * @throws IllegalArgumentException if there is no such command
      */
-    static void run(ClusterSimulator world, String name, TraceArguments words) {
+    static void run(ClusterSimulator simulator, String name, TraceArguments args) {
         if (!name.equals(SUBMIT)) {
-            world.note(words.words().isEmpty() ? name : name + " " + words.text());
+            simulator.note(args.words().isEmpty() ? name : name + " " + args.text());
         }
         Command command = COMMANDS.get(name);
         if (command == null) {
             throw new IllegalArgumentException(name);
         }
-        command.run(world, words);
+        command.run(simulator, args);
     }
 
     private static Map<String, Command> commands() {
         Map<String, Command> commands = new HashMap<>();
-        addUsers(commands);
-        addControllers(commands);
-        addConnections(commands);
-        addMessages(commands);
-        addStore(commands);
-        addCloud(commands);
-        addAgents(commands);
-        addForgeries(commands);
+        addUserCommands(commands);
+        addControllerCommands(commands);
+        addConnectionCommands(commands);
+        addMessageCommands(commands);
+        addStoreCommands(commands);
+        addCloudCommands(commands);
+        addAgentCommands(commands);
+        addForgeryCommands(commands);
         return commands;
     }
 
-    private static void addUsers(Map<String, Command> commands) {
+    private static void addUserCommands(Map<String, Command> commands) {
         commands.put(SUBMIT, TraceCommands::submit);
-        commands.put("cancel", (world, words) -> world.users.cancel(words.word(0), words.optionalWord(1)));
-        commands.put("ask", (world, words) -> world.users.ask(words.word(0)));
-        commands.put("repeat", (world, words) -> world.users.repeat(words.word(0)));
-        commands.put("polls-as-often", (world, words) -> world.users.pollRateFactor = words.integer(0));
-        commands.put("close-looks", (world, words) -> world.users.looksClosely = words.isOn(0));
+        commands.put("cancel", (simulator, args) -> simulator.users.cancel(args.word(0), args.optionalWord(1)));
+        commands.put("ask", (simulator, args) -> simulator.users.ask(args.word(0)));
+        commands.put("repeat", (simulator, args) -> simulator.users.repeat(args.word(0)));
+        commands.put("polls-as-often", (simulator, args) -> simulator.users.pollRateFactor = args.integer(0));
+        commands.put("close-looks", (simulator, args) -> simulator.users.looksClosely = args.isOn(0));
     }
 
     /**
      * Submits a job. The arguments are job id, team, number of tasks, CPUs per task, run time of a task in seconds, and
      * options.
      */
-    private static void submit(ClusterSimulator world, TraceArguments words) {
-        world.users.submit(
-                words.word(0), words.word(1), words.integer(2), words.decimal(3), words.decimal(4), words.from(5));
+    private static void submit(ClusterSimulator simulator, TraceArguments args) {
+        simulator.users.submit(
+                args.word(0), args.word(1), args.integer(2), args.decimal(3), args.decimal(4), args.from(5));
     }
 
-    private static void addControllers(Map<String, Command> commands) {
-        commands.put("crash", (world, words) -> {
-            world.rules.crashed(words.word(0));
-            world.nodes.get(words.word(0)).crash();
+    private static void addControllerCommands(Map<String, Command> commands) {
+        commands.put("crash", (simulator, args) -> {
+            simulator.rules.crashed(args.word(0));
+            simulator.nodes.get(args.word(0)).crash();
         });
-        commands.put("start", (world, words) -> world.nodes.get(words.word(0)).start());
-        commands.put("upgrade", (world, words) -> world.nodes.get(words.word(0)).upgrade());
-        commands.put("freeze", (world, words) -> world.nodes.get(words.word(0)).freeze());
-        commands.put("thaw", (world, words) -> world.nodes.get(words.word(0)).thaw());
-        commands.put("tokens-renewed", (world, words) -> world.rules.tokensRenewed());
+        commands.put(
+                "start", (simulator, args) -> simulator.nodes.get(args.word(0)).start());
+        commands.put(
+                "upgrade",
+                (simulator, args) -> simulator.nodes.get(args.word(0)).upgrade());
+        commands.put(
+                "freeze", (simulator, args) -> simulator.nodes.get(args.word(0)).freeze());
+        commands.put(
+                "thaw", (simulator, args) -> simulator.nodes.get(args.word(0)).thaw());
+        commands.put("tokens-renewed", (simulator, args) -> simulator.rules.tokensRenewed());
     }
 
-    private static void addConnections(Map<String, Command> commands) {
-        commands.put("cut-peer", (world, words) -> world.peerNetwork.oneWayCuts.add(oneWay(words)));
-        commands.put("heal-peer", (world, words) -> world.peerNetwork.oneWayCuts.remove(oneWay(words)));
+    private static void addConnectionCommands(Map<String, Command> commands) {
+        commands.put("cut-peer", (simulator, args) -> simulator.peerNetwork.oneWayCuts.add(direction(args)));
+        commands.put("heal-peer", (simulator, args) -> simulator.peerNetwork.oneWayCuts.remove(direction(args)));
         commands.put(
                 "cut",
-                (world, words) ->
-                        world.network.faults.cut(address(world, words, 0), address(world, words, 1), cut(words, 2)));
+                (simulator, args) -> simulator.network.faults.cut(
+                        address(simulator, args, 0), address(simulator, args, 1), parseCut(args, 2)));
         commands.put(
                 "heal",
-                (world, words) -> world.network.faults.heal(address(world, words, 0), address(world, words, 1)));
-        commands.put("cut-zone", (world, words) -> world.network.faults.cutZone(words.word(0), cut(words, 1)));
-        commands.put("heal-zone", (world, words) -> world.network.faults.healZone(words.word(0)));
-        commands.put("unreach", (world, words) -> cutFromAllAgents(world, words, NetworkFaults.Cut.DROP));
-        commands.put("reset-workers", (world, words) -> cutFromAllAgents(world, words, NetworkFaults.Cut.RESET));
-        commands.put("reach", (world, words) -> world.workers
+                (simulator, args) ->
+                        simulator.network.faults.heal(address(simulator, args, 0), address(simulator, args, 1)));
+        commands.put(
+                "cut-zone", (simulator, args) -> simulator.network.faults.cutZone(args.word(0), parseCut(args, 1)));
+        commands.put("heal-zone", (simulator, args) -> simulator.network.faults.healZone(args.word(0)));
+        commands.put("unreach", (simulator, args) -> partitionFromAllAgents(simulator, args, NetworkFaults.Cut.DROP));
+        commands.put(
+                "reset-workers", (simulator, args) -> partitionFromAllAgents(simulator, args, NetworkFaults.Cut.RESET));
+        commands.put("reach", (simulator, args) -> simulator
+                .workers
                 .values()
-                .forEach(agent -> world.network.faults.heal(address(world, words, 0), address(world, agent.name))));
-        commands.put("refuse", (world, words) -> world.network.faults.refuse(address(world, words, 0)));
-        commands.put("serve", (world, words) -> world.network.faults.serve(address(world, words, 0)));
+                .forEach(agent ->
+                        simulator.network.faults.heal(address(simulator, args, 0), address(simulator, agent.name))));
+        commands.put("refuse", (simulator, args) -> simulator.network.faults.refuse(address(simulator, args, 0)));
+        commands.put("serve", (simulator, args) -> simulator.network.faults.serve(address(simulator, args, 0)));
     }
 
-    private static void cutFromAllAgents(ClusterSimulator world, TraceArguments words, NetworkFaults.Cut cut) {
-        world.workers
+    private static void partitionFromAllAgents(ClusterSimulator simulator, TraceArguments args, NetworkFaults.Cut cut) {
+        simulator
+                .workers
                 .values()
-                .forEach(agent -> world.network.faults.cut(address(world, words, 0), address(world, agent.name), cut));
+                .forEach(agent ->
+                        simulator.network.faults.cut(address(simulator, args, 0), address(simulator, agent.name), cut));
     }
 
-    private static void addMessages(Map<String, Command> commands) {
+    private static void addMessageCommands(Map<String, Command> commands) {
         commands.put(
                 "repeats",
-                (world, words) -> world.network.faults.repeats.put(address(world, words, 0), words.seconds(1)));
-        commands.put("no-repeats", (world, words) -> world.network.faults.repeats.remove(address(world, words, 0)));
+                (simulator, args) ->
+                        simulator.network.faults.repeats.put(address(simulator, args, 0), args.seconds(1)));
+        commands.put(
+                "no-repeats",
+                (simulator, args) -> simulator.network.faults.repeats.remove(address(simulator, args, 0)));
         commands.put(
                 "copies",
-                (world, words) -> world.network.faults.copies.put(address(world, words, 0), words.seconds(1)));
-        commands.put("no-copies", (world, words) -> world.network.faults.copies.remove(address(world, words, 0)));
-        commands.put("mute", (world, words) -> world.network.faults.mute.add(address(world, words, 0)));
-        commands.put("speaks", (world, words) -> world.network.faults.mute.remove(address(world, words, 0)));
-        commands.put("deaf", (world, words) -> world.network.faults.deaf.add(address(world, words, 0)));
-        commands.put("hears", (world, words) -> world.network.faults.deaf.remove(address(world, words, 0)));
+                (simulator, args) -> simulator.network.faults.copies.put(address(simulator, args, 0), args.seconds(1)));
+        commands.put(
+                "no-copies", (simulator, args) -> simulator.network.faults.copies.remove(address(simulator, args, 0)));
+        commands.put("mute", (simulator, args) -> simulator.network.faults.mute.add(address(simulator, args, 0)));
+        commands.put("speaks", (simulator, args) -> simulator.network.faults.mute.remove(address(simulator, args, 0)));
+        commands.put("deaf", (simulator, args) -> simulator.network.faults.deaf.add(address(simulator, args, 0)));
+        commands.put("hears", (simulator, args) -> simulator.network.faults.deaf.remove(address(simulator, args, 0)));
         commands.put(
                 "slow-links",
-                (world, words) ->
-                        world.network.faults.slowLinks = (int) words.seconds(0).toMillis());
-        commands.put("slow-calls", (world, words) -> {
-            world.network.faults.slowCallsLeft.put(address(world, words, 0), words.integer(1));
-            world.network.faults.slowCalls.put(address(world, words, 0), words.seconds(2));
+                (simulator, args) -> simulator.network.faults.slowLinks =
+                        (int) args.seconds(0).toMillis());
+        commands.put("slow-calls", (simulator, args) -> {
+            simulator.network.faults.slowCallsLeft.put(address(simulator, args, 0), args.integer(1));
+            simulator.network.faults.slowCalls.put(address(simulator, args, 0), args.seconds(2));
         });
         commands.put(
                 "late-commands",
-                (world, words) -> world.network.faults.lateCommands.put(address(world, words, 0), words.seconds(1)));
+                (simulator, args) ->
+                        simulator.network.faults.lateCommands.put(address(simulator, args, 0), args.seconds(1)));
         commands.put(
                 "late-changes",
-                (world, words) -> world.network.faults.lateChanges.put(address(world, words, 0), words.seconds(1)));
+                (simulator, args) ->
+                        simulator.network.faults.lateChanges.put(address(simulator, args, 0), args.seconds(1)));
     }
 
-    private static void addStore(Map<String, Command> commands) {
-        commands.put("outage", (world, words) -> {
-            if (words.isOn(0)) {
-                world.store.outage = true;
+    private static void addStoreCommands(Map<String, Command> commands) {
+        commands.put("outage", (simulator, args) -> {
+            if (args.isOn(0)) {
+                simulator.store.outage = true;
             } else {
-                world.store.endOutage();
+                simulator.store.endOutage();
             }
         });
-        commands.put("lower-limits", (world, words) -> world.store.lowerLimits());
-        commands.put("lower-limits-refusing", (world, words) -> {
-            world.store.lowerLimits();
-            world.store.rejectsTooLarge = true;
+        commands.put("lower-limits", (simulator, args) -> simulator.store.lowerLimits());
+        commands.put("lower-limits-refusing", (simulator, args) -> {
+            simulator.store.lowerLimits();
+            simulator.store.rejectsTooLarge = true;
         });
-        commands.put("lost-answers", (world, words) -> world.store.lostAnswers = words.integer(0));
-        commands.put("late-txns", (world, words) -> {
-            world.store.lateTransactions = words.integer(0);
-            world.store.lateTransactionDelay = words.seconds(1);
+        commands.put("lost-answers", (simulator, args) -> simulator.store.lostAnswers = args.integer(0));
+        commands.put("late-txns", (simulator, args) -> {
+            simulator.store.lateTransactions = args.integer(0);
+            simulator.store.lateTransactionDelay = args.seconds(1);
         });
     }
 
-    private static void addCloud(Map<String, Command> commands) {
-        commands.put("dark-zone", (world, words) -> world.cloud.darkZones.add(words.word(0)));
-        commands.put("lit-zone", (world, words) -> world.cloud.darkZones.remove(words.word(0)));
-        commands.put("boots", (world, words) -> world.cloud.bootTime = words.seconds(0));
-        commands.put("boots-usually", (world, words) -> world.cloud.bootTime = null);
-        commands.put("cloud-outage", (world, words) -> world.cloud.outage = words.isOn(0));
-        commands.put("take", (world, words) -> world.cloud.terminate(words.word(0)));
+    private static void addCloudCommands(Map<String, Command> commands) {
+        commands.put("dark-zone", (simulator, args) -> simulator.cloud.darkZones.add(args.word(0)));
+        commands.put("lit-zone", (simulator, args) -> simulator.cloud.darkZones.remove(args.word(0)));
+        commands.put("boots", (simulator, args) -> simulator.cloud.bootTime = args.seconds(0));
+        commands.put("boots-usually", (simulator, args) -> simulator.cloud.bootTime = null);
+        commands.put("cloud-outage", (simulator, args) -> simulator.cloud.outage = args.isOn(0));
+        commands.put("take", (simulator, args) -> simulator.cloud.terminate(args.word(0)));
     }
 
-    private static void addAgents(Map<String, Command> commands) {
-        commands.put("reboot", (world, words) -> agent(world, words).reboot());
-        commands.put("hang", (world, words) -> agent(world, words).hang(true));
-        commands.put("wake", (world, words) -> agent(world, words).hang(false));
-        commands.put("faulty", (world, words) -> agent(world, words).faulty = true);
-        commands.put("slow-fetch", (world, words) -> agent(world, words).slowFetch = words.decimal(1));
-        commands.put("notice", (world, words) -> agent(world, words).notice = words.decimal(1));
+    private static void addAgentCommands(Map<String, Command> commands) {
+        commands.put("reboot", (simulator, args) -> agent(simulator, args).reboot());
+        commands.put("hang", (simulator, args) -> agent(simulator, args).hang(true));
+        commands.put("wake", (simulator, args) -> agent(simulator, args).hang(false));
+        commands.put("faulty", (simulator, args) -> agent(simulator, args).faulty = true);
+        commands.put("slow-fetch", (simulator, args) -> agent(simulator, args).slowFetch = args.decimal(1));
+        commands.put("notice", (simulator, args) -> agent(simulator, args).notice = args.decimal(1));
     }
 
     /**
      * Adds commands that imitate a defective controller, with which tests verify that {@link InvariantChecker} detects
      * violations.
      */
-    private static void addForgeries(Map<String, Command> commands) {
-        commands.put("forge-zone", (world, words) -> world.store.forgeZone(words.word(0), words.word(1)));
-        commands.put("forge-cancelled", (world, words) -> {
-            world.users.cancelAsked.add(words.word(0));
-            world.users.jobs.get(words.word(0)).cancelTold = world.now;
+    private static void addForgeryCommands(Map<String, Command> commands) {
+        commands.put("forge-zone", (simulator, args) -> simulator.store.forgeZone(args.word(0), args.word(1)));
+        commands.put("forge-cancelled", (simulator, args) -> {
+            simulator.users.cancelAsked.add(args.word(0));
+            simulator.users.jobs.get(args.word(0)).cancelTold = simulator.now;
         });
         commands.put("forge-start", TraceCommands::forgeStart);
     }
 
-    private static void forgeStart(ClusterSimulator world, TraceArguments words) {
+    private static void forgeStart(ClusterSimulator simulator, TraceArguments args) {
         SimulatedAgent.Task task = new SimulatedAgent.Task();
-        task.shot = words.word(1);
+        task.shot = args.word(1);
         task.take = FORGED_ATTEMPT;
         task.status = "running";
-        agent(world, words).tasks.put(task.shot + "#" + FORGED_ATTEMPT, task);
-        world.rules.started(agent(world, words), task);
+        agent(simulator, args).tasks.put(task.shot + "#" + FORGED_ATTEMPT, task);
+        simulator.rules.started(agent(simulator, args), task);
     }
 
-    private static SimulatedAgent agent(ClusterSimulator world, TraceArguments words) {
-        return world.workers.get(words.word(0));
+    private static SimulatedAgent agent(ClusterSimulator simulator, TraceArguments args) {
+        return simulator.workers.get(args.word(0));
     }
 
-    private static String oneWay(TraceArguments words) {
-        return words.word(0) + ">" + words.word(1);
+    private static String direction(TraceArguments args) {
+        return args.word(0) + ">" + args.word(1);
     }
 
-    private static NetworkFaults.Cut cut(TraceArguments words, int index) {
-        return NetworkFaults.Cut.valueOf(words.word(index).toUpperCase(Locale.ROOT));
+    private static NetworkFaults.Cut parseCut(TraceArguments args, int index) {
+        return NetworkFaults.Cut.valueOf(args.word(index).toUpperCase(Locale.ROOT));
     }
 
-    private static String address(ClusterSimulator world, TraceArguments words, int index) {
-        return address(world, words.word(index));
+    private static String address(ClusterSimulator simulator, TraceArguments args, int index) {
+        return address(simulator, args.word(index));
     }
 
     /**
      * Returns the network address of a controller, a machine, the users, or a service that the trace names without its
      * port.
      */
-    private static String address(ClusterSimulator world, String name) {
-        if (world.nodes.containsKey(name)) {
-            return world.nodes.get(name).settings.bind();
+    private static String address(ClusterSimulator simulator, String name) {
+        if (simulator.nodes.containsKey(name)) {
+            return simulator.nodes.get(name).settings.bind();
         }
         if (name.startsWith(HOST_PREFIX)) {
             return name + ":9000";
--- a/src/test/java/org/havenford/simulator/TraceExpectations.java
+++ b/src/test/java/org/havenford/simulator/TraceExpectations.java
@@ -11,17 +11,18 @@
 /** The expectations that a trace can state about the end of its run, by name. */
 final class TraceExpectations {
     /** Checked by {@link InvariantChecker#endOfDay} before all other expectations, so its predicate here is always true. */
-    private static final String SERVED = "served";
+    private static final String NO_STARVATION = "served";
 
-    private static final Map<String, BiPredicate<ClusterSimulator, TraceArguments>> RULES = rules();
+    private static final Map<String, BiPredicate<ClusterSimulator, TraceArguments>> PREDICATES = predicates();
     /** For expectations about a count, the text that reports the actual count. */
-    private static final Map<String, BiFunction<ClusterSimulator, TraceArguments, String>> COUNTS = counts();
+    private static final Map<String, BiFunction<ClusterSimulator, TraceArguments, String>> ACTUAL_COUNTS =
+            actualCounts();
 
     private TraceExpectations() {}
 
     /** Returns whether the expectation is {@code served}: no class, no team and no class's largest jobs starve. */
-    static boolean isThatAllAreServed(TraceScenario.Expectation expectation) {
-        return expectation.name().equals(SERVED);
+    static boolean requiresNoStarvation(TraceScenario.Expectation expectation) {
+        return expectation.name().equals(NO_STARVATION);
     }
 
     /**
@@ -29,99 +30,103 @@
      *
      * @throws IllegalArgumentException if there is no such expectation
      */
-    static Optional<String> violation(ClusterSimulator world, TraceScenario.Expectation expectation) {
+    static Optional<String> violation(ClusterSimulator simulator, TraceScenario.Expectation expectation) {
         String name = expectation.name();
-        TraceArguments arguments = expectation.arguments();
-        String line = name + " " + arguments.text();
-        BiPredicate<ClusterSimulator, TraceArguments> rule = RULES.get(name);
-        if (rule == null) {
+        TraceArguments args = expectation.arguments();
+        String line = name + " " + args.text();
+        BiPredicate<ClusterSimulator, TraceArguments> predicate = PREDICATES.get(name);
+        if (predicate == null) {
             throw new IllegalArgumentException("expect " + line);
         }
-        if (rule.test(world, arguments)) {
+        if (predicate.test(simulator, args)) {
             return Optional.empty();
         }
-        String count = COUNTS.getOrDefault(name, (cluster, words) -> "").apply(world, arguments);
+        String count = ACTUAL_COUNTS.getOrDefault(name, (cluster, words) -> "").apply(simulator, args);
         return Optional.of("expected: " + line + count);
     }
 
-    private static Map<String, BiPredicate<ClusterSimulator, TraceArguments>> rules() {
-        Map<String, BiPredicate<ClusterSimulator, TraceArguments>> rules = new HashMap<>();
-        rules.put(SERVED, (world, words) -> true);
-        addJobs(rules);
-        addMachines(rules);
-        addStore(rules);
-        addRun(rules);
-        return rules;
+    private static Map<String, BiPredicate<ClusterSimulator, TraceArguments>> predicates() {
+        Map<String, BiPredicate<ClusterSimulator, TraceArguments>> predicates = new HashMap<>();
+        predicates.put(NO_STARVATION, (simulator, args) -> true);
+        addJobPredicates(predicates);
+        addMachinePredicates(predicates);
+        addStorePredicates(predicates);
+        addRunPredicates(predicates);
+        return predicates;
     }
 
-    private static void addJobs(Map<String, BiPredicate<ClusterSimulator, TraceArguments>> rules) {
-        rules.put("done", (world, words) -> job(world, words).doneTold != null);
-        rules.put("cancelled", (world, words) -> job(world, words).cancelTold != null);
-        rules.put("taken-along", (world, words) -> job(world, words).takenAlong != null);
-        rules.put("done-by", (world, words) -> {
-            Instant done = job(world, words).doneTold;
-            return done != null && !done.isAfter(moment(words, 1));
+    private static void addJobPredicates(Map<String, BiPredicate<ClusterSimulator, TraceArguments>> predicates) {
+        predicates.put("done", (simulator, args) -> job(simulator, args).doneTold != null);
+        predicates.put("cancelled", (simulator, args) -> job(simulator, args).cancelTold != null);
+        predicates.put("taken-along", (simulator, args) -> job(simulator, args).takenAlong != null);
+        predicates.put("done-by", (simulator, args) -> {
+            Instant done = job(simulator, args).doneTold;
+            return done != null && !done.isAfter(timeArgument(args, 1));
         });
-        rules.put("starts-at-most", (world, words) -> world.rules.starts(words.word(0)) <= words.integer(1));
-        rules.put("starts", (world, words) -> world.rules.starts == words.integer(0));
-        rules.put("late-starts", (world, words) -> world.rules.startsAfterCancel <= words.integer(0));
+        predicates.put("starts-at-most", (simulator, args) -> simulator.rules.starts(args.word(0)) <= args.integer(1));
+        predicates.put("starts", (simulator, args) -> simulator.rules.starts == args.integer(0));
+        predicates.put("late-starts", (simulator, args) -> simulator.rules.startsAfterCancel <= args.integer(0));
     }
 
-    private static void addMachines(Map<String, BiPredicate<ClusterSimulator, TraceArguments>> rules) {
-        rules.put("kept", (world, words) -> isNotBefore(world.cloud.returned, words));
-        rules.put("first-rented", (world, words) -> isNotBefore(world.cloud.firstRented, words));
-        rules.put("rented-at-most", (world, words) -> world.cloud.rented <= words.integer(0));
-        rules.put("gone", (world, words) -> world.cloud.gone.contains(words.word(0)));
+    private static void addMachinePredicates(Map<String, BiPredicate<ClusterSimulator, TraceArguments>> predicates) {
+        predicates.put("kept", (simulator, args) -> occurredAtOrAfter(simulator.cloud.returned, args));
+        predicates.put("first-rented", (simulator, args) -> occurredAtOrAfter(simulator.cloud.firstRented, args));
+        predicates.put("rented-at-most", (simulator, args) -> simulator.cloud.rented <= args.integer(0));
+        predicates.put("gone", (simulator, args) -> simulator.cloud.gone.contains(args.word(0)));
     }
 
-    private static void addStore(Map<String, BiPredicate<ClusterSimulator, TraceArguments>> rules) {
-        rules.put("no-key", (world, words) -> world.store.values.keySet().stream()
-                .noneMatch(key -> key.startsWith(words.text())));
-        rules.put("epochs", (world, words) -> view(world).get("epoch").getAsInt() <= words.integer(0));
-        rules.put(
+    private static void addStorePredicates(Map<String, BiPredicate<ClusterSimulator, TraceArguments>> predicates) {
+        predicates.put("no-key", (simulator, args) -> simulator.store.values.keySet().stream()
+                .noneMatch(key -> key.startsWith(args.text())));
+        predicates.put(
+                "epochs",
+                (simulator, args) -> storedView(simulator).get("epoch").getAsInt() <= args.integer(0));
+        predicates.put(
                 "resting",
-                (world, words) -> view(world).getAsJsonArray("resting").size() == words.integer(0));
-        rules.put("read-again", (world, words) -> world.store.watches.rejectedTooOld >= words.integer(0));
-        rules.put("too-large", (world, words) -> world.store.rejectedTooLarge <= words.integer(0));
-        rules.put("calls-at-most", (world, words) -> world.store.requests <= words.integer(0));
-        rules.put("evictions", (world, words) -> world.store.evictions == words.integer(0));
-        rules.put("evictions-at-least", (world, words) -> world.store.evictions >= words.integer(0));
+                (simulator, args) ->
+                        storedView(simulator).getAsJsonArray("resting").size() == args.integer(0));
+        predicates.put("read-again", (simulator, args) -> simulator.store.watches.rejectedTooOld >= args.integer(0));
+        predicates.put("too-large", (simulator, args) -> simulator.store.rejectedTooLarge <= args.integer(0));
+        predicates.put("calls-at-most", (simulator, args) -> simulator.store.requests <= args.integer(0));
+        predicates.put("evictions", (simulator, args) -> simulator.store.evictions == args.integer(0));
+        predicates.put("evictions-at-least", (simulator, args) -> simulator.store.evictions >= args.integer(0));
     }
 
-    private static void addRun(Map<String, BiPredicate<ClusterSimulator, TraceArguments>> rules) {
-        rules.put("log", (world, words) -> world.log.stream().anyMatch(line -> line.contains(words.text())));
-        rules.put("no-log", (world, words) -> world.log.stream().noneMatch(line -> line.contains(words.text())));
-        rules.put("broken", (world, words) -> world.rules.broken.stream()
-                .anyMatch(line -> line.contains(" " + words.word(0) + ": ")));
+    private static void addRunPredicates(Map<String, BiPredicate<ClusterSimulator, TraceArguments>> predicates) {
+        predicates.put("log", (simulator, args) -> simulator.log.stream().anyMatch(line -> line.contains(args.text())));
+        predicates.put(
+                "no-log", (simulator, args) -> simulator.log.stream().noneMatch(line -> line.contains(args.text())));
+        predicates.put("broken", (simulator, args) -> simulator.rules.broken.stream()
+                .anyMatch(line -> line.contains(" " + args.word(0) + ": ")));
     }
 
-    private static Map<String, BiFunction<ClusterSimulator, TraceArguments, String>> counts() {
-        Map<String, BiFunction<ClusterSimulator, TraceArguments, String>> counts = new HashMap<>();
-        counts.put("rented-at-most", (world, words) -> ", rented " + world.cloud.rented);
-        counts.put("evictions", (world, words) -> ", evictions " + world.store.evictions);
-        counts.put("evictions-at-least", (world, words) -> ", evictions " + world.store.evictions);
-        counts.put("calls-at-most", (world, words) -> ", calls " + world.store.requests);
-        counts.put("starts-at-most", (world, words) -> ", starts " + world.rules.starts(words.word(0)));
-        return counts;
+    private static Map<String, BiFunction<ClusterSimulator, TraceArguments, String>> actualCounts() {
+        Map<String, BiFunction<ClusterSimulator, TraceArguments, String>> actualCounts = new HashMap<>();
+        actualCounts.put("rented-at-most", (simulator, args) -> ", rented " + simulator.cloud.rented);
+        actualCounts.put("evictions", (simulator, args) -> ", evictions " + simulator.store.evictions);
+        actualCounts.put("evictions-at-least", (simulator, args) -> ", evictions " + simulator.store.evictions);
+        actualCounts.put("calls-at-most", (simulator, args) -> ", calls " + simulator.store.requests);
+        actualCounts.put("starts-at-most", (simulator, args) -> ", starts " + simulator.rules.starts(args.word(0)));
+        return actualCounts;
     }
 
-    private static SimulatedUsers.Job job(ClusterSimulator world, TraceArguments words) {
-        return world.users.jobs.get(words.word(0));
+    private static SimulatedUsers.Job job(ClusterSimulator simulator, TraceArguments args) {
+        return simulator.users.jobs.get(args.word(0));
     }
 
-    private static JsonObject view(ClusterSimulator world) {
-        return world.store.value("live/view").getAsJsonObject();
+    private static JsonObject storedView(ClusterSimulator simulator) {
+        return simulator.store.value("live/view").getAsJsonObject();
     }
 
-    private static Instant moment(TraceArguments words, int index) {
-        return Instant.EPOCH.plusSeconds(Long.parseLong(words.word(index)));
+    private static Instant timeArgument(TraceArguments args, int index) {
+        return Instant.EPOCH.plusSeconds(Long.parseLong(args.word(index)));
     }
 
     /**
      * Returns whether the event named by the first argument occurred at or after the second argument's time, or never
      * occurred.
      */
-    private static boolean isNotBefore(Map<String, Instant> happened, TraceArguments words) {
-        return !happened.getOrDefault(words.word(0), Instant.MAX).isBefore(moment(words, 1));
+    private static boolean occurredAtOrAfter(Map<String, Instant> occurrences, TraceArguments args) {
+        return !occurrences.getOrDefault(args.word(0), Instant.MAX).isBefore(timeArgument(args, 1));
     }
 }
--- a/src/test/java/org/havenford/simulator/TracePlayer.java
+++ b/src/test/java/org/havenford/simulator/TracePlayer.java
@@ -10,10 +10,10 @@
     private static final Duration BOOT_TIME = Duration.ofMillis(100);
 
     /** The result of a finished run: its simulator, and a line for each violated invariant and expectation. */
-    record Result(ClusterSimulator world, List<String> violations) {
+    record Result(ClusterSimulator simulator, List<String> violations) {
         /** Returns the log of the run as one text. */
         String log() {
-            return String.join("\n", world.log);
+            return String.join("\n", simulator.log);
         }
     }
 
@@ -22,52 +22,52 @@
     /** Parses the lines of a trace and runs it to its end. */
     static Result play(List<String> lines) {
         TraceScenario scenario = TraceScenario.parse(lines);
-        ClusterSimulator world = cluster(scenario);
-        schedule(scenario, world);
-        world.rules.troublesOver = scenario.lastTrouble();
-        world.rules.checkWaits = true;
-        world.runUntil(scenario.end());
-        return new Result(world, violations(scenario, world));
+        ClusterSimulator simulator = createCluster(scenario);
+        scheduleSteps(scenario, simulator);
+        simulator.rules.troublesOver = scenario.lastFault();
+        simulator.rules.checkWaits = true;
+        simulator.runUntil(scenario.end());
+        return new Result(simulator, violations(scenario, simulator));
     }
 
-    private static ClusterSimulator cluster(TraceScenario scenario) {
-        ClusterSimulator world = new ClusterSimulator(scenario.seed(), settings(scenario, 0, scenario.store()));
-        world.store.watches.keptChanges = scenario.keptChanges;
-        world.withStandby = scenario.standby;
-        world.withoutStandby.addAll(scenario.withoutStandby);
+    private static ClusterSimulator createCluster(TraceScenario scenario) {
+        ClusterSimulator simulator = new ClusterSimulator(scenario.seed(), settings(scenario, 0, scenario.store()));
+        simulator.store.watches.keptChanges = scenario.keptChanges;
+        simulator.withStandby = scenario.standby;
+        simulator.withoutStandby.addAll(scenario.withoutStandby);
         if (scenario.machinesPerOffer > 0) {
-            world.cloud.perOffer = scenario.machinesPerOffer;
+            simulator.cloud.perOffer = scenario.machinesPerOffer;
         }
         for (int node = 0; node < scenario.nodes(); node++) {
-            PlatformSettings before = scenario.startsWithPreviousFormat()
+            PlatformSettings previousSettings = scenario.startsWithPreviousFormat()
                     ? settings(scenario, node, SimulatorSettings.DEFAULT_STORE)
                     : null;
-            world.addNode(settings(scenario, node, scenario.store()), before);
+            simulator.addNode(settings(scenario, node, scenario.store()), previousSettings);
         }
-        return world;
+        return simulator;
     }
 
     private static PlatformSettings settings(TraceScenario scenario, int node, String store) {
         return SimulatorSettings.of(node, scenario.nodes(), scenario.teams(), SimulatorSettings.DEFAULT_AGENTS, store);
     }
 
-    private static void schedule(TraceScenario scenario, ClusterSimulator world) {
+    private static void scheduleSteps(TraceScenario scenario, ClusterSimulator simulator) {
         for (TraceScenario.Step step : scenario.steps()) {
             if (step instanceof TraceScenario.Machine machine) {
-                world.cloud.boot(machine.type(), machine.zone(), machine.spot(), BOOT_TIME);
+                simulator.cloud.boot(machine.type(), machine.zone(), machine.spot(), BOOT_TIME);
             } else if (step instanceof TraceScenario.TimedCommand command) {
-                world.at(command.second(), () -> TraceCommands.run(world, command.name(), command.arguments()));
+                simulator.at(command.second(), () -> TraceCommands.run(simulator, command.name(), command.arguments()));
             }
         }
     }
 
-    private static List<String> violations(TraceScenario scenario, ClusterSimulator world) {
-        if (scenario.expectations().stream().anyMatch(TraceExpectations::isThatAllAreServed)) {
-            world.rules.endOfDay();
+    private static List<String> violations(TraceScenario scenario, ClusterSimulator simulator) {
+        if (scenario.expectations().stream().anyMatch(TraceExpectations::requiresNoStarvation)) {
+            simulator.rules.endOfDay();
         }
-        List<String> violations = new ArrayList<>(world.rules.broken);
+        List<String> violations = new ArrayList<>(simulator.rules.broken);
         for (TraceScenario.Expectation expectation : scenario.expectations()) {
-            TraceExpectations.violation(world, expectation).ifPresent(violations::add);
+            TraceExpectations.violation(simulator, expectation).ifPresent(violations::add);
         }
         return violations;
     }
--- a/src/test/java/org/havenford/simulator/TraceScenario.java
+++ b/src/test/java/org/havenford/simulator/TraceScenario.java
@@ -24,9 +24,9 @@
     /** A condition that has to hold at the end of the run. */
     record Expectation(String name, TraceArguments arguments) {}
 
-    private static final Map<String, BiConsumer<TraceScenario, TraceArguments>> LINES = lines();
-    /** Regular requests of users. All other commands count as faults, see {@link #lastTrouble()}. */
-    private static final Set<String> COMMANDS_OF_USERS = Set.of("submit", "cancel", "ask", "repeat");
+    private static final Map<String, BiConsumer<TraceScenario, TraceArguments>> LINE_PARSERS = lineParsers();
+    /** Regular requests of users. All other commands count as faults, see {@link #lastFault()}. */
+    private static final Set<String> USER_COMMANDS = Set.of("submit", "cancel", "ask", "repeat");
 
     private final List<String> teams = new ArrayList<>();
     private long seed = 1;
@@ -66,7 +66,7 @@
 
     private void parseLine(String line) {
         List<String> words = List.of(line.split("\\s+"));
-        BiConsumer<TraceScenario, TraceArguments> parser = LINES.get(words.get(0));
+        BiConsumer<TraceScenario, TraceArguments> parser = LINE_PARSERS.get(words.get(0));
         if (parser == null) {
             throw new IllegalArgumentException(line);
         }
@@ -74,48 +74,48 @@
     }
 
     /** Returns the parser of each kind of line, by the first word of the line. */
-    private static Map<String, BiConsumer<TraceScenario, TraceArguments>> lines() {
-        Map<String, BiConsumer<TraceScenario, TraceArguments>> lines = new HashMap<>();
-        lines.put("next", TraceScenario::announceLowerLimits);
-        lines.put("standby", (scenario, words) -> scenario.standby = words.isOn(0));
-        lines.put("standby-off", (scenario, words) -> scenario.withoutStandby.add(words.word(0)));
-        lines.put(
+    private static Map<String, BiConsumer<TraceScenario, TraceArguments>> lineParsers() {
+        Map<String, BiConsumer<TraceScenario, TraceArguments>> parsers = new HashMap<>();
+        parsers.put("next", TraceScenario::announceLowerLimits);
+        parsers.put("standby", (scenario, args) -> scenario.standby = args.isOn(0));
+        parsers.put("standby-off", (scenario, args) -> scenario.withoutStandby.add(args.word(0)));
+        parsers.put(
                 "version",
-                (scenario, words) -> scenario.previousFormat = words.word(0).equals("format-1"));
-        lines.put("per-offer", (scenario, words) -> scenario.machinesPerOffer = words.integer(0));
-        lines.put("keep-changes", (scenario, words) -> scenario.keptChanges = words.integer(0));
-        lines.put("nodes", (scenario, words) -> scenario.nodes = words.integer(0));
-        lines.put("seed", (scenario, words) -> scenario.seed = Long.parseLong(words.word(0)));
-        lines.put("team", TraceScenario::addTeam);
-        lines.put("machine", TraceScenario::addMachine);
-        lines.put("at", TraceScenario::addCommand);
-        lines.put("until", (scenario, words) -> scenario.end = words.decimal(0));
-        lines.put("expect", TraceScenario::addExpectation);
-        return lines;
-    }
-
-    private void announceLowerLimits(TraceArguments words) {
+                (scenario, args) -> scenario.previousFormat = args.word(0).equals("format-1"));
+        parsers.put("per-offer", (scenario, args) -> scenario.machinesPerOffer = args.integer(0));
+        parsers.put("keep-changes", (scenario, args) -> scenario.keptChanges = args.integer(0));
+        parsers.put("nodes", (scenario, args) -> scenario.nodes = args.integer(0));
+        parsers.put("seed", (scenario, args) -> scenario.seed = Long.parseLong(args.word(0)));
+        parsers.put("team", TraceScenario::addTeam);
+        parsers.put("machine", TraceScenario::addMachine);
+        parsers.put("at", TraceScenario::addCommand);
+        parsers.put("until", (scenario, args) -> scenario.end = args.decimal(0));
+        parsers.put("expect", TraceScenario::addExpectation);
+        return parsers;
+    }
+
+    private void announceLowerLimits(TraceArguments args) {
         String next = String.format(
                 ",\"next\":{\"value_kb\":%s,\"txn_ops\":%s,\"write_rps\":%s}}",
-                words.word(0), words.word(1), words.word(2));
+                args.word(0), args.word(1), args.word(2));
         store = SimulatorSettings.DEFAULT_STORE.replace("}", next);
     }
 
-    private void addTeam(TraceArguments words) {
+    private void addTeam(TraceArguments args) {
         teams.add(String.format(
-                "{\"name\":\"%s\",\"cpus\":%s,\"cpus_max\":%s}", words.word(0), words.word(1), words.word(2)));
+                "{\"name\":\"%s\",\"cpus\":%s,\"cpus_max\":%s}", args.word(0), args.word(1), args.word(2)));
     }
 
-    private void addMachine(TraceArguments words) {
-        steps.add(new Machine(words.word(0), words.word(1), words.word(2).equals("spot")));
+    private void addMachine(TraceArguments args) {
+        steps.add(new Machine(args.word(0), args.word(1), args.word(2).equals("spot")));
     }
 
-    private void addCommand(TraceArguments words) {
-        steps.add(new TimedCommand(words.decimal(0), words.word(1), new TraceArguments(words.from(2))));
+    private void addCommand(TraceArguments args) {
+        steps.add(new TimedCommand(args.decimal(0), args.word(1), new TraceArguments(args.from(2))));
     }
 
-    private void addExpectation(TraceArguments words) {
-        expectations.add(new Expectation(words.word(0), new TraceArguments(words.from(1))));
+    private void addExpectation(TraceArguments args) {
+        expectations.add(new Expectation(args.word(0), new TraceArguments(args.from(1))));
     }
 
     long seed() {
@@ -157,10 +157,10 @@
     }
 
     /** Returns the time of the last command that is not a regular user request, or the epoch if there is none. */
-    Instant lastTrouble() {
+    Instant lastFault() {
         Instant last = Instant.EPOCH;
         for (Step step : steps) {
-            if (step instanceof TimedCommand command && !COMMANDS_OF_USERS.contains(command.name())) {
+            if (step instanceof TimedCommand command && !USER_COMMANDS.contains(command.name())) {
                 Instant at = Instant.EPOCH.plus(Duration.ofMillis((long) (command.second() * 1000)));
                 last = at.isAfter(last) ? at : last;
             }
--- a/src/test/java/org/havenford/simulator/TraceTest.java
+++ b/src/test/java/org/havenford/simulator/TraceTest.java
@@ -30,7 +30,7 @@
                 .map(file -> DynamicTest.dynamicTest(file.getFileName().toString(), () -> {
                     TracePlayer.Result result = TracePlayer.play(Files.readAllLines(file));
                     assertEquals(List.of(), result.violations(), result::log);
-                    result.world()
+                    result.simulator()
                             .behaviour
                             .assertKept("trace/" + file.getFileName().toString().replace(".trace", ""));
                 }));
@@ -42,8 +42,8 @@
 
     /** Verifies that the invariant checker reports forged attempts that run a task twice and exceed the limit of a team. */
     @Test
-    void theCheckerSeesATaskThatRunsTwiceAndAnExceededQuota() {
-        List<String> wrong = violations(
+    void checkerReportsATaskThatRunsTwiceAndAnExceededLimit() {
+        List<String> violations = violations(
                 "team red 0 8",
                 "machine large a ordinary",
                 "machine large b ordinary",
@@ -51,36 +51,36 @@
                 "at 15 forge-start host-000000 j-1/0",
                 "at 15 forge-start host-000001 j-1/0",
                 "until 20");
-        assertTrue(wrong.stream().anyMatch(violation -> violation.contains("ran_twice")), wrong::toString);
-        assertTrue(wrong.stream().anyMatch(violation -> violation.contains("quota")), wrong::toString);
+        assertTrue(violations.stream().anyMatch(violation -> violation.contains("ran_twice")), violations::toString);
+        assertTrue(violations.stream().anyMatch(violation -> violation.contains("quota")), violations::toString);
     }
 
     /** Forges an attempt of a task, as a defective controller would, before the job that it depends on is done. */
     @Test
-    void theCheckerSeesAStartThatIsTooEarly() {
-        List<String> wrong = violations(
+    void checkerReportsAStartBeforeADependencyIsDone() {
+        List<String> violations = violations(
                 "team red 0 0",
                 "machine large a ordinary",
                 "at 3 submit j-1 red 1 8 60",
                 "at 5 submit j-2 red 1 1 5 awaits=j-1",
                 "at 15 forge-start host-000000 j-2/0",
                 "until 20");
-        assertTrue(wrong.stream().anyMatch(violation -> violation.contains("too_early")), wrong::toString);
+        assertTrue(violations.stream().anyMatch(violation -> violation.contains("too_early")), violations::toString);
     }
 
     /**
      * Forges the confirmation of a cancellation that is not in the store, so the dependent job stays pending for too long.
      */
     @Test
-    void theCheckerSeesAnOrphanedJob() {
-        List<String> wrong = violations(
+    void checkerReportsAPendingJobWhoseDependencyIsCancelled() {
+        List<String> violations = violations(
                 "team red 0 0",
                 "machine small a ordinary",
                 "at 3 submit j-1 red 1 4 200",
                 "at 5 submit j-2 red 1 1 5 awaits=j-1",
                 "at 10 forge-cancelled j-1",
                 "until 70");
-        assertTrue(wrong.stream().anyMatch(violation -> violation.contains("orphaned")), wrong::toString);
+        assertTrue(violations.stream().anyMatch(violation -> violation.contains("orphaned")), violations::toString);
     }
 
     /**
@@ -88,7 +88,7 @@
      * restarts and the store has an outage of four seconds.
      */
     @Test
-    void oneTaskJobsAreDoneAlthoughAQuarterIsCancelledAndAControllerEnds() {
+    void singleTaskJobsCompleteDespiteCancellationsAndAControllerCrash() {
         List<String> lines = new ArrayList<>(List.of(
                 "team red 8 40",
                 "team blue 0 0",
@@ -115,12 +115,12 @@
         }
         TracePlayer.Result result = TracePlayer.play(lines);
         assertEquals(List.of(), result.violations(), result::log);
-        result.world().behaviour.assertKept("one-task-jobs");
+        result.simulator().behaviour.assertKept("one-task-jobs");
     }
 
     @TestFactory
     Stream<DynamicTest> randomTroubles() {
-        return RandomizedScenarios.play("troubles", 12, TroublesScenario::draw);
+        return RandomizedScenarios.play("troubles", 12, FaultScenario::draw);
     }
 
     @TestFactory
@@ -133,9 +133,9 @@
         return RandomizedScenarios.play("operations", 12, OperationsScenario::draw);
     }
 
-    /** Runs {@link TroublesScenario} during a rolling upgrade, after which the limits of the store are lowered. */
+    /** Runs {@link FaultScenario} during a rolling upgrade, after which the limits of the store are lowered. */
     @TestFactory
     Stream<DynamicTest> randomTroublesAmidAnUpgrade() {
-        return RandomizedScenarios.play("upgrade", 6, seed -> UpgradeScenario.draw(seed, TroublesScenario::draw));
+        return RandomizedScenarios.play("upgrade", 6, seed -> UpgradeScenario.draw(seed, FaultScenario::draw));
     }
 }
--- a/src/test/java/org/havenford/simulator/UpgradeScenario.java
+++ b/src/test/java/org/havenford/simulator/UpgradeScenario.java
@@ -11,14 +11,14 @@
 final class UpgradeScenario {
     /** A scenario for a given number of controllers, in which only jobs submitted after a given second have dependencies. */
     @FunctionalInterface
-    interface Amid {
+    interface BaseScenario {
         List<String> draw(long seed, int controllers, int dependenciesFrom);
     }
 
     private UpgradeScenario() {}
 
     /** Draws the upgrade and, from the same seed, the scenario that runs at the same time. */
-    static List<String> draw(long seed, Amid scenario) {
+    static List<String> draw(long seed, BaseScenario scenario) {
         SplittableRandom random = new SplittableRandom(-seed);
         int controllers = RandomNames.drawControllers(random, 3, 5, 7);
         TraceBuilder trace = new TraceBuilder();
