--- a/src/test/java/org/havenford/simulator/TroublesScenario.java
+++ b/src/test/java/org/havenford/simulator/FaultScenario.java
@@ -3,23 +3,23 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A run on four machines with jobs of two teams, some of them cancelled, amid faults of all kinds. */
-final class TroublesScenario {
+/** Draws a run on four machines with jobs of two teams, some of them cancelled, and with faults of all kinds. */
+final class FaultScenario {
     private static final int MACHINES = 4;
     private static final int JOBS = 14;
     private static final int FAULTS = 6;
 
-    private TroublesScenario() {}
+    private FaultScenario() {}
 
-    /** Draws the run and its number of controllers. */
+    /** Draws a trace, including the number of controllers. */
     static List<String> draw(long seed) {
         return draw(seed, RandomNames.drawControllers(new SplittableRandom(seed), 3, 3, 5, 7), 0);
     }
 
-    /** Draws the run; jobs submitted until the second {@code dependenciesFrom} depend on none. */
+    /** Draws a trace. Jobs submitted at or before the second {@code dependenciesFrom} have no dependencies. */
     static List<String> draw(long seed, int controllers, int dependenciesFrom) {
         SplittableRandom random = new SplittableRandom(seed);
-        // The first number of the seed's sequence says how many controllers there are.
+        // Skips the first number of the sequence, with which the other overload selects the number of controllers.
         random.nextInt(4);
         TraceBuilder trace = new TraceBuilder();
         trace.add(
@@ -44,7 +44,7 @@
     private static void drawJob(
             SplittableRandom random, TraceBuilder trace, RandomDependencies dependencies, String job) {
         int second = 3 + random.nextInt(90);
-        String dependsOn = dependencies.drawOption(job, second);
+        String dependencyOption = dependencies.drawOption(job, second);
         String team = random.nextBoolean() ? "red" : "blue";
         int tasks = 1 + random.nextInt(8);
         int cpus = 1 + random.nextInt(4);
@@ -54,7 +54,7 @@
         trace.at(
                 second,
                 "submit " + job + " " + team + " " + tasks + " " + cpus + " " + runSeconds + apart + ordinary
-                        + dependsOn);
+                        + dependencyOption);
         if (random.nextInt(4) == 0) {
             trace.at(second + 3 + random.nextInt(20), "cancel " + job);
         } else {
--- a/src/test/java/org/havenford/simulator/TraceScenario.java
+++ b/src/test/java/org/havenford/simulator/TraceScenario.java
@@ -10,23 +10,23 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 
-/** A trace as it was read: the cluster that it describes, what happens in it, and what is expected at its end. */
+/** A parsed trace: the configuration of the cluster, the steps of the run, and the expectations about its end. */
 final class TraceScenario {
-    /** What happens in a run, in the order of the lines. */
+    /** A step of a run. Steps with the same time run in the order of their lines. */
     sealed interface Step permits Machine, TimedCommand {}
 
-    /** A machine that runs from the beginning. */
+    /** A machine that boots at the start of the run. */
     record Machine(String type, String zone, boolean spot) implements Step {}
 
-    /** A command at a moment of the simulated time. */
+    /** A command that runs at a time given in seconds of the simulated time. */
     record TimedCommand(double second, String name, TraceArguments arguments) implements Step {}
 
-    /** What has to hold when the run is over. */
+    /** A condition that has to hold at the end of the run. */
     record Expectation(String name, TraceArguments arguments) {}
 
-    private static final Map<String, BiConsumer<TraceScenario, TraceArguments>> LINES = lines();
-    /** Commands that users send in the normal course; all others make trouble. */
-    private static final Set<String> COMMANDS_OF_USERS = Set.of("submit", "cancel", "ask", "repeat");
+    private static final Map<String, BiConsumer<TraceScenario, TraceArguments>> LINE_PARSERS = lineParsers();
+    /** Regular requests of users. All other commands count as faults, see {@link #lastFault()}. */
+    private static final Set<String> USER_COMMANDS = Set.of("submit", "cancel", "ask", "repeat");
 
     private final List<String> teams = new ArrayList<>();
     private long seed = 1;
@@ -37,21 +37,21 @@
     private final List<Step> steps = new ArrayList<>();
     private final List<Expectation> expectations = new ArrayList<>();
 
-    /** Whether the controllers have a warm standby. */
+    /** Whether the controllers run a warm standby. */
     boolean standby;
-    /** Controllers without a standby although the others have one. */
+    /** Controllers that run without a warm standby although {@link #standby} is set. */
     final Set<String> withoutStandby = new HashSet<>();
-    /** How many changes the store keeps for watches that begin in the past. */
+    /** The number of changes that the store keeps for watches that start at an earlier revision. */
     int keptChanges = 10_000;
-    /** How many machines of a type and zone the cloud has; 0 for its default. */
+    /** The number of machines that the cloud has of each type, zone and kind (spot or on-demand); 0 for the default. */
     int machinesPerOffer;
 
     private TraceScenario() {}
 
     /**
-     * Reads the lines of a trace.
+     * Parses the lines of a trace.
      *
-     * @throws IllegalArgumentException if a line begins with an unknown word or has a number in a wrong form
+     * @throws IllegalArgumentException if a line starts with an unknown word or contains a malformed number
      */
     static TraceScenario parse(List<String> lines) {
         TraceScenario scenario = new TraceScenario();
@@ -66,56 +66,56 @@
 
     private void parseLine(String line) {
         List<String> words = List.of(line.split("\\s+"));
-        BiConsumer<TraceScenario, TraceArguments> parser = LINES.get(words.get(0));
+        BiConsumer<TraceScenario, TraceArguments> parser = LINE_PARSERS.get(words.get(0));
         if (parser == null) {
             throw new IllegalArgumentException(line);
         }
         parser.accept(this, new TraceArguments(words.subList(1, words.size())));
     }
 
-    /** What each kind of line means, by the word that it begins with. */
-    private static Map<String, BiConsumer<TraceScenario, TraceArguments>> lines() {
-        Map<String, BiConsumer<TraceScenario, TraceArguments>> lines = new HashMap<>();
-        lines.put("next", TraceScenario::announceLowerLimits);
-        lines.put("standby", (scenario, words) -> scenario.standby = words.isOn(0));
-        lines.put("standby-off", (scenario, words) -> scenario.withoutStandby.add(words.word(0)));
-        lines.put(
+    /** Returns the parser of each kind of line, by the first word of the line. */
+    private static Map<String, BiConsumer<TraceScenario, TraceArguments>> lineParsers() {
+        Map<String, BiConsumer<TraceScenario, TraceArguments>> parsers = new HashMap<>();
+        parsers.put("next", TraceScenario::announceLowerLimits);
+        parsers.put("standby", (scenario, args) -> scenario.standby = args.isOn(0));
+        parsers.put("standby-off", (scenario, args) -> scenario.withoutStandby.add(args.word(0)));
+        parsers.put(
                 "version",
-                (scenario, words) -> scenario.previousFormat = words.word(0).equals("format-1"));
-        lines.put("per-offer", (scenario, words) -> scenario.machinesPerOffer = words.integer(0));
-        lines.put("keep-changes", (scenario, words) -> scenario.keptChanges = words.integer(0));
-        lines.put("nodes", (scenario, words) -> scenario.nodes = words.integer(0));
-        lines.put("seed", (scenario, words) -> scenario.seed = Long.parseLong(words.word(0)));
-        lines.put("team", TraceScenario::addTeam);
-        lines.put("machine", TraceScenario::addMachine);
-        lines.put("at", TraceScenario::addCommand);
-        lines.put("until", (scenario, words) -> scenario.end = words.decimal(0));
-        lines.put("expect", TraceScenario::addExpectation);
-        return lines;
-    }
-
-    private void announceLowerLimits(TraceArguments words) {
+                (scenario, args) -> scenario.previousFormat = args.word(0).equals("format-1"));
+        parsers.put("per-offer", (scenario, args) -> scenario.machinesPerOffer = args.integer(0));
+        parsers.put("keep-changes", (scenario, args) -> scenario.keptChanges = args.integer(0));
+        parsers.put("nodes", (scenario, args) -> scenario.nodes = args.integer(0));
+        parsers.put("seed", (scenario, args) -> scenario.seed = Long.parseLong(args.word(0)));
+        parsers.put("team", TraceScenario::addTeam);
+        parsers.put("machine", TraceScenario::addMachine);
+        parsers.put("at", TraceScenario::addCommand);
+        parsers.put("until", (scenario, args) -> scenario.end = args.decimal(0));
+        parsers.put("expect", TraceScenario::addExpectation);
+        return parsers;
+    }
+
+    private void announceLowerLimits(TraceArguments args) {
         String next = String.format(
                 ",\"next\":{\"value_kb\":%s,\"txn_ops\":%s,\"write_rps\":%s}}",
-                words.word(0), words.word(1), words.word(2));
+                args.word(0), args.word(1), args.word(2));
         store = SimulatorSettings.DEFAULT_STORE.replace("}", next);
     }
 
-    private void addTeam(TraceArguments words) {
+    private void addTeam(TraceArguments args) {
         teams.add(String.format(
-                "{\"name\":\"%s\",\"cpus\":%s,\"cpus_max\":%s}", words.word(0), words.word(1), words.word(2)));
+                "{\"name\":\"%s\",\"cpus\":%s,\"cpus_max\":%s}", args.word(0), args.word(1), args.word(2)));
     }
 
-    private void addMachine(TraceArguments words) {
-        steps.add(new Machine(words.word(0), words.word(1), words.word(2).equals("spot")));
+    private void addMachine(TraceArguments args) {
+        steps.add(new Machine(args.word(0), args.word(1), args.word(2).equals("spot")));
     }
 
-    private void addCommand(TraceArguments words) {
-        steps.add(new TimedCommand(words.decimal(0), words.word(1), new TraceArguments(words.from(2))));
+    private void addCommand(TraceArguments args) {
+        steps.add(new TimedCommand(args.decimal(0), args.word(1), new TraceArguments(args.from(2))));
     }
 
-    private void addExpectation(TraceArguments words) {
-        expectations.add(new Expectation(words.word(0), new TraceArguments(words.from(1))));
+    private void addExpectation(TraceArguments args) {
+        expectations.add(new Expectation(args.word(0), new TraceArguments(args.from(1))));
     }
 
     long seed() {
@@ -126,22 +126,24 @@
         return nodes;
     }
 
-    /** The teams as elements of a JSON list. */
+    /** Returns the teams as the comma-separated elements of a JSON array. */
     String teams() {
         return String.join(",", teams);
     }
 
-    /** The limits of the state service as JSON, with the announced lower ones if the trace has any. */
+    /**
+     * Returns the limits of the state service as a JSON object, including the announced lower limits if the trace has any.
+     */
     String store() {
         return store;
     }
 
-    /** Whether the controllers begin with the version before, which writes the first format. */
+    /** Returns whether the controllers start with the previous version, which writes storage format 1. */
     boolean startsWithPreviousFormat() {
         return previousFormat;
     }
 
-    /** The second of the simulated time at which the run ends. */
+    /** Returns the simulated time in seconds at which the run ends. */
     double end() {
         return end;
     }
@@ -154,11 +156,11 @@
         return expectations;
     }
 
-    /** When the last command comes that is not a user's; the epoch if there is none. */
-    Instant lastTrouble() {
+    /** Returns the time of the last command that is not a regular user request, or the epoch if there is none. */
+    Instant lastFault() {
         Instant last = Instant.EPOCH;
         for (Step step : steps) {
-            if (step instanceof TimedCommand command && !COMMANDS_OF_USERS.contains(command.name())) {
+            if (step instanceof TimedCommand command && !USER_COMMANDS.contains(command.name())) {
                 Instant at = Instant.EPOCH.plus(Duration.ofMillis((long) (command.second() * 1000)));
                 last = at.isAfter(last) ? at : last;
             }
