--- a/src/main/java/org/havenford/coordination/agents/AttemptOutcomes.java
+++ b/src/main/java/org/havenford/coordination/agents/AttemptOutcomes.java
@@ -25,12 +25,12 @@
     public static final class TaskRangeOutcomes {
         private final String key;
         private final Job job;
-        private final Map<Claim, AttemptOutcome> ended = new LinkedHashMap<>();
+        private final Map<Claim, AttemptOutcome> outcomes = new LinkedHashMap<>();
         /** When batching started; null until the task range is first considered for writing while it is not locked. */
-        private Instant gatheredSince;
+        private Instant batchingSince;
 
         /** When the task range was last considered for writing; null if an outcome was added since. */
-        private Instant lookedAt;
+        private Instant lastCheckedAt;
 
         private TaskRangeOutcomes(String key, Job job) {
             this.key = key;
@@ -48,8 +48,8 @@
         }
 
         /** Returns the outcomes by claim, in the order in which they were recorded. */
-        public Map<Claim, AttemptOutcome> ended() {
-            return ended;
+        public Map<Claim, AttemptOutcome> outcomes() {
+            return outcomes;
         }
 
         /**
@@ -57,19 +57,19 @@
          * itself, outcomes recorded while a claim locks the task range would be due as soon as the lock is released, and
          * writing them would delay the next claim.
          */
-        public Instant gatheredSince(Instant now) {
-            gatheredSince = gatheredSince == null ? now : gatheredSince;
-            return gatheredSince;
+        public Instant batchingSince(Instant now) {
+            batchingSince = batchingSince == null ? now : batchingSince;
+            return batchingSince;
         }
 
         /** Returns when the task range was last considered for writing, or null if an outcome was added since. */
-        public Instant lookedAt() {
-            return lookedAt;
+        public Instant lastCheckedAt() {
+            return lastCheckedAt;
         }
 
         /** Records that the task range was considered for writing. */
-        public void lookedAt(Instant now) {
-            lookedAt = now;
+        public void markChecked(Instant now) {
+            lastCheckedAt = now;
         }
     }
 
@@ -92,8 +92,8 @@
         }
         String key = Keys.tasks(job.id(), job.taskRangeIndex(claim.task().index()));
         TaskRangeOutcomes range = rangesByKey.computeIfAbsent(key, k -> new TaskRangeOutcomes(k, job));
-        range.ended.put(claim, outcome);
-        range.lookedAt = null;
+        range.outcomes.put(claim, outcome);
+        range.lastCheckedAt = null;
         rangesByClaim.put(claim, range);
         listener.capacityChanged(claim.machine());
         LOG.debug(
@@ -110,9 +110,9 @@
     }
 
     /** Returns the outcome recorded for a claim, or null. */
-    public AttemptOutcome of(Claim claim) {
+    public AttemptOutcome outcomeOf(Claim claim) {
         TaskRangeOutcomes range = rangesByClaim.get(claim);
-        return range == null ? null : range.ended.get(claim);
+        return range == null ? null : range.outcomes.get(claim);
     }
 
     /** Removes the outcomes of claims that are stored by now, or whose claims are no longer held. */
@@ -120,8 +120,8 @@
         for (Claim claim : List.copyOf(claims)) {
             TaskRangeOutcomes range = rangesByClaim.remove(claim);
             if (range != null) {
-                range.ended.remove(claim);
-                if (range.ended.isEmpty()) {
+                range.outcomes.remove(claim);
+                if (range.outcomes.isEmpty()) {
                     rangesByKey.remove(range.key);
                 }
             }
@@ -134,7 +134,7 @@
     }
 
     /** Returns the task ranges with outcomes to write, ordered by the time of their first outcome. */
-    public List<TaskRangeOutcomes> records() {
+    public List<TaskRangeOutcomes> pendingTaskRanges() {
         return List.copyOf(rangesByKey.values());
     }
 }
--- a/src/main/java/org/havenford/coordination/scheduling/ClaimDraft.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ClaimDraft.java
@@ -52,7 +52,7 @@
         TaskRange current = job.taskRange(taskRangeIndex);
         taskRange = current.copy();
         for (Claim claim : current.claims()) {
-            AttemptOutcome outcome = knownOutcomes.of(claim);
+            AttemptOutcome outcome = knownOutcomes.outcomeOf(claim);
             if (outcome != null) {
                 outcomes.put(claim, outcome);
             }
--- a/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
@@ -52,67 +52,67 @@
     void step() {
         boolean underPressure = context.store().underPressure();
         Instant now = context.loop().now();
-        for (TaskRangeOutcomes ended : agentManager.outcomes().records()) {
-            if (!context.writer().isLocked(ended.key())) {
-                releaseIfDue(ended, underPressure, now);
+        for (TaskRangeOutcomes rangeOutcomes : agentManager.outcomes().pendingTaskRanges()) {
+            if (!context.writer().isLocked(rangeOutcomes.key())) {
+                releaseIfDue(rangeOutcomes, underPressure, now);
             }
         }
     }
 
-    private void releaseIfDue(TaskRangeOutcomes ended, boolean underPressure, Instant now) {
-        boolean due = now.isAfter(ended.gatheredSince(now).plus(batchDelay(ended, underPressure)));
-        boolean dueForCheck =
-                ended.lookedAt() == null || now.isAfter(ended.lookedAt().plus(BATCH_DELAY));
+    private void releaseIfDue(TaskRangeOutcomes rangeOutcomes, boolean underPressure, Instant now) {
+        boolean due = now.isAfter(rangeOutcomes.batchingSince(now).plus(batchDelay(rangeOutcomes, underPressure)));
+        boolean dueForCheck = rangeOutcomes.lastCheckedAt() == null
+                || now.isAfter(rangeOutcomes.lastCheckedAt().plus(BATCH_DELAY));
         if (!due && !dueForCheck) {
             return;
         }
-        agentManager.outcomes().remove(noLongerStored(ended));
-        if (!ended.ended().isEmpty() && (due || isUrgent(ended.ended()))) {
+        agentManager.outcomes().remove(noLongerStored(rangeOutcomes));
+        if (!rangeOutcomes.outcomes().isEmpty() && (due || isUrgent(rangeOutcomes.outcomes()))) {
             // If the transaction fails, the outcomes are considered again once the record is no longer locked.
-            write(ended.key(), ended.ended());
+            write(rangeOutcomes.key(), rangeOutcomes.outcomes());
         } else {
-            ended.lookedAt(now);
+            rangeOutcomes.markChecked(now);
         }
     }
 
-    private Duration batchDelay(TaskRangeOutcomes ended, boolean underPressure) {
+    private Duration batchDelay(TaskRangeOutcomes rangeOutcomes, boolean underPressure) {
         if (!underPressure) {
             return BATCH_DELAY;
         }
-        boolean low = ended.job().spec().priority() == JobSpec.Priority.LOW;
+        boolean low = rangeOutcomes.job().spec().priority() == JobSpec.Priority.LOW;
         return low ? delayUnderPressure.multipliedBy(LOW_PRIORITY_FACTOR) : delayUnderPressure;
     }
 
     /** Returns the claims that are no longer stored, because they were released by another transaction. */
-    private List<Claim> noLongerStored(TaskRangeOutcomes ended) {
-        Job job = context.clusterState().job(ended.job().id());
-        return ended.ended().keySet().stream()
+    private List<Claim> noLongerStored(TaskRangeOutcomes rangeOutcomes) {
+        Job job = context.clusterState().job(rangeOutcomes.job().id());
+        return rangeOutcomes.outcomes().keySet().stream()
                 .filter(claim ->
                         job == null || !claim.equals(job.claim(claim.task().index())))
                 .toList();
     }
 
-    private Job jobOf(Map<Claim, AttemptOutcome> ended) {
+    private Job jobOf(Map<Claim, AttemptOutcome> outcomes) {
         return context.clusterState()
-                .job(ended.keySet().iterator().next().task().job());
+                .job(outcomes.keySet().iterator().next().task().job());
     }
 
     /**
      * Whether outcomes are stored without waiting for the batch delay: they are the last ones of a task range whose job
      * has no pending tasks, the job is cancelled, or a task has to be tried again.
      */
-    private boolean isUrgent(Map<Claim, AttemptOutcome> ended) {
-        Job job = jobOf(ended);
+    private boolean isUrgent(Map<Claim, AttemptOutcome> outcomes) {
+        Job job = jobOf(outcomes);
         TaskRange taskRange = job.storedTaskRange(
-                job.taskRangeIndex(ended.keySet().iterator().next().task().index()));
-        return (taskRange.doneCount() + ended.size() == taskRange.size() && job.pendingCount() == 0)
+                job.taskRangeIndex(outcomes.keySet().iterator().next().task().index()));
+        return (taskRange.doneCount() + outcomes.size() == taskRange.size() && job.pendingCount() == 0)
                 || job.cancelled()
-                || ended.values().stream().anyMatch(outcome -> outcome instanceof AttemptOutcome.NotDone);
+                || outcomes.values().stream().anyMatch(outcome -> outcome instanceof AttemptOutcome.NotDone);
     }
 
     /** Applies outcomes to a task range. */
-    static void apply(Map<Claim, AttemptOutcome> ended, TaskRange taskRange) {
-        ended.forEach((claim, outcome) -> {
+    static void apply(Map<Claim, AttemptOutcome> outcomes, TaskRange taskRange) {
+        outcomes.forEach((claim, outcome) -> {
             int task = claim.task().index();
             if (outcome instanceof AttemptOutcome.Done done) {
                 taskRange.finish(task, seconds(done.pullDuration()), seconds(done.runDuration()));
@@ -130,11 +130,12 @@
 
     private void write(String key, Map<Claim, AttemptOutcome> endedNow) {
         // More attempts may end while the transaction is in flight.
-        Map<Claim, AttemptOutcome> ended = new LinkedHashMap<>(endedNow);
-        Job job = jobOf(ended);
-        int index = job.taskRangeIndex(ended.keySet().iterator().next().task().index());
+        Map<Claim, AttemptOutcome> outcomes = new LinkedHashMap<>(endedNow);
+        Job job = jobOf(outcomes);
+        int index =
+                job.taskRangeIndex(outcomes.keySet().iterator().next().task().index());
         TaskRange updated = job.storedTaskRange(index).copy();
-        apply(ended, updated);
+        apply(outcomes, updated);
         Transaction transaction = new Transaction()
                 .requireRevision(Keys.VIEW, context.membership().viewRevision())
                 .requireRevision(key, context.modRevision(key));
@@ -156,11 +157,11 @@
             transaction.put(key, value);
         }
         // Users and dependent jobs wait for the end of a job, so the last release is not queued behind all claims.
-        boolean isLastRelease = job.pendingCount() == 0 && job.claimCount() == ended.size();
+        boolean isLastRelease = job.pendingCount() == 0 && job.claimCount() == outcomes.size();
         CallPriority priority = isLastRelease ? JobCompletion.commitPriority(job) : CallPriority.WORK;
         Runnable afterRelease = onCompletion;
         context.writer().commit(transaction, priority, locks, () -> {
-            agentManager.outcomes().remove(ended.keySet());
+            agentManager.outcomes().remove(outcomes.keySet());
             afterRelease.run();
         });
     }
