--- a/src/main/java/org/havenford/coordination/agents/TaskStopper.java
+++ b/src/main/java/org/havenford/coordination/agents/TaskStopper.java
@@ -75,7 +75,7 @@
         return pulling
                 && job != null
                 && job.doneCount() >= operatorSettings.stragglerMinimumDone()
-                && !job.storedTaskRange(job.taskRangeIndex(task)).wasLate(task);
+                && !job.storedTaskRange(job.taskRangeIndex(task)).wasStraggler(task);
     }
 
     private void stopIfStraggler(Claim claim, AttemptState attempt, Job job, Instant now) {
--- a/src/main/java/org/havenford/coordination/jobs/JobCompletion.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobCompletion.java
@@ -131,7 +131,7 @@
                 String key = Keys.job(dependentId);
                 transaction
                         .requireRevision(key, context.modRevision(key))
-                        .put(key, context.clusterState().job(dependentId).readyHeader(now));
+                        .put(key, context.clusterState().job(dependentId).releasedHeader(now));
                 locks.add(key);
             }
         }
--- a/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
@@ -156,8 +156,9 @@
         String key = Keys.job(job.id());
         LOG.debug("dependencies done: job={}", job.id());
         Instant releasedAt = releaseTime(job);
-        Transaction transaction =
-                new Transaction().requireRevision(key, context.modRevision(key)).put(key, job.readyHeader(releasedAt));
+        Transaction transaction = new Transaction()
+                .requireRevision(key, context.modRevision(key))
+                .put(key, job.releasedHeader(releasedAt));
         Runnable onSuccess = () -> context.pipelineMetrics()
                 .recordRelease(releasedAt, context.loop().timeOfDay());
         context.writer().commit(transaction, CallPriority.CLAIM, List.of(key), onSuccess);
--- a/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
@@ -123,7 +123,7 @@
         boolean isReady =
                 status == DependencyStatus.DONE && !spec.dependencies().isEmpty();
         Transaction transaction = requireUnknownJob(spec.id())
-                .put(Keys.job(spec.id()), isReady ? job.readyHeader(now) : job.header(false));
+                .put(Keys.job(spec.id()), isReady ? job.releasedHeader(now) : job.header(false));
         commit(transaction, spec.id(), () -> {}, callback);
     }
 
@@ -174,7 +174,7 @@
      * Returns whether the header exceeds the value limit, including the fields that a release and a cancellation add.
      */
     private boolean exceedsValueLimit(Job job, Instant now) {
-        int bytes = job.readyHeader(now).toString().getBytes(StandardCharsets.UTF_8).length;
+        int bytes = job.releasedHeader(now).toString().getBytes(StandardCharsets.UTF_8).length;
         return bytes + CANCELLATION_BYTES > context.settings().valueBytes();
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/TaskDemandEstimator.java
+++ b/src/main/java/org/havenford/coordination/provisioning/TaskDemandEstimator.java
@@ -171,7 +171,7 @@
         if (!unplaceable) {
             return Startability.STARTABLE;
         }
-        return job.errors() > 0 ? Startability.UNPLACEABLE_AFTER_FAILURES : Startability.UNPLACEABLE;
+        return job.failuresSinceSuccess() > 0 ? Startability.UNPLACEABLE_AFTER_FAILURES : Startability.UNPLACEABLE;
     }
 
     private static double seconds(Duration duration) {
--- a/src/main/java/org/havenford/coordination/scheduling/FailingJobBackoff.java
+++ b/src/main/java/org/havenford/coordination/scheduling/FailingJobBackoff.java
@@ -30,13 +30,13 @@
     /** Concurrent claims per finished task of a job that works but has failed since its last success. */
     private static final int CLAIMS_PER_DONE_TASK = 2;
 
-    private record Backoff(int errors, Instant until) {}
+    private record Backoff(int failures, Instant until) {}
 
     private final Map<String, Backoff> backoffs = new HashMap<>();
 
     /** Whether a job may be failing on every machine: it has several failures and no finished task. */
     public static boolean isSuspect(Job job) {
-        return job.errors() >= SUSPECT_FAILURES && job.doneCount() == 0;
+        return job.failuresSinceSuccess() >= SUSPECT_FAILURES && job.doneCount() == 0;
     }
 
     /**
@@ -44,28 +44,28 @@
      * so all controllers apply the same ones.
      */
     static boolean isDeprioritized(Job job, Instant timeOfDay) {
-        boolean suspect = job.errors() >= DEPRIORITIZED_FAILURES && job.doneCount() == 0;
+        boolean suspect = job.failuresSinceSuccess() >= DEPRIORITIZED_FAILURES && job.doneCount() == 0;
         long second = timeOfDay.getEpochSecond() + job.id().hashCode();
         return suspect && Math.floorMod(second, SERVICE_PERIOD_SECONDS) >= SERVICE_WINDOW_SECONDS;
     }
 
     /** Returns how many tasks of a job may be claimed concurrently. */
     static int maxClaims(Job job) {
-        return job.errors() < SUSPECT_FAILURES
+        return job.failuresSinceSuccess() < SUSPECT_FAILURES
                 ? Integer.MAX_VALUE
                 : Math.max(1, CLAIMS_PER_DONE_TASK * job.doneCount());
     }
 
     /** Whether the job's next attempt has to wait because of failures; {@code now} is of the monotonic clock. */
     boolean isBackingOff(Job job, Instant now) {
-        int errors = job.errors();
-        if (errors == 0) {
+        int failures = job.failuresSinceSuccess();
+        if (failures == 0) {
             backoffs.remove(job.id());
             return false;
         }
         Backoff backoff = backoffs.get(job.id());
-        if (backoff == null || backoff.errors() != errors) {
-            backoff = new Backoff(errors, now.plus(backoffAfter(job)));
+        if (backoff == null || backoff.failures() != failures) {
+            backoff = new Backoff(failures, now.plus(backoffAfter(job)));
             backoffs.put(job.id(), backoff);
         }
         return now.isBefore(backoff.until());
@@ -77,7 +77,7 @@
     }
 
     private static Duration backoffAfter(Job job) {
-        Duration doubled = FIRST_BACKOFF.multipliedBy(1L << Math.min(MAX_DOUBLINGS, job.errors() - 1));
+        Duration doubled = FIRST_BACKOFF.multipliedBy(1L << Math.min(MAX_DOUBLINGS, job.failuresSinceSuccess() - 1));
         Duration longest = job.doneCount() > 0 ? MAX_BACKOFF_IF_KNOWN_TO_WORK : MAX_BACKOFF;
         return doubled.compareTo(longest) > 0 ? longest : doubled;
     }
--- a/src/main/java/org/havenford/coordination/scheduling/TaskRangePlacer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskRangePlacer.java
@@ -117,7 +117,7 @@
         return capacity.fits(pass.spec())
                 && PlacementRules.checkZone(pass.spec(), capacity.machine.zone(), pass.zones())
                         .allowed()
-                && !machine.equals(taskRange.lateOn(task.index()))
+                && !machine.equals(taskRange.stragglerMachine(task.index()))
                 && !pass.round().snapshot.isAvoided(task, machine);
     }
 
--- a/src/main/java/org/havenford/storage/JobTable.java
+++ b/src/main/java/org/havenford/storage/JobTable.java
@@ -97,7 +97,7 @@
 
     private void copyTaskRanges(Job before, Job after) {
         for (int i = 0; i < after.taskRangeCount(); i++) {
-            after.replace(i, before.storedTaskRange(i));
+            after.replaceTaskRange(i, before.storedTaskRange(i));
         }
         before.claims().forEach(claim -> observer.machineChanged(claim.machine()));
     }
@@ -131,7 +131,7 @@
         if (before != null) {
             removeClaims(job, before, after);
         }
-        job.replace(index, after);
+        job.replaceTaskRange(index, after);
         if (after != null) {
             addClaims(job, before, after);
         }
--- a/src/main/java/org/havenford/storage/records/Job.java
+++ b/src/main/java/org/havenford/storage/records/Job.java
@@ -33,7 +33,7 @@
     private final TaskRange[] taskRanges;
     private int done;
     private int claimed;
-    private int errors;
+    private int failuresSinceSuccess;
     /** Whether the medians reflect the current task ranges; they are computed on demand. */
     private boolean mediansCurrent;
 
@@ -136,7 +136,7 @@
     }
 
     /** Replaces a task range; {@code taskRange} is null if its key was deleted. */
-    public void replace(int index, TaskRange taskRange) {
+    public void replaceTaskRange(int index, TaskRange taskRange) {
         addCounts(taskRanges[index], -1);
         taskRanges[index] = taskRange;
         addCounts(taskRange, 1);
@@ -147,7 +147,7 @@
         if (taskRange != null) {
             done += sign * taskRange.doneCount();
             claimed += sign * taskRange.claims().size();
-            errors += sign * taskRange.errors();
+            failuresSinceSuccess += sign * taskRange.failuresSinceSuccess();
         }
     }
 
@@ -184,8 +184,8 @@
     }
 
     /** Returns the number of failures since the last success of each task range, summed over the task ranges. */
-    public int errors() {
-        return errors;
+    public int failuresSinceSuccess() {
+        return failuresSinceSuccess;
     }
 
     /** Returns the median duration of the tasks' image pulls, or null if no duration is known. */
@@ -244,7 +244,7 @@
     }
 
     /** Returns the header to store once all dependencies are done, after which the job's tasks can be claimed. */
-    public JsonObject readyHeader(Instant doneAt) {
+    public JsonObject releasedHeader(Instant doneAt) {
         return new Job(spec, submittedAt, taskRangeSize, cancelled, doneAt).header(cancelled);
     }
 
--- a/src/main/java/org/havenford/storage/records/TaskRange.java
+++ b/src/main/java/org/havenford/storage/records/TaskRange.java
@@ -19,7 +19,7 @@
  */
 public final class TaskRange {
     /** Upper limit of the failure count. */
-    private static final int MAX_ERRORS = 1000;
+    private static final int MAX_FAILURES = 1000;
 
     private static final int TENTHS_PER_SECOND = 10;
 
@@ -36,7 +36,7 @@
     /** Durations of completed runs, in tenths of a second. */
     private final IntArrayList runDurations = new IntArrayList();
 
-    private int errors;
+    private int failuresSinceSuccess;
 
     /** Creates a range of tasks that were never claimed. */
     public TaskRange(String job, int first, int size) {
@@ -54,7 +54,7 @@
         taskRange.stragglerMachines.putAll(stragglerMachines);
         taskRange.pullDurations.addAll(pullDurations);
         taskRange.runDurations.addAll(runDurations);
-        taskRange.errors = errors;
+        taskRange.failuresSinceSuccess = failuresSinceSuccess;
         return taskRange;
     }
 
@@ -84,12 +84,12 @@
     }
 
     /** Returns whether a task was stopped as a straggler, to be restarted on another machine. */
-    public boolean wasLate(int task) {
+    public boolean wasStraggler(int task) {
         return stragglerMachines.containsKey(task);
     }
 
     /** Returns the machine on which a task was last stopped as a straggler, or null. */
-    public String lateOn(int task) {
+    public String stragglerMachine(int task) {
         return stragglerMachines.get(task);
     }
 
@@ -104,8 +104,8 @@
     }
 
     /** Returns the number of failures since a task of the range last succeeded. */
-    public int errors() {
-        return errors;
+    public int failuresSinceSuccess() {
+        return failuresSinceSuccess;
     }
 
     /** Returns the tasks that are neither done nor claimed. */
@@ -138,7 +138,7 @@
         claims.remove(task);
         attempts.remove(task);
         done.set(task - first);
-        errors = 0;
+        failuresSinceSuccess = 0;
         if (pullSeconds >= 0) {
             pullDurations.add((int) Math.round(pullSeconds * TENTHS_PER_SECOND));
         }
@@ -159,7 +159,7 @@
             stragglerMachines.put(task, claim.machine());
         }
         if (failed) {
-            errors = Math.min(MAX_ERRORS, errors + 1);
+            failuresSinceSuccess = Math.min(MAX_FAILURES, failuresSinceSuccess + 1);
         }
     }
 
@@ -216,7 +216,7 @@
         claims.put(claim.task().index(), claim);
     }
 
-    void setErrors(int errors) {
-        this.errors = errors;
+    void setFailuresSinceSuccess(int failures) {
+        this.failuresSinceSuccess = failures;
     }
 }
--- a/src/main/java/org/havenford/storage/records/TaskRangeCodec.java
+++ b/src/main/java/org/havenford/storage/records/TaskRangeCodec.java
@@ -109,8 +109,8 @@
         }
         json.add(PULL_DURATIONS, encodeDurations(range.pullDurations()));
         json.add(RUN_DURATIONS, encodeDurations(range.runDurations()));
-        if (range.errors() > 0) {
-            json.addProperty(ERRORS, range.errors());
+        if (range.failuresSinceSuccess() > 0) {
+            json.addProperty(ERRORS, range.failuresSinceSuccess());
         }
         return json;
     }
@@ -182,7 +182,7 @@
         }
         decodeField(range, PULL_DURATIONS, () -> decodeDurations(json, PULL_DURATIONS, range.pullDurations()));
         decodeField(range, RUN_DURATIONS, () -> decodeDurations(json, RUN_DURATIONS, range.runDurations()));
-        range.setErrors((int) Json.countOr(json, ERRORS, 0));
+        range.setFailuresSinceSuccess((int) Json.countOr(json, ERRORS, 0));
     }
 
     private static void decodeField(TaskRange range, String field, FieldDecoder decoder)
--- a/src/test/java/org/havenford/golden/GoldenStoredValues.java
+++ b/src/test/java/org/havenford/golden/GoldenStoredValues.java
@@ -103,10 +103,11 @@
         values.put("live/job/j-1#together", job(together).header(false));
         values.put("live/job/j-1#apart", job(apart).header(false));
         values.put("live/job/j-1#awaits", job(dependent).header(false));
-        values.put("live/job/j-1#awaits-ready", job(dependent).readyHeader(TIMESTAMP.plusSeconds(9)));
+        values.put("live/job/j-1#awaits-ready", job(dependent).releasedHeader(TIMESTAMP.plusSeconds(9)));
         values.put(
                 "live/job/j-1#awaits-ready-cancelled",
-                Job.parse(job(dependent).readyHeader(TIMESTAMP.plusSeconds(9))).header(true));
+                Job.parse(job(dependent).releasedHeader(TIMESTAMP.plusSeconds(9)))
+                        .header(true));
         values.put("live/job/j-1#all-fields", job(full).header(false));
         for (String priority : List.of("production", "urgent", "low")) {
             JsonObject withPriority = plain.deepCopy();
--- a/src/test/java/org/havenford/storage/records/TaskRangeTest.java
+++ b/src/test/java/org/havenford/storage/records/TaskRangeTest.java
@@ -65,7 +65,7 @@
             TaskRange read = new TaskRange("j-1", 64, size)
                     .read(JsonParser.parseString(text).getAsJsonObject());
             assertEquals(List.copyOf(taskRange.claims()), List.copyOf(read.claims()));
-            assertEquals("host-000170", read.lateOn(70));
+            assertEquals("host-000170", read.stragglerMachine(70));
             assertEquals(
                     2,
                     read.claim(70, "host-1", 1, START, "").attempt(),
@@ -124,7 +124,7 @@
         assertTrue(waiting.awaitsDependencies());
         assertEquals(
                 Set.of("j-1", "j-2"), Job.parse(waiting.header(true)).spec().dependencies());
-        Job ready = Job.parse(waiting.readyHeader(START.plusSeconds(9)));
+        Job ready = Job.parse(waiting.releasedHeader(START.plusSeconds(9)));
         assertTrue(!ready.awaitsDependencies()
                 && ready.releasedAt().equals(START.plusSeconds(9))
                 && ready.deadline().equals(old.deadline()));
@@ -145,8 +145,8 @@
         assertEquals(taskRange.toJson(), read.toJson());
         assertEquals(1, read.doneCount());
         assertEquals(62, read.pendingCount());
-        assertEquals("host-2", read.lateOn(72));
-        assertNull(read.lateOn(70));
+        assertEquals("host-2", read.stragglerMachine(72));
+        assertNull(read.stragglerMachine(70));
     }
 
     @Test
