--- a/src/main/java/org/havenford/controller/ReplicaObserver.java
+++ b/src/main/java/org/havenford/controller/ReplicaObserver.java
@@ -45,7 +45,7 @@
 
     @Override
     public void memberChanged(String node, MemberRegistration registration, long modRevision) {
-        membership.memberChanged(node, registration, modRevision);
+        membership.registrationChanged(node, registration, modRevision);
     }
 
     @Override
--- a/src/main/java/org/havenford/coordination/jobs/CoordinationContext.java
+++ b/src/main/java/org/havenford/coordination/jobs/CoordinationContext.java
@@ -63,14 +63,14 @@
     }
 
     /**
-     * Encodes a task range for the store. The short form is used only once all controllers are known to read it: either
+     * Encodes a task range for the store. The compact form is used only once all controllers are known to read it: either
      * all of them have registered with a version that does, or the store has already lowered its limits, which happens
      * only after all controllers were upgraded.
      *
      * @return the value to store, or null if no encoding fits the value limit
      */
     public JsonObject toJson(TaskRange taskRange) {
-        boolean shortForm = membership.allReadShortForm() || writer().limitsLowered();
-        return taskRange.toJson(settings.valueBytes(), settings.presentValueBytes(), shortForm);
+        boolean compactForm = membership.allSupportCompactForm() || writer().limitsLowered();
+        return taskRange.toJson(settings.valueBytes(), settings.presentValueBytes(), compactForm);
     }
 }
--- a/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobDependencies.java
@@ -102,7 +102,7 @@
         DependencyStatus status = statusOf(job.spec().dependencies());
         return (status == DependencyStatus.UNFINISHED || status == DependencyStatus.DONE)
                 && context.membership()
-                        .replicaIsFresherThan(
+                        .isReplicaFresherThan(
                                 context.settings().cancellationLimit().dividedBy(2));
     }
 
--- a/src/main/java/org/havenford/coordination/membership/Membership.java
+++ b/src/main/java/org/havenford/coordination/membership/Membership.java
@@ -62,10 +62,10 @@
     }
 
     /**
-     * Returns whether every configured controller has been observed with a version that reads the short form of
+     * Returns whether every configured controller has been observed with a version that reads the compact form of
      * records. Controllers are never downgraded: a process restarts with the same version or a newer one.
      */
-    public boolean allReadShortForm() {
+    public boolean allSupportCompactForm() {
         return registry.allConfiguredSupportPipelines();
     }
 
@@ -144,11 +144,11 @@
      * therefore starts no tasks until the replica has confirmed a recent comparison.
      */
     public boolean mayStartTasks() {
-        return mayAnswerAgents() && replicaIsFresherThan(leaseDuration.dividedBy(2));
+        return mayAnswerAgents() && isReplicaFresherThan(leaseDuration.dividedBy(2));
     }
 
     /** Returns whether the replica is guaranteed to contain everything that was committed up to {@code age} ago. */
-    public boolean replicaIsFresherThan(Duration age) {
+    public boolean isReplicaFresherThan(Duration age) {
         return verification.isReplicaFresherThan(age, loop.now());
     }
 
@@ -172,7 +172,7 @@
     }
 
     /** Handles a changed registration; {@code registration} is null if the key was deleted. */
-    public void memberChanged(String member, MemberRegistration registration, long modRevision) {
+    public void registrationChanged(String member, MemberRegistration registration, long modRevision) {
         registry.registrationChanged(member, registration, modRevision);
     }
 
--- a/src/main/java/org/havenford/storage/ConditionalWriter.java
+++ b/src/main/java/org/havenford/storage/ConditionalWriter.java
@@ -123,9 +123,9 @@
             case CONFLICT -> lockUntilCaughtUp(result, keys);
             case STALE -> unlock(keys);
             case REJECTED -> {
-                boolean shortFormMayFit = !limitsLowered && largestValueBytes(transaction) > nextValueBytes;
-                limitsLowered |= shortFormMayFit;
-                loop.after(shortFormMayFit ? UNLOCK_DELAY : REJECTED_UNLOCK_DELAY, () -> unlock(keys));
+                boolean compactFormMayFit = !limitsLowered && largestValueBytes(transaction) > nextValueBytes;
+                limitsLowered |= compactFormMayFit;
+                loop.after(compactFormMayFit ? UNLOCK_DELAY : REJECTED_UNLOCK_DELAY, () -> unlock(keys));
             }
             default -> loop.after(UNLOCK_DELAY, () -> unlock(keys));
         }
--- a/src/test/java/org/havenford/golden/GoldenCalls.java
+++ b/src/test/java/org/havenford/golden/GoldenCalls.java
@@ -50,15 +50,15 @@
         return calls.recorded;
     }
 
-    /** Returns whether a member with this stored registration reads the short form of records, and whether evictions. */
+    /** Returns whether a member with this stored registration reads the compact form of records, and whether evictions. */
     public static String supportedFeatures(JsonElement stored) throws MalformedMessageException {
         MemberRegistration registration = MemberRegistration.parse(stored.getAsJsonObject());
         GoldenCalls calls = new GoldenCalls();
         Membership membership = calls.membership(Set.of("node-0"));
         TreeMap<String, Long> members = new TreeMap<>(Map.of("node-0", registration.incarnation()));
         membership.viewChanged(new ClusterView(4, members, new TreeMap<>(), new TreeSet<>()), 12);
-        membership.memberChanged("node-0", registration, 13);
-        return membership.allReadShortForm() + " " + membership.allSupportEvictions();
+        membership.registrationChanged("node-0", registration, 13);
+        return membership.allSupportCompactForm() + " " + membership.allSupportEvictions();
     }
 
     private Membership membership(Set<String> configured) {
@@ -111,7 +111,7 @@
         TreeMap<String, String> reassigned = new TreeMap<>(Map.of("host-000001", "node-1"));
         membership.viewChanged(new ClusterView(4, members, reassigned, new TreeSet<>(Set.of("node-1"))), 12);
         members.forEach((node, incarnation) -> {
-            membership.memberChanged(node, new MemberRegistration(incarnation, 3), 10 + incarnation);
+            membership.registrationChanged(node, new MemberRegistration(incarnation, 3), 10 + incarnation);
         });
         MemberEvictions evictions = new MemberEvictions(loop, store, replica, membership, "node-0");
         recordCall("challenge", () -> evictions.probe("node-1", 5, modRevision -> {}));
--- a/src/test/java/org/havenford/golden/GoldenStoredValues.java
+++ b/src/test/java/org/havenford/golden/GoldenStoredValues.java
@@ -40,7 +40,7 @@
     private static final Instant TIMESTAMP = Instant.ofEpochMilli(1_700_000_000_000L);
     private static final int LARGE_LIMIT = 16 * 1024;
     private static final int THINNED_LIMIT = 250;
-    private static final int SHORT_FORM_LIMIT = 900;
+    private static final int COMPACT_FORM_LIMIT = 900;
     private static final int FEWER_IMAGES_LIMIT = 255;
     private static final int FIRST_TASK = 64;
     private static final int RANGE_SIZE = 32;
@@ -146,7 +146,7 @@
         shortened.release(70, true, true);
         shortened.release(71, false, false);
         shortened.finish(72, 2, 30);
-        values.put("live/tasks/j-1/2#short", shortened.toJson(SHORT_FORM_LIMIT, SHORT_FORM_LIMIT, true));
+        values.put("live/tasks/j-1/2#short", shortened.toJson(COMPACT_FORM_LIMIT, COMPACT_FORM_LIMIT, true));
     }
 
     private static TaskRange newTaskRange() {
@@ -212,7 +212,7 @@
         } else if (key.startsWith(Keys.TASKS)) {
             return newTaskRange()
                     .read(value)
-                    .toJson(value.has("s") ? SHORT_FORM_LIMIT : LARGE_LIMIT, LARGE_LIMIT, true);
+                    .toJson(value.has("s") ? COMPACT_FORM_LIMIT : LARGE_LIMIT, LARGE_LIMIT, true);
         } else if (key.startsWith(Keys.MACHINES)) {
             return MachineBatch.parse(key.substring(Keys.MACHINES.length()), value)
                     .toJson();
