--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -223,8 +223,8 @@
         }
 
         @Override
-        public int ownedMachines(String node) {
-            return agentManager.ownedBy(node);
+        public int ownedMachineCount(String node) {
+            return agentManager.ownedMachineCount(node);
         }
     }
 
--- a/src/main/java/org/havenford/coordination/agents/AgentManager.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentManager.java
@@ -92,7 +92,7 @@
     }
 
     /** Returns how many of the recorded machines a node owns. */
-    public int ownedBy(String node) {
+    public int ownedMachineCount(String node) {
         int owned = 0;
         for (MachineRecord machine : context.clusterState().machines()) {
             if (node.equals(context.membership().owner(machine.name()))) {
--- a/src/main/java/org/havenford/coordination/membership/MembershipListener.java
+++ b/src/main/java/org/havenford/coordination/membership/MembershipListener.java
@@ -6,5 +6,5 @@
     void viewChanged();
 
     /** Returns the number of machines that a node owns in the current view. */
-    int ownedMachines(String node);
+    int ownedMachineCount(String node);
 }
--- a/src/main/java/org/havenford/coordination/membership/UnreachableMemberDetector.java
+++ b/src/main/java/org/havenford/coordination/membership/UnreachableMemberDetector.java
@@ -65,7 +65,7 @@
         double secondWorstFraction = 0;
         for (String owner : view.activeMembers()) {
             int count = countMisdirectedMachines(owner, now);
-            double fraction = count / (double) Math.max(1, listener.ownedMachines(owner));
+            double fraction = count / (double) Math.max(1, listener.ownedMachineCount(owner));
             if (fraction > worstFraction) {
                 secondWorstFraction = worstFraction;
                 worstFraction = fraction;
--- a/src/test/java/org/havenford/coordination/membership/UnreachableMemberDetectorTest.java
+++ b/src/test/java/org/havenford/coordination/membership/UnreachableMemberDetectorTest.java
@@ -27,7 +27,7 @@
                 public void viewChanged() {}
 
                 @Override
-                public int ownedMachines(String node) {
+                public int ownedMachineCount(String node) {
                     return 16;
                 }
             });
--- a/src/test/java/org/havenford/golden/GoldenCalls.java
+++ b/src/test/java/org/havenford/golden/GoldenCalls.java
@@ -71,7 +71,7 @@
             public void viewChanged() {}
 
             @Override
-            public int ownedMachines(String node) {
+            public int ownedMachineCount(String node) {
                 return 0;
             }
         });
