--- a/src/main/java/org/havenford/coordination/agents/AgentManager.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentManager.java
@@ -218,7 +218,7 @@
      * pass, because only their owners can judge them. The predicate stays valid until the view or the machine's condition
      * changes, which avoids looking up a thousand machines in each round.
      */
-    public Predicate<Instant> availability(MachineRecord machine) {
+    public Predicate<Instant> acceptsTasksAt(MachineRecord machine) {
         AgentState agent = registry.get(machine.name());
         if (agent != null) {
             return now -> healthMonitor.canTakeTasks(agent, now);
@@ -228,7 +228,7 @@
     }
 
     /** Returns whether a task failed on a machine and should not be placed there again. */
-    public boolean avoided(TaskId task, String machine) {
+    public boolean shouldAvoid(TaskId task, String machine) {
         AgentState agent = registry.get(machine);
         return agent != null && agent.avoids(task);
     }
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
@@ -109,7 +109,7 @@
             case ERROR -> {
                 LOG.info("task failed: task={} machine={}", claim.task(), agent.machine());
                 agent.avoid(claim.task());
-                faultDetector.failed(agent.machine(), claim.task().job());
+                faultDetector.recordFailure(agent.machine(), claim.task().job());
                 outcomes.recordOutcome(claim, AttemptOutcome.NotDone.FAILED);
             }
             case REFUSED_FOR_NOW -> {
@@ -136,7 +136,7 @@
     private void reconcileDone(AgentState agent, Claim claim, AttemptState attempt) {
         imageCache.recordUse(agent, clusterState.job(claim.task().job()));
         Duration runDuration = attempt.runDuration(loop);
-        faultDetector.succeeded(agent.machine());
+        faultDetector.recordSuccess(agent.machine());
         outcomes.recordOutcome(claim, new AttemptOutcome.Done(attempt.pullDuration(), runDuration));
     }
 }
--- a/src/main/java/org/havenford/coordination/agents/MachineFaultDetector.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineFaultDetector.java
@@ -35,12 +35,12 @@
     }
 
     /** Records the failure of a task of a job on a machine. */
-    public void failed(String machine, String job) {
+    public void recordFailure(String machine, String job) {
         byMachine.computeIfAbsent(machine, name -> new Failures()).unfinished.add(job);
     }
 
     /** Records that a task completed on a machine, which clears the failures of the machine. */
-    public void succeeded(String machine) {
+    public void recordSuccess(String machine) {
         byMachine.remove(machine);
     }
 
--- a/src/main/java/org/havenford/coordination/scheduling/ControllerMachineAvailability.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ControllerMachineAvailability.java
@@ -30,7 +30,7 @@
 
     @Override
     public Predicate<Instant> acceptsTasksAt(MachineRecord machine) {
-        return agentManager.availability(machine);
+        return agentManager.acceptsTasksAt(machine);
     }
 
     @Override
--- a/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
@@ -154,7 +154,7 @@
 
         @Override
         public boolean isAvoided(TaskId task, String machine) {
-            return agentManager.avoided(task, machine);
+            return agentManager.shouldAvoid(task, machine);
         }
 
         @Override
--- a/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
@@ -146,7 +146,7 @@
         for (String id : List.of("j-1", "j-2", "j-3")) {
             submit(id, "normal", 10);
             fail(id, 2);
-            faultDetector.failed("host-1", id);
+            faultDetector.recordFailure("host-1", id);
         }
         assertFalse(faultDetector.isFaulty("host-1"));
         Job cancelled = clusterState.job("j-1");
@@ -165,11 +165,11 @@
         submit("j-2", "normal", 10);
         attempt("j-1", 0, true);
         attempt("j-2", 0, true);
-        faultDetector.failed("host-1", "j-1");
-        faultDetector.succeeded("host-1");
-        faultDetector.failed("host-1", "j-2");
+        faultDetector.recordFailure("host-1", "j-1");
+        faultDetector.recordSuccess("host-1");
+        faultDetector.recordFailure("host-1", "j-2");
         assertFalse(faultDetector.isFaulty("host-1"));
-        faultDetector.failed("host-1", "j-1");
+        faultDetector.recordFailure("host-1", "j-1");
         assertTrue(faultDetector.isFaulty("host-1"));
     }
 }
