--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -217,7 +217,7 @@
         @Override
         public void viewChanged() {
             agentManager.viewChanged();
-            scheduler.allChanged();
+            scheduler.invalidateAllMachines();
             evictions.viewChanged();
             standbyAccess.viewChanged();
         }
@@ -232,7 +232,7 @@
     private final class AgentObserver implements AgentListener {
         @Override
         public void capacityChanged(String machine) {
-            scheduler.machineChanged(machine);
+            scheduler.invalidateMachine(machine);
         }
 
         @Override
--- a/src/main/java/org/havenford/controller/ReplicaObserver.java
+++ b/src/main/java/org/havenford/controller/ReplicaObserver.java
@@ -56,7 +56,7 @@
     @Override
     public void machineChanged(String machine) {
         agentManager.machineChanged(machine);
-        scheduler.machineChanged(machine);
+        scheduler.invalidateMachine(machine);
     }
 
     @Override
--- a/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
@@ -94,12 +94,12 @@
     }
 
     /** Marks the free capacity of a machine as stale after a change of its record, its claims or their outcomes. */
-    public void machineChanged(String machine) {
+    public void invalidateMachine(String machine) {
         planner.invalidateMachine(machine);
     }
 
     /** Marks the free capacity of all machines as stale after a change of the view or of the machine types. */
-    public void allChanged() {
+    public void invalidateAllMachines() {
         planner.invalidateAllMachines();
     }
 }
