--- a/src/main/java/org/havenford/coordination/quota/QuotaAllocator.java
+++ b/src/main/java/org/havenford/coordination/quota/QuotaAllocator.java
@@ -78,7 +78,7 @@
     }
 
     /** Adds the charge of a claim that is being sent. */
-    public void add(Charge charge) {
+    public void addCharge(Charge charge) {
         pendingCharges.add(charge);
     }
 
@@ -86,7 +86,7 @@
      * Removes a charge after the outcome of its claim has become known. The resources of a committed claim are then
      * counted from the replica.
      */
-    public void remove(Charge charge) {
+    public void removeCharge(Charge charge) {
         pendingCharges.remove(charge);
     }
 
@@ -111,7 +111,7 @@
 
     /** Returns the resources of a team's claims that are charged to this controller, including pending claims. */
     private Resources ownUsage(String team) {
-        Resources sum = clusterState.charged(team, settings.node());
+        Resources sum = clusterState.usage(team, settings.node());
         for (Charge charge : pendingCharges) {
             if (charge.team().equals(team)) {
                 sum = sum.plus(charge.resources());
@@ -151,14 +151,14 @@
             starvedTeams.add(team.name());
         }
         if (allowed > 0 && !fits(usage, perTask, allowed, share)) {
-            TeamQuota updated = quota.with(settings.node(), extended).withStarved(settings.node(), starved);
+            TeamQuota updated = quota.withShare(settings.node(), extended).withStarved(settings.node(), starved);
             transaction.put(key, updated.toJson());
         }
         return allowed;
     }
 
     private static boolean fits(Resources usage, Resources perTask, int tasks, Resources share) {
-        return usage.plus(perTask.times(tasks)).within(share);
+        return usage.plus(perTask.times(tasks)).fitsWithin(share);
     }
 
     /**
@@ -200,7 +200,7 @@
         nextRebalance = now.plus(REBALANCE_INTERVAL);
         for (PlatformSettings.Team team : settings.teams().values()) {
             String key = Keys.team(team.name());
-            if (team.limited() && !writer.isLocked(key)) {
+            if (team.isLimited() && !writer.isLocked(key)) {
                 rebalance(team, key);
             }
         }
@@ -237,11 +237,11 @@
         }
         boolean othersStarved = quota.starvedHolders().stream().anyMatch(node -> !node.equals(self));
         Resources unused = share.minus(usage).max(Resources.NONE);
-        if (othersStarved && !starved && !unused.within(Resources.NONE)) {
+        if (othersStarved && !starved && !unused.fitsWithin(Resources.NONE)) {
             // Returns only a fraction unless little is unused, since this controller also receives new tasks.
-            boolean unusedIsSmall = unused.within(increment(team));
-            updated =
-                    updated.with(self, unusedIsSmall ? usage.min(share) : share.minus(unused.times(RETURNED_FRACTION)));
+            boolean unusedIsSmall = unused.fitsWithin(increment(team));
+            updated = updated.withShare(
+                    self, unusedIsSmall ? usage.min(share) : share.minus(unused.times(RETURNED_FRACTION)));
         }
         return updated;
     }
@@ -250,10 +250,11 @@
     private TeamQuota withoutFormerMembers(PlatformSettings.Team team, TeamQuota quota, TeamQuota updated) {
         TeamQuota result = updated;
         for (String holder : quota.holders()) {
-            Resources charged = clusterState.charged(team.name(), holder);
+            Resources charged = clusterState.usage(team.name(), holder);
             boolean isMember = membership.view().members().containsKey(holder);
-            if (!isMember && !quota.share(holder).within(charged)) {
-                result = result.with(holder, charged.min(quota.share(holder))).withStarved(holder, false);
+            if (!isMember && !quota.share(holder).fitsWithin(charged)) {
+                result = result.withShare(holder, charged.min(quota.share(holder)))
+                        .withStarved(holder, false);
             }
         }
         return result;
--- a/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
@@ -46,7 +46,7 @@
         requireRevision(Keys.job(job.id()), draft);
         requireRevision(draft.taskRangeKey, draft);
         PlatformSettings.Team team = context.settings().teams().get(job.spec().team());
-        boolean limited = team != null && team.limited();
+        boolean limited = team != null && team.isLimited();
         int allowed = limited ? allocateQuota(draft, team, planned.size()) : planned.size();
         if (PlacementRules.dependsOnOtherTasks(job.spec())) {
             rewriteHeader(draft);
@@ -105,7 +105,7 @@
                 draft.taskRangeKey,
                 context.modRevision(draft.taskRangeKey),
                 viewRevision);
-        quotaAllocator.add(draft.charge);
+        quotaAllocator.addCharge(draft.charge);
     }
 
     private void addClaims(ClaimDraft draft, List<Placement> placements, String quotaHolder) {
--- a/src/main/java/org/havenford/coordination/scheduling/JobOrder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/JobOrder.java
@@ -163,7 +163,7 @@
             Resources needed = new Resources(job.spec().cpus(), job.spec().gpus()).times(left);
             Resources sum = used.merge(job.spec().team(), needed, Resources::plus);
             PlatformSettings.Team team = settings.teams().get(job.spec().team());
-            if (team != null && team.cpus() > 0 && sum.within(new Resources(team.cpus(), team.gpus()))) {
+            if (team != null && team.cpus() > 0 && sum.fitsWithin(new Resources(team.cpus(), team.gpus()))) {
                 guaranteed.add(job.id());
             }
         }
--- a/src/main/java/org/havenford/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/JobPlacer.java
@@ -78,7 +78,7 @@
 
     private boolean isLimited(JobSpec spec) {
         PlatformSettings.Team team = settings.teams().get(spec.team());
-        return team != null && team.limited();
+        return team != null && team.isLimited();
     }
 
     private static Resources perTask(JobSpec spec) {
--- a/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
@@ -214,7 +214,7 @@
     private void onOutcome(ClaimDraft draft, List<String> claimedMachines, StoreOutcome outcome) {
         claimedMachines.forEach(machine -> removeInFlight(machine, draft.job.spec()));
         if (draft.charge != null && outcome != StoreOutcome.UNKNOWN) {
-            quotaAllocator.remove(draft.charge);
+            quotaAllocator.removeCharge(draft.charge);
         }
         if (outcome == StoreOutcome.CONFLICT) {
             contendedUntil = context.loop().now().plus(CONTENTION_PERIOD);
--- a/src/main/java/org/havenford/settings/OperatorSettings.java
+++ b/src/main/java/org/havenford/settings/OperatorSettings.java
@@ -61,7 +61,7 @@
             case NEVER -> false;
             case UNMETERED ->
                 settings.teams().values().stream()
-                        .noneMatch(team -> team.limited() || team.cpus() > 0 || team.gpus() > 0);
+                        .noneMatch(team -> team.isLimited() || team.cpus() > 0 || team.gpus() > 0);
         };
     }
 
--- a/src/main/java/org/havenford/settings/PlatformSettings.java
+++ b/src/main/java/org/havenford/settings/PlatformSettings.java
@@ -65,7 +65,7 @@
     /** The guaranteed resources and the limits of a team; a limit of 0 means that there is none. */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
         /** Returns whether the team has a limit. */
-        public boolean limited() {
+        public boolean isLimited() {
             return cpusMax > 0 || gpusMax > 0;
         }
     }
--- a/src/main/java/org/havenford/storage/ClusterState.java
+++ b/src/main/java/org/havenford/storage/ClusterState.java
@@ -186,7 +186,7 @@
     }
 
     /** Returns the resources held by those claims of a team that are charged to one controller's share. */
-    public Resources charged(String team, String quotaHolder) {
+    public Resources usage(String team, String quotaHolder) {
         return claimIndex.usage(team, quotaHolder);
     }
 
--- a/src/main/java/org/havenford/storage/records/TeamQuota.java
+++ b/src/main/java/org/havenford/storage/records/TeamQuota.java
@@ -50,7 +50,7 @@
         }
 
         /** Returns whether neither the CPUs nor the GPUs exceed those of the other amount. */
-        public boolean within(Resources other) {
+        public boolean fitsWithin(Resources other) {
             return cpus <= other.cpus + TOLERANCE && gpus <= other.gpus + TOLERANCE;
         }
     }
@@ -94,9 +94,9 @@
     }
 
     /** Returns the quota with another share for one controller. */
-    public TeamQuota with(String node, Resources share) {
+    public TeamQuota withShare(String node, Resources share) {
         TeamQuota changed = copy();
-        if (share.within(Resources.NONE)) {
+        if (share.fitsWithin(Resources.NONE)) {
             changed.shares.remove(node);
         } else {
             changed.shares.put(node, share);
--- a/src/test/java/org/havenford/golden/GoldenStoredValues.java
+++ b/src/test/java/org/havenford/golden/GoldenStoredValues.java
@@ -58,8 +58,8 @@
         values.put(
                 "live/team/red#shared",
                 new TeamQuota()
-                        .with("node-0", new TeamQuota.Resources(32, 0))
-                        .with("node-1", new TeamQuota.Resources(8.5, 2))
+                        .withShare("node-0", new TeamQuota.Resources(32, 0))
+                        .withShare("node-1", new TeamQuota.Resources(8.5, 2))
                         .withStarved("node-0", true)
                         .toJson());
         values.put("final/j-1#done", FinalState.of(FinalState.Status.DONE, 7).toJson());
