--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -150,8 +150,8 @@
 
     private ControllerStatistics createStatistics(PipelineMetrics pipelineMetrics) {
         List<ControllerStatistics.Section> sections = List.of(
-                new ControllerStatistics.Section("store", () -> Optional.of(store.statistics())),
-                new ControllerStatistics.Section("pipelines", () -> Optional.of(pipelineMetrics.summary())),
+                new ControllerStatistics.Section("store", () -> Optional.of(store.takeSummary())),
+                new ControllerStatistics.Section("pipelines", () -> Optional.of(pipelineMetrics.takeSummary())),
                 new ControllerStatistics.Section("links", () -> Optional.of(linkMonitor.summary())),
                 new ControllerStatistics.Section("booting machines", () -> Optional.ofNullable(provisioner.summary())));
         return new ControllerStatistics(loop, scheduler, agentManager, clusterState, sections);
--- a/src/main/java/org/havenford/coordination/jobs/CoordinationContext.java
+++ b/src/main/java/org/havenford/coordination/jobs/CoordinationContext.java
@@ -69,7 +69,7 @@
      *
      * @return the value to store, or null if no encoding fits the value limit
      */
-    public JsonObject toJson(TaskRange taskRange) {
+    public JsonObject encodeTaskRange(TaskRange taskRange) {
         boolean compactForm = membership.allSupportCompactForm() || writer().limitsLowered();
         return taskRange.toJson(settings.valueBytes(), settings.presentValueBytes(), compactForm);
     }
--- a/src/main/java/org/havenford/coordination/jobs/PipelineMetrics.java
+++ b/src/main/java/org/havenford/coordination/jobs/PipelineMetrics.java
@@ -21,7 +21,7 @@
     }
 
     /** Records the delay between the end of the last dependency of a job and its first claim. */
-    public void firstClaim(Instant lastDependencyEnd, Instant now) {
+    public void recordFirstClaim(Instant lastDependencyEnd, Instant now) {
         record(firstClaimDelays, lastDependencyEnd, now);
     }
 
@@ -31,7 +31,7 @@
     }
 
     /** Returns the delays recorded since the last call as {@code key=value} pairs, and resets the histograms. */
-    public String summary() {
+    public String takeSummary() {
         String summary = describe("release", releaseDelays) + " " + describe("firstClaim", firstClaimDelays);
         releaseDelays.reset();
         firstClaimDelays.reset();
--- a/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
@@ -57,7 +57,7 @@
         List<Placement> permitted = PlacementGuard.permitted(job, planned.subList(0, allowed), context.clusterState());
         draft.releaseEnded(agentManager.outcomes());
         addClaims(draft, permitted, limited ? context.node() : "");
-        JsonObject taskRange = draft.claimedTasks() == 0 ? null : context.toJson(draft.taskRange());
+        JsonObject taskRange = draft.claimedTasks() == 0 ? null : context.encodeTaskRange(draft.taskRange());
         if (taskRange == null) {
             return Optional.empty();
         }
--- a/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
@@ -207,7 +207,7 @@
         context.loop().after(Duration.ZERO, () -> draft.machines.forEach(agentManager::sendCommands));
         if (draft.firstAfterRelease) {
             context.pipelineMetrics()
-                    .firstClaim(draft.job.releasedAt(), context.loop().timeOfDay());
+                    .recordFirstClaim(draft.job.releasedAt(), context.loop().timeOfDay());
         }
     }
 
--- a/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
@@ -148,7 +148,7 @@
             transaction.delete(key);
             onCompletion = jobCompletion.addCompletion(job, FinalState.Status.DONE, transaction, locks);
         } else {
-            JsonObject value = context.toJson(updated);
+            JsonObject value = context.encodeTaskRange(updated);
             if (value == null) {
                 // The value exceeds the size limit in every form, as the previous version wrote it larger. It fits once
                 // more of its tasks have ended.
--- a/src/main/java/org/havenford/storage/StoreClient.java
+++ b/src/main/java/org/havenford/storage/StoreClient.java
@@ -65,7 +65,7 @@
     }
 
     /** Returns counts of the calls since the last summary as {@code key=value} pairs for the log, and resets them. */
-    public String statistics() {
+    public String takeSummary() {
         return statistics.takeSummary(queued(CallPriority.WORK) + queued(CallPriority.CLAIM), budget.share());
     }
 
