--- a/src/main/java/org/havenford/Main.java
+++ b/src/main/java/org/havenford/Main.java
@@ -173,7 +173,7 @@
                                 maxConnections / 2,
                                 maxConnections
                                         - reservedConnections
-                                        - (serverHolder[0] == null ? 0 : serverHolder[0].open()))));
+                                        - (serverHolder[0] == null ? 0 : serverHolder[0].openConnections()))));
         Controller controller = new Controller(loop, client, settings, operatorSettings);
         int colon = settings.bind().lastIndexOf(':');
         serverHolder[0] = new HttpServer(
--- a/src/main/java/org/havenford/coordination/jobs/JobApiResponses.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobApiResponses.java
@@ -41,7 +41,7 @@
 
     /** Returns a 503 response with a {@code Retry-After} header, for requests that cannot be answered reliably now. */
     static Response retryLater() {
-        return Response.comeBack(RETRY_AFTER);
+        return Response.unavailable(RETRY_AFTER);
     }
 
     static Response accepted(String jobId) {
--- a/src/main/java/org/havenford/transport/HttpServer.java
+++ b/src/main/java/org/havenford/transport/HttpServer.java
@@ -30,7 +30,7 @@
         }
 
         /** Returns a 503 with a Retry-After header that closes the connection, so that a retry may reach another node. */
-        public static Response comeBack(Duration after) {
+        public static Response unavailable(Duration after) {
             return new Response(503, "{\"error\":\"not ready\"}", after, true);
         }
     }
@@ -72,7 +72,7 @@
     }
 
     /** Returns the number of open inbound connections. */
-    public int open() {
+    public int openConnections() {
         return (int) server.getListenerInfo().get(0).getConnectorStatistics().getActiveConnections();
     }
 
@@ -81,7 +81,7 @@
      * too may have more agents than connections.
      */
     private boolean isNearConnectionLimit() {
-        return open() > maxConnections * KEEP_ALIVE_SHARE;
+        return openConnections() > maxConnections * KEEP_ALIVE_SHARE;
     }
 
     private void receive(HttpServerExchange exchange, Handler handler) {
@@ -107,7 +107,7 @@
             handler.handle(request, response -> respond(exchange, response));
         } catch (RuntimeException e) {
             LOG.error("request handler failed: method={} path={}", request.method(), request.path(), e);
-            respond(exchange, Response.comeBack(Duration.ofSeconds(1)));
+            respond(exchange, Response.unavailable(Duration.ofSeconds(1)));
         }
     }
 
