--- a/src/main/java/org/havenford/coordination/agents/AgentManager.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentManager.java
@@ -79,7 +79,7 @@
      * Heartbeats that are no newer than the last one of the former owner are then rejected as outdated, even before the
      * agent has reported to this controller.
      */
-    public void contact(AgentContact contact) {
+    public void contactAgent(AgentContact contact) {
         if (!context.membership().mayAnswerAgents() || !context.owns(contact.machine())) {
             return;
         }
--- a/src/main/java/org/havenford/coordination/failover/StandbyAccess.java
+++ b/src/main/java/org/havenford/coordination/failover/StandbyAccess.java
@@ -104,13 +104,13 @@
     }
 
     @Override
-    public void probe(String node, long incarnation, LongConsumer callback) {
-        evictions.probe(node, incarnation, callback);
+    public void createLivenessProbe(String node, long incarnation, LongConsumer callback) {
+        evictions.createLivenessProbe(node, incarnation, callback);
     }
 
     @Override
-    public boolean probeIsUnanswered(String node, long probeRevision) {
-        return evictions.probeIsUnanswered(node, probeRevision);
+    public boolean isProbeUnanswered(String node, long probeRevision) {
+        return evictions.isProbeUnanswered(node, probeRevision);
     }
 
     @Override
@@ -129,19 +129,19 @@
     }
 
     @Override
-    public int urgency(String machine) {
-        int mostUrgent = JobSpec.Priority.values().length;
+    public int priorityRank(String machine) {
+        int rank = JobSpec.Priority.values().length;
         for (Claim claim : clusterState.claimsOn(machine).values()) {
             Job job = clusterState.job(claim.task().job());
             if (job != null) {
-                mostUrgent = Math.min(mostUrgent, job.spec().priority().ordinal());
+                rank = Math.min(rank, job.spec().priority().ordinal());
             }
         }
-        return mostUrgent;
+        return rank;
     }
 
     @Override
-    public void contact(AgentContact contact) {
-        agentManager.contact(contact);
+    public void contactAgent(AgentContact contact) {
+        agentManager.contactAgent(contact);
     }
 }
--- a/src/main/java/org/havenford/coordination/failover/StandbyHost.java
+++ b/src/main/java/org/havenford/coordination/failover/StandbyHost.java
@@ -56,10 +56,10 @@
      *
      * @param callback receives the mod revision of the probe, or 0 if it was not created
      */
-    void probe(String node, long incarnation, LongConsumer callback);
+    void createLivenessProbe(String node, long incarnation, LongConsumer callback);
 
     /** Returns whether, according to the replica, a probe has been neither answered nor replaced nor withdrawn. */
-    boolean probeIsUnanswered(String node, long probeRevision);
+    boolean isProbeUnanswered(String node, long probeRevision);
 
     /** Withdraws a probe by deleting its key, unless the key has changed since. */
     void withdrawProbe(String node, long probeRevision);
@@ -78,14 +78,14 @@
     List<AgentContact> agentContacts();
 
     /**
-     * Returns the urgency of the most urgent claim on a machine; 0 is the highest, and the largest value means no
-     * claims.
+     * Returns the rank of the highest priority among the claims on a machine; 0 is the highest priority, and the
+     * largest value means no claims.
      */
-    int urgency(String machine);
+    int priorityRank(String machine);
 
     /**
      * Sends this node's fencing token to the agent of a machine that this node has taken over. The agent answers with
      * its status.
      */
-    void contact(AgentContact contact);
+    void contactAgent(AgentContact contact);
 }
--- a/src/main/java/org/havenford/coordination/membership/MemberEvictions.java
+++ b/src/main/java/org/havenford/coordination/membership/MemberEvictions.java
@@ -76,7 +76,7 @@
      *
      * @param callback receives the mod revision of the probe, or 0 if it was not created
      */
-    public void probe(String member, long incarnation, LongConsumer callback) {
+    public void createLivenessProbe(String member, long incarnation, LongConsumer callback) {
         Instant observedAt = unansweredProbeTimes.get(member);
         if (observedAt != null && loop.now().isBefore(observedAt.plus(PROBE_TIMEOUT))) {
             // Replacing another member's probe would make that member's eviction fail, so that concurrent evictions of
@@ -98,7 +98,7 @@
     }
 
     /** Returns whether, according to the replica, a probe has been neither answered nor replaced nor withdrawn. */
-    public boolean probeIsUnanswered(String member, long probeRevision) {
+    public boolean isProbeUnanswered(String member, long probeRevision) {
         return replica.modRevision(Keys.livenessProbe(member)) == probeRevision;
     }
 
--- a/src/main/java/org/havenford/standby/FailoverContacts.java
+++ b/src/main/java/org/havenford/standby/FailoverContacts.java
@@ -87,7 +87,7 @@
         while (!pending.isEmpty()
                 && sent < MAX_CONTACTS_PER_ROUND
                 && host.loop().now().isBefore(roundStart.plus(ROUND_BUDGET))) {
-            host.contact(pending.poll());
+            host.contactAgent(pending.poll());
             sent++;
         }
     }
--- a/src/main/java/org/havenford/standby/FailoverCoordinator.java
+++ b/src/main/java/org/havenford/standby/FailoverCoordinator.java
@@ -150,7 +150,7 @@
             return;
         }
         suspicion.phase = Phase.CREATING_PROBE;
-        host.probe(node, suspicion.incarnation, modRevision -> {
+        host.createLivenessProbe(node, suspicion.incarnation, modRevision -> {
             if (modRevision == 0) {
                 // Another member has a probe outstanding, the view has changed, or the store is unreachable.
                 suspicions.remove(node, suspicion);
@@ -168,7 +168,7 @@
         Duration suspectedFor =
                 Duration.between(suspicion.suspectedAt, host.loop().now());
         host.evict(node, suspicion.incarnation, suspicion.probeRevision, committed -> {
-            if (!committed && host.probeIsUnanswered(node, suspicion.probeRevision)) {
+            if (!committed && host.isProbeUnanswered(node, suspicion.probeRevision)) {
                 // The view changed in the meantime, for example by a reassignment of machines. The probe stays
                 // valid under the new view, so the eviction is retried with the same probe.
                 suspicion.phase = Phase.AWAITING_ANSWER;
--- a/src/main/java/org/havenford/standby/WarmStandby.java
+++ b/src/main/java/org/havenford/standby/WarmStandby.java
@@ -198,7 +198,7 @@
         }
         List<AgentContact> takenOver = follower.contacts();
         takenOver.removeIf(contact -> !settings.node().equals(view.owner(contact.machine())));
-        takenOver.sort(Comparator.comparingInt(contact -> host.urgency(contact.machine())));
+        takenOver.sort(Comparator.comparingInt(contact -> host.priorityRank(contact.machine())));
         failoverContacts.begin(node, takenOver, follower.openDecisions());
     }
 }
--- a/src/test/java/org/havenford/golden/GoldenCalls.java
+++ b/src/test/java/org/havenford/golden/GoldenCalls.java
@@ -114,7 +114,7 @@
             membership.registrationChanged(node, new MemberRegistration(incarnation, 3), 10 + incarnation);
         });
         MemberEvictions evictions = new MemberEvictions(loop, store, replica, membership, "node-0");
-        recordCall("challenge", () -> evictions.probe("node-1", 5, modRevision -> {}));
+        recordCall("challenge", () -> evictions.createLivenessProbe("node-1", 5, modRevision -> {}));
         LivenessProbe probe = LivenessProbe.parse(valueWritten("challenge", Keys.livenessProbe("node-1")));
         recordCall("challenge-answer", () -> evictions.livenessProbeChanged("node-0", probe, 30));
         recordCall("challenge-withdrawal", () -> evictions.withdrawProbe("node-1", 31));
--- a/src/test/java/org/havenford/standby/FailoverCoordinatorTest.java
+++ b/src/test/java/org/havenford/standby/FailoverCoordinatorTest.java
@@ -34,13 +34,13 @@
         }
 
         @Override
-        public void probe(String node, long incarnation, LongConsumer created) {
+        public void createLivenessProbe(String node, long incarnation, LongConsumer created) {
             calls.add("probe " + node);
             created.accept(11);
         }
 
         @Override
-        public boolean probeIsUnanswered(String node, long probeRevision) {
+        public boolean isProbeUnanswered(String node, long probeRevision) {
             return probeUnanswered;
         }
 
--- a/src/test/java/org/havenford/standby/FakeHost.java
+++ b/src/test/java/org/havenford/standby/FakeHost.java
@@ -56,10 +56,10 @@
     }
 
     @Override
-    public void probe(String node, long incarnation, LongConsumer created) {}
+    public void createLivenessProbe(String node, long incarnation, LongConsumer created) {}
 
     @Override
-    public boolean probeIsUnanswered(String node, long probeRevision) {
+    public boolean isProbeUnanswered(String node, long probeRevision) {
         return true;
     }
 
@@ -75,10 +75,10 @@
     }
 
     @Override
-    public int urgency(String machine) {
+    public int priorityRank(String machine) {
         return 0;
     }
 
     @Override
-    public void contact(AgentContact contact) {}
+    public void contactAgent(AgentContact contact) {}
 }
