--- a/src/main/java/org/havenford/standby/WarmStandby.java
+++ b/src/main/java/org/havenford/standby/WarmStandby.java
@@ -165,14 +165,14 @@
     }
 
     @Override
-    public long committing(List<String> keys) {
+    public long commitStarted(List<String> keys) {
         long number = decisions.begin(keys);
         links.values().forEach(link -> link.sendIntent(number, keys));
         return number;
     }
 
     @Override
-    public void finished(long number, StoreOutcome outcome, long revision) {
+    public void commitFinished(long number, StoreOutcome outcome, long revision) {
         decisions.end(number);
         boolean known = outcome != StoreOutcome.UNKNOWN;
         links.values().forEach(link -> link.send(new Outcome(number, known, revision)));
--- a/src/main/java/org/havenford/storage/StoreClient.java
+++ b/src/main/java/org/havenford/storage/StoreClient.java
@@ -117,9 +117,9 @@
 
     private Consumer<StoreResult> withObserver(Transaction transaction, Consumer<StoreResult> callback) {
         CommitObserver observer = commitObserver;
-        long number = observer.committing(transaction.changedKeys());
+        long number = observer.commitStarted(transaction.changedKeys());
         return result -> {
-            observer.finished(number, result.outcome(), result.ok() ? result.revision() : 0);
+            observer.commitFinished(number, result.outcome(), result.ok() ? result.revision() : 0);
             callback.accept(result);
         };
     }
