--- a/src/main/java/org/havenford/coordination/provisioning/BootTimeEstimator.java
+++ b/src/main/java/org/havenford/coordination/provisioning/BootTimeEstimator.java
@@ -104,7 +104,7 @@
         for (MachineRecord machine : clusterState.machines()) {
             OfferBootStats stats =
                     updatedStats.computeIfAbsent(InstanceOffer.of(machine), offer -> new OfferBootStats());
-            Instant launchedAt = clusterState.rentedAt(machine.name());
+            Instant launchedAt = clusterState.launchedAt(machine.name());
             stats.recordLaunch(launchedAt);
             if (machine.condition() != Condition.BOOTING) {
                 stats.recordCameUp(launchedAt);
@@ -119,7 +119,7 @@
     private void recordBootTimes() {
         for (MachineRecord machine : clusterState.machines()) {
             if (machine.condition() == Condition.BOOTING) {
-                bootingSince.putIfAbsent(machine.name(), clusterState.rentedAt(machine.name()));
+                bootingSince.putIfAbsent(machine.name(), clusterState.launchedAt(machine.name()));
             } else if (machine.condition() == Condition.UP && bootingSince.containsKey(machine.name())) {
                 ArrayDeque<Duration> boots =
                         recentBoots.computeIfAbsent(InstanceOffer.of(machine), offer -> new ArrayDeque<>());
@@ -157,7 +157,7 @@
     }
 
     private Duration timeSinceLaunch(MachineRecord machine) {
-        return Duration.between(clusterState.rentedAt(machine.name()), updatedAt);
+        return Duration.between(clusterState.launchedAt(machine.name()), updatedAt);
     }
 
     /**
--- a/src/main/java/org/havenford/coordination/provisioning/CapacityDemand.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CapacityDemand.java
@@ -44,7 +44,7 @@
      * first. A kind that the cloud has recently refused in all its zones ({@code exhausted}) is used only up to the
      * number of machines that are {@code present}.
      */
-    public static Object2DoubleOpenHashMap<InstanceKind> machines(
+    public static Object2DoubleOpenHashMap<InstanceKind> requiredMachines(
             List<TaskDemand> taskDemands,
             Map<String, MachineType> types,
             Predicate<InstanceKind> exhausted,
--- a/src/main/java/org/havenford/coordination/provisioning/MachineBatchChange.java
+++ b/src/main/java/org/havenford/coordination/provisioning/MachineBatchChange.java
@@ -45,7 +45,9 @@
         for (String name : clusterState.batchesOf(machine)) {
             changedBatches.put(
                     name,
-                    changedBatches.getOrDefault(name, clusterState.batch(name)).with(machine, serviceState));
+                    changedBatches
+                            .getOrDefault(name, clusterState.batch(name))
+                            .withServiceState(machine, serviceState));
         }
         machines.add(machine);
         return true;
@@ -59,7 +61,7 @@
                         name,
                         changedBatches
                                 .getOrDefault(name, clusterState.batch(name))
-                                .without(List.of(machine)));
+                                .withoutMachines(List.of(machine)));
             }
         }
     }
--- a/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
+++ b/src/main/java/org/havenford/coordination/provisioning/Provisioner.java
@@ -5,7 +5,7 @@
 import java.time.Instant;
 import java.util.List;
 import org.havenford.coordination.membership.Membership;
-import org.havenford.coordination.provisioning.TaskDemandEstimator.Pace;
+import org.havenford.coordination.provisioning.TaskDemandEstimator.DemandScope;
 import org.havenford.storage.ClusterState;
 import org.havenford.storage.records.InstanceRequest;
 import org.havenford.storage.records.MachineRecord;
@@ -113,8 +113,8 @@
         ClusterState clusterState = context.clusterState();
         InstanceCounts present = countPresentMachines();
         Instant timeOfDay = context.loop().timeOfDay();
-        List<TaskDemand> allTaskDemands = taskDemands(timeOfDay, Pace.ALL_AT_ONCE);
-        List<TaskDemand> neededTaskDemands = taskDemands(timeOfDay, Pace.AS_NEEDED);
+        List<TaskDemand> allTaskDemands = taskDemands(timeOfDay, DemandScope.ALL_AT_ONCE);
+        List<TaskDemand> neededTaskDemands = taskDemands(timeOfDay, DemandScope.AS_NEEDED);
         MachineDemand demand = new MachineDemand(
                 requiredMachines(allTaskDemands, now, present), requiredMachines(neededTaskDemands, now, present));
         InstanceCounts wanted = fleetSizeTarget.wanted(
@@ -133,8 +133,8 @@
         scaleIn.retireSurplusMachines(now, wanted, present);
     }
 
-    private List<TaskDemand> taskDemands(Instant timeOfDay, Pace pace) {
-        return TaskDemandEstimator.estimate(context.clusterState(), context.settings(), timeOfDay, pace);
+    private List<TaskDemand> taskDemands(Instant timeOfDay, DemandScope scope) {
+        return TaskDemandEstimator.estimate(context.clusterState(), context.settings(), timeOfDay, scope);
     }
 
     /** Counts the machines that are up, silent, booting and not overdue, or requested. */
@@ -176,12 +176,12 @@
 
     private Object2DoubleOpenHashMap<InstanceKind> requiredMachines(
             List<TaskDemand> demands, Instant now, InstanceCounts present) {
-        return CapacityDemand.machines(
+        return CapacityDemand.requiredMachines(
                 demands, context.clusterState().types(), kind -> isExhausted(kind, now), present);
     }
 
     private Object2DoubleOpenHashMap<InstanceOffer> zoneDemand(List<TaskDemand> demands, Instant now) {
-        return ZoneDemand.machines(
+        return ZoneDemand.requiredMachines(
                 demands, context.clusterState().types(), offer -> capacityRefusals.wasRecentlyRefused(offer, now));
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/TaskDemandEstimator.java
+++ b/src/main/java/org/havenford/coordination/provisioning/TaskDemandEstimator.java
@@ -18,7 +18,7 @@
 /** Estimates how many tasks of each unfinished job should be able to run at the same time. */
 public final class TaskDemandEstimator {
     /** How many of a job's unfinished tasks are counted. */
-    public enum Pace {
+    public enum DemandScope {
         /** All unfinished tasks, as if they were to run at the same time. */
         ALL_AT_ONCE,
         /**
@@ -45,21 +45,22 @@
     private final ClusterState clusterState;
     private final PlatformSettings settings;
     private final Instant timeOfDay;
-    private final Pace pace;
+    private final DemandScope scope;
     private final Map<String, Double> usedCpusByTeam = new HashMap<>();
     private final Map<String, Integer> suspectCountByTypes = new HashMap<>();
 
-    private TaskDemandEstimator(ClusterState clusterState, PlatformSettings settings, Instant timeOfDay, Pace pace) {
+    private TaskDemandEstimator(
+            ClusterState clusterState, PlatformSettings settings, Instant timeOfDay, DemandScope scope) {
         this.clusterState = clusterState;
         this.settings = settings;
         this.timeOfDay = timeOfDay;
-        this.pace = pace;
+        this.scope = scope;
     }
 
     /** Returns the demand of each job that may run now, in the order of {@link ClusterState#jobs}. */
     public static List<TaskDemand> estimate(
-            ClusterState clusterState, PlatformSettings settings, Instant timeOfDay, Pace pace) {
-        TaskDemandEstimator estimator = new TaskDemandEstimator(clusterState, settings, timeOfDay, pace);
+            ClusterState clusterState, PlatformSettings settings, Instant timeOfDay, DemandScope scope) {
+        TaskDemandEstimator estimator = new TaskDemandEstimator(clusterState, settings, timeOfDay, scope);
         List<TaskDemand> demands = new ArrayList<>();
         for (Job job : clusterState.jobs()) {
             if (!job.cancelled() && !job.awaitsDependencies()) {
@@ -72,7 +73,7 @@
     private TaskDemand demandOf(Job job) {
         JobSpec spec = job.spec();
         double unfinishedTasks = spec.taskCount() - job.doneCount();
-        double tasks = pace == Pace.AS_NEEDED
+        double tasks = scope == DemandScope.AS_NEEDED
                 ? Math.max(concurrentTasksNeeded(job, unfinishedTasks), job.claimCount())
                 : unfinishedTasks;
         if (FailingJobBackoff.isSuspect(job)) {
--- a/src/main/java/org/havenford/coordination/provisioning/ZoneDemand.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ZoneDemand.java
@@ -19,7 +19,7 @@
      * offer in that zone that it allows and that the cloud has not recently {@code refused}. This demand is computed
      * apart from the total, because machines in other zones cannot meet it. See bound-to-an-empty-zone.trace.
      */
-    static Object2DoubleOpenHashMap<InstanceOffer> machines(
+    static Object2DoubleOpenHashMap<InstanceOffer> requiredMachines(
             List<TaskDemand> taskDemands, Map<String, MachineType> types, Predicate<InstanceOffer> refused) {
         Object2DoubleOpenHashMap<InstanceOffer> machines = new Object2DoubleOpenHashMap<>();
         for (TaskDemand demand : taskDemands) {
--- a/src/main/java/org/havenford/storage/ClusterState.java
+++ b/src/main/java/org/havenford/storage/ClusterState.java
@@ -150,9 +150,9 @@
         return machineTable.batchesOf(machine);
     }
 
-    /** Returns the time of day at which a machine on record was rented or found. */
-    public Instant rentedAt(String machine) {
-        return machineTable.rentedAt(machine);
+    /** Returns the time of day at which a machine on record was launched or adopted. */
+    public Instant launchedAt(String machine) {
+        return machineTable.launchedAt(machine);
     }
 
     /** Returns a batch of machines, or null. */
--- a/src/main/java/org/havenford/storage/MachineTable.java
+++ b/src/main/java/org/havenford/storage/MachineTable.java
@@ -53,8 +53,8 @@
         return batchesByMachine.getOrDefault(machine, Set.of());
     }
 
-    /** Returns the time of day at which a machine on record was rented or found. */
-    Instant rentedAt(String machine) {
+    /** Returns the time of day at which a machine on record was launched or adopted. */
+    Instant launchedAt(String machine) {
         return firstBatch(batchesByMachine.get(machine)).since();
     }
 
--- a/src/main/java/org/havenford/storage/records/MachineBatch.java
+++ b/src/main/java/org/havenford/storage/records/MachineBatch.java
@@ -49,14 +49,14 @@
     }
 
     /** Returns the batch with another service state for one machine. */
-    public MachineBatch with(String machine, ServiceState state) {
+    public MachineBatch withServiceState(String machine, ServiceState state) {
         TreeMap<String, ServiceState> next = new TreeMap<>(machines);
         next.put(machine, state);
         return new MachineBatch(name, type, zone, spot, since, next);
     }
 
     /** Returns the batch without the given machines. */
-    public MachineBatch without(Collection<String> removed) {
+    public MachineBatch withoutMachines(Collection<String> removed) {
         TreeMap<String, ServiceState> next = new TreeMap<>(machines);
         next.keySet().removeAll(removed);
         return new MachineBatch(name, type, zone, spot, since, next);
--- a/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
@@ -132,9 +132,10 @@
             fail("j-" + i, 8);
         }
         List<TaskDemand> demands = TaskDemandEstimator.estimate(
-                clusterState, PlatformSettings.parse(SETTINGS), NOW, TaskDemandEstimator.Pace.ALL_AT_ONCE);
+                clusterState, PlatformSettings.parse(SETTINGS), NOW, TaskDemandEstimator.DemandScope.ALL_AT_ONCE);
         assertEquals(2, demands.stream().mapToDouble(TaskDemand::tasks).sum());
-        double machines = CapacityDemand.machines(demands, clusterState.types(), kind -> false, new InstanceCounts())
+        double machines = CapacityDemand.requiredMachines(
+                        demands, clusterState.types(), kind -> false, new InstanceCounts())
                 .values()
                 .doubleStream()
                 .sum();
--- a/src/test/java/org/havenford/coordination/scheduling/PipelineDecisionsTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/PipelineDecisionsTest.java
@@ -91,7 +91,7 @@
         put(header("j-2", "red", "normal", 50, List.of(), -1));
         put(header("j-3", "red", "normal", 40, List.of(), -1));
         List<TaskDemand> demands =
-                TaskDemandEstimator.estimate(clusterState, settings, NOW, TaskDemandEstimator.Pace.ALL_AT_ONCE);
+                TaskDemandEstimator.estimate(clusterState, settings, NOW, TaskDemandEstimator.DemandScope.ALL_AT_ONCE);
         assertEquals(
                 List.of("j-2", "j-3"), demands.stream().map(d -> d.spec().id()).toList());
         assertTrue(demands.stream().allMatch(d -> d.tasks() == 1), demands::toString);
--- a/src/test/java/org/havenford/golden/GoldenStoredValues.java
+++ b/src/test/java/org/havenford/golden/GoldenStoredValues.java
@@ -159,8 +159,8 @@
         values.put("live/machine/r-2-4-1#in-service", batch.toJson());
         values.put(
                 "live/machine/r-2-4-1#all-services",
-                batch.with("host-000002", MachineBatch.ServiceState.RETIRING)
-                        .with("host-000003", MachineBatch.ServiceState.RETURNING)
+                batch.withServiceState("host-000002", MachineBatch.ServiceState.RETIRING)
+                        .withServiceState("host-000003", MachineBatch.ServiceState.RETURNING)
                         .toJson());
         MachineStatuses statuses = new MachineStatuses(TIMESTAMP, new TreeMap<>());
         values.put("live/heard/node-0/0#empty", statuses.toJson(LARGE_LIMIT));
