--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -116,8 +116,8 @@
                 settings.storeAddress(),
                 new StoreLimits(
                         settings.storeRequestsPerSecond(),
-                        settings.storeChangesPerSecond(),
-                        settings.nextStoreChangesPerSecond()),
+                        settings.storeWritesPerSecond(),
+                        settings.nextStoreWritesPerSecond()),
                 settings.peers().size() + 1);
     }
 
--- a/src/main/java/org/havenford/coordination/jobs/CoordinationContext.java
+++ b/src/main/java/org/havenford/coordination/jobs/CoordinationContext.java
@@ -71,6 +71,6 @@
      */
     public JsonObject encodeTaskRange(TaskRange taskRange) {
         boolean compactForm = membership.allSupportCompactForm() || writer().limitsLowered();
-        return taskRange.toJson(settings.valueBytes(), settings.presentValueBytes(), compactForm);
+        return taskRange.toJson(settings.valueBytes(), settings.currentValueBytes(), compactForm);
     }
 }
--- a/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
@@ -167,7 +167,7 @@
     private int taskRangeSize(JobSpec spec) {
         PlatformSettings settings = context.settings();
         int controllerCount = settings.peers().size() + 1;
-        return Job.taskRangeSize(settings.valueBytes(), spec.taskCount(), controllerCount, settings.scarceChanges());
+        return Job.taskRangeSize(settings.valueBytes(), spec.taskCount(), controllerCount, settings.hasScarceWrites());
     }
 
     /**
--- a/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskReleaser.java
@@ -45,7 +45,7 @@
         this.agentManager = agentManager;
         this.jobCompletion = jobCompletion;
         delayUnderPressure =
-                context.settings().scarceChanges() ? BATCH_DELAY_LOW_WRITE_RATE : BATCH_DELAY_UNDER_PRESSURE;
+                context.settings().hasScarceWrites() ? BATCH_DELAY_LOW_WRITE_RATE : BATCH_DELAY_UNDER_PRESSURE;
     }
 
     /** Stores the outcomes whose batch delay is over, and those that must not wait for it. */
--- a/src/main/java/org/havenford/settings/PlatformSettings.java
+++ b/src/main/java/org/havenford/settings/PlatformSettings.java
@@ -17,11 +17,11 @@
  * @param agentLease how long an agent runs its tasks without an answer from its owner
  * @param cancellationLimit the time within which a cancelled task must have stopped
  * @param storeRequestsPerSecond the current rate limit for requests to the store
- * @param storeChangesPerSecond the current rate limit for operations of transactions
- * @param nextStoreChangesPerSecond the smaller of the current and the announced rate limit for operations of
+ * @param storeWritesPerSecond the current rate limit for operations of transactions
+ * @param nextStoreWritesPerSecond the smaller of the current and the announced rate limit for operations of
  *     transactions
  * @param valueBytes the smaller of the current and the announced size limit of a value
- * @param presentValueBytes the current size limit of a value
+ * @param currentValueBytes the current size limit of a value
  * @param maxTransactionOperations the smaller of the current and the announced limit of operations in a transaction,
  *     but at least what a claim needs
  * @param cloudListLag how long the cloud's list of machines may lag behind
@@ -39,10 +39,10 @@
         Duration agentLease,
         Duration cancellationLimit,
         double storeRequestsPerSecond,
-        double storeChangesPerSecond,
-        double nextStoreChangesPerSecond,
+        double storeWritesPerSecond,
+        double nextStoreWritesPerSecond,
         int valueBytes,
-        int presentValueBytes,
+        int currentValueBytes,
         int maxTransactionOperations,
         double cloudRequestsPerSecond,
         Duration cloudListLag,
@@ -52,7 +52,7 @@
     /**
      * Operations per second and controller below which task ranges are made larger and releases are batched for longer.
      */
-    private static final double SCARCE_CHANGES_THRESHOLD = 6;
+    private static final double SCARCE_WRITES_THRESHOLD = 6;
 
     /** Another controller of the same deployment. */
     public record Peer(String node, String zone, String address) {}
@@ -74,8 +74,8 @@
      * Returns whether each controller's part of the store's rate limit for operations, current or announced, is so
      * small that each operation should cover as many tasks as possible.
      */
-    public boolean scarceChanges() {
-        return nextStoreChangesPerSecond / (peers.size() + 1) < SCARCE_CHANGES_THRESHOLD;
+    public boolean hasScarceWrites() {
+        return nextStoreWritesPerSecond / (peers.size() + 1) < SCARCE_WRITES_THRESHOLD;
     }
 
     /** Reads and validates a settings file. */
--- a/src/main/java/org/havenford/storage/records/Job.java
+++ b/src/main/java/org/havenford/storage/records/Job.java
@@ -66,11 +66,11 @@
      * Returns the number of tasks per task range of a new job: small enough to divide the job evenly among the
      * controllers, but with a minimum, larger if writes are scarce, so that a write covers several tasks.
      */
-    public static int taskRangeSize(int valueBytes, int tasks, int controllers, boolean scarceChanges) {
+    public static int taskRangeSize(int valueBytes, int tasks, int controllers, boolean hasScarceWrites) {
         int evenSize = (tasks + controllers - 1) / Math.max(1, controllers);
         return Math.min(
                 taskRangeSize(valueBytes),
-                Math.max(scarceChanges ? 2 * MIN_TASK_RANGE_SIZE : MIN_TASK_RANGE_SIZE, evenSize));
+                Math.max(hasScarceWrites ? 2 * MIN_TASK_RANGE_SIZE : MIN_TASK_RANGE_SIZE, evenSize));
     }
 
     /** Returns the job's specification. */
--- a/src/test/java/org/havenford/simulator/SimulatedStore.java
+++ b/src/test/java/org/havenford/simulator/SimulatedStore.java
@@ -77,15 +77,15 @@
         this.leases = new StoreLeases(simulator, () -> outage, this::deleteKeysBoundTo);
         this.rateLimiter = new StoreRateLimiter(simulator);
         this.watches = new StoreWatches(simulator, () -> outage, () -> revision);
-        this.maxValueLength = simulator.template.presentValueBytes();
-        this.maxChangesPerSecond = simulator.template.storeChangesPerSecond();
+        this.maxValueLength = simulator.template.currentValueBytes();
+        this.maxChangesPerSecond = simulator.template.storeWritesPerSecond();
     }
 
     /** Lowers the limits to the future ones that the platform settings announce. */
     void lowerLimits() {
         maxValueLength = simulator.template.valueBytes();
         maxOperations = simulator.template.maxTransactionOperations();
-        maxChangesPerSecond = simulator.template.nextStoreChangesPerSecond();
+        maxChangesPerSecond = simulator.template.nextStoreWritesPerSecond();
     }
 
     /** Returns whether any value whose key has the prefix contains the text in its JSON form. */
