--- a/src/main/java/org/havenford/coordination/provisioning/CloudClient.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudClient.java
@@ -31,7 +31,7 @@
      * means a request without a body.
      */
     boolean tryCall(String method, String path, String body, Consumer<HttpCalls.Reply> onReply) {
-        if (!rateLimit.has(1, loop.now())) {
+        if (!rateLimit.hasTokens(1, loop.now())) {
             return false;
         }
         rateLimit.take(1);
--- a/src/main/java/org/havenford/coordination/provisioning/MachineBatchChange.java
+++ b/src/main/java/org/havenford/coordination/provisioning/MachineBatchChange.java
@@ -28,7 +28,7 @@
 
     /** Returns whether the machine's batches fit in the transaction and none of them has a write in flight. */
     private boolean canInclude(String machine) {
-        Set<String> batches = clusterState.batchesOf(machine);
+        Set<String> batches = clusterState.batchNamesOf(machine);
         long additionalBatches = batches.stream()
                 .filter(name -> !changedBatches.containsKey(name))
                 .count();
@@ -42,7 +42,7 @@
         if (!canInclude(machine)) {
             return false;
         }
-        for (String name : clusterState.batchesOf(machine)) {
+        for (String name : clusterState.batchNamesOf(machine)) {
             changedBatches.put(
                     name,
                     changedBatches
@@ -56,7 +56,7 @@
     /** Adds the removal of a machine from its batches, if it can be added. */
     void remove(String machine) {
         if (canInclude(machine)) {
-            for (String name : clusterState.batchesOf(machine)) {
+            for (String name : clusterState.batchNamesOf(machine)) {
                 changedBatches.put(
                         name,
                         changedBatches
--- a/src/main/java/org/havenford/coordination/provisioning/ScaleIn.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ScaleIn.java
@@ -168,7 +168,7 @@
 
     /** Returns whether the replica has reached the last known change of each of a machine's batches. */
     private boolean batchesAreCurrent(MachineRecord machine) {
-        return context.clusterState().batchesOf(machine.name()).stream()
+        return context.clusterState().batchNamesOf(machine.name()).stream()
                 .allMatch(name ->
                         context.replica().revision() >= context.replica().modRevision(Keys.batch(name)));
     }
--- a/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
@@ -114,7 +114,7 @@
         for (Placement placement : placements) {
             String machine = placement.machine();
             AgentState agent = agentManager.agent(machine);
-            Set<String> batchesOfMachine = context.clusterState().batchesOf(machine);
+            Set<String> batchesOfMachine = context.clusterState().batchNamesOf(machine);
             if (agent == null || !agent.hasReported() || context.clusterState().machine(machine) == null) {
                 continue;
             }
--- a/src/main/java/org/havenford/coordination/scheduling/PriorityInheritance.java
+++ b/src/main/java/org/havenford/coordination/scheduling/PriorityInheritance.java
@@ -30,8 +30,8 @@
 
     private final ClusterState clusterState;
     private boolean computed;
-    /** Value of {@link ClusterState#pipelineChanges} for which {@code inherited} was computed. */
-    private long computedForChanges;
+    /** Value of {@link ClusterState#dependencyChangeCount} for which {@code inherited} was computed. */
+    private long computedAtChangeCount;
 
     private Map<String, Inherited> inherited = Map.of();
 
@@ -51,9 +51,9 @@
 
     /** Computes all inherited values again if a pipeline has changed since the last call. */
     void refresh() {
-        if (!computed || computedForChanges != clusterState.pipelineChanges()) {
+        if (!computed || computedAtChangeCount != clusterState.dependencyChangeCount()) {
             computed = true;
-            computedForChanges = clusterState.pipelineChanges();
+            computedAtChangeCount = clusterState.dependencyChangeCount();
             inherited = compute();
         }
     }
--- a/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Scheduler.java
@@ -67,7 +67,7 @@
             return;
         }
         Instant start = context.loop().now();
-        context.writer().unlockKeysCaughtUp(start);
+        context.writer().unlockCaughtUpKeys(start);
         if (context.writer().isLocked(Keys.VIEW)) {
             return;
         }
--- a/src/main/java/org/havenford/storage/ClusterState.java
+++ b/src/main/java/org/havenford/storage/ClusterState.java
@@ -123,7 +123,7 @@
     }
 
     /** Returns the number of changes so far of waiting jobs and of the jobs that they depend on. */
-    public long pipelineChanges() {
+    public long dependencyChangeCount() {
         return jobTable.dependents().changeCount();
     }
 
@@ -146,8 +146,8 @@
      * Returns the names of the batches that a machine is in. There is one, unless the machine was found before the
      * cloud answered the instance request that launched it.
      */
-    public Set<String> batchesOf(String machine) {
-        return machineTable.batchesOf(machine);
+    public Set<String> batchNamesOf(String machine) {
+        return machineTable.batchNamesOf(machine);
     }
 
     /** Returns the time of day at which a machine on record was launched or adopted. */
--- a/src/main/java/org/havenford/storage/ConditionalWriter.java
+++ b/src/main/java/org/havenford/storage/ConditionalWriter.java
@@ -77,7 +77,7 @@
     }
 
     /** Unlocks the keys of past conflicts whose revision the replica has reached, or whose time is over. */
-    public void unlockKeysCaughtUp(Instant now) {
+    public void unlockCaughtUpKeys(Instant now) {
         replicaLocks.removeIf(lock -> {
             boolean released = replica.revision() >= lock.revision() || now.isAfter(lock.until());
             if (released) {
--- a/src/main/java/org/havenford/storage/MachineTable.java
+++ b/src/main/java/org/havenford/storage/MachineTable.java
@@ -49,7 +49,7 @@
     }
 
     /** Returns the names of the batches that a machine is in. */
-    Set<String> batchesOf(String machine) {
+    Set<String> batchNamesOf(String machine) {
         return batchesByMachine.getOrDefault(machine, Set.of());
     }
 
--- a/src/main/java/org/havenford/storage/StoreRequestBudget.java
+++ b/src/main/java/org/havenford/storage/StoreRequestBudget.java
@@ -84,7 +84,7 @@
 
     /** Returns whether a transaction with this many operations would have to wait for the limit of writes. */
     boolean lacksWrites(int operationCount, Instant now) {
-        return !writes.has(operationCount, now);
+        return !writes.hasTokens(operationCount, now);
     }
 
     /**
@@ -152,8 +152,9 @@
             return false;
         }
         double reservedFraction = reservedFraction(priority);
-        return requests.has(1 + requests.capacity() * reservedFraction, now)
-                && (operationCount == 0 || writes.has(operationCount + writes.capacity() * reservedFraction, now));
+        return requests.hasTokens(1 + requests.capacity() * reservedFraction, now)
+                && (operationCount == 0
+                        || writes.hasTokens(operationCount + writes.capacity() * reservedFraction, now));
     }
 
     private static boolean hasPassed(Instant time, Instant now) {
--- a/src/main/java/org/havenford/storage/TokenBucket.java
+++ b/src/main/java/org/havenford/storage/TokenBucket.java
@@ -39,7 +39,7 @@
     }
 
     /** Returns whether this many tokens are available; for more than the capacity, whether the bucket is full. */
-    public boolean has(double count, Instant now) {
+    public boolean hasTokens(double count, Instant now) {
         refill(now);
         return tokens >= Math.min(count, capacity()) - TOLERANCE;
     }
