--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -83,7 +83,7 @@
         loop = pauseDetector;
         roundTimer = new RoundTimer(loop, new RoundCallbacks());
         linkMonitor = new LinkMonitor(settings, loop);
-        calls = linkMonitor.watching(pauseDetector);
+        calls = linkMonitor.monitored(pauseDetector);
 
         clusterState = new ClusterState();
         store = createStoreClient();
--- a/src/main/java/org/havenford/controller/HeartbeatEndpoint.java
+++ b/src/main/java/org/havenford/controller/HeartbeatEndpoint.java
@@ -34,7 +34,7 @@
 
     /** Handles {@code POST /checkin}; {@code body} is null if it was too large or incomplete. */
     Response handle(byte[] body) {
-        linkMonitor.heartbeatArrived();
+        linkMonitor.recordHeartbeat();
         try {
             if (body == null) {
                 throw new MalformedMessageException("too large or incomplete");
--- a/src/main/java/org/havenford/coordination/monitoring/LinkMonitor.java
+++ b/src/main/java/org/havenford/coordination/monitoring/LinkMonitor.java
@@ -98,7 +98,7 @@
     }
 
     /** Returns a wrapper of {@code calls} that records the outcome of each call. */
-    public HttpCalls watching(HttpCalls calls) {
+    public HttpCalls monitored(HttpCalls calls) {
         return (address, method, path, body, timeout, done) ->
                 calls.call(address, method, path, body, timeout, reply -> {
                     recordReply(linkTo(address), reply);
@@ -122,7 +122,7 @@
     }
 
     /** Records a heartbeat received from an agent. */
-    public void heartbeatArrived() {
+    public void recordHeartbeat() {
         recordSuccess(Link.AGENTS);
     }
 
--- a/src/main/java/org/havenford/coordination/provisioning/TaskDemandEstimator.java
+++ b/src/main/java/org/havenford/coordination/provisioning/TaskDemandEstimator.java
@@ -31,8 +31,8 @@
 
     /** A job with pending tasks and no claims is considered unplaceable this long after its release. */
     private static final Duration UNPLACEABLE_AFTER = Duration.ofSeconds(30);
-    /** Maximum number of suspect jobs counted per set of fitting types; a suspect job may fail on every machine. */
-    private static final int MAX_SUSPECTS_PER_TYPE_SET = 2;
+    /** Maximum number of likely broken jobs counted per set of fitting types; such a job may fail on every machine. */
+    private static final int MAX_BROKEN_JOBS_PER_TYPE_SET = 2;
     /** Share of a job class's permitted start delay that is used to run tasks one after the other. */
     private static final double USED_DELAY_SHARE = 0.5;
     /** Share of the time to a deadline in which tasks are planned to run. */
@@ -47,7 +47,7 @@
     private final Instant timeOfDay;
     private final DemandScope scope;
     private final Map<String, Double> usedCpusByTeam = new HashMap<>();
-    private final Map<String, Integer> suspectCountByTypes = new HashMap<>();
+    private final Map<String, Integer> brokenJobCountByTypes = new HashMap<>();
 
     private TaskDemandEstimator(
             ClusterState clusterState, PlatformSettings settings, Instant timeOfDay, DemandScope scope) {
@@ -76,8 +76,8 @@
         double tasks = scope == DemandScope.AS_NEEDED
                 ? Math.max(concurrentTasksNeeded(job, unfinishedTasks), job.claimCount())
                 : unfinishedTasks;
-        if (FailingJobBackoff.isSuspect(job)) {
-            tasks = limitSuspect(spec, tasks);
+        if (FailingJobBackoff.isLikelyBroken(job)) {
+            tasks = limitLikelyBroken(spec, tasks);
         }
         tasks = limitToQuota(spec, tasks);
         return new TaskDemand(spec, tasks, startability(job, tasks));
@@ -136,10 +136,10 @@
                 .orElse(DEFAULT_BOOT_SECONDS);
     }
 
-    /** Limits a suspect job to one task, or to none if enough suspect jobs with the same fitting types are counted. */
-    private double limitSuspect(JobSpec spec, double tasks) {
-        int suspects = suspectCountByTypes.merge(fittingTypes(spec), 1, Integer::sum);
-        return suspects <= MAX_SUSPECTS_PER_TYPE_SET ? Math.min(tasks, 1) : 0;
+    /** Limits a likely broken job to one task, or to none if enough such jobs with the same fitting types are counted. */
+    private double limitLikelyBroken(JobSpec spec, double tasks) {
+        int brokenJobs = brokenJobCountByTypes.merge(fittingTypes(spec), 1, Integer::sum);
+        return brokenJobs <= MAX_BROKEN_JOBS_PER_TYPE_SET ? Math.min(tasks, 1) : 0;
     }
 
     private String fittingTypes(JobSpec spec) {
--- a/src/main/java/org/havenford/coordination/scheduling/FailingJobBackoff.java
+++ b/src/main/java/org/havenford/coordination/scheduling/FailingJobBackoff.java
@@ -13,7 +13,7 @@
  */
 public final class FailingJobBackoff {
     /** Number of failures from which a job without a finished task is assumed to fail on every machine. */
-    private static final int SUSPECT_FAILURES = 3;
+    private static final int LIKELY_BROKEN_FAILURES = 3;
 
     private static final Duration FIRST_BACKOFF = Duration.ofMillis(500);
     private static final int MAX_DOUBLINGS = 10;
@@ -35,8 +35,8 @@
     private final Map<String, Backoff> backoffs = new HashMap<>();
 
     /** Whether a job may be failing on every machine: it has several failures and no finished task. */
-    public static boolean isSuspect(Job job) {
-        return job.failuresSinceSuccess() >= SUSPECT_FAILURES && job.doneCount() == 0;
+    public static boolean isLikelyBroken(Job job) {
+        return job.failuresSinceSuccess() >= LIKELY_BROKEN_FAILURES && job.doneCount() == 0;
     }
 
     /**
@@ -44,14 +44,14 @@
      * so all controllers apply the same ones.
      */
     static boolean isDeprioritized(Job job, Instant timeOfDay) {
-        boolean suspect = job.failuresSinceSuccess() >= DEPRIORITIZED_FAILURES && job.doneCount() == 0;
+        boolean failing = job.failuresSinceSuccess() >= DEPRIORITIZED_FAILURES && job.doneCount() == 0;
         long second = timeOfDay.getEpochSecond() + job.id().hashCode();
-        return suspect && Math.floorMod(second, SERVICE_PERIOD_SECONDS) >= SERVICE_WINDOW_SECONDS;
+        return failing && Math.floorMod(second, SERVICE_PERIOD_SECONDS) >= SERVICE_WINDOW_SECONDS;
     }
 
     /** Returns how many tasks of a job may be claimed concurrently. */
     static int maxClaims(Job job) {
-        return job.failuresSinceSuccess() < SUSPECT_FAILURES
+        return job.failuresSinceSuccess() < LIKELY_BROKEN_FAILURES
                 ? Integer.MAX_VALUE
                 : Math.max(1, CLAIMS_PER_DONE_TASK * job.doneCount());
     }
--- a/src/main/java/org/havenford/coordination/scheduling/JobPlacer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/JobPlacer.java
@@ -52,7 +52,7 @@
         Set<TaskId> placedTasks = round.placedTasks.computeIfAbsent(job.id(), id -> new HashSet<>());
         int placedBefore = placedTasks.size();
         int unplaced = taskRangePlacer.place(pass, candidatesByOwner, quota);
-        if (unplaced > 0 && machineFilter == MachineFilter.ALL && !FailingJobBackoff.isSuspect(job)) {
+        if (unplaced > 0 && machineFilter == MachineFilter.ALL && !FailingJobBackoff.isLikelyBroken(job)) {
             reserveOrPreempt(pass, candidatesByOwner, unplaced);
         }
         if (isLimited(spec)) {
--- a/src/main/java/org/havenford/coordination/scheduling/Preemption.java
+++ b/src/main/java/org/havenford/coordination/scheduling/Preemption.java
@@ -54,7 +54,7 @@
      * close to its latest start, before or after it.
      */
     boolean mayPreempt(Job job, Instant now) {
-        if (jobOrder.priority(job).compareTo(JobSpec.Priority.NORMAL) >= 0 || FailingJobBackoff.isSuspect(job)) {
+        if (jobOrder.priority(job).compareTo(JobSpec.Priority.NORMAL) >= 0 || FailingJobBackoff.isLikelyBroken(job)) {
             return false;
         }
         Instant latest = jobOrder.latestStart(job, now);
--- a/src/test/java/org/havenford/coordination/monitoring/LinkMonitorTest.java
+++ b/src/test/java/org/havenford/coordination/monitoring/LinkMonitorTest.java
@@ -28,7 +28,7 @@
 
     LinkMonitorTest() throws Exception {
         links = new LinkMonitor(PlatformSettings.parse(SETTINGS), loop);
-        calls = links.watching(
+        calls = links.monitored(
                 (address, method, path, body, timeout, done) -> done.accept(new HttpCalls.Reply(status, "")));
     }
 
@@ -72,13 +72,13 @@
 
     @Test
     void reportsMissingHeartbeats() {
-        links.heartbeatArrived();
+        links.recordHeartbeat();
         for (int i = 0; i < 40; i++) {
             loop.advance(Duration.ofMillis(250));
             links.step(true);
         }
         assertTrue(links.isLost(LinkMonitor.Link.AGENTS));
-        links.heartbeatArrived();
+        links.recordHeartbeat();
         assertFalse(links.isLost(LinkMonitor.Link.AGENTS));
     }
 
@@ -95,7 +95,7 @@
     /** Guards against reporting links as lost because nothing could be received while the process was paused. */
     @Test
     void processPauseIsNotReportedAsLostLink() {
-        links.heartbeatArrived();
+        links.recordHeartbeat();
         call("s:1");
         loop.advance(Duration.ofSeconds(40));
         links.processPaused(Duration.ofSeconds(40));
--- a/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
@@ -96,14 +96,14 @@
     void runsOneTaskAtATimeUntilOneIsDone() {
         submit("j-1", "normal", 10);
         fail("j-1", 8);
-        assertTrue(FailingJobBackoff.isSuspect(clusterState.job("j-1")));
+        assertTrue(FailingJobBackoff.isLikelyBroken(clusterState.job("j-1")));
         assertEquals(1, FailingJobBackoff.maxClaims(clusterState.job("j-1")));
         // A success in one task range does not reset the failures counted in the other.
         attempt("j-1", 20, false);
         attempt("j-1", 21, false);
         attempt("j-1", 22, false);
         attempt("j-1", 1, true);
-        assertFalse(FailingJobBackoff.isSuspect(clusterState.job("j-1")));
+        assertFalse(FailingJobBackoff.isLikelyBroken(clusterState.job("j-1")));
         assertEquals(2, FailingJobBackoff.maxClaims(clusterState.job("j-1")));
     }
 
