--- a/src/main/java/org/havenford/coordination/agents/DirectCommandSender.java
+++ b/src/main/java/org/havenford/coordination/agents/DirectCommandSender.java
@@ -60,7 +60,10 @@
         List<Command> commands = planner.forDirectCall(agent);
         if (!commands.isEmpty()) {
             Heartbeat heartbeat = agent.heartbeat();
-            call(agent, heartbeat.endpoint(), Command.direct(agent.fencingToken(), heartbeat.incarnation(), commands));
+            call(
+                    agent,
+                    heartbeat.endpoint(),
+                    Command.directCallBody(agent.fencingToken(), heartbeat.incarnation(), commands));
         }
     }
 
@@ -71,7 +74,10 @@
     /** Sends this owner's fencing token to an agent that was taken over; the reply contains the agent's heartbeat. */
     void announceOwner(AgentState agent, AgentContact contact) {
         if (!agent.isCallInFlight()) {
-            call(agent, contact.endpoint(), Command.direct(agent.fencingToken(), contact.incarnation(), List.of()));
+            call(
+                    agent,
+                    contact.endpoint(),
+                    Command.directCallBody(agent.fencingToken(), contact.incarnation(), List.of()));
         }
     }
 
@@ -91,7 +97,7 @@
         Heartbeat heartbeat = readHeartbeat(agent, reply);
         if (heartbeat != null
                 && heartbeat.machine().equals(agent.machine())
-                && heartbeat.newerThan(agent.heartbeat())) {
+                && heartbeat.isNewerThan(agent.heartbeat())) {
             intake.apply(agent, heartbeat, HeartbeatOrigin.COMMAND_REPLY);
         }
         listener.roundDue();
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatHandler.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatHandler.java
@@ -53,7 +53,7 @@
         // A heartbeat without changes triggers no scheduling round; a thousand machines send hundreds of them per
         // second.
         boolean changed = false;
-        if (heartbeat.newerThan(agent.heartbeat())) {
+        if (heartbeat.isNewerThan(agent.heartbeat())) {
             changed = hasChanges(agent, heartbeat);
             agent.countMissedResponses(heartbeat);
             intake.apply(agent, heartbeat, HeartbeatOrigin.UNSOLICITED);
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatResponse.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatResponse.java
@@ -23,7 +23,7 @@
 
     /** Returns the response to an accepted heartbeat, which renews the agent's lease and carries its commands. */
     static HeartbeatResponse accepted(long fencingToken, List<Command> commands) {
-        return new HeartbeatResponse(OK, Command.reply(fencingToken, commands));
+        return new HeartbeatResponse(OK, Command.heartbeatResponseBody(fencingToken, commands));
     }
 
     /** Returns the response that redirects an agent to the controller that owns its machine. */
--- a/src/main/java/org/havenford/coordination/jobs/JobApi.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobApi.java
@@ -72,7 +72,7 @@
 
     /** Handles {@code GET /submissions/ID}. */
     public void get(String jobId, Consumer<Response> callback) {
-        if (!JobSpec.validId(jobId)) {
+        if (!JobSpec.isValidId(jobId)) {
             callback.accept(JobApiResponses.unknownJob());
         } else if (context.finalStates().cached(jobId) == null && isUnavailable()) {
             callback.accept(JobApiResponses.retryLater());
@@ -83,7 +83,7 @@
 
     /** Handles {@code POST /submissions/ID/abort}. */
     public void cancel(String jobId, Consumer<Response> callback) {
-        if (!JobSpec.validId(jobId)) {
+        if (!JobSpec.isValidId(jobId)) {
             callback.accept(JobApiResponses.unknownJob());
         } else if (isUnavailable()) {
             callback.accept(JobApiResponses.retryLater());
--- a/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
+++ b/src/main/java/org/havenford/coordination/provisioning/CloudInventory.java
@@ -102,13 +102,13 @@
             return;
         }
         try {
-            CloudMessages.Page page = CloudMessages.machinePage(reply.body());
+            CloudMessages.Page page = CloudMessages.parseMachinePage(reply.body());
             String lastName = afterName;
             for (ListedMachine machine : page.machines()) {
                 listed.put(machine.machine(), machine);
                 lastName = machine.machine();
             }
-            if (page.more() && !lastName.equals(afterName)) {
+            if (page.hasMore() && !lastName.equals(afterName)) {
                 requestPage(requestedAt, lastName, listed);
             } else {
                 listInProgress = false;
--- a/src/main/java/org/havenford/coordination/provisioning/ScaleOut.java
+++ b/src/main/java/org/havenford/coordination/provisioning/ScaleOut.java
@@ -86,7 +86,7 @@
     private void onReply(InstanceRequest request, HttpCalls.Reply reply) {
         if (reply.ok()) {
             try {
-                onLaunched(request, CloudMessages.launchedMachines(reply.body()));
+                onLaunched(request, CloudMessages.parseLaunchedMachines(reply.body()));
                 return;
             } catch (MalformedMessageException e) {
                 LOG.warn("unreadable reply of the cloud to an instance request: error=\"{}\"", e.getMessage());
--- a/src/main/java/org/havenford/coordination/provisioning/TaskPacking.java
+++ b/src/main/java/org/havenford/coordination/provisioning/TaskPacking.java
@@ -26,6 +26,6 @@
     /** Returns the relative cost of one task: its share of the machine's price for the image pull and the run. */
     static double costPerTask(JobSpec spec, MachineType type, boolean spot) {
         double seconds = spec.estimatedDuration().toMillis() / 1e3 + ImagePullTime.seconds(spec, type);
-        return type.hourly(spot) / tasksPerMachine(spec, type) * seconds;
+        return type.pricePerHour(spot) / tasksPerMachine(spec, type) * seconds;
     }
 }
--- a/src/main/java/org/havenford/protocol/CloudMessages.java
+++ b/src/main/java/org/havenford/protocol/CloudMessages.java
@@ -19,8 +19,8 @@
     public record ListedMachine(
             String machine, String endpoint, String type, String zone, boolean spot, Status status, Duration age) {}
 
-    /** One page of the cloud's machine list; {@code more} is true if the list continues after it. */
-    public record Page(List<ListedMachine> machines, boolean more) {}
+    /** One page of the cloud's machine list; {@code hasMore} is true if the list continues after it. */
+    public record Page(List<ListedMachine> machines, boolean hasMore) {}
 
     private CloudMessages() {}
 
@@ -36,7 +36,7 @@
     }
 
     /** Reads the names of the launched instances from the response to an instance request. */
-    public static List<String> launchedMachines(String body) throws MalformedMessageException {
+    public static List<String> parseLaunchedMachines(String body) throws MalformedMessageException {
         return Json.texts(Json.object(body), "boxes");
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** Reads one page of the machine list. */
-    public static Page machinePage(String body) throws MalformedMessageException {
+    public static Page parseMachinePage(String body) throws MalformedMessageException {
         JsonObject json = Json.object(body);
         List<ListedMachine> machines = new ArrayList<>();
         for (JsonObject machine : Json.objects(json, "boxes")) {
--- a/src/main/java/org/havenford/protocol/Command.java
+++ b/src/main/java/org/havenford/protocol/Command.java
@@ -21,7 +21,7 @@
     }
 
     /** Returns the body of the response to a heartbeat. */
-    public static String reply(long fencingToken, List<Command> commands) {
+    public static String heartbeatResponseBody(long fencingToken, List<Command> commands) {
         JsonObject json = new JsonObject();
         json.addProperty("baton", fencingToken);
         json.add("cues", commandArray(commands));
@@ -29,7 +29,7 @@
     }
 
     /** Returns the body of a direct call with commands for one incarnation of an agent; other incarnations ignore it. */
-    public static String direct(long fencingToken, long incarnation, List<Command> commands) {
+    public static String directCallBody(long fencingToken, long incarnation, List<Command> commands) {
         JsonObject json = new JsonObject();
         json.addProperty("baton", fencingToken);
         json.addProperty("shift", incarnation);
--- a/src/main/java/org/havenford/protocol/Heartbeat.java
+++ b/src/main/java/org/havenford/protocol/Heartbeat.java
@@ -36,7 +36,7 @@
     }
 
     /** Returns whether this heartbeat was created after another of the same machine; {@code other} may be null. */
-    public boolean newerThan(Heartbeat other) {
+    public boolean isNewerThan(Heartbeat other) {
         return other == null
                 || incarnation > other.incarnation
                 || (incarnation == other.incarnation && sequence > other.sequence);
--- a/src/main/java/org/havenford/protocol/JobSpec.java
+++ b/src/main/java/org/havenford/protocol/JobSpec.java
@@ -39,7 +39,7 @@
     }
 
     /** Returns whether a text is a valid job id. */
-    public static boolean validId(String id) {
+    public static boolean isValidId(String id) {
         return ID_PATTERN.matcher(id).matches();
     }
 
--- a/src/main/java/org/havenford/protocol/JobSpecCodec.java
+++ b/src/main/java/org/havenford/protocol/JobSpecCodec.java
@@ -72,7 +72,7 @@
 
     private static String readIdAndCheckShape(JsonObject json) throws MalformedMessageException {
         String id = Json.text(json, ID);
-        if (!JobSpec.validId(id)) {
+        if (!JobSpec.isValidId(id)) {
             throw new MalformedMessageException("nameId is not of the form j-000412");
         }
         if (!Json.text(json, SHAPE).equals(BATCH)) {
@@ -109,7 +109,7 @@
         }
         Set<String> dependencies = new TreeSet<>(Json.texts(json, DEPENDENCIES));
         for (String dependency : dependencies) {
-            if (!JobSpec.validId(dependency) || dependency.equals(id)) {
+            if (!JobSpec.isValidId(dependency) || dependency.equals(id)) {
                 throw new MalformedMessageException("awaits must name other jobs");
             }
         }
--- a/src/main/java/org/havenford/protocol/MachineType.java
+++ b/src/main/java/org/havenford/protocol/MachineType.java
@@ -77,7 +77,7 @@
     }
 
     /** Returns the price per hour, of a spot machine or of an on-demand machine. */
-    public double hourly(boolean spot) {
+    public double pricePerHour(boolean spot) {
         return spot ? spotPrice : price;
     }
 }
--- a/src/main/java/org/havenford/protocol/TaskId.java
+++ b/src/main/java/org/havenford/protocol/TaskId.java
@@ -5,7 +5,7 @@
     /** Parses an id of the form {@code j-000412/3}. */
     public static TaskId parse(String text) throws MalformedMessageException {
         int slash = text.indexOf('/');
-        if (slash < 1 || !JobSpec.validId(text.substring(0, slash))) {
+        if (slash < 1 || !JobSpec.isValidId(text.substring(0, slash))) {
             throw new MalformedMessageException("shot is not of the form j-000412/3");
         }
         try {
--- a/src/test/java/org/havenford/golden/GoldenMessages.java
+++ b/src/test/java/org/havenford/golden/GoldenMessages.java
@@ -76,10 +76,12 @@
                 new Command(Command.Op.STOP, task, 1, Duration.ofMillis(4500)),
                 new Command(Command.Op.STOP, task, 1, Duration.ZERO),
                 new Command(Command.Op.FORGET, task, 1, Duration.ZERO));
-        messages.put("checkin-answer#empty", JsonParser.parseString(Command.reply(41, List.of())));
-        messages.put("checkin-answer#cues", JsonParser.parseString(Command.reply(17_179_869_185L, commands)));
-        messages.put("do#empty", JsonParser.parseString(Command.direct(41, 3, List.of())));
-        messages.put("do#cues", JsonParser.parseString(Command.direct(17_179_869_185L, 3, commands)));
+        messages.put("checkin-answer#empty", JsonParser.parseString(Command.heartbeatResponseBody(41, List.of())));
+        messages.put(
+                "checkin-answer#cues",
+                JsonParser.parseString(Command.heartbeatResponseBody(17_179_869_185L, commands)));
+        messages.put("do#empty", JsonParser.parseString(Command.directCallBody(41, 3, List.of())));
+        messages.put("do#cues", JsonParser.parseString(Command.directCallBody(17_179_869_185L, 3, commands)));
         messages.put(
                 "cloud-rent#spot",
                 JsonParser.parseString(CloudMessages.instanceRequestBody("r-2-4-1", "g8", "a", true, 12)));
@@ -114,10 +116,10 @@
             case HEARTBEAT -> writeHeartbeat(Heartbeat.parse(message));
             case SUBMISSION -> JobSpec.parse(message).toJson();
             case MACHINE_TYPES -> MachineType.toJson(MachineType.parseAll(message));
-            case MACHINE_PAGE -> writePage(CloudMessages.machinePage(message.toString()));
+            case MACHINE_PAGE -> writePage(CloudMessages.parseMachinePage(message.toString()));
             case LAUNCHED ->
                 JsonParser.parseString(
-                        CloudMessages.returnRequestBody(CloudMessages.launchedMachines(message.toString())));
+                        CloudMessages.returnRequestBody(CloudMessages.parseLaunchedMachines(message.toString())));
             default -> null;
         };
     }
@@ -182,7 +184,7 @@
         }
         JsonObject json = new JsonObject();
         json.add("boxes", machines);
-        json.addProperty("truncated", page.more());
+        json.addProperty("truncated", page.hasMore());
         return json;
     }
 }
--- a/src/test/java/org/havenford/protocol/MessagesTest.java
+++ b/src/test/java/org/havenford/protocol/MessagesTest.java
@@ -80,9 +80,9 @@
     @Test
     void heartbeatsAreOrderedByIncarnationAndSequence() throws Exception {
         Heartbeat a = heartbeat(1, 90);
-        assertTrue(heartbeat(2, 1).newerThan(a));
-        assertTrue(heartbeat(1, 91).newerThan(a));
-        assertEquals(false, heartbeat(1, 90).newerThan(a));
+        assertTrue(heartbeat(2, 1).isNewerThan(a));
+        assertTrue(heartbeat(1, 91).isNewerThan(a));
+        assertEquals(false, heartbeat(1, 90).isNewerThan(a));
     }
 
     private static Heartbeat heartbeat(long incarnation, long sequence) throws MalformedMessageException {
