--- a/src/test/java/org/havenford/simulator/SimulatedController.java
+++ b/src/test/java/org/havenford/simulator/SimulatedController.java
@@ -16,12 +16,12 @@
 import org.havenford.transport.HttpServer;
 import org.havenford.transport.PeerNetwork;
 
-/** A real controller in the simulation, whose process can be started, ended, frozen and upgraded. */
+/** A real controller in the simulation, in a process that can be started, crashed, frozen and upgraded. */
 final class SimulatedController implements ClusterSimulator.Server {
-    /** How long a process that freezes still acts, though what it sends no longer goes out. */
+    /** How long a process keeps running before it freezes; HTTP messages that it sends in this time are queued. */
     private static final Duration FREEZE_DELAY = Duration.ofMillis(300);
-    /** The most by which a controller's clock is fast or slow is half of this part. */
-    private static final double CLOCK_DRIFT_RANGE = 0.001;
+    /** The width of the range of clock rates: a monotonic clock runs at most half of this fraction too fast or too slow. */
+    private static final double CLOCK_RATE_RANGE = 0.001;
 
     private static final long TIME_OF_DAY_OFFSET_SECONDS = 1_700_000_000L;
 
@@ -29,22 +29,24 @@
     final PlatformSettings settings;
     /** The settings of the version before format 2; null for a controller that never ran it. */
     private final PlatformSettings formatOneSettings;
-    /** It runs the version before format 2, which knows nothing of limits to come. */
+    /** Whether the next process runs the version before format 2, which ignores announced limits of the store. */
     private boolean runsFormatOne;
 
-    private Run run;
-    /** Nothing that comes in or is due happens, and what it had queued has not gone out. */
+    /** The running process; null while the controller is down. */
+    private ProcessInstance process;
+    /** Whether the process is suspended: incoming messages and due tasks are deferred until it thaws. */
     private boolean frozen;
-    /** What it sends is queued. */
-    private boolean sendsQueued;
+    /** Whether outgoing HTTP messages are queued instead of sent; set shortly before the process is suspended. */
+    private boolean queuesMessages;
 
-    private final List<Runnable> unsent = new ArrayList<>();
-    private final List<Runnable> whileFrozen = new ArrayList<>();
+    private final List<Runnable> queuedMessages = new ArrayList<>();
+    private final List<Runnable> deferredActions = new ArrayList<>();
 
     /**
      * Creates a controller that is not started.
      *
-     * @param formatOneSettings if not null, it runs the version before format 2 with these settings until it is upgraded
+     * @param formatOneSettings if not null, the controller runs the version before format 2 with these settings until it
+     *     is upgraded
      */
     SimulatedController(ClusterSimulator simulator, PlatformSettings settings, PlatformSettings formatOneSettings) {
         this.simulator = simulator;
@@ -53,71 +55,78 @@
         this.runsFormatOne = formatOneSettings != null;
     }
 
-    /** Its process is ended, and comes back with this version when it is started again. */
+    /** Ends the process; the next start runs the current version. */
     void upgrade() {
         crash();
         runsFormatOne = false;
     }
 
-    /** Starts the process if it does not run. */
+    /** Starts the process unless it is running. */
     void start() {
-        if (run != null) {
+        if (process != null) {
             return;
         }
-        run = new Run();
+        process = new ProcessInstance();
         simulator.servers.put(settings.bind(), this);
-        run.startStandby();
-        run.controller.start();
+        process.startStandby();
+        process.controller.start();
         simulator.note("start " + settings.node());
     }
 
-    /** Ends the process without warning. */
+    /** Ends the process at once, with all its queued messages and deferred actions, as SIGKILL does. */
     void crash() {
-        if (run == null) {
+        if (process == null) {
             return;
         }
-        run.dead = true;
-        run = null;
+        process.ended = true;
+        process = null;
         simulator.peerNetwork.ended(settings.node());
-        sendsQueued = false;
+        queuesMessages = false;
         frozen = false;
-        unsent.clear();
-        whileFrozen.clear();
+        queuedMessages.clear();
+        deferredActions.clear();
         simulator.servers.remove(settings.bind());
         simulator.note("crash " + settings.node());
     }
 
-    /** For a moment before it freezes what it sends is only queued, as when it stops in the middle of a round. */
+    /**
+     * Suspends the process after a short delay. HTTP messages sent during the delay are queued until the process thaws, as
+     * if it had been suspended in the middle of a round.
+     */
     void freeze() {
-        sendsQueued = true;
-        simulator.after(FREEZE_DELAY, () -> frozen = sendsQueued);
+        queuesMessages = true;
+        simulator.after(FREEZE_DELAY, () -> frozen = queuesMessages);
     }
 
-    /** Its clocks have run on; all that it had queued, that is due and that came meanwhile happens now. */
+    /**
+     * Resumes the process: sends the queued messages, then runs the tasks that became due and handles the messages that
+     * arrived meanwhile. The clocks have advanced during the freeze.
+     */
     void thaw() {
-        sendsQueued = false;
+        queuesMessages = false;
         frozen = false;
-        List<Runnable> all = new ArrayList<>(unsent);
-        all.addAll(whileFrozen);
-        unsent.clear();
-        whileFrozen.clear();
-        all.forEach(Runnable::run);
+        List<Runnable> pending = new ArrayList<>(queuedMessages);
+        pending.addAll(deferredActions);
+        queuedMessages.clear();
+        deferredActions.clear();
+        pending.forEach(Runnable::run);
     }
 
-    /** Queues what it sends if it is frozen or about to freeze; false if it may go out. */
+    /** Queues an outgoing message if the process is frozen or about to freeze. Returns whether the message was queued. */
     boolean queueIfFrozen(Runnable message) {
-        if (sendsQueued) {
-            unsent.add(message);
+        if (queuesMessages) {
+            queuedMessages.add(message);
         }
-        return sendsQueued;
+        return queuesMessages;
     }
 
-    private void act(Run actor, Runnable action) {
-        if (actor.dead) {
+    /** Runs an action of a process, or defers it while the process is frozen; drops it if the process has ended. */
+    private void runOrDefer(ProcessInstance target, Runnable action) {
+        if (target.ended) {
             return;
         }
         if (frozen) {
-            whileFrozen.add(() -> act(actor, action));
+            deferredActions.add(() -> runOrDefer(target, action));
         } else {
             action.run();
         }
@@ -125,16 +134,16 @@
 
     @Override
     public void request(String method, String path, String body, Consumer<HttpCalls.Reply> answer) {
-        Run served = run;
+        ProcessInstance served = process;
         if (served == null) {
             return;
         }
         byte[] bytes = body == null ? new byte[0] : body.getBytes(StandardCharsets.UTF_8);
         HttpServer.Request request = new HttpServer.Request(method, path, bytes);
-        act(
+        runOrDefer(
                 served,
                 () -> served.controller.handle(request, reply -> {
-                    if (!served.dead) {
+                    if (!served.ended) {
                         simulator.behaviour.answer(
                                 simulator.now, settings.node(), method, path, reply.status(), reply.body());
                         answer.accept(new HttpCalls.Reply(reply.status(), reply.body()));
@@ -142,19 +151,22 @@
                 }));
     }
 
-    /** One run of the process; what it had scheduled ends with it, what it had sent does not. */
-    private final class Run implements EventLoop, HttpCalls {
-        private boolean dead;
-        private final double drift = 1 + (simulator.random.nextDouble() - 0.5) * CLOCK_DRIFT_RANGE;
-        private final Instant started = simulator.now;
-        private final boolean isFormatOne = runsFormatOne;
-        private final Controller controller =
-                new Controller(this, this, isFormatOne ? formatOneSettings : settings, OperatorSettings.DEFAULTS);
+    /**
+     * One process of the controller, from start to crash. Its scheduled tasks are dropped when it ends; messages that it has
+     * sent are still delivered.
+     */
+    private final class ProcessInstance implements EventLoop, HttpCalls {
+        private boolean ended;
+        private final double clockRate = 1 + (simulator.random.nextDouble() - 0.5) * CLOCK_RATE_RANGE;
+        private final Instant startedAt = simulator.now;
+        private final boolean startedWithFormatOne = runsFormatOne;
+        private final Controller controller = new Controller(
+                this, this, startedWithFormatOne ? formatOneSettings : settings, OperatorSettings.DEFAULTS);
 
         void startStandby() {
-            if (simulator.withStandby && !isFormatOne && !simulator.withoutStandby.contains(settings.node())) {
+            if (simulator.withStandby && !startedWithFormatOne && !simulator.withoutStandby.contains(settings.node())) {
                 PeerNetwork network =
-                        simulator.peerNetwork.of(settings.node(), () -> !dead, action -> act(this, action));
+                        simulator.peerNetwork.of(settings.node(), () -> !ended, action -> runOrDefer(this, action));
                 new WarmStandby(controller.standbyHost(), network, settings, StandbySettings.OFF).start();
             }
         }
@@ -162,7 +174,7 @@
         @Override
         public Instant now() {
             return Instant.EPOCH.plusNanos(
-                    (long) (Duration.between(started, simulator.now).toNanos() * drift));
+                    (long) (Duration.between(startedAt, simulator.now).toNanos() * clockRate));
         }
 
         @Override
@@ -172,14 +184,14 @@
 
         @Override
         public void after(Duration delay, Runnable task) {
-            simulator.after(delay, () -> act(this, task));
+            simulator.after(delay, () -> runOrDefer(this, task));
         }
 
         @Override
         public void call(
                 String address, String method, String path, String body, Duration timeout, Consumer<Reply> done) {
             simulator.behaviour.request(simulator.now, settings.node(), address, method, path, body);
-            boolean translated = isFormatOne && address.equals(simulator.template.storeAddress());
+            boolean translated = startedWithFormatOne && address.equals(simulator.template.storeAddress());
             String sent = translated && path.equals("/multi") ? FormatOneStandIn.written(body) : body;
             Consumer<Reply> received =
                     reply -> done.accept(translated ? FormatOneStandIn.read(simulator, settings.node(), reply) : reply);
@@ -187,7 +199,7 @@
                     settings.bind(),
                     address,
                     new SimulatedNetwork.Request(method, path, sent, timeout),
-                    reply -> act(this, () -> received.accept(reply)));
+                    reply -> runOrDefer(this, () -> received.accept(reply)));
         }
     }
 }
--- a/src/test/java/org/havenford/simulator/TakeoverInvariant.java
+++ b/src/test/java/org/havenford/simulator/TakeoverInvariant.java
@@ -3,37 +3,43 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The agents of a controller that ended turn to owners of the view in force. */
+/** Checks that the agents of a crashed controller have received a fencing token of the current view from a new owner. */
 final class TakeoverInvariant {
     private static final String RULE = "not taken over";
-    /** The epoch of the view stands in a token's upper half. */
+    /** The upper 32 bits of a fencing token hold the epoch of the view. */
     private static final int EPOCH_SHIFT = 32;
 
-    private final ClusterSimulator world;
+    private final ClusterSimulator simulator;
     private final InvariantChecker checker;
-    private final List<SimulatedAgent> orphaned = new ArrayList<>();
+    private final List<SimulatedAgent> orphanedAgents = new ArrayList<>();
 
-    TakeoverInvariant(ClusterSimulator world, InvariantChecker checker) {
-        this.world = world;
+    TakeoverInvariant(ClusterSimulator simulator, InvariantChecker checker) {
+        this.simulator = simulator;
         this.checker = checker;
     }
 
-    /** Remembers the agents that report to a controller as it ends, in place of those of the controller before. */
+    /** Records the agents that report to a controller as it crashes, and drops those recorded for an earlier crash. */
     void controllerEnded(String node) {
-        orphaned.clear();
-        world.workers.values().stream().filter(agent -> agent.reportsTo(node)).forEach(orphaned::add);
+        orphanedAgents.clear();
+        simulator.workers.values().stream()
+                .filter(agent -> agent.reportsTo(node))
+                .forEach(orphanedAgents::add);
     }
 
-    /** Checks that each agent of the controller that ended last has seen a token of the view in force. */
+    /** Checks that each responsive agent of the controller that crashed last has received a token of the current view. */
     void check() {
-        long epoch =
-                world.store.value("live/view").getAsJsonObject().get("epoch").getAsLong();
-        if (orphaned.isEmpty()) {
-            checker.broken(RULE, "no worker reported to the controller that ended");
+        long epoch = simulator
+                .store
+                .value("live/view")
+                .getAsJsonObject()
+                .get("epoch")
+                .getAsLong();
+        if (orphanedAgents.isEmpty()) {
+            checker.broken(RULE, "no agent reported to the controller that crashed");
         }
-        for (SimulatedAgent agent : orphaned) {
+        for (SimulatedAgent agent : orphanedAgents) {
             if (agent.up() && !agent.hung && agent.token >> EPOCH_SHIFT < epoch) {
-                checker.broken(RULE, agent.name + " has seen no token of epoch " + epoch);
+                checker.broken(RULE, agent.name + " has received no token of epoch " + epoch);
             }
         }
     }
