--- a/src/test/java/org/havenford/simulator/ClusterSimulator.java
+++ b/src/test/java/org/havenford/simulator/ClusterSimulator.java
@@ -51,7 +51,7 @@
     final InvariantChecker rules = new InvariantChecker(this);
     final SimulatedUsers users = new SimulatedUsers(this);
     /** The agents by machine name. */
-    final Map<String, SimulatedAgent> workers = new LinkedHashMap<>();
+    final Map<String, SimulatedAgent> agents = new LinkedHashMap<>();
     /** Whether controllers run a warm standby, except those in {@link #withoutStandby}. */
     boolean withStandby;
 
--- a/src/test/java/org/havenford/simulator/FailoverMeasurement.java
+++ b/src/test/java/org/havenford/simulator/FailoverMeasurement.java
@@ -72,7 +72,7 @@
     }
 
     private void measureFailover(LoopbackCluster loopback, String node) throws IOException, InterruptedException {
-        Set<SimulatedAgent> agents = loopback.simulator.workers.values().stream()
+        Set<SimulatedAgent> agents = loopback.simulator.agents.values().stream()
                 .filter(agent -> agent.up() && agent.reportsTo(node))
                 .collect(Collectors.toSet());
         long epoch = loopback.simulator
@@ -89,11 +89,11 @@
             controller.kill();
         }
         loopback.runUntil(
-                () -> agents.stream().anyMatch(agent -> agent.token >> EPOCH_SHIFT > epoch),
+                () -> agents.stream().anyMatch(agent -> agent.fencingToken >> EPOCH_SHIFT > epoch),
                 SubmissionBurst.TIMEOUT_SECONDS);
         firstAgentMillis.recordValue(millisSince(from, loopback));
         boolean all = loopback.runUntil(
-                () -> agents.stream().noneMatch(agent -> agent.up() && agent.token >> EPOCH_SHIFT <= epoch),
+                () -> agents.stream().noneMatch(agent -> agent.up() && agent.fencingToken >> EPOCH_SHIFT <= epoch),
                 SubmissionBurst.TIMEOUT_SECONDS);
         assertTrue(all, "some machines of " + node + " were not taken over");
         lastAgentMillis.recordValue(millisSince(from, loopback));
--- a/src/test/java/org/havenford/simulator/InvariantChecker.java
+++ b/src/test/java/org/havenford/simulator/InvariantChecker.java
@@ -88,13 +88,13 @@
     }
 
     /** Records the start of a task and checks the rules on starts. */
-    void started(SimulatedAgent agent, SimulatedAgent.Task task) {
-        String jobId = RunningTasks.jobOf(task.shot);
+    void started(SimulatedAgent agent, SimulatedAgent.Attempt task) {
+        String jobId = RunningTasks.jobOf(task.taskId);
         starts++;
         startsByJob.merge(jobId, 1, Integer::sum);
         lastStartByJob.put(jobId, simulator.now);
         changed = true;
-        simulator.note(task.shot + " take " + task.take + " starts on " + agent.name);
+        simulator.note(task.taskId + " take " + task.attempt + " starts on " + agent.name);
         SimulatedUsers.Job job = simulator.users.jobs.get(jobId);
         if (job.begun == null) {
             job.begun = simulator.now;
@@ -105,33 +105,33 @@
         checkNotCancelled(task, job);
     }
 
-    private void checkRunsOnce(SimulatedAgent agent, SimulatedAgent.Task task) {
-        for (SimulatedAgent other : simulator.workers.values()) {
-            for (SimulatedAgent.Task attempt : other.tasks.values()) {
-                if (attempt != task && RunningTasks.isRunning(other, attempt) && attempt.shot.equals(task.shot)) {
-                    broken("ran_twice", task.shot + " on " + other.name + " and " + agent.name);
+    private void checkRunsOnce(SimulatedAgent agent, SimulatedAgent.Attempt task) {
+        for (SimulatedAgent other : simulator.agents.values()) {
+            for (SimulatedAgent.Attempt attempt : other.tasks.values()) {
+                if (attempt != task && RunningTasks.isRunning(other, attempt) && attempt.taskId.equals(task.taskId)) {
+                    broken("ran_twice", task.taskId + " on " + other.name + " and " + agent.name);
                 }
             }
         }
     }
 
-    private void checkDependenciesDone(SimulatedAgent.Task task, SimulatedUsers.Job job) {
+    private void checkDependenciesDone(SimulatedAgent.Attempt task, SimulatedUsers.Job job) {
         for (String dependency : job.prerequisites) {
             JsonElement end = simulator.store.value("final/" + dependency);
             if (end == null
                     || !end.getAsJsonObject().get("status").getAsString().equals("done")) {
-                broken("too_early", task.shot + " starts before " + dependency + " is done");
+                broken("too_early", task.taskId + " starts before " + dependency + " is done");
             }
         }
     }
 
-    private void checkNotCancelled(SimulatedAgent.Task task, SimulatedUsers.Job job) {
+    private void checkNotCancelled(SimulatedAgent.Attempt task, SimulatedUsers.Job job) {
         if (job.cancelTold != null) {
             startsAfterCancel++;
-            simulator.note(task.shot + " starts after its job was cancelled");
+            simulator.note(task.taskId + " starts after its job was cancelled");
         }
         if (isCancellationOverdue(job)) {
-            broken("ran_cancelled", task.shot + " starts after the cancellation limit");
+            broken("ran_cancelled", task.taskId + " starts after the cancellation limit");
         }
     }
 
@@ -166,15 +166,15 @@
      */
     private Map<String, Double> checkRunningTasks() {
         Map<String, Double> cpusByTeam = new HashMap<>();
-        for (SimulatedAgent agent : simulator.workers.values()) {
-            for (SimulatedAgent.Task task : agent.tasks.values()) {
+        for (SimulatedAgent agent : simulator.agents.values()) {
+            for (SimulatedAgent.Attempt task : agent.tasks.values()) {
                 if (!RunningTasks.isRunning(agent, task)) {
                     continue;
                 }
-                SimulatedUsers.Job job = simulator.users.jobs.get(RunningTasks.jobOf(task.shot));
+                SimulatedUsers.Job job = simulator.users.jobs.get(RunningTasks.jobOf(task.taskId));
                 cpusByTeam.merge(job.team, job.cpus, Double::sum);
                 if (isCancellationOverdue(job)) {
-                    broken("ran_cancelled", task.shot + " is still running on " + agent.name);
+                    broken("ran_cancelled", task.taskId + " is still running on " + agent.name);
                 }
             }
         }
--- a/src/test/java/org/havenford/simulator/LargeFleetFailoverTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetFailoverTest.java
@@ -36,7 +36,7 @@
         simulator.at(40, () -> simulator.users.submit("j-1", "red", URGENT_TASKS, 4, 60, List.of("urgent")));
         simulator.runUntil(CRASH_SECOND);
         simulator.rules.crashed("node-0");
-        List<SimulatedAgent> agents = simulator.workers.values().stream()
+        List<SimulatedAgent> agents = simulator.agents.values().stream()
                 .filter(agent -> agent.reportsTo("node-0"))
                 .toList();
         List<SimulatedAgent> urgentAgents =
--- a/src/test/java/org/havenford/simulator/RunningTasks.java
+++ b/src/test/java/org/havenford/simulator/RunningTasks.java
@@ -8,7 +8,7 @@
     private RunningTasks() {}
 
     /** Returns whether a task runs; a task on a hung machine counts as ended once the lease of the agent has expired. */
-    static boolean isRunning(SimulatedAgent agent, SimulatedAgent.Task task) {
+    static boolean isRunning(SimulatedAgent agent, SimulatedAgent.Attempt task) {
         return task.isExecuting() && !(agent.hung && agent.isLeaseExpired());
     }
 
@@ -20,9 +20,9 @@
     /** Returns the number of running tasks of a job in each zone that has any. */
     static Map<String, Integer> byZone(ClusterSimulator simulator, SimulatedUsers.Job job) {
         Map<String, Integer> byZone = new TreeMap<>();
-        for (SimulatedAgent agent : simulator.workers.values()) {
-            for (SimulatedAgent.Task task : agent.tasks.values()) {
-                if (isRunning(agent, task) && jobOf(task.shot).equals(job.id)) {
+        for (SimulatedAgent agent : simulator.agents.values()) {
+            for (SimulatedAgent.Attempt task : agent.tasks.values()) {
+                if (isRunning(agent, task) && jobOf(task.taskId).equals(job.id)) {
                     byZone.merge(agent.zone, 1, Integer::sum);
                 }
             }
--- a/src/test/java/org/havenford/simulator/SimulatedAgent.java
+++ b/src/test/java/org/havenford/simulator/SimulatedAgent.java
@@ -22,10 +22,10 @@
     /** How long after a failed heartbeat the next one is due, at another controller. */
     private static final Duration HEARTBEAT_RETRY_DELAY = Duration.ofSeconds(1);
 
-    /** One attempt of a task on the machine; the fields are named as in the protocol. */
-    static final class Task {
-        String shot;
-        long take;
+    /** One attempt of a task on the machine. */
+    static final class Attempt {
+        String taskId;
+        long attempt;
         String status;
         String exitCause;
 
@@ -40,8 +40,8 @@
 
         private JsonObject toJson() {
             JsonObject json = new JsonObject();
-            json.addProperty("shot", shot);
-            json.addProperty("take", take);
+            json.addProperty("shot", taskId);
+            json.addProperty("take", attempt);
             json.addProperty("status", status);
             if (exitCause != null) {
                 json.addProperty("cause", exitCause);
@@ -57,9 +57,9 @@
     final boolean spot;
     long incarnation = 1;
     private long heartbeatSequence;
-    long token;
+    long fencingToken;
     private final List<Instant> tokenRaiseTimes = new ArrayList<>();
-    final Map<String, Task> tasks = new LinkedHashMap<>();
+    final Map<String, Attempt> tasks = new LinkedHashMap<>();
     private final SimulatedTaskExecutor executor;
     /** When the last heartbeat was sent whose reply renewed the lease. */
     private Instant leaseRenewedAt;
@@ -69,11 +69,11 @@
     /** Whether the machine hangs: it sends nothing, and what it receives or executes is deferred until it resumes. */
     boolean hung;
     /** Seconds until the spot machine is reclaimed, as reported in heartbeats; null without such a notice. */
-    Double notice;
+    Double spotNoticeSeconds;
     /** Whether every task that starts on this machine fails. */
     boolean faulty;
     /** Factor by which image pulls on this machine take longer. */
-    double slowFetch = 1;
+    double pullSlowdown = 1;
 
     private final List<Runnable> deferredActions = new ArrayList<>();
     /** Index of the controller that receives the heartbeats. */
@@ -242,7 +242,7 @@
 
     private void applyReply(JsonObject commands, Instant sent, long sentIncarnation) {
         if (sentIncarnation != incarnation
-                || commands.get("baton").getAsLong() < token
+                || commands.get("baton").getAsLong() < fencingToken
                 || Duration.between(sent, simulator.now).compareTo(HEARTBEAT_TIMEOUT) > 0) {
             return;
         }
@@ -274,9 +274,9 @@
         json.addProperty("borrowed", spot);
         json.addProperty("shift", incarnation);
         json.addProperty("tally", ++heartbeatSequence);
-        json.addProperty("baton", token);
-        if (notice != null) {
-            json.addProperty("warningS", notice);
+        json.addProperty("baton", fencingToken);
+        if (spotNoticeSeconds != null) {
+            json.addProperty("warningS", spotNoticeSeconds);
         }
         JsonArray reports = new JsonArray();
         tasks.values().forEach(task -> reports.add(task.toJson()));
@@ -289,7 +289,8 @@
         runOrDefer(() -> {
             if (path.equals("/do")) {
                 JsonObject json = JsonParser.parseString(body).getAsJsonObject();
-                if (json.get("baton").getAsLong() < token || json.get("shift").getAsLong() != incarnation) {
+                if (json.get("baton").getAsLong() < fencingToken
+                        || json.get("shift").getAsLong() != incarnation) {
                     callback.accept(new Reply(409, heartbeatBody()));
                     return;
                 }
@@ -300,9 +301,9 @@
     }
 
     private void executeCommands(JsonObject json) {
-        if (json.get("baton").getAsLong() > token) {
+        if (json.get("baton").getAsLong() > fencingToken) {
             tokenRaiseTimes.add(simulator.now);
-            token = json.get("baton").getAsLong();
+            fencingToken = json.get("baton").getAsLong();
             heartbeatDue = true;
         }
         for (JsonElement element : json.getAsJsonArray("cues")) {
--- a/src/test/java/org/havenford/simulator/SimulatedCloud.java
+++ b/src/test/java/org/havenford/simulator/SimulatedCloud.java
@@ -78,7 +78,7 @@
             }
         });
         SimulatedAgent agent = new SimulatedAgent(simulator, name, type, zone, spot);
-        simulator.workers.put(name, agent);
+        simulator.agents.put(name, agent);
         simulator.network.faults.assignZone(simulator.endpoints.apply(name), zone);
         if (!darkZones.contains(zone)) {
             simulator.after(bootDelay, () -> {
@@ -105,7 +105,7 @@
     /** Terminates a machine for good; the machine list shows it until {@link #LIST_LAG} has passed. */
     void terminate(String name) {
         gone.add(name);
-        simulator.workers.get(name).terminate();
+        simulator.agents.get(name).terminate();
         simulator.after(LIST_LAG, () -> listedMachines.remove(name));
     }
 
@@ -153,7 +153,7 @@
     private void returnMachines(JsonArray names) {
         for (JsonElement element : names) {
             String name = element.getAsString();
-            if (simulator.workers.containsKey(name)) {
+            if (simulator.agents.containsKey(name)) {
                 returned.putIfAbsent(name, simulator.now);
                 terminate(name);
             }
@@ -207,7 +207,7 @@
     }
 
     private long countMachines(String type, String zone, boolean spot) {
-        return simulator.workers.values().stream()
+        return simulator.agents.values().stream()
                 .filter(agent -> !gone.contains(agent.name)
                         && agent.type.equals(type)
                         && agent.zone.equals(zone)
--- a/src/test/java/org/havenford/simulator/SimulatedTaskExecutor.java
+++ b/src/test/java/org/havenford/simulator/SimulatedTaskExecutor.java
@@ -26,11 +26,11 @@
             return;
         }
         agent.requestHeartbeat();
-        SimulatedAgent.Task task = new SimulatedAgent.Task();
-        task.shot = taskId;
-        task.take = attempt;
+        SimulatedAgent.Attempt task = new SimulatedAgent.Attempt();
+        task.taskId = taskId;
+        task.attempt = attempt;
         boolean hasOtherAttempt =
-                agent.tasks.values().stream().anyMatch(other -> other.shot.equals(taskId) && !other.isExited());
+                agent.tasks.values().stream().anyMatch(other -> other.taskId.equals(taskId) && !other.isExited());
         agent.tasks.put(attemptKey(taskId, attempt), task);
         SimulatedUsers.Job job = jobOf(task);
         if (hasOtherAttempt || job == null) {
@@ -44,7 +44,7 @@
 
     /** Ends an attempt of a task if it is on the machine and has not exited. */
     void stop(String taskId, long attempt) {
-        SimulatedAgent.Task task = agent.tasks.get(attemptKey(taskId, attempt));
+        SimulatedAgent.Attempt task = agent.tasks.get(attemptKey(taskId, attempt));
         if (task != null && !task.isExited()) {
             exit(task, "stopped");
         }
@@ -52,7 +52,7 @@
 
     /** Removes an attempt that has exited, so that heartbeats no longer report it. */
     void forget(String taskId, long attempt) {
-        SimulatedAgent.Task task = agent.tasks.get(attemptKey(taskId, attempt));
+        SimulatedAgent.Attempt task = agent.tasks.get(attemptKey(taskId, attempt));
         if (task != null && task.isExited()) {
             agent.tasks.remove(attemptKey(taskId, attempt));
         }
@@ -62,60 +62,61 @@
         return taskId + "#" + attempt;
     }
 
-    private SimulatedUsers.Job jobOf(SimulatedAgent.Task task) {
-        return simulator.users.jobs.get(task.shot.substring(0, task.shot.indexOf('/')));
+    private SimulatedUsers.Job jobOf(SimulatedAgent.Attempt task) {
+        return simulator.users.jobs.get(task.taskId.substring(0, task.taskId.indexOf('/')));
     }
 
-    private double cpusOfOthers(SimulatedAgent.Task task) {
+    private double cpusOfOthers(SimulatedAgent.Attempt task) {
         return agent.tasks.values().stream()
                 .filter(other -> other != task && !other.isExited())
                 .mapToDouble(other -> jobOf(other).cpus)
                 .sum();
     }
 
-    private void pullImage(SimulatedAgent.Task task, SimulatedUsers.Job job) {
+    private void pullImage(SimulatedAgent.Attempt task, SimulatedUsers.Job job) {
         task.status = "pulling";
         Duration duration = pulledImages.contains(job.image)
                 ? SHORT_DELAY
-                : Duration.ofMillis((long) (1000 / SimulatedCloud.IMAGE_PULL_GB_PER_S * job.imageGb * agent.slowFetch));
+                : Duration.ofMillis(
+                        (long) (1000 / SimulatedCloud.IMAGE_PULL_GB_PER_S * job.imageGb * agent.pullSlowdown));
         continueAfter(duration, task, "pulling", () -> {
             pulledImages.add(job.image);
             startRun(task, job);
         });
     }
 
-    private void startRun(SimulatedAgent.Task task, SimulatedUsers.Job job) {
+    private void startRun(SimulatedAgent.Attempt task, SimulatedUsers.Job job) {
         task.status = "running";
         agent.requestHeartbeat();
         simulator.rules.started(agent, task);
         // A task whose result is already stored exits almost at once.
-        Duration runTime = simulator.users.finished.contains(task.shot) ? SHORT_DELAY : job.run(simulator.random);
+        Duration runTime = simulator.users.finished.contains(task.taskId) ? SHORT_DELAY : job.run(simulator.random);
         boolean fails = agent.faulty || job.broken;
         continueAfter(fails ? FAILURE_DELAY : runTime, task, "running", () -> {
             if (!fails) {
-                simulator.users.finished.add(task.shot);
+                simulator.users.finished.add(task.taskId);
             }
             exit(task, fails ? "error" : "done");
         });
     }
 
     /** Runs the next step of an attempt after a delay, unless the attempt was removed or changed its status meanwhile. */
-    private void continueAfter(Duration delay, SimulatedAgent.Task task, String status, Runnable nextStep) {
+    private void continueAfter(Duration delay, SimulatedAgent.Attempt task, String status, Runnable nextStep) {
         simulator.after(
                 delay,
                 () -> agent.runOrDefer(() -> {
-                    if (agent.tasks.get(attemptKey(task.shot, task.take)) == task && task.status.equals(status)) {
+                    if (agent.tasks.get(attemptKey(task.taskId, task.attempt)) == task && task.status.equals(status)) {
                         nextStep.run();
                     }
                 }));
     }
 
-    private static void reject(SimulatedAgent.Task task, String cause) {
+    private static void reject(SimulatedAgent.Attempt task, String cause) {
         task.status = "exited";
         task.exitCause = cause;
     }
 
-    private void exit(SimulatedAgent.Task task, String cause) {
+    private void exit(SimulatedAgent.Attempt task, String cause) {
         task.status = "exited";
         task.exitCause = cause;
         agent.requestHeartbeat();
--- a/src/test/java/org/havenford/simulator/SubmissionBurst.java
+++ b/src/test/java/org/havenford/simulator/SubmissionBurst.java
@@ -33,7 +33,7 @@
         boolean ready = false;
         try {
             ready = loopback.runUntil(
-                    () -> loopback.simulator.workers.values().stream().allMatch(agent -> agent.token > 0),
+                    () -> loopback.simulator.agents.values().stream().allMatch(agent -> agent.fencingToken > 0),
                     TIMEOUT_SECONDS);
             assertTrue(ready, "not every agent received a fencing token");
             return loopback;
--- a/src/test/java/org/havenford/simulator/TakeoverInvariant.java
+++ b/src/test/java/org/havenford/simulator/TakeoverInvariant.java
@@ -21,7 +21,7 @@
     /** Records the agents that report to a controller as it crashes, and drops those recorded for an earlier crash. */
     void controllerEnded(String node) {
         orphanedAgents.clear();
-        simulator.workers.values().stream()
+        simulator.agents.values().stream()
                 .filter(agent -> agent.reportsTo(node))
                 .forEach(orphanedAgents::add);
     }
@@ -38,7 +38,7 @@
             checker.broken(RULE, "no agent reported to the controller that crashed");
         }
         for (SimulatedAgent agent : orphanedAgents) {
-            if (agent.up() && !agent.hung && agent.token >> EPOCH_SHIFT < epoch) {
+            if (agent.up() && !agent.hung && agent.fencingToken >> EPOCH_SHIFT < epoch) {
                 checker.broken(RULE, agent.name + " has received no token of epoch " + epoch);
             }
         }
--- a/src/test/java/org/havenford/simulator/TraceCommands.java
+++ b/src/test/java/org/havenford/simulator/TraceCommands.java
@@ -102,7 +102,7 @@
         commands.put(
                 "reset-workers", (simulator, args) -> partitionFromAllAgents(simulator, args, NetworkFaults.Cut.RESET));
         commands.put("reach", (simulator, args) -> simulator
-                .workers
+                .agents
                 .values()
                 .forEach(agent ->
                         simulator.network.faults.heal(address(simulator, args, 0), address(simulator, agent.name))));
@@ -112,7 +112,7 @@
 
     private static void partitionFromAllAgents(ClusterSimulator simulator, TraceArguments args, NetworkFaults.Cut cut) {
         simulator
-                .workers
+                .agents
                 .values()
                 .forEach(agent ->
                         simulator.network.faults.cut(address(simulator, args, 0), address(simulator, agent.name), cut));
@@ -187,8 +187,8 @@
         commands.put("hang", (simulator, args) -> agent(simulator, args).hang(true));
         commands.put("wake", (simulator, args) -> agent(simulator, args).hang(false));
         commands.put("faulty", (simulator, args) -> agent(simulator, args).faulty = true);
-        commands.put("slow-fetch", (simulator, args) -> agent(simulator, args).slowFetch = args.decimal(1));
-        commands.put("notice", (simulator, args) -> agent(simulator, args).notice = args.decimal(1));
+        commands.put("slow-fetch", (simulator, args) -> agent(simulator, args).pullSlowdown = args.decimal(1));
+        commands.put("notice", (simulator, args) -> agent(simulator, args).spotNoticeSeconds = args.decimal(1));
     }
 
     /**
@@ -205,16 +205,16 @@
     }
 
     private static void forgeStart(ClusterSimulator simulator, TraceArguments args) {
-        SimulatedAgent.Task task = new SimulatedAgent.Task();
-        task.shot = args.word(1);
-        task.take = FORGED_ATTEMPT;
+        SimulatedAgent.Attempt task = new SimulatedAgent.Attempt();
+        task.taskId = args.word(1);
+        task.attempt = FORGED_ATTEMPT;
         task.status = "running";
-        agent(simulator, args).tasks.put(task.shot + "#" + FORGED_ATTEMPT, task);
+        agent(simulator, args).tasks.put(task.taskId + "#" + FORGED_ATTEMPT, task);
         simulator.rules.started(agent(simulator, args), task);
     }
 
     private static SimulatedAgent agent(ClusterSimulator simulator, TraceArguments args) {
-        return simulator.workers.get(args.word(0));
+        return simulator.agents.get(args.word(0));
     }
 
     private static String direction(TraceArguments args) {
--- a/src/test/java/org/havenford/simulator/WaitingInvariant.java
+++ b/src/test/java/org/havenford/simulator/WaitingInvariant.java
@@ -47,7 +47,7 @@
             return false;
         }
         Map<String, Integer> byZone = RunningTasks.byZone(simulator, job);
-        return simulator.workers.values().stream()
+        return simulator.agents.values().stream()
                 .anyMatch(agent -> hasRoom(agent, job) && PlacementInvariant.allowsOneMore(agent, job, byZone));
     }
 
@@ -78,8 +78,8 @@
     }
 
     private boolean isOnAnyMachine(String name) {
-        return simulator.workers.values().stream()
-                .anyMatch(agent -> agent.tasks.values().stream().anyMatch(task -> task.shot.equals(name)));
+        return simulator.agents.values().stream()
+                .anyMatch(agent -> agent.tasks.values().stream().anyMatch(task -> task.taskId.equals(name)));
     }
 
     private boolean isWithinTeamLimit(SimulatedUsers.Job job, Map<String, Double> cpusByTeam) {
@@ -92,7 +92,7 @@
         return agent.up()
                 && !agent.hung
                 && !agent.faulty
-                && agent.notice == null
+                && agent.spotNoticeSeconds == null
                 && PlacementInvariant.allowsMachine(agent, job)
                 && cpusInUse(agent) + job.cpus
                         <= SimulatedCloud.TYPES.get(agent.type)[0] + InvariantChecker.CPU_TOLERANCE;
@@ -101,7 +101,7 @@
     private double cpusInUse(SimulatedAgent agent) {
         return agent.tasks.values().stream()
                 .filter(task -> !task.status.equals("exited"))
-                .mapToDouble(task -> simulator.users.jobs.get(RunningTasks.jobOf(task.shot)).cpus)
+                .mapToDouble(task -> simulator.users.jobs.get(RunningTasks.jobOf(task.taskId)).cpus)
                 .sum();
     }
 }
