--- a/src/test/java/org/havenford/simulator/GuestWorkTest.java
+++ b/src/test/java/org/havenford/simulator/GuestWorkTest.java
@@ -72,7 +72,8 @@
                 .toList();
         simulator.runUntil(420);
         String counts = "urgent waits p50 " + waits.get(50) + " p90 " + waits.get(90) + " max " + waits.get(99)
-                + ", changes " + simulator.store.changesOf + ", conflicts " + simulator.store.conflictsOf
+                + ", changes " + simulator.store.changesByKeyCategory + ", conflicts "
+                + simulator.store.conflictsByKeyCategory
                 + ", requests "
                 + simulator.store.requests + ", refused " + simulator.store.refused;
         System.out.println(counts);
--- a/src/test/java/org/havenford/simulator/LargeFleetTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetTest.java
@@ -90,7 +90,7 @@
         simulator.cloud.terminate("host-003333");
         simulator.runUntil(75);
         assertTrue(
-                !simulator.store.holds("live/machine/", "host-003333"),
+                !simulator.store.anyValueContains("live/machine/", "host-003333"),
                 "the record of the terminated machine is deleted");
         simulator.behaviour.assertKept("grown/long-list");
     }
@@ -187,13 +187,13 @@
                         .map(job ->
                                 job.id + " with " + job.tasks + " tasks of team " + job.team + ", started " + job.begun)
                         .toList(),
-                () -> simulator.store.changesOf + " " + simulator.store.conflictsOf);
+                () -> simulator.store.changesByKeyCategory + " " + simulator.store.conflictsByKeyCategory);
     }
 
     private static void assertWithinBudget(ClusterSimulator simulator, int tasks, StoreCounts counts) {
         double longestWait = longestWaitSeconds(simulator);
         String summary = "tasks " + tasks + ", longest wait " + longestWait + " s, " + counts + "; writes "
-                + simulator.store.changesOf + ", conflicts " + simulator.store.conflictsOf;
+                + simulator.store.changesByKeyCategory + ", conflicts " + simulator.store.conflictsByKeyCategory;
         assertTrue(counts.taskWrites < 1.6 * tasks, summary);
         assertTrue(counts.requests < 5 * tasks, summary);
         assertTrue(counts.conflicts < 0.1 * tasks, summary);
@@ -216,7 +216,7 @@
      * instances.
      */
     private static int countTaskWrites(ClusterSimulator simulator) {
-        return simulator.store.changesOf.entrySet().stream()
+        return simulator.store.changesByKeyCategory.entrySet().stream()
                 .filter(entry -> !entry.getKey().contains("live/machine"))
                 .mapToInt(Map.Entry::getValue)
                 .sum();
@@ -244,7 +244,7 @@
         assertTrue(
                 simulator.users.jobs.values().stream().allMatch(job -> job.doneTold != null),
                 () -> "not all jobs are done: " + simulator.store.requests + " " + simulator.store.refused + " "
-                        + simulator.store.changesOf + " "
+                        + simulator.store.changesByKeyCategory + " "
                         + simulator.users.jobs.values().stream()
                                 .map(job -> job.id + job.accepted + job.begun + job.doneTold)
                                 .toList());
--- a/src/test/java/org/havenford/simulator/SimulatedCloud.java
+++ b/src/test/java/org/havenford/simulator/SimulatedCloud.java
@@ -44,25 +44,25 @@
     private final Map<String, List<String>> launchedByBooking = new HashMap<>();
     private final TreeMap<String, JsonObject> listedMachines = new TreeMap<>();
     /** Names of machines that have terminated. */
-    final Set<String> gone = new HashSet<>();
+    final Set<String> terminated = new HashSet<>();
     /** When a controller first returned each machine, by name. */
     final Map<String, Instant> returned = new HashMap<>();
 
     /** When the first machine of each kind was launched; the keys are {@code spot} and {@code ordinary} (on-demand). */
-    final Map<String, Instant> firstRented = new HashMap<>();
+    final Map<String, Instant> firstLaunchTimes = new HashMap<>();
 
     private int nextMachineNumber;
     boolean outage;
     List<String> zones = List.of("a", "b", "c");
     /** Zones in which machines launched from now on never finish booting. */
-    final Set<String> darkZones = new HashSet<>();
+    final Set<String> zonesWithoutBoot = new HashSet<>();
     /** Boot time of machines launched from now on; null for a random time in the usual range. */
     Duration bootTime;
     /** Number of machines launched on request of the controllers. */
-    int rented;
+    int launchedMachines;
 
     /** Maximum number of machines of each type, zone and kind (spot or on-demand). */
-    int perOffer = DEFAULT_MACHINES_PER_OFFER;
+    int maxMachinesPerOffer = DEFAULT_MACHINES_PER_OFFER;
 
     SimulatedCloud(ClusterSimulator simulator) {
         this.simulator = simulator;
@@ -73,16 +73,16 @@
         String name = String.format("host-%06d", nextMachineNumber++);
         JsonObject json = machineJson(name, type, zone, spot);
         simulator.after(LIST_LAG, () -> {
-            if (!gone.contains(name)) {
+            if (!terminated.contains(name)) {
                 listedMachines.put(name, json);
             }
         });
         SimulatedAgent agent = new SimulatedAgent(simulator, name, type, zone, spot);
         simulator.agents.put(name, agent);
         simulator.network.faults.assignZone(simulator.endpoints.apply(name), zone);
-        if (!darkZones.contains(zone)) {
+        if (!zonesWithoutBoot.contains(zone)) {
             simulator.after(bootDelay, () -> {
-                if (!gone.contains(name)) {
+                if (!terminated.contains(name)) {
                     agent.start();
                 }
             });
@@ -104,7 +104,7 @@
 
     /** Terminates a machine for good; the machine list shows it until {@link #LIST_LAG} has passed. */
     void terminate(String name) {
-        gone.add(name);
+        terminated.add(name);
         simulator.agents.get(name).terminate();
         simulator.after(LIST_LAG, () -> listedMachines.remove(name));
     }
@@ -191,13 +191,14 @@
             String type = request.get("rig").getAsString();
             String zone = request.get("hall").getAsString();
             boolean spot = request.get("borrowed").getAsBoolean();
-            int count = (int) Math.min(request.get("count").getAsInt(), perOffer - countMachines(type, zone, spot));
+            int count = (int)
+                    Math.min(request.get("count").getAsInt(), maxMachinesPerOffer - countMachines(type, zone, spot));
             if (count <= 0) {
                 return new Reply(503, "{\"error\":\"no capacity\"}");
             }
             names = launchMachines(type, zone, spot, count);
             launchedByBooking.put(booking, names);
-            firstRented.putIfAbsent(spot ? "spot" : "ordinary", simulator.now);
+            firstLaunchTimes.putIfAbsent(spot ? "spot" : "ordinary", simulator.now);
         }
         JsonArray machines = new JsonArray();
         names.forEach(machines::add);
@@ -208,7 +209,7 @@
 
     private long countMachines(String type, String zone, boolean spot) {
         return simulator.agents.values().stream()
-                .filter(agent -> !gone.contains(agent.name)
+                .filter(agent -> !terminated.contains(agent.name)
                         && agent.type.equals(type)
                         && agent.zone.equals(zone)
                         && agent.spot == spot)
@@ -220,7 +221,7 @@
         for (int i = 0; i < count; i++) {
             Duration usualBootTime = Duration.ofMillis(MIN_BOOT_MILLIS + simulator.random.nextInt(BOOT_JITTER_MILLIS));
             names.add(boot(type, zone, spot, bootTime == null ? usualBootTime : bootTime).name);
-            rented++;
+            launchedMachines++;
         }
         return names;
     }
--- a/src/test/java/org/havenford/simulator/SimulatedStore.java
+++ b/src/test/java/org/havenford/simulator/SimulatedStore.java
@@ -48,9 +48,9 @@
     /** Number of operations that deleted a member key: evictions of members whose lease had not yet expired. */
     int evictions;
     /** Number of applied operations, by kind ({@code set} or {@code delete}) and {@link #keyCategory}. */
-    final TreeMap<String, Integer> changesOf = new TreeMap<>();
+    final TreeMap<String, Integer> changesByKeyCategory = new TreeMap<>();
     /** Number of failed conditions, by {@link #keyCategory}. */
-    final TreeMap<String, Integer> conflictsOf = new TreeMap<>();
+    final TreeMap<String, Integer> conflictsByKeyCategory = new TreeMap<>();
     /** Whether the service is unavailable: it answers requests with status 503, and watches not at all. */
     boolean outage;
 
@@ -60,7 +60,7 @@
     /** Number of upcoming transactions that are applied late and never answered. */
     int lateTransactions;
     /** Number of upcoming transactions that are applied at once but never answered. */
-    int lostAnswers;
+    int unansweredTransactions;
 
     /** The maximum length of a value in characters. {@link #lowerLimits()} lowers this limit and the next ones. */
     private int maxValueLength;
@@ -89,7 +89,7 @@
     }
 
     /** Returns whether any value whose key has the prefix contains the text in its JSON form. */
-    boolean holds(String prefix, String text) {
+    boolean anyValueContains(String prefix, String text) {
         return values.entrySet().stream()
                 .anyMatch(entry -> entry.getKey().startsWith(prefix)
                         && entry.getValue().json.toString().contains(text));
@@ -189,8 +189,8 @@
     }
 
     private void handleTransaction(String body, Consumer<Reply> callback) {
-        if (lostAnswers > 0) {
-            lostAnswers--;
+        if (unansweredTransactions > 0) {
+            unansweredTransactions--;
             apply(StoreTransaction.parse(body));
         } else if (lateTransactions > 0) {
             // The sender times out, but the transaction is applied nevertheless.
@@ -304,7 +304,7 @@
         conflicts++;
         JsonArray keys = new JsonArray();
         failedKeys.forEach(keys::add);
-        failedKeys.forEach(key -> conflictsOf.merge(keyCategory(key), 1, Integer::sum));
+        failedKeys.forEach(key -> conflictsByKeyCategory.merge(keyCategory(key), 1, Integer::sum));
         JsonObject json = new JsonObject();
         json.add("failed", keys);
         json.addProperty("edition", revision);
@@ -313,7 +313,7 @@
 
     private void apply(StoreTransaction.Operation operation) {
         String key = operation.key();
-        changesOf.merge((operation.isDelete() ? "delete " : "set ") + keyCategory(key), 1, Integer::sum);
+        changesByKeyCategory.merge((operation.isDelete() ? "delete " : "set ") + keyCategory(key), 1, Integer::sum);
         if (operation.isDelete()) {
             if (key.startsWith(MEMBER_PREFIX)) {
                 evictions++;
--- a/src/test/java/org/havenford/simulator/SubmissionBurst.java
+++ b/src/test/java/org/havenford/simulator/SubmissionBurst.java
@@ -26,7 +26,7 @@
     static LoopbackCluster start(Path directory, String operatorXml, int machines)
             throws IOException, MalformedMessageException, InterruptedException {
         LoopbackCluster loopback = new LoopbackCluster(directory, 3, TEAM, operatorXml);
-        loopback.simulator.cloud.perOffer = machines / ZONES.size();
+        loopback.simulator.cloud.maxMachinesPerOffer = machines / ZONES.size();
         for (int i = 0; i < machines; i++) {
             loopback.simulator.cloud.boot("large", ZONES.get(i % ZONES.size()), false, Duration.ofMillis(500));
         }
--- a/src/test/java/org/havenford/simulator/TraceCommands.java
+++ b/src/test/java/org/havenford/simulator/TraceCommands.java
@@ -166,7 +166,7 @@
             simulator.store.lowerLimits();
             simulator.store.rejectsTooLarge = true;
         });
-        commands.put("lost-answers", (simulator, args) -> simulator.store.lostAnswers = args.integer(0));
+        commands.put("lost-answers", (simulator, args) -> simulator.store.unansweredTransactions = args.integer(0));
         commands.put("late-txns", (simulator, args) -> {
             simulator.store.lateTransactions = args.integer(0);
             simulator.store.lateTransactionDelay = args.seconds(1);
@@ -174,8 +174,8 @@
     }
 
     private static void addCloudCommands(Map<String, Command> commands) {
-        commands.put("dark-zone", (simulator, args) -> simulator.cloud.darkZones.add(args.word(0)));
-        commands.put("lit-zone", (simulator, args) -> simulator.cloud.darkZones.remove(args.word(0)));
+        commands.put("dark-zone", (simulator, args) -> simulator.cloud.zonesWithoutBoot.add(args.word(0)));
+        commands.put("lit-zone", (simulator, args) -> simulator.cloud.zonesWithoutBoot.remove(args.word(0)));
         commands.put("boots", (simulator, args) -> simulator.cloud.bootTime = args.seconds(0));
         commands.put("boots-usually", (simulator, args) -> simulator.cloud.bootTime = null);
         commands.put("cloud-outage", (simulator, args) -> simulator.cloud.outage = args.isOn(0));
--- a/src/test/java/org/havenford/simulator/TraceExpectations.java
+++ b/src/test/java/org/havenford/simulator/TraceExpectations.java
@@ -70,9 +70,9 @@
 
     private static void addMachinePredicates(Map<String, BiPredicate<ClusterSimulator, TraceArguments>> predicates) {
         predicates.put("kept", (simulator, args) -> occurredAtOrAfter(simulator.cloud.returned, args));
-        predicates.put("first-rented", (simulator, args) -> occurredAtOrAfter(simulator.cloud.firstRented, args));
-        predicates.put("rented-at-most", (simulator, args) -> simulator.cloud.rented <= args.integer(0));
-        predicates.put("gone", (simulator, args) -> simulator.cloud.gone.contains(args.word(0)));
+        predicates.put("first-rented", (simulator, args) -> occurredAtOrAfter(simulator.cloud.firstLaunchTimes, args));
+        predicates.put("rented-at-most", (simulator, args) -> simulator.cloud.launchedMachines <= args.integer(0));
+        predicates.put("gone", (simulator, args) -> simulator.cloud.terminated.contains(args.word(0)));
     }
 
     private static void addStorePredicates(Map<String, BiPredicate<ClusterSimulator, TraceArguments>> predicates) {
@@ -102,7 +102,7 @@
 
     private static Map<String, BiFunction<ClusterSimulator, TraceArguments, String>> actualCounts() {
         Map<String, BiFunction<ClusterSimulator, TraceArguments, String>> actualCounts = new HashMap<>();
-        actualCounts.put("rented-at-most", (simulator, args) -> ", rented " + simulator.cloud.rented);
+        actualCounts.put("rented-at-most", (simulator, args) -> ", rented " + simulator.cloud.launchedMachines);
         actualCounts.put("evictions", (simulator, args) -> ", evictions " + simulator.store.evictions);
         actualCounts.put("evictions-at-least", (simulator, args) -> ", evictions " + simulator.store.evictions);
         actualCounts.put("calls-at-most", (simulator, args) -> ", calls " + simulator.store.requests);
--- a/src/test/java/org/havenford/simulator/TracePlayer.java
+++ b/src/test/java/org/havenford/simulator/TracePlayer.java
@@ -36,7 +36,7 @@
         simulator.withStandby = scenario.standby;
         simulator.withoutStandby.addAll(scenario.withoutStandby);
         if (scenario.machinesPerOffer > 0) {
-            simulator.cloud.perOffer = scenario.machinesPerOffer;
+            simulator.cloud.maxMachinesPerOffer = scenario.machinesPerOffer;
         }
         for (int node = 0; node < scenario.nodes(); node++) {
             PlatformSettings previousSettings = scenario.startsWithPreviousFormat()
