--- a/src/test/java/org/havenford/coordination/provisioning/BootTimeEstimatorTest.java
+++ b/src/test/java/org/havenford/coordination/provisioning/BootTimeEstimatorTest.java
@@ -15,7 +15,7 @@
 import org.havenford.storage.records.MachineBatch;
 import org.havenford.storage.records.MachineRecord.Condition;
 import org.havenford.storage.records.MachineStatuses;
-import org.havenford.testing.QuietObserver;
+import org.havenford.testing.NoOpObserver;
 import org.junit.jupiter.api.Test;
 
 /** Detection of overdue machines and of offers that fail to boot. The nominal boot time of the machine type is 20 s. */
@@ -32,7 +32,7 @@
     private int batchCount;
 
     BootTimeEstimatorTest() {
-        clusterState.setObserver(new QuietObserver());
+        clusterState.setObserver(new NoOpObserver());
         clusterState.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++revision);
     }
 
--- a/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
@@ -19,7 +19,7 @@
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.TaskRange;
 import org.havenford.testing.JobSamples;
-import org.havenford.testing.QuietObserver;
+import org.havenford.testing.NoOpObserver;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -42,7 +42,7 @@
     private long stamp;
 
     FailingJobBackoffTest() {
-        clusterState.setObserver(new QuietObserver());
+        clusterState.setObserver(new NoOpObserver());
         clusterState.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
     }
 
--- a/src/test/java/org/havenford/coordination/scheduling/PipelineDecisionsTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/PipelineDecisionsTest.java
@@ -16,7 +16,7 @@
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
 import org.havenford.testing.JobSamples;
-import org.havenford.testing.QuietObserver;
+import org.havenford.testing.NoOpObserver;
 import org.junit.jupiter.api.Test;
 
 /** Effects of dependencies between jobs on placement order, demand, starvation, priorities and deadlines. */
@@ -33,7 +33,7 @@
     private long stamp;
 
     PipelineDecisionsTest() {
-        clusterState.setObserver(new QuietObserver());
+        clusterState.setObserver(new NoOpObserver());
     }
 
     /** Builds a stored header; {@code releasedSecondsAgo} is negative for a job that was not released. */
--- a/src/test/java/org/havenford/coordination/scheduling/PlannerPlacementTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/PlannerPlacementTest.java
@@ -28,7 +28,7 @@
 import org.havenford.storage.records.MachineRecord;
 import org.havenford.storage.records.TaskRange;
 import org.havenford.testing.JobSamples;
-import org.havenford.testing.QuietObserver;
+import org.havenford.testing.NoOpObserver;
 import org.junit.jupiter.api.Test;
 
 /** Checks that the placements of one planning round, together with existing claims, meet each job's constraints. */
@@ -56,7 +56,7 @@
     private int nextMachineNumber;
 
     PlannerPlacementTest() {
-        clusterState.setObserver(new QuietObserver());
+        clusterState.setObserver(new NoOpObserver());
         clusterState.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++revision);
     }
 
--- a/src/test/java/org/havenford/golden/GoldenCalls.java
+++ b/src/test/java/org/havenford/golden/GoldenCalls.java
@@ -27,7 +27,7 @@
 import org.havenford.storage.records.LivenessProbe;
 import org.havenford.storage.records.MemberRegistration;
 import org.havenford.testing.ManualLoop;
-import org.havenford.testing.QuietObserver;
+import org.havenford.testing.NoOpObserver;
 import org.havenford.transport.HttpCalls;
 
 /** Records one call to the store of each kind, and the transactions that probe and evict a member. */
@@ -63,7 +63,7 @@
 
     private Membership membership(Set<String> configured) {
         ClusterState clusterState = new ClusterState();
-        clusterState.setObserver(new QuietObserver());
+        clusterState.setObserver(new NoOpObserver());
         replica = new StoreReplica(loop, store, Keys.REPLICATED, clusterState);
         MembershipSettings settings = new MembershipSettings("node-0", configured, Duration.ofSeconds(5));
         return new Membership(loop, store, replica, settings, new MembershipListener() {
--- a/src/test/java/org/havenford/golden/GoldenStoredValues.java
+++ b/src/test/java/org/havenford/golden/GoldenStoredValues.java
@@ -30,7 +30,7 @@
 import org.havenford.storage.records.TaskRange;
 import org.havenford.storage.records.TeamQuota;
 import org.havenford.testing.JobSamples;
-import org.havenford.testing.QuietObserver;
+import org.havenford.testing.NoOpObserver;
 
 /**
  * Builds values of every stored format from fixed inputs, and parses values and writes them back. The name of an entry
@@ -233,7 +233,7 @@
     /** Parses an instance request through {@link ClusterState}, the only class that reads them, and writes it back. */
     private static JsonElement rewriteInstanceRequest(String key, JsonObject value) {
         ClusterState clusterState = new ClusterState();
-        clusterState.setObserver(new QuietObserver());
+        clusterState.setObserver(new NoOpObserver());
         clusterState.changed(key, value, 1);
         JsonArray all = new JsonArray();
         List<InstanceRequest> requests = new ArrayList<>(clusterState.instanceRequests());
--- a/src/test/java/org/havenford/simulator/ClusterSimulator.java
+++ b/src/test/java/org/havenford/simulator/ClusterSimulator.java
@@ -25,7 +25,7 @@
 public final class ClusterSimulator {
     /** An endpoint that answers HTTP requests. */
     interface Server {
-        void request(String method, String path, String body, Consumer<HttpCalls.Reply> answer);
+        void request(String method, String path, String body, Consumer<HttpCalls.Reply> callback);
     }
 
     /** A scheduled event. Events scheduled for the same instant run in the order in which they were scheduled. */
--- a/src/test/java/org/havenford/simulator/NetworkFaults.java
+++ b/src/test/java/org/havenford/simulator/NetworkFaults.java
@@ -34,19 +34,19 @@
     /** Held replies to open watches, by the controller that the state service refuses. */
     private final Map<String, List<Runnable>> heldWatchReplies = new HashMap<>();
     /** Additional delay of direct commands to a machine. */
-    final Map<String, Duration> lateCommands = new HashMap<>();
+    final Map<String, Duration> commandDelays = new HashMap<>();
     /** Additional delay of replies to watches of a controller. */
-    final Map<String, Duration> lateChanges = new HashMap<>();
+    final Map<String, Duration> watchReplyDelays = new HashMap<>();
     /** Addresses that receive nothing, although what they send arrives. */
     final Set<String> deaf = new HashSet<>();
     /** Addresses whose own requests are lost, although their replies to requests of others arrive. */
     final Set<String> mute = new HashSet<>();
     /** Maximum additional latency of each message in milliseconds. */
-    int slowLinks;
+    int extraLatencyMillis;
     /** Machines whose heartbeats arrive a second time, and the delay of that duplicate. */
-    final Map<String, Duration> copies = new HashMap<>();
+    final Map<String, Duration> duplicatedHeartbeats = new HashMap<>();
     /** Controllers whose POST requests are executed a second time, and the delay of that duplicate. */
-    final Map<String, Duration> repeats = new HashMap<>();
+    final Map<String, Duration> duplicatedPosts = new HashMap<>();
     /** Delay of the slow calls of a controller to the state service. */
     final Map<String, Duration> slowCalls = new HashMap<>();
     /** Number of upcoming calls of a controller to the state service that are slow. */
@@ -91,12 +91,12 @@
      * Makes the state service refuse one controller. The controller can no longer renew its leases, and replies to its open
      * watches are held.
      */
-    void refuse(String controller) {
+    void refuseByStore(String controller) {
         heldWatchReplies.put(controller, new ArrayList<>());
     }
 
     /** Makes the state service serve a controller again and delivers the held replies to its watches. */
-    void serve(String controller) {
+    void serveByStore(String controller) {
         release(heldWatchReplies.remove(controller));
     }
 
--- a/src/test/java/org/havenford/simulator/SimulatedNetwork.java
+++ b/src/test/java/org/havenford/simulator/SimulatedNetwork.java
@@ -56,7 +56,7 @@
             return;
         }
         if (faults.passes(from, to, delivery)) {
-            int millis = 1 + simulator.random.nextInt(LATENCY_RANGE_MILLIS + faults.slowLinks);
+            int millis = 1 + simulator.random.nextInt(LATENCY_RANGE_MILLIS + faults.extraLatencyMillis);
             simulator.after(Duration.ofMillis(millis), delivery);
         }
     }
@@ -98,8 +98,8 @@
                 sendReply(REFUSED_BY_STORE);
                 return;
             }
-            Duration commandDelay = request.isDirectCommand() ? faults.lateCommands.get(to) : null;
-            watchReplyDelay = request.isWatch() ? faults.lateChanges.get(from) : null;
+            Duration commandDelay = request.isDirectCommand() ? faults.commandDelays.get(to) : null;
+            watchReplyDelay = request.isWatch() ? faults.watchReplyDelays.get(from) : null;
             if (commandDelay != null) {
                 simulator.after(commandDelay, () -> deliver(this::sendReply));
                 return;
@@ -124,9 +124,9 @@
         /** Returns the delay after which the request is delivered a second time, or null if it is not. */
         private Duration duplicateDelay() {
             if (request.isHeartbeat()) {
-                return faults.copies.get(from);
+                return faults.duplicatedHeartbeats.get(from);
             }
-            return request.method.equals("POST") ? faults.repeats.get(from) : null;
+            return request.method.equals("POST") ? faults.duplicatedPosts.get(from) : null;
         }
 
         private void send() {
--- a/src/test/java/org/havenford/simulator/TraceCommands.java
+++ b/src/test/java/org/havenford/simulator/TraceCommands.java
@@ -106,8 +106,9 @@
                 .values()
                 .forEach(agent ->
                         simulator.network.faults.heal(address(simulator, args, 0), address(simulator, agent.name))));
-        commands.put("refuse", (simulator, args) -> simulator.network.faults.refuse(address(simulator, args, 0)));
-        commands.put("serve", (simulator, args) -> simulator.network.faults.serve(address(simulator, args, 0)));
+        commands.put(
+                "refuse", (simulator, args) -> simulator.network.faults.refuseByStore(address(simulator, args, 0)));
+        commands.put("serve", (simulator, args) -> simulator.network.faults.serveByStore(address(simulator, args, 0)));
     }
 
     private static void partitionFromAllAgents(ClusterSimulator simulator, TraceArguments args, NetworkFaults.Cut cut) {
@@ -122,22 +123,24 @@
         commands.put(
                 "repeats",
                 (simulator, args) ->
-                        simulator.network.faults.repeats.put(address(simulator, args, 0), args.seconds(1)));
+                        simulator.network.faults.duplicatedPosts.put(address(simulator, args, 0), args.seconds(1)));
         commands.put(
                 "no-repeats",
-                (simulator, args) -> simulator.network.faults.repeats.remove(address(simulator, args, 0)));
+                (simulator, args) -> simulator.network.faults.duplicatedPosts.remove(address(simulator, args, 0)));
         commands.put(
                 "copies",
-                (simulator, args) -> simulator.network.faults.copies.put(address(simulator, args, 0), args.seconds(1)));
+                (simulator, args) -> simulator.network.faults.duplicatedHeartbeats.put(
+                        address(simulator, args, 0), args.seconds(1)));
         commands.put(
-                "no-copies", (simulator, args) -> simulator.network.faults.copies.remove(address(simulator, args, 0)));
+                "no-copies",
+                (simulator, args) -> simulator.network.faults.duplicatedHeartbeats.remove(address(simulator, args, 0)));
         commands.put("mute", (simulator, args) -> simulator.network.faults.mute.add(address(simulator, args, 0)));
         commands.put("speaks", (simulator, args) -> simulator.network.faults.mute.remove(address(simulator, args, 0)));
         commands.put("deaf", (simulator, args) -> simulator.network.faults.deaf.add(address(simulator, args, 0)));
         commands.put("hears", (simulator, args) -> simulator.network.faults.deaf.remove(address(simulator, args, 0)));
         commands.put(
                 "slow-links",
-                (simulator, args) -> simulator.network.faults.slowLinks =
+                (simulator, args) -> simulator.network.faults.extraLatencyMillis =
                         (int) args.seconds(0).toMillis());
         commands.put("slow-calls", (simulator, args) -> {
             simulator.network.faults.slowCallsLeft.put(address(simulator, args, 0), args.integer(1));
@@ -146,11 +149,11 @@
         commands.put(
                 "late-commands",
                 (simulator, args) ->
-                        simulator.network.faults.lateCommands.put(address(simulator, args, 0), args.seconds(1)));
+                        simulator.network.faults.commandDelays.put(address(simulator, args, 0), args.seconds(1)));
         commands.put(
                 "late-changes",
                 (simulator, args) ->
-                        simulator.network.faults.lateChanges.put(address(simulator, args, 0), args.seconds(1)));
+                        simulator.network.faults.watchReplyDelays.put(address(simulator, args, 0), args.seconds(1)));
     }
 
     private static void addStoreCommands(Map<String, Command> commands) {
--- a/src/test/java/org/havenford/testing/QuietObserver.java
+++ b/src/test/java/org/havenford/testing/NoOpObserver.java
@@ -7,7 +7,7 @@
 import org.havenford.storage.records.MemberRegistration;
 
 /** An observer that ignores every change, for tests that only read the cluster state. */
-public final class QuietObserver implements ClusterState.Observer {
+public final class NoOpObserver implements ClusterState.Observer {
     @Override
     public void viewChanged(ClusterView view, long modRevision) {}
 
