--- a/src/main/java/org/havenford/coordination/agents/AgentContact.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentContact.java
@@ -7,7 +7,8 @@
  * @param machine the agent's machine
  * @param endpoint host and port of the agent
  * @param incarnation the agent's incarnation
- * @param heartbeatSequence the sequence number of the newest unsolicited heartbeat of this incarnation, or 0 if there is none
+ * @param heartbeatSequence the sequence number of the newest unsolicited heartbeat of this incarnation, or 0 if there
+ *     is none
  * @param fencingToken the highest fencing token that the agent has seen or was sent
  */
 public record AgentContact(
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
@@ -24,8 +24,8 @@
     private final Duration heartbeatFreshness;
 
     /**
-     * Creates a reconciler. For claims younger than {@code heartbeatFreshness}, the start of a run counts as observed even if
-     * no heartbeat showed the image pull.
+     * Creates a reconciler. For claims younger than {@code heartbeatFreshness}, the start of a run counts as observed
+     * even if no heartbeat showed the image pull.
      */
     HeartbeatReconciler(
             AgentContext context,
@@ -74,10 +74,8 @@
             return;
         }
         // An attempt that is absent from a heartbeat has ended only if no run command for it can still take effect. A
-        // run
-        // command in the response to a heartbeat cannot arrive after the agent's next heartbeat; one in a direct call
-        // is
-        // rejected once the agent has seen a higher fencing token.
+        // run command in the response to a heartbeat cannot arrive after the agent's next heartbeat; one in a direct
+        // call is rejected once the agent has seen a higher fencing token.
         if (origin == HeartbeatOrigin.UNSOLICITED
                 && heartbeat.fencingToken() >= agent.lowestFencingToken()
                 && attempt.isDirectRunFenced(heartbeat.fencingToken())) {
--- a/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
+++ b/src/main/java/org/havenford/coordination/agents/MachineAdoption.java
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Handles a heartbeat from a machine without a record. While instance requests are open, adoption is postponed, because a
-     * machine that was just rented gets its record when its request is answered.
+     * Handles a heartbeat from a machine without a record. While instance requests are open, adoption is postponed,
+     * because a machine that was just rented gets its record when its request is answered.
      */
     void handleHeartbeat(AgentState agent, Heartbeat heartbeat) {
         Instant now = loop.now();
--- a/src/main/java/org/havenford/coordination/agents/StragglerDetector.java
+++ b/src/main/java/org/havenford/coordination/agents/StragglerDetector.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 
 /**
- * The straggler criterion of the Self-healing paper (section 4.1), which compares a task's estimated duration with the sum of
- * the median durations of the phases of its job. The phases here are image pull and run.
+ * The straggler criterion of the Self-healing paper (section 4.1), which compares a task's estimated duration with the
+ * sum of the median durations of the phases of its job. The phases here are image pull and run.
  */
 public final class StragglerDetector {
     private StragglerDetector() {}
--- a/src/main/java/org/havenford/standby/FailoverCoordinator.java
+++ b/src/main/java/org/havenford/standby/FailoverCoordinator.java
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Abandons suspicions after a pause of this process, as it could not receive anything from its peers meanwhile. Those with
-     * a store request in flight stay until it is answered.
+     * Abandons suspicions after a pause of this process, as it could not receive anything from its peers meanwhile.
+     * Those with a store request in flight stay until it is answered.
      */
     void processPaused() {
         for (String node : Set.copyOf(suspicions.keySet())) {
--- a/src/main/java/org/havenford/standby/Follower.java
+++ b/src/main/java/org/havenford/standby/Follower.java
@@ -15,8 +15,8 @@
 import org.havenford.standby.PeerMessage.SnapshotBegin;
 
 /**
- * State received from a peer: the agent contacts of its machines and its open decisions. It shows which transactions the peer
- * intended and which outcomes it reported; only the store shows which of them were committed.
+ * State received from a peer: the agent contacts of its machines and its open decisions. It shows which transactions
+ * the peer intended and which outcomes it reported; only the store shows which of them were committed.
  */
 final class Follower {
     /** Limit of a peer's open decisions. A correct peer stays far below it, as its queue to the store is far shorter. */
@@ -126,8 +126,9 @@
     }
 
     /**
-     * Returns whether a replica contains everything that the peer committed under a view that has been replaced. Transactions
-     * conditional on that view are committed before the revision of the next view, even if the peer could not report them.
+     * Returns whether a replica contains everything that the peer committed under a view that has been replaced.
+     * Transactions conditional on that view are committed before the revision of the next view, even if the peer could
+     * not report them.
      */
     boolean replicaContainsAllCommits(long replicaRevision, long nextViewRevision) {
         return replicaRevision >= Math.max(nextViewRevision, highestRevision);
--- a/src/main/java/org/havenford/standby/PeerLink.java
+++ b/src/main/java/org/havenford/standby/PeerLink.java
@@ -257,7 +257,10 @@
         }
     }
 
-    /** Sends a heartbeat unless another message was sent recently. Sends a new hello if the incarnation of this node changed. */
+    /**
+     * Sends a heartbeat unless another message was sent recently. Sends a new hello if the incarnation of this node
+     * changed.
+     */
     void heartbeat() {
         if (connection == null) {
             return;
--- a/src/main/java/org/havenford/standby/Succession.java
+++ b/src/main/java/org/havenford/standby/Succession.java
@@ -9,9 +9,9 @@
 import org.havenford.storage.records.ClusterView;
 
 /**
- * Assignment of standbys to machines in one view. The standby of a machine is the second member in its rendezvous hash order,
- * which owns the machine once the current owner has left the view. The role of the leader passes to the next member by name
- * in the same way. Standbys are computed on demand and cached for the lifetime of the view.
+ * Assignment of standbys to machines in one view. The standby of a machine is the second member in its rendezvous hash
+ * order, which owns the machine once the current owner has left the view. The role of the leader passes to the next
+ * member by name in the same way. Standbys are computed on demand and cached for the lifetime of the view.
  */
 final class Succession {
     private final ClusterView view;
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Returns the members that may evict a suspect, in the order in which they should try. Members in other zones come first,
-     * because a failure of the suspect's zone does not affect them.
+     * Returns the members that may evict a suspect, in the order in which they should try. Members in other zones come
+     * first, because a failure of the suspect's zone does not affect them.
      */
     static List<String> evictionOrder(ClusterView view, String suspect, UnaryOperator<String> zoneOf) {
         List<String> others = new ArrayList<>(view.members().keySet());
--- a/src/test/java/org/havenford/simulator/LargeFleetTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetTest.java
@@ -74,8 +74,8 @@
     }
 
     /**
-     * The machine list of the cloud has more pages than the number of calls that may be in flight at once. It is still read to
-     * its end: a terminated machine is removed sooner than by its missing heartbeats alone.
+     * The machine list of the cloud has more pages than the number of calls that may be in flight at once. It is still
+     * read to its end: a terminated machine is removed sooner than by its missing heartbeats alone.
      */
     @Test
     void longMachineListIsReadToItsEnd() {
@@ -109,8 +109,8 @@
     }
 
     /**
-     * The workload of a run: machines that boot at the start, and one job per second, submitted by the teams in turn, with at
-     * least {@code minTasks} and fewer than {@code minTasks + taskRange} tasks.
+     * The workload of a run: machines that boot at the start, and one job per second, submitted by the teams in turn,
+     * with at least {@code minTasks} and fewer than {@code minTasks + taskRange} tasks.
      */
     private record Workload(int machines, int jobs, int minTasks, int taskRange, List<String> teams) {}
 
@@ -165,8 +165,7 @@
     private static int submit(ClusterSimulator simulator, Workload workload) {
         int tasks = 0;
         // Uses a separate random generator. With the one that also draws message delays, each additional or omitted
-        // call
-        // would change the job sizes, at times to more work than the limits of the teams allow.
+        // call would change the job sizes, at times to more work than the limits of the teams allow.
         SplittableRandom sizes = new SplittableRandom(workload.jobs());
         for (int i = 0; i < workload.jobs(); i++) {
             int size = workload.minTasks() + sizes.nextInt(workload.taskRange());
--- a/src/test/java/org/havenford/simulator/RandomFaults.java
+++ b/src/test/java/org/havenford/simulator/RandomFaults.java
@@ -10,8 +10,8 @@
     private static final int MAX_OUTAGE_SECONDS = 12;
 
     /**
-     * The start, duration, targets and cut mode of a fault. All components are drawn for every fault, also those that its kind
-     * does not use.
+     * The start, duration, targets and cut mode of a fault. All components are drawn for every fault, also those that
+     * its kind does not use.
      */
     private record Fault(int second, String controller, String machine, int durationSeconds, String cutMode) {
         int end() {
--- a/src/test/java/org/havenford/simulator/SimulatedNetwork.java
+++ b/src/test/java/org/havenford/simulator/SimulatedNetwork.java
@@ -62,8 +62,8 @@
     }
 
     /**
-     * One request and its reply. Late commands, slow calls and duplicates are delivered to the server without regard to cuts,
-     * deaf addresses and frozen senders; replies are subject to all of these.
+     * One request and its reply. Late commands, slow calls and duplicates are delivered to the server without regard to
+     * cuts, deaf addresses and frozen senders; replies are subject to all of these.
      */
     private final class Exchange {
         private final String from;
--- a/src/test/java/org/havenford/simulator/SimulatorSettings.java
+++ b/src/test/java/org/havenford/simulator/SimulatorSettings.java
@@ -6,7 +6,10 @@
 import org.havenford.protocol.MalformedMessageException;
 import org.havenford.settings.PlatformSettings;
 
-/** Creates the platform settings of the controllers of a {@link ClusterSimulator}, parsed or as text of the settings file. */
+/**
+ * Creates the platform settings of the controllers of a {@link ClusterSimulator}, parsed or as text of the settings
+ * file.
+ */
 final class SimulatorSettings {
     static final int DEFAULT_NODES = 3;
     static final String DEFAULT_AGENTS = "{\"report_s\":3,\"lease_s\":20,\"cancel_s\":44}";
--- a/src/test/java/org/havenford/simulator/TraceBuilder.java
+++ b/src/test/java/org/havenford/simulator/TraceBuilder.java
@@ -45,9 +45,9 @@
     }
 
     /**
-     * Removes the expectation that a job is done from every job with a {@code cancel} command and from all jobs that depend on
-     * one, directly or indirectly. A job that is cancelled at a random time may or may not be done by then, and a cancellation
-     * also cancels the dependent jobs.
+     * Removes the expectation that a job is done from every job with a {@code cancel} command and from all jobs that
+     * depend on one, directly or indirectly. A job that is cancelled at a random time may or may not be done by then,
+     * and a cancellation also cancels the dependent jobs.
      *
      * @param dependencies the direct dependencies of each job, by job id
      */
--- a/src/test/java/org/havenford/standby/FrameCodecProperties.java
+++ b/src/test/java/org/havenford/standby/FrameCodecProperties.java
@@ -27,8 +27,8 @@
 import org.havenford.standby.PeerMessage.SnapshotBegin;
 
 /**
- * Checks that messages are decoded as they were encoded, however their bytes are split, and that invalid bytes lead only to a
- * {@link MalformedFrameException}, before any memory is allocated for an invalid length.
+ * Checks that messages are decoded as they were encoded, however their bytes are split, and that invalid bytes lead
+ * only to a {@link MalformedFrameException}, before any memory is allocated for an invalid length.
  */
 class FrameCodecProperties {
     private static final String SEED = "4711";
