--- a/src/test/java/org/havenford/simulator/InvariantChecker.java
+++ b/src/test/java/org/havenford/simulator/InvariantChecker.java
@@ -88,50 +88,52 @@
     }
 
     /** Records the start of a task and checks the rules on starts. */
-    void started(SimulatedAgent agent, SimulatedAgent.Attempt task) {
-        String jobId = RunningTasks.jobOf(task.taskId);
+    void started(SimulatedAgent agent, SimulatedAgent.Attempt attempt) {
+        String jobId = RunningTasks.jobOf(attempt.taskId);
         starts++;
         startsByJob.merge(jobId, 1, Integer::sum);
         lastStartByJob.put(jobId, simulator.now);
         changed = true;
-        simulator.note(task.taskId + " take " + task.attempt + " starts on " + agent.name);
+        simulator.note(attempt.taskId + " take " + attempt.attempt + " starts on " + agent.name);
         SimulatedUsers.Job job = simulator.users.jobs.get(jobId);
         if (job.begun == null) {
             job.begun = simulator.now;
         }
-        checkRunsOnce(agent, task);
-        placement.check(agent, task, job);
-        checkDependenciesDone(task, job);
-        checkNotCancelled(task, job);
+        checkRunsOnce(agent, attempt);
+        placement.check(agent, attempt, job);
+        checkDependenciesDone(attempt, job);
+        checkNotCancelled(attempt, job);
     }
 
-    private void checkRunsOnce(SimulatedAgent agent, SimulatedAgent.Attempt task) {
+    private void checkRunsOnce(SimulatedAgent agent, SimulatedAgent.Attempt attempt) {
         for (SimulatedAgent other : simulator.agents.values()) {
-            for (SimulatedAgent.Attempt attempt : other.tasks.values()) {
-                if (attempt != task && RunningTasks.isRunning(other, attempt) && attempt.taskId.equals(task.taskId)) {
-                    broken("ran_twice", task.taskId + " on " + other.name + " and " + agent.name);
+            for (SimulatedAgent.Attempt otherAttempt : other.tasks.values()) {
+                if (otherAttempt != attempt
+                        && RunningTasks.isRunning(other, otherAttempt)
+                        && otherAttempt.taskId.equals(attempt.taskId)) {
+                    broken("ran_twice", attempt.taskId + " on " + other.name + " and " + agent.name);
                 }
             }
         }
     }
 
-    private void checkDependenciesDone(SimulatedAgent.Attempt task, SimulatedUsers.Job job) {
+    private void checkDependenciesDone(SimulatedAgent.Attempt attempt, SimulatedUsers.Job job) {
         for (String dependency : job.prerequisites) {
             JsonElement end = simulator.store.value("final/" + dependency);
             if (end == null
                     || !end.getAsJsonObject().get("status").getAsString().equals("done")) {
-                broken("too_early", task.taskId + " starts before " + dependency + " is done");
+                broken("too_early", attempt.taskId + " starts before " + dependency + " is done");
             }
         }
     }
 
-    private void checkNotCancelled(SimulatedAgent.Attempt task, SimulatedUsers.Job job) {
+    private void checkNotCancelled(SimulatedAgent.Attempt attempt, SimulatedUsers.Job job) {
         if (job.cancelTold != null) {
             startsAfterCancel++;
-            simulator.note(task.taskId + " starts after its job was cancelled");
+            simulator.note(attempt.taskId + " starts after its job was cancelled");
         }
         if (isCancellationOverdue(job)) {
-            broken("ran_cancelled", task.taskId + " starts after the cancellation limit");
+            broken("ran_cancelled", attempt.taskId + " starts after the cancellation limit");
         }
     }
 
@@ -167,14 +169,14 @@
     private Map<String, Double> checkRunningTasks() {
         Map<String, Double> cpusByTeam = new HashMap<>();
         for (SimulatedAgent agent : simulator.agents.values()) {
-            for (SimulatedAgent.Attempt task : agent.tasks.values()) {
-                if (!RunningTasks.isRunning(agent, task)) {
+            for (SimulatedAgent.Attempt attempt : agent.tasks.values()) {
+                if (!RunningTasks.isRunning(agent, attempt)) {
                     continue;
                 }
-                SimulatedUsers.Job job = simulator.users.jobs.get(RunningTasks.jobOf(task.taskId));
+                SimulatedUsers.Job job = simulator.users.jobs.get(RunningTasks.jobOf(attempt.taskId));
                 cpusByTeam.merge(job.team, job.cpus, Double::sum);
                 if (isCancellationOverdue(job)) {
-                    broken("ran_cancelled", task.taskId + " is still running on " + agent.name);
+                    broken("ran_cancelled", attempt.taskId + " is still running on " + agent.name);
                 }
             }
         }
--- a/src/test/java/org/havenford/simulator/LoopbackCluster.java
+++ b/src/test/java/org/havenford/simulator/LoopbackCluster.java
@@ -84,7 +84,7 @@
             PlatformSettings parsed = PlatformSettings.parse(settings.get(i));
             simulator.addRemoteNode(parsed);
             String bind = parsed.bind();
-            simulator.servers.put(bind, (method, path, body, answer) -> forward(bind, method, path, body, answer));
+            simulator.servers.put(bind, (method, path, body, callback) -> forward(bind, method, path, body, callback));
             ControllerProcess process = new ControllerProcess(directory, parsed.node(), settings.get(i), operatorXml);
             controllers.put(parsed.node(), process);
             process.start();
@@ -156,7 +156,7 @@
     }
 
     /** Forwards a call of an agent or a user to the process of a controller; a failed call is answered with status 0. */
-    private void forward(String bind, String method, String path, String body, Consumer<Reply> answer) {
+    private void forward(String bind, String method, String path, String body, Consumer<Reply> callback) {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + bind + path))
                 .timeout(Duration.ofSeconds(5))
                 .method(
@@ -167,7 +167,7 @@
                 .whenComplete((response, failure) -> {
                     Reply reply =
                             failure == null ? new Reply(response.statusCode(), response.body()) : new Reply(0, "");
-                    pendingTasks.add(() -> answer.accept(reply));
+                    pendingTasks.add(() -> callback.accept(reply));
                 });
     }
 
--- a/src/test/java/org/havenford/simulator/PlacementInvariant.java
+++ b/src/test/java/org/havenford/simulator/PlacementInvariant.java
@@ -15,22 +15,22 @@
     }
 
     /** Checks a task that has just started, given the tasks of its job that are running. */
-    void check(SimulatedAgent agent, SimulatedAgent.Attempt task, SimulatedUsers.Job job) {
+    void check(SimulatedAgent agent, SimulatedAgent.Attempt attempt, SimulatedUsers.Job job) {
         if (!allowsType(agent, job)) {
-            report("type", task.taskId + " on " + agent.name + ", which is " + agent.type + ", not of " + job.types);
+            report("type", attempt.taskId + " on " + agent.name + ", which is " + agent.type + ", not of " + job.types);
         }
         if (!allowsZone(agent, job)) {
-            report("zone", task.taskId + " in zone " + agent.zone + ", not " + job.zone);
+            report("zone", attempt.taskId + " in zone " + agent.zone + ", not " + job.zone);
         }
         if (!allowsSpotOrOnDemand(agent, job)) {
-            report("kind", task.taskId + " on " + agent.name + ", a spot machine");
+            report("kind", attempt.taskId + " on " + agent.name + ", a spot machine");
         }
         Map<String, Integer> byZone = RunningTasks.byZone(simulator, job);
         if (job.together && byZone.size() > 1) {
-            report("together", task.taskId + " on " + agent.name + ", tasks by zone " + byZone);
+            report("together", attempt.taskId + " on " + agent.name + ", tasks by zone " + byZone);
         }
         if (job.apart && byZone.getOrDefault(agent.zone, 0) > maxTasksPerZone(job)) {
-            report("apart", task.taskId + " on " + agent.name + ", of " + job.tasks + " tasks by zone " + byZone);
+            report("apart", attempt.taskId + " on " + agent.name + ", of " + job.tasks + " tasks by zone " + byZone);
         }
     }
 
--- a/src/test/java/org/havenford/simulator/RunningTasks.java
+++ b/src/test/java/org/havenford/simulator/RunningTasks.java
@@ -8,8 +8,8 @@
     private RunningTasks() {}
 
     /** Returns whether a task runs; a task on a hung machine counts as ended once the lease of the agent has expired. */
-    static boolean isRunning(SimulatedAgent agent, SimulatedAgent.Attempt task) {
-        return task.isExecuting() && !(agent.hung && agent.isLeaseExpired());
+    static boolean isRunning(SimulatedAgent agent, SimulatedAgent.Attempt attempt) {
+        return attempt.isExecuting() && !(agent.hung && agent.isLeaseExpired());
     }
 
     /** Returns the job id in a task id of the form {@code job/index}. */
@@ -21,8 +21,8 @@
     static Map<String, Integer> byZone(ClusterSimulator simulator, SimulatedUsers.Job job) {
         Map<String, Integer> byZone = new TreeMap<>();
         for (SimulatedAgent agent : simulator.agents.values()) {
-            for (SimulatedAgent.Attempt task : agent.tasks.values()) {
-                if (isRunning(agent, task) && jobOf(task.taskId).equals(job.id)) {
+            for (SimulatedAgent.Attempt attempt : agent.tasks.values()) {
+                if (isRunning(agent, attempt) && jobOf(attempt.taskId).equals(job.id)) {
                     byZone.merge(agent.zone, 1, Integer::sum);
                 }
             }
--- a/src/test/java/org/havenford/simulator/SimulatedAgent.java
+++ b/src/test/java/org/havenford/simulator/SimulatedAgent.java
@@ -279,7 +279,7 @@
             json.addProperty("warningS", spotNoticeSeconds);
         }
         JsonArray reports = new JsonArray();
-        tasks.values().forEach(task -> reports.add(task.toJson()));
+        tasks.values().forEach(attempt -> reports.add(attempt.toJson()));
         json.add("shots", reports);
         return json.toString();
     }
--- a/src/test/java/org/havenford/simulator/SimulatedController.java
+++ b/src/test/java/org/havenford/simulator/SimulatedController.java
@@ -133,7 +133,7 @@
     }
 
     @Override
-    public void request(String method, String path, String body, Consumer<HttpCalls.Reply> answer) {
+    public void request(String method, String path, String body, Consumer<HttpCalls.Reply> callback) {
         ProcessInstance served = process;
         if (served == null) {
             return;
@@ -146,7 +146,7 @@
                     if (!served.ended) {
                         simulator.behaviour.answer(
                                 simulator.now, settings.node(), method, path, reply.status(), reply.body());
-                        answer.accept(new HttpCalls.Reply(reply.status(), reply.body()));
+                        callback.accept(new HttpCalls.Reply(reply.status(), reply.body()));
                     }
                 }));
     }
--- a/src/test/java/org/havenford/simulator/SimulatedTaskExecutor.java
+++ b/src/test/java/org/havenford/simulator/SimulatedTaskExecutor.java
@@ -21,40 +21,40 @@
     }
 
     /** Starts an attempt of a task; has no effect if the attempt is already listed. */
-    void run(String taskId, long attempt) {
-        if (agent.tasks.containsKey(attemptKey(taskId, attempt))) {
+    void run(String taskId, long attemptNumber) {
+        if (agent.tasks.containsKey(attemptKey(taskId, attemptNumber))) {
             return;
         }
         agent.requestHeartbeat();
-        SimulatedAgent.Attempt task = new SimulatedAgent.Attempt();
-        task.taskId = taskId;
-        task.attempt = attempt;
+        SimulatedAgent.Attempt attempt = new SimulatedAgent.Attempt();
+        attempt.taskId = taskId;
+        attempt.attempt = attemptNumber;
         boolean hasOtherAttempt =
                 agent.tasks.values().stream().anyMatch(other -> other.taskId.equals(taskId) && !other.isExited());
-        agent.tasks.put(attemptKey(taskId, attempt), task);
-        SimulatedUsers.Job job = jobOf(task);
+        agent.tasks.put(attemptKey(taskId, attemptNumber), attempt);
+        SimulatedUsers.Job job = jobOf(attempt);
         if (hasOtherAttempt || job == null) {
-            reject(task, hasOtherAttempt ? "busy" : "unknown");
-        } else if (job.cpus + cpusOfOthers(task) > SimulatedCloud.TYPES.get(agent.type)[0] + CPU_TOLERANCE) {
-            reject(task, "no_room");
+            reject(attempt, hasOtherAttempt ? "busy" : "unknown");
+        } else if (job.cpus + cpusOfOthers(attempt) > SimulatedCloud.TYPES.get(agent.type)[0] + CPU_TOLERANCE) {
+            reject(attempt, "no_room");
         } else {
-            pullImage(task, job);
+            pullImage(attempt, job);
         }
     }
 
     /** Ends an attempt of a task if it is on the machine and has not exited. */
-    void stop(String taskId, long attempt) {
-        SimulatedAgent.Attempt task = agent.tasks.get(attemptKey(taskId, attempt));
-        if (task != null && !task.isExited()) {
-            exit(task, "stopped");
+    void stop(String taskId, long attemptNumber) {
+        SimulatedAgent.Attempt attempt = agent.tasks.get(attemptKey(taskId, attemptNumber));
+        if (attempt != null && !attempt.isExited()) {
+            exit(attempt, "stopped");
         }
     }
 
     /** Removes an attempt that has exited, so that heartbeats no longer report it. */
-    void forget(String taskId, long attempt) {
-        SimulatedAgent.Attempt task = agent.tasks.get(attemptKey(taskId, attempt));
-        if (task != null && task.isExited()) {
-            agent.tasks.remove(attemptKey(taskId, attempt));
+    void forget(String taskId, long attemptNumber) {
+        SimulatedAgent.Attempt attempt = agent.tasks.get(attemptKey(taskId, attemptNumber));
+        if (attempt != null && attempt.isExited()) {
+            agent.tasks.remove(attemptKey(taskId, attemptNumber));
         }
     }
 
@@ -62,63 +62,64 @@
         return taskId + "#" + attempt;
     }
 
-    private SimulatedUsers.Job jobOf(SimulatedAgent.Attempt task) {
-        return simulator.users.jobs.get(task.taskId.substring(0, task.taskId.indexOf('/')));
+    private SimulatedUsers.Job jobOf(SimulatedAgent.Attempt attempt) {
+        return simulator.users.jobs.get(attempt.taskId.substring(0, attempt.taskId.indexOf('/')));
     }
 
-    private double cpusOfOthers(SimulatedAgent.Attempt task) {
+    private double cpusOfOthers(SimulatedAgent.Attempt attempt) {
         return agent.tasks.values().stream()
-                .filter(other -> other != task && !other.isExited())
+                .filter(other -> other != attempt && !other.isExited())
                 .mapToDouble(other -> jobOf(other).cpus)
                 .sum();
     }
 
-    private void pullImage(SimulatedAgent.Attempt task, SimulatedUsers.Job job) {
-        task.status = "pulling";
+    private void pullImage(SimulatedAgent.Attempt attempt, SimulatedUsers.Job job) {
+        attempt.status = "pulling";
         Duration duration = pulledImages.contains(job.image)
                 ? SHORT_DELAY
                 : Duration.ofMillis(
                         (long) (1000 / SimulatedCloud.IMAGE_PULL_GB_PER_S * job.imageGb * agent.pullSlowdown));
-        continueAfter(duration, task, "pulling", () -> {
+        continueAfter(duration, attempt, "pulling", () -> {
             pulledImages.add(job.image);
-            startRun(task, job);
+            startRun(attempt, job);
         });
     }
 
-    private void startRun(SimulatedAgent.Attempt task, SimulatedUsers.Job job) {
-        task.status = "running";
+    private void startRun(SimulatedAgent.Attempt attempt, SimulatedUsers.Job job) {
+        attempt.status = "running";
         agent.requestHeartbeat();
-        simulator.rules.started(agent, task);
+        simulator.rules.started(agent, attempt);
         // A task whose result is already stored exits almost at once.
-        Duration runTime = simulator.users.finished.contains(task.taskId) ? SHORT_DELAY : job.run(simulator.random);
+        Duration runTime = simulator.users.finished.contains(attempt.taskId) ? SHORT_DELAY : job.run(simulator.random);
         boolean fails = agent.faulty || job.broken;
-        continueAfter(fails ? FAILURE_DELAY : runTime, task, "running", () -> {
+        continueAfter(fails ? FAILURE_DELAY : runTime, attempt, "running", () -> {
             if (!fails) {
-                simulator.users.finished.add(task.taskId);
+                simulator.users.finished.add(attempt.taskId);
             }
-            exit(task, fails ? "error" : "done");
+            exit(attempt, fails ? "error" : "done");
         });
     }
 
     /** Runs the next step of an attempt after a delay, unless the attempt was removed or changed its status meanwhile. */
-    private void continueAfter(Duration delay, SimulatedAgent.Attempt task, String status, Runnable nextStep) {
+    private void continueAfter(Duration delay, SimulatedAgent.Attempt attempt, String status, Runnable nextStep) {
         simulator.after(
                 delay,
                 () -> agent.runOrDefer(() -> {
-                    if (agent.tasks.get(attemptKey(task.taskId, task.attempt)) == task && task.status.equals(status)) {
+                    if (agent.tasks.get(attemptKey(attempt.taskId, attempt.attempt)) == attempt
+                            && attempt.status.equals(status)) {
                         nextStep.run();
                     }
                 }));
     }
 
-    private static void reject(SimulatedAgent.Attempt task, String cause) {
-        task.status = "exited";
-        task.exitCause = cause;
+    private static void reject(SimulatedAgent.Attempt attempt, String cause) {
+        attempt.status = "exited";
+        attempt.exitCause = cause;
     }
 
-    private void exit(SimulatedAgent.Attempt task, String cause) {
-        task.status = "exited";
-        task.exitCause = cause;
+    private void exit(SimulatedAgent.Attempt attempt, String cause) {
+        attempt.status = "exited";
+        attempt.exitCause = cause;
         agent.requestHeartbeat();
         simulator.rules.touched();
     }
--- a/src/test/java/org/havenford/simulator/TraceCommands.java
+++ b/src/test/java/org/havenford/simulator/TraceCommands.java
@@ -208,12 +208,12 @@
     }
 
     private static void forgeStart(ClusterSimulator simulator, TraceArguments args) {
-        SimulatedAgent.Attempt task = new SimulatedAgent.Attempt();
-        task.taskId = args.word(1);
-        task.attempt = FORGED_ATTEMPT;
-        task.status = "running";
-        agent(simulator, args).tasks.put(task.taskId + "#" + FORGED_ATTEMPT, task);
-        simulator.rules.started(agent(simulator, args), task);
+        SimulatedAgent.Attempt attempt = new SimulatedAgent.Attempt();
+        attempt.taskId = args.word(1);
+        attempt.attempt = FORGED_ATTEMPT;
+        attempt.status = "running";
+        agent(simulator, args).tasks.put(attempt.taskId + "#" + FORGED_ATTEMPT, attempt);
+        simulator.rules.started(agent(simulator, args), attempt);
     }
 
     private static SimulatedAgent agent(ClusterSimulator simulator, TraceArguments args) {
--- a/src/test/java/org/havenford/simulator/WaitingInvariant.java
+++ b/src/test/java/org/havenford/simulator/WaitingInvariant.java
@@ -79,7 +79,7 @@
 
     private boolean isOnAnyMachine(String name) {
         return simulator.agents.values().stream()
-                .anyMatch(agent -> agent.tasks.values().stream().anyMatch(task -> task.taskId.equals(name)));
+                .anyMatch(agent -> agent.tasks.values().stream().anyMatch(attempt -> attempt.taskId.equals(name)));
     }
 
     private boolean isWithinTeamLimit(SimulatedUsers.Job job, Map<String, Double> cpusByTeam) {
@@ -100,8 +100,8 @@
 
     private double cpusInUse(SimulatedAgent agent) {
         return agent.tasks.values().stream()
-                .filter(task -> !task.status.equals("exited"))
-                .mapToDouble(task -> simulator.users.jobs.get(RunningTasks.jobOf(task.taskId)).cpus)
+                .filter(attempt -> !attempt.status.equals("exited"))
+                .mapToDouble(attempt -> simulator.users.jobs.get(RunningTasks.jobOf(attempt.taskId)).cpus)
                 .sum();
     }
 }
