--- a/src/main/java/org/havenford/controller/Controller.java
+++ b/src/main/java/org/havenford/controller/Controller.java
@@ -83,7 +83,7 @@
         loop = pauseDetector;
         roundTimer = new RoundTimer(loop, new RoundCallbacks());
         linkMonitor = new LinkMonitor(settings, loop);
-        calls = linkMonitor.watching(pauseDetector);
+        calls = linkMonitor.monitored(pauseDetector);
 
         clusterState = new ClusterState();
         store = createStoreClient();
@@ -116,8 +116,8 @@
                 settings.storeAddress(),
                 new StoreLimits(
                         settings.storeRequestsPerSecond(),
-                        settings.storeChangesPerSecond(),
-                        settings.nextStoreChangesPerSecond()),
+                        settings.storeWritesPerSecond(),
+                        settings.nextStoreWritesPerSecond()),
                 settings.peers().size() + 1);
     }
 
@@ -150,8 +150,8 @@
 
     private ControllerStatistics createStatistics(PipelineMetrics pipelineMetrics) {
         List<ControllerStatistics.Section> sections = List.of(
-                new ControllerStatistics.Section("store", () -> Optional.of(store.statistics())),
-                new ControllerStatistics.Section("pipelines", () -> Optional.of(pipelineMetrics.summary())),
+                new ControllerStatistics.Section("store", () -> Optional.of(store.takeSummary())),
+                new ControllerStatistics.Section("pipelines", () -> Optional.of(pipelineMetrics.takeSummary())),
                 new ControllerStatistics.Section("links", () -> Optional.of(linkMonitor.summary())),
                 new ControllerStatistics.Section("booting machines", () -> Optional.ofNullable(provisioner.summary())));
         return new ControllerStatistics(loop, scheduler, agentManager, clusterState, sections);
@@ -217,14 +217,14 @@
         @Override
         public void viewChanged() {
             agentManager.viewChanged();
-            scheduler.allChanged();
+            scheduler.invalidateAllMachines();
             evictions.viewChanged();
             standbyAccess.viewChanged();
         }
 
         @Override
-        public int ownedMachines(String node) {
-            return agentManager.ownedBy(node);
+        public int ownedMachineCount(String node) {
+            return agentManager.ownedMachineCount(node);
         }
     }
 
@@ -232,7 +232,7 @@
     private final class AgentObserver implements AgentListener {
         @Override
         public void capacityChanged(String machine) {
-            scheduler.machineChanged(machine);
+            scheduler.invalidateMachine(machine);
         }
 
         @Override
--- a/src/main/java/org/havenford/coordination/agents/AgentManager.java
+++ b/src/main/java/org/havenford/coordination/agents/AgentManager.java
@@ -79,7 +79,7 @@
      * Heartbeats that are no newer than the last one of the former owner are then rejected as outdated, even before the
      * agent has reported to this controller.
      */
-    public void contact(AgentContact contact) {
+    public void contactAgent(AgentContact contact) {
         if (!context.membership().mayAnswerAgents() || !context.owns(contact.machine())) {
             return;
         }
@@ -92,7 +92,7 @@
     }
 
     /** Returns how many of the recorded machines a node owns. */
-    public int ownedBy(String node) {
+    public int ownedMachineCount(String node) {
         int owned = 0;
         for (MachineRecord machine : context.clusterState().machines()) {
             if (node.equals(context.membership().owner(machine.name()))) {
@@ -218,7 +218,7 @@
      * pass, because only their owners can judge them. The predicate stays valid until the view or the machine's condition
      * changes, which avoids looking up a thousand machines in each round.
      */
-    public Predicate<Instant> availability(MachineRecord machine) {
+    public Predicate<Instant> acceptsTasksAt(MachineRecord machine) {
         AgentState agent = registry.get(machine.name());
         if (agent != null) {
             return now -> healthMonitor.canTakeTasks(agent, now);
@@ -228,7 +228,7 @@
     }
 
     /** Returns whether a task failed on a machine and should not be placed there again. */
-    public boolean avoided(TaskId task, String machine) {
+    public boolean shouldAvoid(TaskId task, String machine) {
         AgentState agent = registry.get(machine);
         return agent != null && agent.avoids(task);
     }
--- a/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
+++ b/src/main/java/org/havenford/coordination/agents/HeartbeatReconciler.java
@@ -24,8 +24,8 @@
     private final Duration heartbeatFreshness;
 
     /**
-     * Creates a reconciler. For claims younger than {@code heartbeatFreshness}, the start of a run counts as observed even if
-     * no heartbeat showed the image pull.
+     * Creates a reconciler. For claims younger than {@code heartbeatFreshness}, the start of a run counts as observed
+     * even if no heartbeat showed the image pull.
      */
     HeartbeatReconciler(
             AgentContext context,
@@ -74,10 +74,8 @@
             return;
         }
         // An attempt that is absent from a heartbeat has ended only if no run command for it can still take effect. A
-        // run
-        // command in the response to a heartbeat cannot arrive after the agent's next heartbeat; one in a direct call
-        // is
-        // rejected once the agent has seen a higher fencing token.
+        // run command in the response to a heartbeat cannot arrive after the agent's next heartbeat; one in a direct
+        // call is rejected once the agent has seen a higher fencing token.
         if (origin == HeartbeatOrigin.UNSOLICITED
                 && heartbeat.fencingToken() >= agent.lowestFencingToken()
                 && attempt.isDirectRunFenced(heartbeat.fencingToken())) {
@@ -109,7 +107,7 @@
             case ERROR -> {
                 LOG.info("task failed: task={} machine={}", claim.task(), agent.machine());
                 agent.avoid(claim.task());
-                faultDetector.failed(agent.machine(), claim.task().job());
+                faultDetector.recordFailure(agent.machine(), claim.task().job());
                 outcomes.recordOutcome(claim, AttemptOutcome.NotDone.FAILED);
             }
             case REFUSED_FOR_NOW -> {
@@ -136,7 +134,7 @@
     private void reconcileDone(AgentState agent, Claim claim, AttemptState attempt) {
         imageCache.recordUse(agent, clusterState.job(claim.task().job()));
         Duration runDuration = attempt.runDuration(loop);
-        faultDetector.succeeded(agent.machine());
+        faultDetector.recordSuccess(agent.machine());
         outcomes.recordOutcome(claim, new AttemptOutcome.Done(attempt.pullDuration(), runDuration));
     }
 }
--- a/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
+++ b/src/main/java/org/havenford/coordination/jobs/JobSubmissions.java
@@ -123,7 +123,7 @@
         boolean isReady =
                 status == DependencyStatus.DONE && !spec.dependencies().isEmpty();
         Transaction transaction = requireUnknownJob(spec.id())
-                .put(Keys.job(spec.id()), isReady ? job.readyHeader(now) : job.header(false));
+                .put(Keys.job(spec.id()), isReady ? job.releasedHeader(now) : job.header(false));
         commit(transaction, spec.id(), () -> {}, callback);
     }
 
@@ -167,14 +167,14 @@
     private int taskRangeSize(JobSpec spec) {
         PlatformSettings settings = context.settings();
         int controllerCount = settings.peers().size() + 1;
-        return Job.taskRangeSize(settings.valueBytes(), spec.taskCount(), controllerCount, settings.scarceChanges());
+        return Job.taskRangeSize(settings.valueBytes(), spec.taskCount(), controllerCount, settings.hasScarceWrites());
     }
 
     /**
      * Returns whether the header exceeds the value limit, including the fields that a release and a cancellation add.
      */
     private boolean exceedsValueLimit(Job job, Instant now) {
-        int bytes = job.readyHeader(now).toString().getBytes(StandardCharsets.UTF_8).length;
+        int bytes = job.releasedHeader(now).toString().getBytes(StandardCharsets.UTF_8).length;
         return bytes + CANCELLATION_BYTES > context.settings().valueBytes();
     }
 }
--- a/src/main/java/org/havenford/coordination/provisioning/MachineBatchChange.java
+++ b/src/main/java/org/havenford/coordination/provisioning/MachineBatchChange.java
@@ -28,7 +28,7 @@
 
     /** Returns whether the machine's batches fit in the transaction and none of them has a write in flight. */
     private boolean canInclude(String machine) {
-        Set<String> batches = clusterState.batchesOf(machine);
+        Set<String> batches = clusterState.batchNamesOf(machine);
         long additionalBatches = batches.stream()
                 .filter(name -> !changedBatches.containsKey(name))
                 .count();
@@ -42,10 +42,12 @@
         if (!canInclude(machine)) {
             return false;
         }
-        for (String name : clusterState.batchesOf(machine)) {
+        for (String name : clusterState.batchNamesOf(machine)) {
             changedBatches.put(
                     name,
-                    changedBatches.getOrDefault(name, clusterState.batch(name)).with(machine, serviceState));
+                    changedBatches
+                            .getOrDefault(name, clusterState.batch(name))
+                            .withServiceState(machine, serviceState));
         }
         machines.add(machine);
         return true;
@@ -54,12 +56,12 @@
     /** Adds the removal of a machine from its batches, if it can be added. */
     void remove(String machine) {
         if (canInclude(machine)) {
-            for (String name : clusterState.batchesOf(machine)) {
+            for (String name : clusterState.batchNamesOf(machine)) {
                 changedBatches.put(
                         name,
                         changedBatches
                                 .getOrDefault(name, clusterState.batch(name))
-                                .without(List.of(machine)));
+                                .withoutMachines(List.of(machine)));
             }
         }
     }
--- a/src/main/java/org/havenford/coordination/provisioning/TaskDemandEstimator.java
+++ b/src/main/java/org/havenford/coordination/provisioning/TaskDemandEstimator.java
@@ -18,7 +18,7 @@
 /** Estimates how many tasks of each unfinished job should be able to run at the same time. */
 public final class TaskDemandEstimator {
     /** How many of a job's unfinished tasks are counted. */
-    public enum Pace {
+    public enum DemandScope {
         /** All unfinished tasks, as if they were to run at the same time. */
         ALL_AT_ONCE,
         /**
@@ -31,8 +31,8 @@
 
     /** A job with pending tasks and no claims is considered unplaceable this long after its release. */
     private static final Duration UNPLACEABLE_AFTER = Duration.ofSeconds(30);
-    /** Maximum number of suspect jobs counted per set of fitting types; a suspect job may fail on every machine. */
-    private static final int MAX_SUSPECTS_PER_TYPE_SET = 2;
+    /** Maximum number of likely broken jobs counted per set of fitting types; such a job may fail on every machine. */
+    private static final int MAX_BROKEN_JOBS_PER_TYPE_SET = 2;
     /** Share of a job class's permitted start delay that is used to run tasks one after the other. */
     private static final double USED_DELAY_SHARE = 0.5;
     /** Share of the time to a deadline in which tasks are planned to run. */
@@ -45,21 +45,22 @@
     private final ClusterState clusterState;
     private final PlatformSettings settings;
     private final Instant timeOfDay;
-    private final Pace pace;
+    private final DemandScope scope;
     private final Map<String, Double> usedCpusByTeam = new HashMap<>();
-    private final Map<String, Integer> suspectCountByTypes = new HashMap<>();
+    private final Map<String, Integer> brokenJobCountByTypes = new HashMap<>();
 
-    private TaskDemandEstimator(ClusterState clusterState, PlatformSettings settings, Instant timeOfDay, Pace pace) {
+    private TaskDemandEstimator(
+            ClusterState clusterState, PlatformSettings settings, Instant timeOfDay, DemandScope scope) {
         this.clusterState = clusterState;
         this.settings = settings;
         this.timeOfDay = timeOfDay;
-        this.pace = pace;
+        this.scope = scope;
     }
 
     /** Returns the demand of each job that may run now, in the order of {@link ClusterState#jobs}. */
     public static List<TaskDemand> estimate(
-            ClusterState clusterState, PlatformSettings settings, Instant timeOfDay, Pace pace) {
-        TaskDemandEstimator estimator = new TaskDemandEstimator(clusterState, settings, timeOfDay, pace);
+            ClusterState clusterState, PlatformSettings settings, Instant timeOfDay, DemandScope scope) {
+        TaskDemandEstimator estimator = new TaskDemandEstimator(clusterState, settings, timeOfDay, scope);
         List<TaskDemand> demands = new ArrayList<>();
         for (Job job : clusterState.jobs()) {
             if (!job.cancelled() && !job.awaitsDependencies()) {
@@ -72,11 +73,11 @@
     private TaskDemand demandOf(Job job) {
         JobSpec spec = job.spec();
         double unfinishedTasks = spec.taskCount() - job.doneCount();
-        double tasks = pace == Pace.AS_NEEDED
+        double tasks = scope == DemandScope.AS_NEEDED
                 ? Math.max(concurrentTasksNeeded(job, unfinishedTasks), job.claimCount())
                 : unfinishedTasks;
-        if (FailingJobBackoff.isSuspect(job)) {
-            tasks = limitSuspect(spec, tasks);
+        if (FailingJobBackoff.isLikelyBroken(job)) {
+            tasks = limitLikelyBroken(spec, tasks);
         }
         tasks = limitToQuota(spec, tasks);
         return new TaskDemand(spec, tasks, startability(job, tasks));
@@ -135,10 +136,10 @@
                 .orElse(DEFAULT_BOOT_SECONDS);
     }
 
-    /** Limits a suspect job to one task, or to none if enough suspect jobs with the same fitting types are counted. */
-    private double limitSuspect(JobSpec spec, double tasks) {
-        int suspects = suspectCountByTypes.merge(fittingTypes(spec), 1, Integer::sum);
-        return suspects <= MAX_SUSPECTS_PER_TYPE_SET ? Math.min(tasks, 1) : 0;
+    /** Limits a likely broken job to one task, or to none if enough such jobs with the same fitting types are counted. */
+    private double limitLikelyBroken(JobSpec spec, double tasks) {
+        int brokenJobs = brokenJobCountByTypes.merge(fittingTypes(spec), 1, Integer::sum);
+        return brokenJobs <= MAX_BROKEN_JOBS_PER_TYPE_SET ? Math.min(tasks, 1) : 0;
     }
 
     private String fittingTypes(JobSpec spec) {
@@ -171,7 +172,7 @@
         if (!unplaceable) {
             return Startability.STARTABLE;
         }
-        return job.errors() > 0 ? Startability.UNPLACEABLE_AFTER_FAILURES : Startability.UNPLACEABLE;
+        return job.failuresSinceSuccess() > 0 ? Startability.UNPLACEABLE_AFTER_FAILURES : Startability.UNPLACEABLE;
     }
 
     private static double seconds(Duration duration) {
--- a/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
+++ b/src/main/java/org/havenford/coordination/scheduling/ClaimBuilder.java
@@ -46,7 +46,7 @@
         requireRevision(Keys.job(job.id()), draft);
         requireRevision(draft.taskRangeKey, draft);
         PlatformSettings.Team team = context.settings().teams().get(job.spec().team());
-        boolean limited = team != null && team.limited();
+        boolean limited = team != null && team.isLimited();
         int allowed = limited ? allocateQuota(draft, team, planned.size()) : planned.size();
         if (PlacementRules.dependsOnOtherTasks(job.spec())) {
             rewriteHeader(draft);
@@ -57,7 +57,7 @@
         List<Placement> permitted = PlacementGuard.permitted(job, planned.subList(0, allowed), context.clusterState());
         draft.releaseEnded(agentManager.outcomes());
         addClaims(draft, permitted, limited ? context.node() : "");
-        JsonObject taskRange = draft.claimedTasks() == 0 ? null : context.toJson(draft.taskRange());
+        JsonObject taskRange = draft.claimedTasks() == 0 ? null : context.encodeTaskRange(draft.taskRange());
         if (taskRange == null) {
             return Optional.empty();
         }
@@ -105,7 +105,7 @@
                 draft.taskRangeKey,
                 context.modRevision(draft.taskRangeKey),
                 viewRevision);
-        quotaAllocator.add(draft.charge);
+        quotaAllocator.addCharge(draft.charge);
     }
 
     private void addClaims(ClaimDraft draft, List<Placement> placements, String quotaHolder) {
@@ -114,7 +114,7 @@
         for (Placement placement : placements) {
             String machine = placement.machine();
             AgentState agent = agentManager.agent(machine);
-            Set<String> batchesOfMachine = context.clusterState().batchesOf(machine);
+            Set<String> batchesOfMachine = context.clusterState().batchNamesOf(machine);
             if (agent == null || !agent.hasReported() || context.clusterState().machine(machine) == null) {
                 continue;
             }
--- a/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
+++ b/src/main/java/org/havenford/coordination/scheduling/TaskClaimer.java
@@ -154,7 +154,7 @@
 
         @Override
         public boolean isAvoided(TaskId task, String machine) {
-            return agentManager.avoided(task, machine);
+            return agentManager.shouldAvoid(task, machine);
         }
 
         @Override
@@ -207,14 +207,14 @@
         context.loop().after(Duration.ZERO, () -> draft.machines.forEach(agentManager::sendCommands));
         if (draft.firstAfterRelease) {
             context.pipelineMetrics()
-                    .firstClaim(draft.job.releasedAt(), context.loop().timeOfDay());
+                    .recordFirstClaim(draft.job.releasedAt(), context.loop().timeOfDay());
         }
     }
 
     private void onOutcome(ClaimDraft draft, List<String> claimedMachines, StoreOutcome outcome) {
         claimedMachines.forEach(machine -> removeInFlight(machine, draft.job.spec()));
         if (draft.charge != null && outcome != StoreOutcome.UNKNOWN) {
-            quotaAllocator.remove(draft.charge);
+            quotaAllocator.removeCharge(draft.charge);
         }
         if (outcome == StoreOutcome.CONFLICT) {
             contendedUntil = context.loop().now().plus(CONTENTION_PERIOD);
--- a/src/main/java/org/havenford/storage/ClusterState.java
+++ b/src/main/java/org/havenford/storage/ClusterState.java
@@ -123,7 +123,7 @@
     }
 
     /** Returns the number of changes so far of waiting jobs and of the jobs that they depend on. */
-    public long pipelineChanges() {
+    public long dependencyChangeCount() {
         return jobTable.dependents().changeCount();
     }
 
@@ -146,13 +146,13 @@
      * Returns the names of the batches that a machine is in. There is one, unless the machine was found before the
      * cloud answered the instance request that launched it.
      */
-    public Set<String> batchesOf(String machine) {
-        return machineTable.batchesOf(machine);
+    public Set<String> batchNamesOf(String machine) {
+        return machineTable.batchNamesOf(machine);
     }
 
-    /** Returns the time of day at which a machine on record was rented or found. */
-    public Instant rentedAt(String machine) {
-        return machineTable.rentedAt(machine);
+    /** Returns the time of day at which a machine on record was launched or adopted. */
+    public Instant launchedAt(String machine) {
+        return machineTable.launchedAt(machine);
     }
 
     /** Returns a batch of machines, or null. */
@@ -186,7 +186,7 @@
     }
 
     /** Returns the resources held by those claims of a team that are charged to one controller's share. */
-    public Resources charged(String team, String quotaHolder) {
+    public Resources usage(String team, String quotaHolder) {
         return claimIndex.usage(team, quotaHolder);
     }
 
--- a/src/main/java/org/havenford/storage/MachineTable.java
+++ b/src/main/java/org/havenford/storage/MachineTable.java
@@ -49,12 +49,12 @@
     }
 
     /** Returns the names of the batches that a machine is in. */
-    Set<String> batchesOf(String machine) {
+    Set<String> batchNamesOf(String machine) {
         return batchesByMachine.getOrDefault(machine, Set.of());
     }
 
-    /** Returns the time of day at which a machine on record was rented or found. */
-    Instant rentedAt(String machine) {
+    /** Returns the time of day at which a machine on record was launched or adopted. */
+    Instant launchedAt(String machine) {
         return firstBatch(batchesByMachine.get(machine)).since();
     }
 
--- a/src/main/java/org/havenford/storage/StoreClient.java
+++ b/src/main/java/org/havenford/storage/StoreClient.java
@@ -65,7 +65,7 @@
     }
 
     /** Returns counts of the calls since the last summary as {@code key=value} pairs for the log, and resets them. */
-    public String statistics() {
+    public String takeSummary() {
         return statistics.takeSummary(queued(CallPriority.WORK) + queued(CallPriority.CLAIM), budget.share());
     }
 
@@ -117,9 +117,9 @@
 
     private Consumer<StoreResult> withObserver(Transaction transaction, Consumer<StoreResult> callback) {
         CommitObserver observer = commitObserver;
-        long number = observer.committing(transaction.changedKeys());
+        long number = observer.commitStarted(transaction.changedKeys());
         return result -> {
-            observer.finished(number, result.outcome(), result.ok() ? result.revision() : 0);
+            observer.commitFinished(number, result.outcome(), result.ok() ? result.revision() : 0);
             callback.accept(result);
         };
     }
--- a/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/FailingJobBackoffTest.java
@@ -19,7 +19,7 @@
 import org.havenford.storage.records.Keys;
 import org.havenford.storage.records.TaskRange;
 import org.havenford.testing.JobSamples;
-import org.havenford.testing.QuietObserver;
+import org.havenford.testing.NoOpObserver;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -42,7 +42,7 @@
     private long stamp;
 
     FailingJobBackoffTest() {
-        clusterState.setObserver(new QuietObserver());
+        clusterState.setObserver(new NoOpObserver());
         clusterState.changed(Keys.TYPES, JsonParser.parseString(TYPES), ++stamp);
     }
 
@@ -96,14 +96,14 @@
     void runsOneTaskAtATimeUntilOneIsDone() {
         submit("j-1", "normal", 10);
         fail("j-1", 8);
-        assertTrue(FailingJobBackoff.isSuspect(clusterState.job("j-1")));
+        assertTrue(FailingJobBackoff.isLikelyBroken(clusterState.job("j-1")));
         assertEquals(1, FailingJobBackoff.maxClaims(clusterState.job("j-1")));
         // A success in one task range does not reset the failures counted in the other.
         attempt("j-1", 20, false);
         attempt("j-1", 21, false);
         attempt("j-1", 22, false);
         attempt("j-1", 1, true);
-        assertFalse(FailingJobBackoff.isSuspect(clusterState.job("j-1")));
+        assertFalse(FailingJobBackoff.isLikelyBroken(clusterState.job("j-1")));
         assertEquals(2, FailingJobBackoff.maxClaims(clusterState.job("j-1")));
     }
 
@@ -132,9 +132,10 @@
             fail("j-" + i, 8);
         }
         List<TaskDemand> demands = TaskDemandEstimator.estimate(
-                clusterState, PlatformSettings.parse(SETTINGS), NOW, TaskDemandEstimator.Pace.ALL_AT_ONCE);
+                clusterState, PlatformSettings.parse(SETTINGS), NOW, TaskDemandEstimator.DemandScope.ALL_AT_ONCE);
         assertEquals(2, demands.stream().mapToDouble(TaskDemand::tasks).sum());
-        double machines = CapacityDemand.machines(demands, clusterState.types(), kind -> false, new InstanceCounts())
+        double machines = CapacityDemand.requiredMachines(
+                        demands, clusterState.types(), kind -> false, new InstanceCounts())
                 .values()
                 .doubleStream()
                 .sum();
@@ -146,7 +147,7 @@
         for (String id : List.of("j-1", "j-2", "j-3")) {
             submit(id, "normal", 10);
             fail(id, 2);
-            faultDetector.failed("host-1", id);
+            faultDetector.recordFailure("host-1", id);
         }
         assertFalse(faultDetector.isFaulty("host-1"));
         Job cancelled = clusterState.job("j-1");
@@ -165,11 +166,11 @@
         submit("j-2", "normal", 10);
         attempt("j-1", 0, true);
         attempt("j-2", 0, true);
-        faultDetector.failed("host-1", "j-1");
-        faultDetector.succeeded("host-1");
-        faultDetector.failed("host-1", "j-2");
+        faultDetector.recordFailure("host-1", "j-1");
+        faultDetector.recordSuccess("host-1");
+        faultDetector.recordFailure("host-1", "j-2");
         assertFalse(faultDetector.isFaulty("host-1"));
-        faultDetector.failed("host-1", "j-1");
+        faultDetector.recordFailure("host-1", "j-1");
         assertTrue(faultDetector.isFaulty("host-1"));
     }
 }
--- a/src/test/java/org/havenford/coordination/scheduling/PipelineDecisionsTest.java
+++ b/src/test/java/org/havenford/coordination/scheduling/PipelineDecisionsTest.java
@@ -16,7 +16,7 @@
 import org.havenford.storage.records.Job;
 import org.havenford.storage.records.Keys;
 import org.havenford.testing.JobSamples;
-import org.havenford.testing.QuietObserver;
+import org.havenford.testing.NoOpObserver;
 import org.junit.jupiter.api.Test;
 
 /** Effects of dependencies between jobs on placement order, demand, starvation, priorities and deadlines. */
@@ -33,7 +33,7 @@
     private long stamp;
 
     PipelineDecisionsTest() {
-        clusterState.setObserver(new QuietObserver());
+        clusterState.setObserver(new NoOpObserver());
     }
 
     /** Builds a stored header; {@code releasedSecondsAgo} is negative for a job that was not released. */
@@ -91,7 +91,7 @@
         put(header("j-2", "red", "normal", 50, List.of(), -1));
         put(header("j-3", "red", "normal", 40, List.of(), -1));
         List<TaskDemand> demands =
-                TaskDemandEstimator.estimate(clusterState, settings, NOW, TaskDemandEstimator.Pace.ALL_AT_ONCE);
+                TaskDemandEstimator.estimate(clusterState, settings, NOW, TaskDemandEstimator.DemandScope.ALL_AT_ONCE);
         assertEquals(
                 List.of("j-2", "j-3"), demands.stream().map(d -> d.spec().id()).toList());
         assertTrue(demands.stream().allMatch(d -> d.tasks() == 1), demands::toString);
--- a/src/test/java/org/havenford/golden/GoldenCalls.java
+++ b/src/test/java/org/havenford/golden/GoldenCalls.java
@@ -27,7 +27,7 @@
 import org.havenford.storage.records.LivenessProbe;
 import org.havenford.storage.records.MemberRegistration;
 import org.havenford.testing.ManualLoop;
-import org.havenford.testing.QuietObserver;
+import org.havenford.testing.NoOpObserver;
 import org.havenford.transport.HttpCalls;
 
 /** Records one call to the store of each kind, and the transactions that probe and evict a member. */
@@ -50,20 +50,20 @@
         return calls.recorded;
     }
 
-    /** Returns whether a member with this stored registration reads the short form of records, and whether evictions. */
+    /** Returns whether a member with this stored registration reads the compact form of records, and whether evictions. */
     public static String supportedFeatures(JsonElement stored) throws MalformedMessageException {
         MemberRegistration registration = MemberRegistration.parse(stored.getAsJsonObject());
         GoldenCalls calls = new GoldenCalls();
         Membership membership = calls.membership(Set.of("node-0"));
         TreeMap<String, Long> members = new TreeMap<>(Map.of("node-0", registration.incarnation()));
         membership.viewChanged(new ClusterView(4, members, new TreeMap<>(), new TreeSet<>()), 12);
-        membership.memberChanged("node-0", registration, 13);
-        return membership.allReadShortForm() + " " + membership.allSupportEvictions();
+        membership.registrationChanged("node-0", registration, 13);
+        return membership.allSupportCompactForm() + " " + membership.allSupportEvictions();
     }
 
     private Membership membership(Set<String> configured) {
         ClusterState clusterState = new ClusterState();
-        clusterState.setObserver(new QuietObserver());
+        clusterState.setObserver(new NoOpObserver());
         replica = new StoreReplica(loop, store, Keys.REPLICATED, clusterState);
         MembershipSettings settings = new MembershipSettings("node-0", configured, Duration.ofSeconds(5));
         return new Membership(loop, store, replica, settings, new MembershipListener() {
@@ -71,7 +71,7 @@
             public void viewChanged() {}
 
             @Override
-            public int ownedMachines(String node) {
+            public int ownedMachineCount(String node) {
                 return 0;
             }
         });
@@ -111,10 +111,10 @@
         TreeMap<String, String> reassigned = new TreeMap<>(Map.of("host-000001", "node-1"));
         membership.viewChanged(new ClusterView(4, members, reassigned, new TreeSet<>(Set.of("node-1"))), 12);
         members.forEach((node, incarnation) -> {
-            membership.memberChanged(node, new MemberRegistration(incarnation, 3), 10 + incarnation);
+            membership.registrationChanged(node, new MemberRegistration(incarnation, 3), 10 + incarnation);
         });
         MemberEvictions evictions = new MemberEvictions(loop, store, replica, membership, "node-0");
-        recordCall("challenge", () -> evictions.probe("node-1", 5, modRevision -> {}));
+        recordCall("challenge", () -> evictions.createLivenessProbe("node-1", 5, modRevision -> {}));
         LivenessProbe probe = LivenessProbe.parse(valueWritten("challenge", Keys.livenessProbe("node-1")));
         recordCall("challenge-answer", () -> evictions.livenessProbeChanged("node-0", probe, 30));
         recordCall("challenge-withdrawal", () -> evictions.withdrawProbe("node-1", 31));
--- a/src/test/java/org/havenford/golden/GoldenStoredValues.java
+++ b/src/test/java/org/havenford/golden/GoldenStoredValues.java
@@ -30,7 +30,7 @@
 import org.havenford.storage.records.TaskRange;
 import org.havenford.storage.records.TeamQuota;
 import org.havenford.testing.JobSamples;
-import org.havenford.testing.QuietObserver;
+import org.havenford.testing.NoOpObserver;
 
 /**
  * Builds values of every stored format from fixed inputs, and parses values and writes them back. The name of an entry
@@ -40,7 +40,7 @@
     private static final Instant TIMESTAMP = Instant.ofEpochMilli(1_700_000_000_000L);
     private static final int LARGE_LIMIT = 16 * 1024;
     private static final int THINNED_LIMIT = 250;
-    private static final int SHORT_FORM_LIMIT = 900;
+    private static final int COMPACT_FORM_LIMIT = 900;
     private static final int FEWER_IMAGES_LIMIT = 255;
     private static final int FIRST_TASK = 64;
     private static final int RANGE_SIZE = 32;
@@ -58,8 +58,8 @@
         values.put(
                 "live/team/red#shared",
                 new TeamQuota()
-                        .with("node-0", new TeamQuota.Resources(32, 0))
-                        .with("node-1", new TeamQuota.Resources(8.5, 2))
+                        .withShare("node-0", new TeamQuota.Resources(32, 0))
+                        .withShare("node-1", new TeamQuota.Resources(8.5, 2))
                         .withStarved("node-0", true)
                         .toJson());
         values.put("final/j-1#done", FinalState.of(FinalState.Status.DONE, 7).toJson());
@@ -103,10 +103,11 @@
         values.put("live/job/j-1#together", job(together).header(false));
         values.put("live/job/j-1#apart", job(apart).header(false));
         values.put("live/job/j-1#awaits", job(dependent).header(false));
-        values.put("live/job/j-1#awaits-ready", job(dependent).readyHeader(TIMESTAMP.plusSeconds(9)));
+        values.put("live/job/j-1#awaits-ready", job(dependent).releasedHeader(TIMESTAMP.plusSeconds(9)));
         values.put(
                 "live/job/j-1#awaits-ready-cancelled",
-                Job.parse(job(dependent).readyHeader(TIMESTAMP.plusSeconds(9))).header(true));
+                Job.parse(job(dependent).releasedHeader(TIMESTAMP.plusSeconds(9)))
+                        .header(true));
         values.put("live/job/j-1#all-fields", job(full).header(false));
         for (String priority : List.of("production", "urgent", "low")) {
             JsonObject withPriority = plain.deepCopy();
@@ -145,7 +146,7 @@
         shortened.release(70, true, true);
         shortened.release(71, false, false);
         shortened.finish(72, 2, 30);
-        values.put("live/tasks/j-1/2#short", shortened.toJson(SHORT_FORM_LIMIT, SHORT_FORM_LIMIT, true));
+        values.put("live/tasks/j-1/2#short", shortened.toJson(COMPACT_FORM_LIMIT, COMPACT_FORM_LIMIT, true));
     }
 
     private static TaskRange newTaskRange() {
@@ -158,8 +159,8 @@
         values.put("live/machine/r-2-4-1#in-service", batch.toJson());
         values.put(
                 "live/machine/r-2-4-1#all-services",
-                batch.with("host-000002", MachineBatch.ServiceState.RETIRING)
-                        .with("host-000003", MachineBatch.ServiceState.RETURNING)
+                batch.withServiceState("host-000002", MachineBatch.ServiceState.RETIRING)
+                        .withServiceState("host-000003", MachineBatch.ServiceState.RETURNING)
                         .toJson());
         MachineStatuses statuses = new MachineStatuses(TIMESTAMP, new TreeMap<>());
         values.put("live/heard/node-0/0#empty", statuses.toJson(LARGE_LIMIT));
@@ -211,7 +212,7 @@
         } else if (key.startsWith(Keys.TASKS)) {
             return newTaskRange()
                     .read(value)
-                    .toJson(value.has("s") ? SHORT_FORM_LIMIT : LARGE_LIMIT, LARGE_LIMIT, true);
+                    .toJson(value.has("s") ? COMPACT_FORM_LIMIT : LARGE_LIMIT, LARGE_LIMIT, true);
         } else if (key.startsWith(Keys.MACHINES)) {
             return MachineBatch.parse(key.substring(Keys.MACHINES.length()), value)
                     .toJson();
@@ -232,7 +233,7 @@
     /** Parses an instance request through {@link ClusterState}, the only class that reads them, and writes it back. */
     private static JsonElement rewriteInstanceRequest(String key, JsonObject value) {
         ClusterState clusterState = new ClusterState();
-        clusterState.setObserver(new QuietObserver());
+        clusterState.setObserver(new NoOpObserver());
         clusterState.changed(key, value, 1);
         JsonArray all = new JsonArray();
         List<InstanceRequest> requests = new ArrayList<>(clusterState.instanceRequests());
--- a/src/test/java/org/havenford/simulator/ClusterSimulator.java
+++ b/src/test/java/org/havenford/simulator/ClusterSimulator.java
@@ -25,7 +25,7 @@
 public final class ClusterSimulator {
     /** An endpoint that answers HTTP requests. */
     interface Server {
-        void request(String method, String path, String body, Consumer<HttpCalls.Reply> answer);
+        void request(String method, String path, String body, Consumer<HttpCalls.Reply> callback);
     }
 
     /** A scheduled event. Events scheduled for the same instant run in the order in which they were scheduled. */
@@ -51,7 +51,7 @@
     final InvariantChecker rules = new InvariantChecker(this);
     final SimulatedUsers users = new SimulatedUsers(this);
     /** The agents by machine name. */
-    final Map<String, SimulatedAgent> workers = new LinkedHashMap<>();
+    final Map<String, SimulatedAgent> agents = new LinkedHashMap<>();
     /** Whether controllers run a warm standby, except those in {@link #withoutStandby}. */
     boolean withStandby;
 
--- a/src/test/java/org/havenford/simulator/LargeFleetTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetTest.java
@@ -74,8 +74,8 @@
     }
 
     /**
-     * The machine list of the cloud has more pages than the number of calls that may be in flight at once. It is still read to
-     * its end: a terminated machine is removed sooner than by its missing heartbeats alone.
+     * The machine list of the cloud has more pages than the number of calls that may be in flight at once. It is still
+     * read to its end: a terminated machine is removed sooner than by its missing heartbeats alone.
      */
     @Test
     void longMachineListIsReadToItsEnd() {
@@ -90,7 +90,7 @@
         simulator.cloud.terminate("host-003333");
         simulator.runUntil(75);
         assertTrue(
-                !simulator.store.holds("live/machine/", "host-003333"),
+                !simulator.store.anyValueContains("live/machine/", "host-003333"),
                 "the record of the terminated machine is deleted");
         simulator.behaviour.assertKept("grown/long-list");
     }
@@ -109,8 +109,8 @@
     }
 
     /**
-     * The workload of a run: machines that boot at the start, and one job per second, submitted by the teams in turn, with at
-     * least {@code minTasks} and fewer than {@code minTasks + taskRange} tasks.
+     * The workload of a run: machines that boot at the start, and one job per second, submitted by the teams in turn,
+     * with at least {@code minTasks} and fewer than {@code minTasks + taskRange} tasks.
      */
     private record Workload(int machines, int jobs, int minTasks, int taskRange, List<String> teams) {}
 
@@ -165,8 +165,7 @@
     private static int submit(ClusterSimulator simulator, Workload workload) {
         int tasks = 0;
         // Uses a separate random generator. With the one that also draws message delays, each additional or omitted
-        // call
-        // would change the job sizes, at times to more work than the limits of the teams allow.
+        // call would change the job sizes, at times to more work than the limits of the teams allow.
         SplittableRandom sizes = new SplittableRandom(workload.jobs());
         for (int i = 0; i < workload.jobs(); i++) {
             int size = workload.minTasks() + sizes.nextInt(workload.taskRange());
@@ -187,13 +186,13 @@
                         .map(job ->
                                 job.id + " with " + job.tasks + " tasks of team " + job.team + ", started " + job.begun)
                         .toList(),
-                () -> simulator.store.changesOf + " " + simulator.store.conflictsOf);
+                () -> simulator.store.changesByKeyCategory + " " + simulator.store.conflictsByKeyCategory);
     }
 
     private static void assertWithinBudget(ClusterSimulator simulator, int tasks, StoreCounts counts) {
         double longestWait = longestWaitSeconds(simulator);
         String summary = "tasks " + tasks + ", longest wait " + longestWait + " s, " + counts + "; writes "
-                + simulator.store.changesOf + ", conflicts " + simulator.store.conflictsOf;
+                + simulator.store.changesByKeyCategory + ", conflicts " + simulator.store.conflictsByKeyCategory;
         assertTrue(counts.taskWrites < 1.6 * tasks, summary);
         assertTrue(counts.requests < 5 * tasks, summary);
         assertTrue(counts.conflicts < 0.1 * tasks, summary);
@@ -216,7 +215,7 @@
      * instances.
      */
     private static int countTaskWrites(ClusterSimulator simulator) {
-        return simulator.store.changesOf.entrySet().stream()
+        return simulator.store.changesByKeyCategory.entrySet().stream()
                 .filter(entry -> !entry.getKey().contains("live/machine"))
                 .mapToInt(Map.Entry::getValue)
                 .sum();
@@ -244,7 +243,7 @@
         assertTrue(
                 simulator.users.jobs.values().stream().allMatch(job -> job.doneTold != null),
                 () -> "not all jobs are done: " + simulator.store.requests + " " + simulator.store.refused + " "
-                        + simulator.store.changesOf + " "
+                        + simulator.store.changesByKeyCategory + " "
                         + simulator.users.jobs.values().stream()
                                 .map(job -> job.id + job.accepted + job.begun + job.doneTold)
                                 .toList());
--- a/src/test/java/org/havenford/simulator/SubmissionBurst.java
+++ b/src/test/java/org/havenford/simulator/SubmissionBurst.java
@@ -26,14 +26,14 @@
     static LoopbackCluster start(Path directory, String operatorXml, int machines)
             throws IOException, MalformedMessageException, InterruptedException {
         LoopbackCluster loopback = new LoopbackCluster(directory, 3, TEAM, operatorXml);
-        loopback.simulator.cloud.perOffer = machines / ZONES.size();
+        loopback.simulator.cloud.maxMachinesPerOffer = machines / ZONES.size();
         for (int i = 0; i < machines; i++) {
             loopback.simulator.cloud.boot("large", ZONES.get(i % ZONES.size()), false, Duration.ofMillis(500));
         }
         boolean ready = false;
         try {
             ready = loopback.runUntil(
-                    () -> loopback.simulator.workers.values().stream().allMatch(agent -> agent.token > 0),
+                    () -> loopback.simulator.agents.values().stream().allMatch(agent -> agent.fencingToken > 0),
                     TIMEOUT_SECONDS);
             assertTrue(ready, "not every agent received a fencing token");
             return loopback;
--- a/src/test/java/org/havenford/simulator/TraceCommands.java
+++ b/src/test/java/org/havenford/simulator/TraceCommands.java
@@ -102,17 +102,18 @@
         commands.put(
                 "reset-workers", (simulator, args) -> partitionFromAllAgents(simulator, args, NetworkFaults.Cut.RESET));
         commands.put("reach", (simulator, args) -> simulator
-                .workers
+                .agents
                 .values()
                 .forEach(agent ->
                         simulator.network.faults.heal(address(simulator, args, 0), address(simulator, agent.name))));
-        commands.put("refuse", (simulator, args) -> simulator.network.faults.refuse(address(simulator, args, 0)));
-        commands.put("serve", (simulator, args) -> simulator.network.faults.serve(address(simulator, args, 0)));
+        commands.put(
+                "refuse", (simulator, args) -> simulator.network.faults.refuseByStore(address(simulator, args, 0)));
+        commands.put("serve", (simulator, args) -> simulator.network.faults.serveByStore(address(simulator, args, 0)));
     }
 
     private static void partitionFromAllAgents(ClusterSimulator simulator, TraceArguments args, NetworkFaults.Cut cut) {
         simulator
-                .workers
+                .agents
                 .values()
                 .forEach(agent ->
                         simulator.network.faults.cut(address(simulator, args, 0), address(simulator, agent.name), cut));
@@ -122,22 +123,24 @@
         commands.put(
                 "repeats",
                 (simulator, args) ->
-                        simulator.network.faults.repeats.put(address(simulator, args, 0), args.seconds(1)));
+                        simulator.network.faults.duplicatedPosts.put(address(simulator, args, 0), args.seconds(1)));
         commands.put(
                 "no-repeats",
-                (simulator, args) -> simulator.network.faults.repeats.remove(address(simulator, args, 0)));
+                (simulator, args) -> simulator.network.faults.duplicatedPosts.remove(address(simulator, args, 0)));
         commands.put(
                 "copies",
-                (simulator, args) -> simulator.network.faults.copies.put(address(simulator, args, 0), args.seconds(1)));
+                (simulator, args) -> simulator.network.faults.duplicatedHeartbeats.put(
+                        address(simulator, args, 0), args.seconds(1)));
         commands.put(
-                "no-copies", (simulator, args) -> simulator.network.faults.copies.remove(address(simulator, args, 0)));
+                "no-copies",
+                (simulator, args) -> simulator.network.faults.duplicatedHeartbeats.remove(address(simulator, args, 0)));
         commands.put("mute", (simulator, args) -> simulator.network.faults.mute.add(address(simulator, args, 0)));
         commands.put("speaks", (simulator, args) -> simulator.network.faults.mute.remove(address(simulator, args, 0)));
         commands.put("deaf", (simulator, args) -> simulator.network.faults.deaf.add(address(simulator, args, 0)));
         commands.put("hears", (simulator, args) -> simulator.network.faults.deaf.remove(address(simulator, args, 0)));
         commands.put(
                 "slow-links",
-                (simulator, args) -> simulator.network.faults.slowLinks =
+                (simulator, args) -> simulator.network.faults.extraLatencyMillis =
                         (int) args.seconds(0).toMillis());
         commands.put("slow-calls", (simulator, args) -> {
             simulator.network.faults.slowCallsLeft.put(address(simulator, args, 0), args.integer(1));
@@ -146,11 +149,11 @@
         commands.put(
                 "late-commands",
                 (simulator, args) ->
-                        simulator.network.faults.lateCommands.put(address(simulator, args, 0), args.seconds(1)));
+                        simulator.network.faults.commandDelays.put(address(simulator, args, 0), args.seconds(1)));
         commands.put(
                 "late-changes",
                 (simulator, args) ->
-                        simulator.network.faults.lateChanges.put(address(simulator, args, 0), args.seconds(1)));
+                        simulator.network.faults.watchReplyDelays.put(address(simulator, args, 0), args.seconds(1)));
     }
 
     private static void addStoreCommands(Map<String, Command> commands) {
@@ -166,7 +169,7 @@
             simulator.store.lowerLimits();
             simulator.store.rejectsTooLarge = true;
         });
-        commands.put("lost-answers", (simulator, args) -> simulator.store.lostAnswers = args.integer(0));
+        commands.put("lost-answers", (simulator, args) -> simulator.store.unansweredTransactions = args.integer(0));
         commands.put("late-txns", (simulator, args) -> {
             simulator.store.lateTransactions = args.integer(0);
             simulator.store.lateTransactionDelay = args.seconds(1);
@@ -174,8 +177,8 @@
     }
 
     private static void addCloudCommands(Map<String, Command> commands) {
-        commands.put("dark-zone", (simulator, args) -> simulator.cloud.darkZones.add(args.word(0)));
-        commands.put("lit-zone", (simulator, args) -> simulator.cloud.darkZones.remove(args.word(0)));
+        commands.put("dark-zone", (simulator, args) -> simulator.cloud.zonesWithoutBoot.add(args.word(0)));
+        commands.put("lit-zone", (simulator, args) -> simulator.cloud.zonesWithoutBoot.remove(args.word(0)));
         commands.put("boots", (simulator, args) -> simulator.cloud.bootTime = args.seconds(0));
         commands.put("boots-usually", (simulator, args) -> simulator.cloud.bootTime = null);
         commands.put("cloud-outage", (simulator, args) -> simulator.cloud.outage = args.isOn(0));
@@ -187,8 +190,8 @@
         commands.put("hang", (simulator, args) -> agent(simulator, args).hang(true));
         commands.put("wake", (simulator, args) -> agent(simulator, args).hang(false));
         commands.put("faulty", (simulator, args) -> agent(simulator, args).faulty = true);
-        commands.put("slow-fetch", (simulator, args) -> agent(simulator, args).slowFetch = args.decimal(1));
-        commands.put("notice", (simulator, args) -> agent(simulator, args).notice = args.decimal(1));
+        commands.put("slow-fetch", (simulator, args) -> agent(simulator, args).pullSlowdown = args.decimal(1));
+        commands.put("notice", (simulator, args) -> agent(simulator, args).spotNoticeSeconds = args.decimal(1));
     }
 
     /**
@@ -205,16 +208,16 @@
     }
 
     private static void forgeStart(ClusterSimulator simulator, TraceArguments args) {
-        SimulatedAgent.Task task = new SimulatedAgent.Task();
-        task.shot = args.word(1);
-        task.take = FORGED_ATTEMPT;
-        task.status = "running";
-        agent(simulator, args).tasks.put(task.shot + "#" + FORGED_ATTEMPT, task);
-        simulator.rules.started(agent(simulator, args), task);
+        SimulatedAgent.Attempt attempt = new SimulatedAgent.Attempt();
+        attempt.taskId = args.word(1);
+        attempt.attempt = FORGED_ATTEMPT;
+        attempt.status = "running";
+        agent(simulator, args).tasks.put(attempt.taskId + "#" + FORGED_ATTEMPT, attempt);
+        simulator.rules.started(agent(simulator, args), attempt);
     }
 
     private static SimulatedAgent agent(ClusterSimulator simulator, TraceArguments args) {
-        return simulator.workers.get(args.word(0));
+        return simulator.agents.get(args.word(0));
     }
 
     private static String direction(TraceArguments args) {
