--- a/src/test/java/org/havenford/simulator/FailoverMeasurement.java
+++ b/src/test/java/org/havenford/simulator/FailoverMeasurement.java
@@ -64,7 +64,7 @@
                         () -> SubmissionBurst.allDone(loopback), 3 * SubmissionBurst.TIMEOUT_SECONDS));
                 loopback.runUntil(() -> false, 5);
             }
-            assertEquals(List.of(), loopback.simulator.rules.broken);
+            assertEquals(List.of(), loopback.simulator.rules.violations);
             tasksDone += loopback.simulator.users.finished.size();
             starts += loopback.simulator.rules.starts;
             evictions += loopback.simulator.store.evictions;
--- a/src/test/java/org/havenford/simulator/FairnessInvariant.java
+++ b/src/test/java/org/havenford/simulator/FairnessInvariant.java
@@ -53,7 +53,7 @@
         Instant latest = job.submitted.plus(MAX_START_DELAY);
         boolean inTime = job.begun != null && !job.begun.isAfter(latest);
         if (job.prerequisites.isEmpty() && latest.isBefore(simulator.now) && !inTime) {
-            checker.broken(RULE, job.id + ", one of the largest jobs of its class, did not start in time");
+            checker.recordViolation(RULE, job.id + ", one of the largest jobs of its class, did not start in time");
         }
     }
 
@@ -61,7 +61,7 @@
     private void checkMajorityDone(String group, List<SimulatedUsers.Job> jobs) {
         long done = jobs.stream().filter(job -> job.doneTold != null).count();
         if (done * 2 < jobs.size()) {
-            checker.broken(RULE, group + ": " + done + " of " + jobs.size() + " jobs done");
+            checker.recordViolation(RULE, group + ": " + done + " of " + jobs.size() + " jobs done");
         }
     }
 }
--- a/src/test/java/org/havenford/simulator/GuestWorkTest.java
+++ b/src/test/java/org/havenford/simulator/GuestWorkTest.java
@@ -77,7 +77,7 @@
                 + ", requests "
                 + simulator.store.requests + ", refused " + simulator.store.refused;
         System.out.println(counts);
-        assertEquals(List.of(), simulator.rules.broken);
+        assertEquals(List.of(), simulator.rules.violations);
         assertTrue(waits.get(90) < 4, counts);
         assertTrue(waits.get(99) < 10, counts);
         assertTrue(simulator.users.jobs.values().stream().allMatch(job -> job.doneTold != null), counts);
--- a/src/test/java/org/havenford/simulator/HttpApiTest.java
+++ b/src/test/java/org/havenford/simulator/HttpApiTest.java
@@ -231,7 +231,7 @@
         simulator.cloud.boot("small", "a", false, Duration.ofMillis(10));
         TraceCommands.run(simulator, "submit", new TraceArguments(List.of("j-5", "red", "2", "1", "5")));
         simulator.runUntil(simulator.seconds() + 60);
-        assertEquals(List.of(), simulator.rules.broken);
+        assertEquals(List.of(), simulator.rules.violations);
         Reply repeated = send("POST", "/submissions", submission("j-5", "red", 2, 1));
         assertEquals(200, repeated.status());
         assertTrue(repeated.body().contains("\"done\""), repeated.body());
--- a/src/test/java/org/havenford/simulator/InvariantChecker.java
+++ b/src/test/java/org/havenford/simulator/InvariantChecker.java
@@ -24,7 +24,7 @@
     private final WaitingInvariant waiting;
     private final TakeoverInvariant takeover;
     /** The first violations, each with its time and rule. */
-    final List<String> broken = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
 
     /** How many tasks have started. */
     int starts;
@@ -42,9 +42,9 @@
     private Instant lastWaitingCheck = Instant.MIN;
     private Instant lastCheck = Instant.MIN;
     /** When the last fault of the run ends; the rules on unanswered queries and waiting jobs apply only from then on. */
-    Instant troublesOver = Instant.EPOCH;
-    /** Whether waiting jobs are checked. Only runs of a trace set this, because they set {@link #troublesOver}. */
-    boolean checkWaits;
+    Instant faultsEndAt = Instant.EPOCH;
+    /** Whether waiting jobs are checked. Only runs of a trace set this, because they set {@link #faultsEndAt}. */
+    boolean checksWaitingJobs;
 
     InvariantChecker(ClusterSimulator simulator) {
         this.simulator = simulator;
@@ -54,10 +54,10 @@
     }
 
     /** Records a violation of a rule. */
-    void broken(String rule, String detail) {
+    void recordViolation(String rule, String detail) {
         String line = String.format("%.3f %s: %s", simulator.seconds(), rule, detail);
-        if (broken.size() < MAX_RECORDED_VIOLATIONS) {
-            broken.add(line);
+        if (violations.size() < MAX_RECORDED_VIOLATIONS) {
+            violations.add(line);
         }
         simulator.note("BROKEN " + rule + " " + detail);
     }
@@ -73,22 +73,22 @@
     }
 
     /** Records which agents report to a controller that is about to crash. */
-    void crashed(String node) {
+    void controllerCrashed(String node) {
         takeover.controllerEnded(node);
     }
 
     /** Checks that new owners have taken over the agents of the controller that crashed last. */
-    void tokensRenewed() {
+    void checkTakeover() {
         takeover.check();
     }
 
     /** Records a change on a machine, which makes the next check due at once. */
-    void touched() {
+    void machineChanged() {
         changed = true;
     }
 
     /** Records the start of a task and checks the rules on starts. */
-    void started(SimulatedAgent agent, SimulatedAgent.Attempt attempt) {
+    void taskStarted(SimulatedAgent agent, SimulatedAgent.Attempt attempt) {
         String jobId = RunningTasks.jobOf(attempt.taskId);
         starts++;
         startsByJob.merge(jobId, 1, Integer::sum);
@@ -111,7 +111,7 @@
                 if (otherAttempt != attempt
                         && RunningTasks.isRunning(other, otherAttempt)
                         && otherAttempt.taskId.equals(attempt.taskId)) {
-                    broken("ran_twice", attempt.taskId + " on " + other.name + " and " + agent.name);
+                    recordViolation("ran_twice", attempt.taskId + " on " + other.name + " and " + agent.name);
                 }
             }
         }
@@ -122,7 +122,7 @@
             JsonElement end = simulator.store.value("final/" + dependency);
             if (end == null
                     || !end.getAsJsonObject().get("status").getAsString().equals("done")) {
-                broken("too_early", attempt.taskId + " starts before " + dependency + " is done");
+                recordViolation("too_early", attempt.taskId + " starts before " + dependency + " is done");
             }
         }
     }
@@ -133,7 +133,7 @@
             simulator.note(attempt.taskId + " starts after its job was cancelled");
         }
         if (isCancellationOverdue(job)) {
-            broken("ran_cancelled", attempt.taskId + " starts after the cancellation limit");
+            recordViolation("ran_cancelled", attempt.taskId + " starts after the cancellation limit");
         }
     }
 
@@ -155,7 +155,7 @@
         changed = false;
         lastCheck = simulator.now;
         Map<String, Double> cpusByTeam = checkRunningTasks();
-        if (checkWaits && !simulator.now.isBefore(lastWaitingCheck.plus(WAITING_CHECK_INTERVAL))) {
+        if (checksWaitingJobs && !simulator.now.isBefore(lastWaitingCheck.plus(WAITING_CHECK_INTERVAL))) {
             lastWaitingCheck = simulator.now;
             checkWaiting(cpusByTeam);
         }
@@ -176,7 +176,7 @@
                 SimulatedUsers.Job job = simulator.users.jobs.get(RunningTasks.jobOf(attempt.taskId));
                 cpusByTeam.merge(job.team, job.cpus, Double::sum);
                 if (isCancellationOverdue(job)) {
-                    broken("ran_cancelled", attempt.taskId + " is still running on " + agent.name);
+                    recordViolation("ran_cancelled", attempt.taskId + " is still running on " + agent.name);
                 }
             }
         }
@@ -184,7 +184,7 @@
     }
 
     private void checkWaiting(Map<String, Double> cpusByTeam) {
-        if (simulator.now.isBefore(troublesOver)) {
+        if (simulator.now.isBefore(faultsEndAt)) {
             waiting.reset();
         } else {
             waiting.check(cpusByTeam);
@@ -194,7 +194,7 @@
     private void checkQuota(String team, double cpus) {
         PlatformSettings.Team limit = simulator.template.teams().get(team);
         if (limit.cpusMax() > 0 && cpus > limit.cpusMax() + CPU_TOLERANCE) {
-            broken("quota", team + " uses " + cpus + " CPUs");
+            recordViolation("quota", team + " uses " + cpus + " CPUs");
         }
     }
 
@@ -203,15 +203,15 @@
      * {@link #MAX_TIME_WITHOUT_ANSWER}. Time before the end of the last fault does not count.
      */
     void checkUnanswered(SimulatedUsers.Job job) {
-        Instant since = job.lastAnsweredAt.isAfter(troublesOver) ? job.lastAnsweredAt : troublesOver;
+        Instant since = job.lastAnsweredAt.isAfter(faultsEndAt) ? job.lastAnsweredAt : faultsEndAt;
         if (Duration.between(since, simulator.now).compareTo(MAX_TIME_WITHOUT_ANSWER) > 0) {
             double second = Duration.between(Instant.EPOCH, since).toMillis() / 1e3;
-            broken("forgotten", job.id + " has had no answer since " + second);
+            recordViolation("forgotten", job.id + " has had no answer since " + second);
         }
     }
 
     /** Checks at the end of a run that no class, team or large job was starved. */
-    void endOfDay() {
+    void checkFairness() {
         new FairnessInvariant(simulator, this).check();
     }
 }
--- a/src/test/java/org/havenford/simulator/JobAnswerChecker.java
+++ b/src/test/java/org/havenford/simulator/JobAnswerChecker.java
@@ -43,7 +43,7 @@
     void check(Query query, Reply reply) {
         SimulatedUsers.Job job = query.job;
         if (reply.status() == 404) {
-            simulator.rules.broken("forgotten", job.id + " was answered with status 404");
+            simulator.rules.recordViolation("forgotten", job.id + " was answered with status 404");
         }
         if (reply.status() != 200) {
             simulator.rules.checkUnanswered(job);
@@ -72,14 +72,15 @@
     /** Checks that a final status never changes. */
     private void checkFinality(Query query, String status) {
         if (isFinal(query.knownStatus) && !status.equals(query.knownStatus)) {
-            simulator.rules.broken("went_back", query.job.id + " was " + query.knownStatus + " and is " + status);
+            simulator.rules.recordViolation(
+                    "went_back", query.job.id + " was " + query.knownStatus + " and is " + status);
         }
     }
 
     /** Checks that a cancelled job, or one of its prerequisites, was requested to be cancelled. */
     private void checkCancellation(SimulatedUsers.Job job) {
         if (job.cancelTold == null && !users.mayBeCancelled(job)) {
-            simulator.rules.broken(
+            simulator.rules.recordViolation(
                     "went_back",
                     job.id + " is cancelled, but no cancellation of it or of a prerequisite was requested");
         } else if (job.takenAlong == null) {
@@ -92,7 +93,7 @@
         Instant cancelled = prerequisiteCancelledAt(query.job);
         if (cancelled != null
                 && Duration.between(cancelled, query.askedAt).compareTo(simulator.template.cancellationLimit()) > 0) {
-            simulator.rules.broken(
+            simulator.rules.recordViolation(
                     "orphaned",
                     query.job.id + " is " + status + ", though a prerequisite was cancelled at "
                             + Duration.between(Instant.EPOCH, cancelled).toMillis() / 1e3);
@@ -119,7 +120,7 @@
         job.doneTold = simulator.now;
         for (int task = 0; task < job.tasks; task++) {
             if (!users.finished.contains(job.id + "/" + task)) {
-                simulator.rules.broken(
+                simulator.rules.recordViolation(
                         "not_done", job.id + "/" + task + " has not completed, though its job was reported as done");
             }
         }
--- a/src/test/java/org/havenford/simulator/LargeFleetFailoverTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetFailoverTest.java
@@ -35,7 +35,7 @@
         }
         simulator.at(40, () -> simulator.users.submit("j-1", "red", URGENT_TASKS, 4, 60, List.of("urgent")));
         simulator.runUntil(CRASH_SECOND);
-        simulator.rules.crashed("node-0");
+        simulator.rules.controllerCrashed("node-0");
         List<SimulatedAgent> agents = simulator.agents.values().stream()
                 .filter(agent -> agent.reportsTo("node-0"))
                 .toList();
@@ -46,10 +46,10 @@
         simulator.nodes.get("node-0").crash();
 
         simulator.runUntil(CRASH_SECOND + 2);
-        simulator.rules.tokensRenewed();
+        simulator.rules.checkTakeover();
         simulator.runUntil(180);
 
-        assertEquals(List.of(), simulator.rules.broken);
+        assertEquals(List.of(), simulator.rules.violations);
         assertEquals(URGENT_TASKS, simulator.rules.starts, "a task was started more than once");
         assertTrue(simulator.users.jobs.get("j-1").doneTold != null);
         Stream<Instant> idleTimes = agents.stream()
--- a/src/test/java/org/havenford/simulator/LargeFleetTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetTest.java
@@ -144,7 +144,7 @@
         StoreCounts before = StoreCounts.of(simulator);
         int tasks = submit(simulator, workload);
         simulator.runUntil(100 + workload.jobs());
-        assertEquals(List.of(), simulator.rules.broken);
+        assertEquals(List.of(), simulator.rules.violations);
         assertAllDone(simulator);
         assertEquals(tasks, simulator.rules.starts, () -> String.join("\n", simulator.log));
         assertWithinBudget(simulator, tasks, StoreCounts.of(simulator).since(before));
@@ -239,7 +239,7 @@
             simulator.at(10 + 5 * i, () -> simulator.users.submit(id, "red", 6, 4, 8, List.of()));
         }
         simulator.runUntil(300);
-        assertEquals(List.of(), simulator.rules.broken);
+        assertEquals(List.of(), simulator.rules.violations);
         assertTrue(
                 simulator.users.jobs.values().stream().allMatch(job -> job.doneTold != null),
                 () -> "not all jobs are done: " + simulator.store.requests + " " + simulator.store.refused + " "
@@ -274,11 +274,11 @@
             simulator.at(10 + 20 * i, () -> simulator.users.submit(id, "red", size, 4, 15, List.of("class=cut")));
         }
         simulator.runUntil(320);
-        assertEquals(List.of(), simulator.rules.broken);
+        assertEquals(List.of(), simulator.rules.violations);
         assertTrue(simulator.users.jobs.get("j-2001").begun != null, "the largest job starts during the burst");
         simulator.runUntil(900);
-        simulator.rules.endOfDay();
-        assertEquals(List.of(), simulator.rules.broken);
+        simulator.rules.checkFairness();
+        assertEquals(List.of(), simulator.rules.violations);
         simulator.behaviour.assertKept("grown/burst");
     }
 }
--- a/src/test/java/org/havenford/simulator/LoopbackFailoverTest.java
+++ b/src/test/java/org/havenford/simulator/LoopbackFailoverTest.java
@@ -43,7 +43,7 @@
                     () -> loopback.simulator.users.finished.size() + " done\n"
                             + String.join("\n", loopback.simulator.log));
             loopback.runUntil(() -> false, 2);
-            assertEquals(List.of(), loopback.simulator.rules.broken);
+            assertEquals(List.of(), loopback.simulator.rules.violations);
             assertEquals(SubmissionBurst.TASKS, loopback.simulator.users.finished.size());
             assertEquals(SubmissionBurst.TASKS, loopback.simulator.rules.starts, "a task was started more than once");
         }
--- a/src/test/java/org/havenford/simulator/PlacementInvariant.java
+++ b/src/test/java/org/havenford/simulator/PlacementInvariant.java
@@ -35,7 +35,7 @@
     }
 
     private void report(String constraint, String detail) {
-        checker.broken(RULE, constraint + ": " + detail);
+        checker.recordViolation(RULE, constraint + ": " + detail);
     }
 
     /** Returns whether a machine satisfies the constraints that do not depend on where other tasks of the job run. */
--- a/src/test/java/org/havenford/simulator/SimulatedAgent.java
+++ b/src/test/java/org/havenford/simulator/SimulatedAgent.java
@@ -113,7 +113,7 @@
         up = false;
         simulator.servers.remove(address());
         tasks.clear();
-        simulator.rules.touched();
+        simulator.rules.machineChanged();
     }
 
     /** Returns whether the agent currently sends its heartbeats to this controller. */
@@ -199,7 +199,7 @@
         incarnation++;
         leaseRenewedAt = simulator.now;
         heartbeatDue = true;
-        simulator.rules.touched();
+        simulator.rules.machineChanged();
         simulator.note(name + " " + reason + ", session " + incarnation);
     }
 
--- a/src/test/java/org/havenford/simulator/SimulatedUsers.java
+++ b/src/test/java/org/havenford/simulator/SimulatedUsers.java
@@ -250,7 +250,7 @@
         if (status == 201 || status == 200) {
             onAccepted(job);
         } else if ((status == 400 || status == 422) && !prerequisiteUnknown) {
-            simulator.rules.broken("forgotten", job.id + " was rejected with status " + status);
+            simulator.rules.recordViolation("forgotten", job.id + " was rejected with status " + status);
         } else {
             simulator.after(RETRY_DELAY, () -> postSubmission(job));
         }
@@ -332,7 +332,8 @@
         post(address, SUBMISSIONS_PATH, body(job).toString(), reply -> {
             int status = reply.status();
             if (wasAccepted && status >= 201 && status < 500 && status != 429) {
-                simulator.rules.broken("forgotten", id + " was resubmitted and answered with status " + status);
+                simulator.rules.recordViolation(
+                        "forgotten", id + " was resubmitted and answered with status " + status);
             } else if (wasAccepted && status == 200) {
                 answerChecker.check(query, reply);
             }
@@ -366,7 +367,7 @@
         simulator.note(job.id + " cancel answered " + status);
         if (status.equals(JobAnswerChecker.CANCELLED)) {
             job.cancelTold = simulator.now;
-            simulator.rules.touched();
+            simulator.rules.machineChanged();
             job.lastStatus = JobAnswerChecker.CANCELLED;
             queryAllControllers(job);
         }
--- a/src/test/java/org/havenford/simulator/TakeoverInvariant.java
+++ b/src/test/java/org/havenford/simulator/TakeoverInvariant.java
@@ -35,11 +35,11 @@
                 .get("epoch")
                 .getAsLong();
         if (orphanedAgents.isEmpty()) {
-            checker.broken(RULE, "no agent reported to the controller that crashed");
+            checker.recordViolation(RULE, "no agent reported to the controller that crashed");
         }
         for (SimulatedAgent agent : orphanedAgents) {
             if (agent.up() && !agent.hung && agent.fencingToken >> EPOCH_SHIFT < epoch) {
-                checker.broken(RULE, agent.name + " has received no token of epoch " + epoch);
+                checker.recordViolation(RULE, agent.name + " has received no token of epoch " + epoch);
             }
         }
     }
--- a/src/test/java/org/havenford/simulator/TraceCommands.java
+++ b/src/test/java/org/havenford/simulator/TraceCommands.java
@@ -69,7 +69,7 @@
 
     private static void addControllerCommands(Map<String, Command> commands) {
         commands.put("crash", (simulator, args) -> {
-            simulator.rules.crashed(args.word(0));
+            simulator.rules.controllerCrashed(args.word(0));
             simulator.nodes.get(args.word(0)).crash();
         });
         commands.put(
@@ -81,7 +81,7 @@
                 "freeze", (simulator, args) -> simulator.nodes.get(args.word(0)).freeze());
         commands.put(
                 "thaw", (simulator, args) -> simulator.nodes.get(args.word(0)).thaw());
-        commands.put("tokens-renewed", (simulator, args) -> simulator.rules.tokensRenewed());
+        commands.put("tokens-renewed", (simulator, args) -> simulator.rules.checkTakeover());
     }
 
     private static void addConnectionCommands(Map<String, Command> commands) {
@@ -213,7 +213,7 @@
         attempt.attempt = FORGED_ATTEMPT;
         attempt.status = "running";
         agent(simulator, args).tasks.put(attempt.taskId + "#" + FORGED_ATTEMPT, attempt);
-        simulator.rules.started(agent(simulator, args), attempt);
+        simulator.rules.taskStarted(agent(simulator, args), attempt);
     }
 
     private static SimulatedAgent agent(ClusterSimulator simulator, TraceArguments args) {
--- a/src/test/java/org/havenford/simulator/TraceExpectations.java
+++ b/src/test/java/org/havenford/simulator/TraceExpectations.java
@@ -10,7 +10,10 @@
 
 /** The expectations that a trace can state about the end of its run, by name. */
 final class TraceExpectations {
-    /** Checked by {@link InvariantChecker#endOfDay} before all other expectations, so its predicate here is always true. */
+    /**
+     * Checked by {@link InvariantChecker#checkFairness} before all other expectations, so its predicate here is always
+     * true.
+     */
     private static final String NO_STARVATION = "served";
 
     private static final Map<String, BiPredicate<ClusterSimulator, TraceArguments>> PREDICATES = predicates();
@@ -96,7 +99,7 @@
         predicates.put("log", (simulator, args) -> simulator.log.stream().anyMatch(line -> line.contains(args.text())));
         predicates.put(
                 "no-log", (simulator, args) -> simulator.log.stream().noneMatch(line -> line.contains(args.text())));
-        predicates.put("broken", (simulator, args) -> simulator.rules.broken.stream()
+        predicates.put("broken", (simulator, args) -> simulator.rules.violations.stream()
                 .anyMatch(line -> line.contains(" " + args.word(0) + ": ")));
     }
 
--- a/src/test/java/org/havenford/simulator/TracePlayer.java
+++ b/src/test/java/org/havenford/simulator/TracePlayer.java
@@ -24,8 +24,8 @@
         TraceScenario scenario = TraceScenario.parse(lines);
         ClusterSimulator simulator = createCluster(scenario);
         scheduleSteps(scenario, simulator);
-        simulator.rules.troublesOver = scenario.lastFault();
-        simulator.rules.checkWaits = true;
+        simulator.rules.faultsEndAt = scenario.lastFault();
+        simulator.rules.checksWaitingJobs = true;
         simulator.runUntil(scenario.end());
         return new Result(simulator, violations(scenario, simulator));
     }
@@ -63,9 +63,9 @@
 
     private static List<String> violations(TraceScenario scenario, ClusterSimulator simulator) {
         if (scenario.expectations().stream().anyMatch(TraceExpectations::requiresNoStarvation)) {
-            simulator.rules.endOfDay();
+            simulator.rules.checkFairness();
         }
-        List<String> violations = new ArrayList<>(simulator.rules.broken);
+        List<String> violations = new ArrayList<>(simulator.rules.violations);
         for (TraceScenario.Expectation expectation : scenario.expectations()) {
             TraceExpectations.violation(simulator, expectation).ifPresent(violations::add);
         }
--- a/src/test/java/org/havenford/simulator/WaitingInvariant.java
+++ b/src/test/java/org/havenford/simulator/WaitingInvariant.java
@@ -36,7 +36,7 @@
             }
             Instant since = waitingSince.computeIfAbsent(job.id, id -> simulator.now);
             if (Duration.between(since, simulator.now).compareTo(MAX_WAIT) > 0) {
-                checker.broken("waited", job.id + " is waiting although a suitable machine has room");
+                checker.recordViolation("waited", job.id + " is waiting although a suitable machine has room");
                 waitingSince.remove(job.id);
             }
         }
