--- a/src/test/java/org/havenford/simulator/ClusterSimulator.java
+++ b/src/test/java/org/havenford/simulator/ClusterSimulator.java
@@ -25,7 +25,7 @@
 public final class ClusterSimulator {
     /** An endpoint that answers HTTP requests. */
     interface Server {
-        void request(String method, String path, String body, Consumer<HttpCalls.Reply> callback);
+        void handle(String method, String path, String body, Consumer<HttpCalls.Reply> callback);
     }
 
     /** A scheduled event. Events scheduled for the same instant run in the order in which they were scheduled. */
@@ -40,15 +40,15 @@
     /** The HTTP endpoints by address. */
     final Map<String, Server> servers = new HashMap<>();
     /** The controllers by node name, in the order in which they were added. */
-    final Map<String, SimulatedController> nodes = new LinkedHashMap<>();
+    final Map<String, SimulatedController> controllers = new LinkedHashMap<>();
 
     private final Map<String, SimulatedController> controllersByAddress = new HashMap<>();
-    final PlatformSettings template;
+    final PlatformSettings commonSettings;
     final SimulatedNetwork network = new SimulatedNetwork(this);
     final SimulatedPeerNetwork peerNetwork = new SimulatedPeerNetwork(this);
     final SimulatedStore store;
     final SimulatedCloud cloud = new SimulatedCloud(this);
-    final InvariantChecker rules = new InvariantChecker(this);
+    final InvariantChecker invariants = new InvariantChecker(this);
     final SimulatedUsers users = new SimulatedUsers(this);
     /** The agents by machine name. */
     final Map<String, SimulatedAgent> agents = new LinkedHashMap<>();
@@ -61,23 +61,23 @@
     final List<String> log = new ArrayList<>();
     final BehaviourDigest behaviour = new BehaviourDigest();
     /** Returns the address of the agent on the machine with a given name. */
-    UnaryOperator<String> endpoints = machine -> machine + ":9000";
+    UnaryOperator<String> agentAddress = machine -> machine + ":9000";
 
     /**
      * Creates a cluster without controllers and machines.
      *
-     * @param template provides the settings that are the same for all controllers, such as addresses, teams and limits
+     * @param commonSettings the settings that are the same for all controllers, such as addresses, teams and limits
      */
-    ClusterSimulator(long seed, PlatformSettings template) {
+    ClusterSimulator(long seed, PlatformSettings commonSettings) {
         this.random = new SplittableRandom(seed);
-        this.template = template;
+        this.commonSettings = commonSettings;
         this.store = new SimulatedStore(this);
-        servers.put(template.storeAddress(), store);
-        servers.put(template.cloudAddress(), cloud);
+        servers.put(commonSettings.storeAddress(), store);
+        servers.put(commonSettings.cloudAddress(), cloud);
     }
 
     /** Appends a line to the log of the run, prefixed with the simulated time. */
-    void note(String line) {
+    void logLine(String line) {
         log.add(String.format("%8.3f %s", seconds(), line));
     }
 
@@ -112,7 +112,7 @@
             Event event = queue.poll();
             now = event.at;
             event.task.run();
-            rules.check();
+            invariants.check();
         }
         now = end;
     }
@@ -123,8 +123,8 @@
     }
 
     /** Adds and starts a controller of the current version. */
-    void addNode(PlatformSettings settings) {
-        addNode(settings, null);
+    void addController(PlatformSettings settings) {
+        addController(settings, null);
     }
 
     /**
@@ -133,16 +133,16 @@
      * @param oldSettings if not null, the controller runs the version before format 2 with these settings until it is
      *     upgraded
      */
-    void addNode(PlatformSettings settings, PlatformSettings oldSettings) {
+    void addController(PlatformSettings settings, PlatformSettings oldSettings) {
         SimulatedController controller = new SimulatedController(this, settings, oldSettings);
-        nodes.put(settings.node(), controller);
+        controllers.put(settings.node(), controller);
         controllersByAddress.put(settings.bind(), controller);
         network.faults.assignZone(settings.bind(), settings.zone());
         controller.start();
     }
 
     /** Registers a controller that runs in another process, so that agents and users have its address. */
-    void addRemoteNode(PlatformSettings settings) {
-        nodes.put(settings.node(), new SimulatedController(this, settings, null));
+    void addRemoteController(PlatformSettings settings) {
+        controllers.put(settings.node(), new SimulatedController(this, settings, null));
     }
 }
--- a/src/test/java/org/havenford/simulator/FailoverMeasurement.java
+++ b/src/test/java/org/havenford/simulator/FailoverMeasurement.java
@@ -64,9 +64,9 @@
                         () -> SubmissionBurst.allDone(loopback), 3 * SubmissionBurst.TIMEOUT_SECONDS));
                 loopback.runUntil(() -> false, 5);
             }
-            assertEquals(List.of(), loopback.simulator.rules.violations);
+            assertEquals(List.of(), loopback.simulator.invariants.violations);
             tasksDone += loopback.simulator.users.finished.size();
-            starts += loopback.simulator.rules.starts;
+            starts += loopback.simulator.invariants.starts;
             evictions += loopback.simulator.store.evictions;
         }
     }
--- a/src/test/java/org/havenford/simulator/FormatOneStandIn.java
+++ b/src/test/java/org/havenford/simulator/FormatOneStandIn.java
@@ -65,7 +65,7 @@
         String key = entry.get(entry.has("k") ? "k" : "set").getAsString();
         JsonElement value = entry.get("v").deepCopy();
         if (key.startsWith(TASK_RANGE_PREFIX) && value.getAsJsonObject().has(COMPACT_CLAIMS)) {
-            simulator.rules.recordViolation("unreadable", key + " is in a form that " + node + " can't read");
+            simulator.invariants.recordViolation("unreadable", key + " is in a form that " + node + " can't read");
         }
         removeAddedFields(key, value);
         entry.add("v", value);
--- a/src/test/java/org/havenford/simulator/GuestWorkTest.java
+++ b/src/test/java/org/havenford/simulator/GuestWorkTest.java
@@ -35,7 +35,7 @@
     private static ClusterSimulator startCluster() {
         ClusterSimulator simulator = new ClusterSimulator(21, settings(0));
         for (int i = 0; i < NODES; i++) {
-            simulator.addNode(settings(i));
+            simulator.addController(settings(i));
         }
         simulator.store.pageSize = 500;
         for (int i = 0; i < MACHINES; i++) {
@@ -77,7 +77,7 @@
                 + ", requests "
                 + simulator.store.requests + ", refused " + simulator.store.refused;
         System.out.println(counts);
-        assertEquals(List.of(), simulator.rules.violations);
+        assertEquals(List.of(), simulator.invariants.violations);
         assertTrue(waits.get(90) < 4, counts);
         assertTrue(waits.get(99) < 10, counts);
         assertTrue(simulator.users.jobs.values().stream().allMatch(job -> job.doneTold != null), counts);
--- a/src/test/java/org/havenford/simulator/HttpApiTest.java
+++ b/src/test/java/org/havenford/simulator/HttpApiTest.java
@@ -28,7 +28,7 @@
     }
 
     private void startController() {
-        simulator.addNode(SimulatorSettings.of(0, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":8}"));
+        simulator.addController(SimulatorSettings.of(0, "{\"name\":\"red\",\"cpus\":0,\"cpus_max\":8}"));
         simulator.runUntil(3);
     }
 
@@ -220,8 +220,8 @@
     }
 
     private void restartController() {
-        simulator.nodes.get("node-0").crash();
-        simulator.nodes.get("node-0").start();
+        simulator.controllers.get("node-0").crash();
+        simulator.controllers.get("node-0").start();
         simulator.runUntil(simulator.seconds() + 12);
     }
 
@@ -231,7 +231,7 @@
         simulator.cloud.boot("small", "a", false, Duration.ofMillis(10));
         TraceCommands.run(simulator, "submit", new TraceArguments(List.of("j-5", "red", "2", "1", "5")));
         simulator.runUntil(simulator.seconds() + 60);
-        assertEquals(List.of(), simulator.rules.violations);
+        assertEquals(List.of(), simulator.invariants.violations);
         Reply repeated = send("POST", "/submissions", submission("j-5", "red", 2, 1));
         assertEquals(200, repeated.status());
         assertTrue(repeated.body().contains("\"done\""), repeated.body());
--- a/src/test/java/org/havenford/simulator/InvariantChecker.java
+++ b/src/test/java/org/havenford/simulator/InvariantChecker.java
@@ -59,7 +59,7 @@
         if (violations.size() < MAX_RECORDED_VIOLATIONS) {
             violations.add(line);
         }
-        simulator.note("BROKEN " + rule + " " + detail);
+        simulator.logLine("BROKEN " + rule + " " + detail);
     }
 
     /** Returns how many times tasks of a job have started. */
@@ -94,7 +94,7 @@
         startsByJob.merge(jobId, 1, Integer::sum);
         lastStartByJob.put(jobId, simulator.now);
         changed = true;
-        simulator.note(attempt.taskId + " take " + attempt.attempt + " starts on " + agent.name);
+        simulator.logLine(attempt.taskId + " take " + attempt.attempt + " starts on " + agent.name);
         SimulatedUsers.Job job = simulator.users.jobs.get(jobId);
         if (job.begun == null) {
             job.begun = simulator.now;
@@ -130,7 +130,7 @@
     private void checkNotCancelled(SimulatedAgent.Attempt attempt, SimulatedUsers.Job job) {
         if (job.cancelTold != null) {
             startsAfterCancel++;
-            simulator.note(attempt.taskId + " starts after its job was cancelled");
+            simulator.logLine(attempt.taskId + " starts after its job was cancelled");
         }
         if (isCancellationOverdue(job)) {
             recordViolation("ran_cancelled", attempt.taskId + " starts after the cancellation limit");
@@ -140,7 +140,8 @@
     /** Returns whether the cancellation limit has passed since the cancellation of a job was confirmed. */
     private boolean isCancellationOverdue(SimulatedUsers.Job job) {
         return job.cancelTold != null
-                && Duration.between(job.cancelTold, simulator.now).compareTo(simulator.template.cancellationLimit())
+                && Duration.between(job.cancelTold, simulator.now)
+                                .compareTo(simulator.commonSettings.cancellationLimit())
                         > 0;
     }
 
@@ -192,7 +193,7 @@
     }
 
     private void checkQuota(String team, double cpus) {
-        PlatformSettings.Team limit = simulator.template.teams().get(team);
+        PlatformSettings.Team limit = simulator.commonSettings.teams().get(team);
         if (limit.cpusMax() > 0 && cpus > limit.cpusMax() + CPU_TOLERANCE) {
             recordViolation("quota", team + " uses " + cpus + " CPUs");
         }
--- a/src/test/java/org/havenford/simulator/JobAnswerChecker.java
+++ b/src/test/java/org/havenford/simulator/JobAnswerChecker.java
@@ -43,10 +43,10 @@
     void check(Query query, Reply reply) {
         SimulatedUsers.Job job = query.job;
         if (reply.status() == 404) {
-            simulator.rules.recordViolation("forgotten", job.id + " was answered with status 404");
+            simulator.invariants.recordViolation("forgotten", job.id + " was answered with status 404");
         }
         if (reply.status() != 200) {
-            simulator.rules.checkUnanswered(job);
+            simulator.invariants.checkUnanswered(job);
             return;
         }
         job.lastAnsweredAt = simulator.now;
@@ -72,7 +72,7 @@
     /** Checks that a final status never changes. */
     private void checkFinality(Query query, String status) {
         if (isFinal(query.knownStatus) && !status.equals(query.knownStatus)) {
-            simulator.rules.recordViolation(
+            simulator.invariants.recordViolation(
                     "went_back", query.job.id + " was " + query.knownStatus + " and is " + status);
         }
     }
@@ -80,7 +80,7 @@
     /** Checks that a cancelled job, or one of its prerequisites, was requested to be cancelled. */
     private void checkCancellation(SimulatedUsers.Job job) {
         if (job.cancelTold == null && !users.mayBeCancelled(job)) {
-            simulator.rules.recordViolation(
+            simulator.invariants.recordViolation(
                     "went_back",
                     job.id + " is cancelled, but no cancellation of it or of a prerequisite was requested");
         } else if (job.takenAlong == null) {
@@ -92,8 +92,9 @@
     private void checkPrerequisites(Query query, String status) {
         Instant cancelled = prerequisiteCancelledAt(query.job);
         if (cancelled != null
-                && Duration.between(cancelled, query.askedAt).compareTo(simulator.template.cancellationLimit()) > 0) {
-            simulator.rules.recordViolation(
+                && Duration.between(cancelled, query.askedAt).compareTo(simulator.commonSettings.cancellationLimit())
+                        > 0) {
+            simulator.invariants.recordViolation(
                     "orphaned",
                     query.job.id + " is " + status + ", though a prerequisite was cancelled at "
                             + Duration.between(Instant.EPOCH, cancelled).toMillis() / 1e3);
@@ -120,11 +121,11 @@
         job.doneTold = simulator.now;
         for (int task = 0; task < job.tasks; task++) {
             if (!users.finished.contains(job.id + "/" + task)) {
-                simulator.rules.recordViolation(
+                simulator.invariants.recordViolation(
                         "not_done", job.id + "/" + task + " has not completed, though its job was reported as done");
             }
         }
-        simulator.note(job.id + " done");
+        simulator.logLine(job.id + " done");
         users.queryAllControllers(job);
     }
 }
--- a/src/test/java/org/havenford/simulator/LargeFleetFailoverTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetFailoverTest.java
@@ -27,7 +27,7 @@
         simulator.withStandby = true;
         simulator.store.pageSize = 500;
         for (int i = 0; i < 3; i++) {
-            simulator.addNode(SimulatorSettings.of(i, 3, TEAM, AGENTS, STORE));
+            simulator.addController(SimulatorSettings.of(i, 3, TEAM, AGENTS, STORE));
         }
         for (int i = 0; i < MACHINES; i++) {
             String zone = List.of("a", "b", "c").get(i % 3);
@@ -35,7 +35,7 @@
         }
         simulator.at(40, () -> simulator.users.submit("j-1", "red", URGENT_TASKS, 4, 60, List.of("urgent")));
         simulator.runUntil(CRASH_SECOND);
-        simulator.rules.controllerCrashed("node-0");
+        simulator.invariants.controllerCrashed("node-0");
         List<SimulatedAgent> agents = simulator.agents.values().stream()
                 .filter(agent -> agent.reportsTo("node-0"))
                 .toList();
@@ -43,14 +43,14 @@
                 agents.stream().filter(agent -> !agent.tasks.isEmpty()).toList();
         assertTrue(agents.size() > MACHINES / 5, agents.size() + " machines");
         assertTrue(urgentAgents.size() > 10, urgentAgents.size() + " machines with urgent tasks");
-        simulator.nodes.get("node-0").crash();
+        simulator.controllers.get("node-0").crash();
 
         simulator.runUntil(CRASH_SECOND + 2);
-        simulator.rules.checkTakeover();
+        simulator.invariants.checkTakeover();
         simulator.runUntil(180);
 
-        assertEquals(List.of(), simulator.rules.violations);
-        assertEquals(URGENT_TASKS, simulator.rules.starts, "a task was started more than once");
+        assertEquals(List.of(), simulator.invariants.violations);
+        assertEquals(URGENT_TASKS, simulator.invariants.starts, "a task was started more than once");
         assertTrue(simulator.users.jobs.get("j-1").doneTold != null);
         Stream<Instant> idleTimes = agents.stream()
                 .filter(agent -> !urgentAgents.contains(agent))
--- a/src/test/java/org/havenford/simulator/LargeFleetTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetTest.java
@@ -37,7 +37,7 @@
     void thousandMachinesStayWithinTheStoreLimits() {
         ClusterSimulator simulator = new ClusterSimulator(11, settings(0));
         for (int i = 0; i < NODES; i++) {
-            simulator.addNode(settings(i));
+            simulator.addController(settings(i));
         }
         assertAllDoneWithinStoreBudget(simulator, new Workload(1000, 90, 5, 40, List.of("red", "red", "blue")));
         simulator.behaviour.assertKept("grown/a-thousand-machines");
@@ -52,7 +52,7 @@
         ClusterSimulator simulator = new ClusterSimulator(14, settings(0));
         simulator.cloud.zones = List.of("a", "b", "c", "d");
         for (int i = 0; i < NODES; i++) {
-            simulator.addNode(settings(i));
+            simulator.addController(settings(i));
         }
         assertAllDoneWithinStoreBudget(simulator, new Workload(1850, 90, 5, 50, List.of("red", "red", "blue")));
         simulator.behaviour.assertKept("grown/eighteen-hundred-machines");
@@ -67,7 +67,7 @@
                 new ClusterSimulator(15, SimulatorSettings.of(0, 3, UNLIMITED_TEAM, agents, store));
         simulator.cloud.zones = List.of("a", "b", "c", "d");
         for (int i = 0; i < 3; i++) {
-            simulator.addNode(SimulatorSettings.of(i, 3, UNLIMITED_TEAM, agents, store));
+            simulator.addController(SimulatorSettings.of(i, 3, UNLIMITED_TEAM, agents, store));
         }
         assertAllDoneWithinStoreBudget(simulator, new Workload(1600, 90, 20, 60, List.of("red")));
         simulator.behaviour.assertKept("grown/sixteen-hundred-machines");
@@ -82,7 +82,7 @@
         String agents = "{\"report_s\":4,\"lease_s\":60,\"cancel_s\":90}";
         ClusterSimulator simulator =
                 new ClusterSimulator(17, SimulatorSettings.of(0, 1, UNLIMITED_TEAM, agents, LARGE_STORE));
-        simulator.addNode(SimulatorSettings.of(0, 1, UNLIMITED_TEAM, agents, LARGE_STORE));
+        simulator.addController(SimulatorSettings.of(0, 1, UNLIMITED_TEAM, agents, LARGE_STORE));
         for (int i = 0; i < 4000; i++) {
             simulator.cloud.boot("small", List.of("a", "b", "c").get(i % 3), false, Duration.ofMillis(100 + i));
         }
@@ -102,7 +102,7 @@
         ClusterSimulator simulator =
                 new ClusterSimulator(16, SimulatorSettings.of(0, 3, UNLIMITED_TEAM, agents, LARGE_STORE));
         for (int i = 0; i < 3; i++) {
-            simulator.addNode(SimulatorSettings.of(i, 3, UNLIMITED_TEAM, agents, LARGE_STORE));
+            simulator.addController(SimulatorSettings.of(i, 3, UNLIMITED_TEAM, agents, LARGE_STORE));
         }
         assertAllDoneWithinStoreBudget(simulator, new Workload(4000, 60, 40, 120, List.of("red")));
         simulator.behaviour.assertKept("grown/four-thousand-machines");
@@ -144,9 +144,9 @@
         StoreCounts before = StoreCounts.of(simulator);
         int tasks = submit(simulator, workload);
         simulator.runUntil(100 + workload.jobs());
-        assertEquals(List.of(), simulator.rules.violations);
+        assertEquals(List.of(), simulator.invariants.violations);
         assertAllDone(simulator);
-        assertEquals(tasks, simulator.rules.starts, () -> String.join("\n", simulator.log));
+        assertEquals(tasks, simulator.invariants.starts, () -> String.join("\n", simulator.log));
         assertWithinBudget(simulator, tasks, StoreCounts.of(simulator).since(before));
     }
 
@@ -229,7 +229,7 @@
         String store = "{\"rps\":25,\"write_rps\":10,\"value_kb\":8,\"txn_ops\":12}";
         ClusterSimulator simulator = new ClusterSimulator(13, SimulatorSettings.of(0, NODES, team, agents, store));
         for (int i = 0; i < NODES; i++) {
-            simulator.addNode(SimulatorSettings.of(i, NODES, team, agents, store));
+            simulator.addController(SimulatorSettings.of(i, NODES, team, agents, store));
         }
         for (String zone : List.of("a", "b", "c")) {
             simulator.cloud.boot("large", zone, false, Duration.ofMillis(100));
@@ -239,7 +239,7 @@
             simulator.at(10 + 5 * i, () -> simulator.users.submit(id, "red", 6, 4, 8, List.of()));
         }
         simulator.runUntil(300);
-        assertEquals(List.of(), simulator.rules.violations);
+        assertEquals(List.of(), simulator.invariants.violations);
         assertTrue(
                 simulator.users.jobs.values().stream().allMatch(job -> job.doneTold != null),
                 () -> "not all jobs are done: " + simulator.store.requests + " " + simulator.store.refused + " "
@@ -258,7 +258,7 @@
     void noKindOfWorkStarvesDuringABurstOfUrgentJobs() {
         ClusterSimulator simulator = new ClusterSimulator(12, SimulatorSettings.of(0, UNLIMITED_TEAM));
         for (int i = 0; i < 3; i++) {
-            simulator.addNode(SimulatorSettings.of(i, UNLIMITED_TEAM));
+            simulator.addController(SimulatorSettings.of(i, UNLIMITED_TEAM));
         }
         for (String zone : List.of("a", "b", "c")) {
             simulator.cloud.boot("large", zone, false, Duration.ofMillis(100));
@@ -274,11 +274,11 @@
             simulator.at(10 + 20 * i, () -> simulator.users.submit(id, "red", size, 4, 15, List.of("class=cut")));
         }
         simulator.runUntil(320);
-        assertEquals(List.of(), simulator.rules.violations);
+        assertEquals(List.of(), simulator.invariants.violations);
         assertTrue(simulator.users.jobs.get("j-2001").begun != null, "the largest job starts during the burst");
         simulator.runUntil(900);
-        simulator.rules.checkFairness();
-        assertEquals(List.of(), simulator.rules.violations);
+        simulator.invariants.checkFairness();
+        assertEquals(List.of(), simulator.invariants.violations);
         simulator.behaviour.assertKept("grown/burst");
     }
 }
--- a/src/test/java/org/havenford/simulator/LoopbackCluster.java
+++ b/src/test/java/org/havenford/simulator/LoopbackCluster.java
@@ -77,12 +77,12 @@
             settings.add(SimulatorSettings.json(i, addresses, teams, SimulatorSettings.DEFAULT_AGENTS, STORE));
         }
         simulator = new ClusterSimulator(1, PlatformSettings.parse(settings.get(0)));
-        simulator.endpoints = this::endpointOf;
+        simulator.agentAddress = this::endpointOf;
         serve(addresses.state());
         serve(addresses.cloud());
         for (int i = 0; i < nodes; i++) {
             PlatformSettings parsed = PlatformSettings.parse(settings.get(i));
-            simulator.addRemoteNode(parsed);
+            simulator.addRemoteController(parsed);
             String bind = parsed.bind();
             simulator.servers.put(bind, (method, path, body, callback) -> forward(bind, method, path, body, callback));
             ControllerProcess process = new ControllerProcess(directory, parsed.node(), settings.get(i), operatorXml);
@@ -137,7 +137,7 @@
         pendingTasks.add(() -> {
             ClusterSimulator.Server server = simulator.servers.get(address);
             if (server != null) {
-                server.request(
+                server.handle(
                         exchange.getRequestMethod(), exchange.getRequestURI().toString(), body, reply::complete);
             }
         });
--- a/src/test/java/org/havenford/simulator/LoopbackFailoverTest.java
+++ b/src/test/java/org/havenford/simulator/LoopbackFailoverTest.java
@@ -43,15 +43,16 @@
                     () -> loopback.simulator.users.finished.size() + " done\n"
                             + String.join("\n", loopback.simulator.log));
             loopback.runUntil(() -> false, 2);
-            assertEquals(List.of(), loopback.simulator.rules.violations);
+            assertEquals(List.of(), loopback.simulator.invariants.violations);
             assertEquals(SubmissionBurst.TASKS, loopback.simulator.users.finished.size());
-            assertEquals(SubmissionBurst.TASKS, loopback.simulator.rules.starts, "a task was started more than once");
+            assertEquals(
+                    SubmissionBurst.TASKS, loopback.simulator.invariants.starts, "a task was started more than once");
         }
     }
 
     private static void awaitStarts(LoopbackCluster loopback, int count) throws InterruptedException {
         assertTrue(
-                loopback.runUntil(() -> loopback.simulator.rules.starts >= count, SubmissionBurst.TIMEOUT_SECONDS),
+                loopback.runUntil(() -> loopback.simulator.invariants.starts >= count, SubmissionBurst.TIMEOUT_SECONDS),
                 "fewer than " + count + " tasks were started");
     }
 
@@ -69,7 +70,7 @@
             {0x48, 0x46, 1, 3, 127, -1, -1, -1, 0, 0, 0, 0, 0, 0, 0, 0},
             {0x48, 0x46, 1, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 5}
         };
-        for (SimulatedController node : loopback.simulator.nodes.values()) {
+        for (SimulatedController node : loopback.simulator.controllers.values()) {
             String address = node.settings.peerListen();
             int port = Integer.parseInt(address.substring(address.indexOf(':') + 1));
             for (byte[] frame : malformedFrames) {
--- a/src/test/java/org/havenford/simulator/SimulatedAgent.java
+++ b/src/test/java/org/havenford/simulator/SimulatedAgent.java
@@ -95,14 +95,14 @@
     }
 
     private String address() {
-        return simulator.endpoints.apply(name);
+        return simulator.agentAddress.apply(name);
     }
 
     /** Starts the agent, which sends its heartbeats to a random controller at first. */
     void start() {
         up = true;
         leaseRenewedAt = simulator.now;
-        targetIndex = simulator.random.nextInt(simulator.nodes.size());
+        targetIndex = simulator.random.nextInt(simulator.controllers.size());
         simulator.servers.put(address(), this);
         checkHeartbeat();
         checkLease();
@@ -113,7 +113,7 @@
         up = false;
         simulator.servers.remove(address());
         tasks.clear();
-        simulator.rules.machineChanged();
+        simulator.invariants.machineChanged();
     }
 
     /** Returns whether the agent currently sends its heartbeats to this controller. */
@@ -126,7 +126,7 @@
     }
 
     private List<String> nodeNames() {
-        return List.copyOf(simulator.nodes.keySet());
+        return List.copyOf(simulator.controllers.keySet());
     }
 
     /** Returns when the agent first saw a higher fencing token at or after a second of the run, or {@link Instant#MAX}. */
@@ -180,7 +180,7 @@
      * still listed: the machine executes nothing, and {@link #hang} ends them before it resumes.
      */
     boolean isLeaseExpired() {
-        return simulator.now.isAfter(leaseRenewedAt.plus(simulator.template.agentLease()));
+        return simulator.now.isAfter(leaseRenewedAt.plus(simulator.commonSettings.agentLease()));
     }
 
     private void endTasksIfLeaseExpired() {
@@ -199,8 +199,8 @@
         incarnation++;
         leaseRenewedAt = simulator.now;
         heartbeatDue = true;
-        simulator.rules.machineChanged();
-        simulator.note(name + " " + reason + ", session " + incarnation);
+        simulator.invariants.machineChanged();
+        simulator.logLine(name + " " + reason + ", session " + incarnation);
     }
 
     private void checkHeartbeat() {
@@ -211,7 +211,7 @@
         Duration since = Duration.between(lastHeartbeatAt, simulator.now);
         if (!hung
                 && !heartbeatInFlight
-                && (heartbeatDue || since.compareTo(simulator.template.heartbeatInterval()) >= 0)) {
+                && (heartbeatDue || since.compareTo(simulator.commonSettings.heartbeatInterval()) >= 0)) {
             sendHeartbeat();
         }
     }
@@ -224,7 +224,7 @@
         long sentIncarnation = incarnation;
         simulator.network.call(
                 address(),
-                simulator.nodes.get(targetNode()).settings.bind(),
+                simulator.controllers.get(targetNode()).settings.bind(),
                 new SimulatedNetwork.Request("POST", "/checkin", heartbeatBody(), HEARTBEAT_TIMEOUT),
                 reply -> runOrDefer(() -> onHeartbeatReply(reply, sent, sentIncarnation)));
     }
@@ -234,9 +234,11 @@
         if (reply.status() == 200) {
             applyReply(JsonParser.parseString(reply.body()).getAsJsonObject(), sent, sentIncarnation);
         } else if (reply.status() != 421 || !followRedirect(reply)) {
-            lastHeartbeatAt =
-                    simulator.now.minus(simulator.template.heartbeatInterval()).plus(HEARTBEAT_RETRY_DELAY);
-            targetIndex = (targetIndex + 1) % simulator.nodes.size();
+            lastHeartbeatAt = simulator
+                    .now
+                    .minus(simulator.commonSettings.heartbeatInterval())
+                    .plus(HEARTBEAT_RETRY_DELAY);
+            targetIndex = (targetIndex + 1) % simulator.controllers.size();
         }
     }
 
@@ -285,7 +287,7 @@
     }
 
     @Override
-    public void request(String method, String path, String body, Consumer<Reply> callback) {
+    public void handle(String method, String path, String body, Consumer<Reply> callback) {
         runOrDefer(() -> {
             if (path.equals("/do")) {
                 JsonObject json = JsonParser.parseString(body).getAsJsonObject();
--- a/src/test/java/org/havenford/simulator/SimulatedCloud.java
+++ b/src/test/java/org/havenford/simulator/SimulatedCloud.java
@@ -79,7 +79,7 @@
         });
         SimulatedAgent agent = new SimulatedAgent(simulator, name, type, zone, spot);
         simulator.agents.put(name, agent);
-        simulator.network.faults.assignZone(simulator.endpoints.apply(name), zone);
+        simulator.network.faults.assignZone(simulator.agentAddress.apply(name), zone);
         if (!zonesWithoutBoot.contains(zone)) {
             simulator.after(bootDelay, () -> {
                 if (!terminated.contains(name)) {
@@ -93,7 +93,7 @@
     private JsonObject machineJson(String name, String type, String zone, boolean spot) {
         JsonObject json = new JsonObject();
         json.addProperty("nameId", name);
-        json.addProperty("endpoint", simulator.endpoints.apply(name));
+        json.addProperty("endpoint", simulator.agentAddress.apply(name));
         json.addProperty("rig", type);
         json.addProperty("hall", zone);
         json.addProperty("borrowed", spot);
@@ -110,7 +110,7 @@
     }
 
     @Override
-    public void request(String method, String path, String body, Consumer<Reply> callback) {
+    public void handle(String method, String path, String body, Consumer<Reply> callback) {
         if (outage) {
             callback.accept(new Reply(503, "{\"error\":\"trouble\"}"));
         } else if (path.equals("/machine_types")) {
--- a/src/test/java/org/havenford/simulator/SimulatedController.java
+++ b/src/test/java/org/havenford/simulator/SimulatedController.java
@@ -70,7 +70,7 @@
         simulator.servers.put(settings.bind(), this);
         process.startStandby();
         process.controller.start();
-        simulator.note("start " + settings.node());
+        simulator.logLine("start " + settings.node());
     }
 
     /** Ends the process at once, with all its queued messages and deferred actions, as SIGKILL does. */
@@ -86,7 +86,7 @@
         queuedMessages.clear();
         deferredActions.clear();
         simulator.servers.remove(settings.bind());
-        simulator.note("crash " + settings.node());
+        simulator.logLine("crash " + settings.node());
     }
 
     /**
@@ -133,7 +133,7 @@
     }
 
     @Override
-    public void request(String method, String path, String body, Consumer<HttpCalls.Reply> callback) {
+    public void handle(String method, String path, String body, Consumer<HttpCalls.Reply> callback) {
         ProcessInstance served = process;
         if (served == null) {
             return;
@@ -191,7 +191,7 @@
         public void call(
                 String address, String method, String path, String body, Duration timeout, Consumer<Reply> done) {
             simulator.behaviour.request(simulator.now, settings.node(), address, method, path, body);
-            boolean translated = startedWithFormatOne && address.equals(simulator.template.storeAddress());
+            boolean translated = startedWithFormatOne && address.equals(simulator.commonSettings.storeAddress());
             String sent = translated && path.equals("/multi") ? FormatOneStandIn.written(body) : body;
             Consumer<Reply> received =
                     reply -> done.accept(translated ? FormatOneStandIn.read(simulator, settings.node(), reply) : reply);
--- a/src/test/java/org/havenford/simulator/SimulatedNetwork.java
+++ b/src/test/java/org/havenford/simulator/SimulatedNetwork.java
@@ -81,7 +81,7 @@
             this.to = to;
             this.request = request;
             this.callback = callback;
-            this.toStore = to.equals(simulator.template.storeAddress());
+            this.toStore = to.equals(simulator.commonSettings.storeAddress());
         }
 
         /** Returns whether this is a request to the state service other than a watch. */
@@ -147,7 +147,7 @@
             if (server == null) {
                 return false;
             }
-            server.request(request.method, request.path, request.body, replyCallback);
+            server.handle(request.method, request.path, request.body, replyCallback);
             return true;
         }
 
--- a/src/test/java/org/havenford/simulator/SimulatedPeerNetwork.java
+++ b/src/test/java/org/havenford/simulator/SimulatedPeerNetwork.java
@@ -97,12 +97,12 @@
 
     /** Returns the cut between two controllers, or null. */
     private NetworkFaults.Cut cutBetweenNodes(String node, String other) {
-        if (!simulator.nodes.containsKey(node) || !simulator.nodes.containsKey(other)) {
+        if (!simulator.controllers.containsKey(node) || !simulator.controllers.containsKey(other)) {
             return null;
         }
-        String address = simulator.nodes.get(node).settings.bind();
+        String address = simulator.controllers.get(node).settings.bind();
         return simulator.network.faults.cutBetween(
-                address, simulator.nodes.get(other).settings.bind());
+                address, simulator.controllers.get(other).settings.bind());
     }
 
     private boolean isCutOneWay(String from, String to) {
--- a/src/test/java/org/havenford/simulator/SimulatedStore.java
+++ b/src/test/java/org/havenford/simulator/SimulatedStore.java
@@ -77,15 +77,15 @@
         this.leases = new StoreLeases(simulator, () -> outage, this::deleteKeysBoundTo);
         this.rateLimiter = new StoreRateLimiter(simulator);
         this.watches = new StoreWatches(simulator, () -> outage, () -> revision);
-        this.maxValueLength = simulator.template.currentValueBytes();
-        this.maxChangesPerSecond = simulator.template.storeWritesPerSecond();
+        this.maxValueLength = simulator.commonSettings.currentValueBytes();
+        this.maxChangesPerSecond = simulator.commonSettings.storeWritesPerSecond();
     }
 
     /** Lowers the limits to the future ones that the platform settings announce. */
     void lowerLimits() {
-        maxValueLength = simulator.template.valueBytes();
-        maxOperations = simulator.template.maxTransactionOperations();
-        maxChangesPerSecond = simulator.template.nextStoreWritesPerSecond();
+        maxValueLength = simulator.commonSettings.valueBytes();
+        maxOperations = simulator.commonSettings.maxTransactionOperations();
+        maxChangesPerSecond = simulator.commonSettings.nextStoreWritesPerSecond();
     }
 
     /** Returns whether any value whose key has the prefix contains the text in its JSON form. */
@@ -155,8 +155,8 @@
 
     private boolean admit(String path, String body) {
         int operations = path.equals(TRANSACTION_PATH) ? StoreTransaction.countOperations(body) : 0;
-        boolean admitted =
-                rateLimiter.tryAcquire(simulator.template.storeRequestsPerSecond(), maxChangesPerSecond, operations);
+        boolean admitted = rateLimiter.tryAcquire(
+                simulator.commonSettings.storeRequestsPerSecond(), maxChangesPerSecond, operations);
         if (admitted) {
             requests++;
             acceptedOperations += operations;
@@ -167,7 +167,7 @@
     }
 
     @Override
-    public void request(String method, String path, String body, Consumer<Reply> callback) {
+    public void handle(String method, String path, String body, Consumer<Reply> callback) {
         if (!outage && !admit(path, body)) {
             callback.accept(new Reply(429, "{\"error\":\"too many\"}"));
         } else if (path.startsWith(WATCH_PATH)) {
--- a/src/test/java/org/havenford/simulator/SimulatedTaskExecutor.java
+++ b/src/test/java/org/havenford/simulator/SimulatedTaskExecutor.java
@@ -88,7 +88,7 @@
     private void startRun(SimulatedAgent.Attempt attempt, SimulatedUsers.Job job) {
         attempt.status = "running";
         agent.requestHeartbeat();
-        simulator.rules.taskStarted(agent, attempt);
+        simulator.invariants.taskStarted(agent, attempt);
         // A task whose result is already stored exits almost at once.
         Duration runTime = simulator.users.finished.contains(attempt.taskId) ? SHORT_DELAY : job.run(simulator.random);
         boolean fails = agent.faulty || job.broken;
@@ -121,6 +121,6 @@
         attempt.status = "exited";
         attempt.exitCause = cause;
         agent.requestHeartbeat();
-        simulator.rules.machineChanged();
+        simulator.invariants.machineChanged();
     }
 }
--- a/src/test/java/org/havenford/simulator/SimulatedUsers.java
+++ b/src/test/java/org/havenford/simulator/SimulatedUsers.java
@@ -149,7 +149,7 @@
         if (!looksClosely) {
             return;
         }
-        for (SimulatedController node : simulator.nodes.values()) {
+        for (SimulatedController node : simulator.controllers.values()) {
             for (int millis : REPEATED_QUERY_DELAYS_MILLIS) {
                 simulator.after(Duration.ofMillis(millis), () -> {
                     ask(job.id, node.settings.bind());
@@ -228,7 +228,7 @@
     }
 
     private String randomAddress() {
-        List<SimulatedController> controllers = List.copyOf(simulator.nodes.values());
+        List<SimulatedController> controllers = List.copyOf(simulator.controllers.values());
         return controllers
                 .get(simulator.random.nextInt(controllers.size()))
                 .settings
@@ -250,7 +250,7 @@
         if (status == 201 || status == 200) {
             onAccepted(job);
         } else if ((status == 400 || status == 422) && !prerequisiteUnknown) {
-            simulator.rules.recordViolation("forgotten", job.id + " was rejected with status " + status);
+            simulator.invariants.recordViolation("forgotten", job.id + " was rejected with status " + status);
         } else {
             simulator.after(RETRY_DELAY, () -> postSubmission(job));
         }
@@ -259,7 +259,7 @@
     private void onAccepted(Job job) {
         boolean first = !job.accepted;
         if (first) {
-            simulator.note(job.id + " accepted");
+            simulator.logLine(job.id + " accepted");
         }
         job.accepted = true;
         job.lastAnsweredAt = simulator.now;
@@ -332,7 +332,7 @@
         post(address, SUBMISSIONS_PATH, body(job).toString(), reply -> {
             int status = reply.status();
             if (wasAccepted && status >= 201 && status < 500 && status != 429) {
-                simulator.rules.recordViolation(
+                simulator.invariants.recordViolation(
                         "forgotten", id + " was resubmitted and answered with status " + status);
             } else if (wasAccepted && status == 200) {
                 answerChecker.check(query, reply);
@@ -353,7 +353,7 @@
         cancelAsked.add(id);
         String address = node == null
                 ? randomAddress()
-                : simulator.nodes.get(node).settings.bind();
+                : simulator.controllers.get(node).settings.bind();
         post(address, SUBMISSIONS_PATH + "/" + id + "/abort", null, reply -> {
             if (reply.status() == 200) {
                 onCancelAnswered(job, JobAnswerChecker.statusOf(reply));
@@ -364,10 +364,10 @@
     }
 
     private void onCancelAnswered(Job job, String status) {
-        simulator.note(job.id + " cancel answered " + status);
+        simulator.logLine(job.id + " cancel answered " + status);
         if (status.equals(JobAnswerChecker.CANCELLED)) {
             job.cancelTold = simulator.now;
-            simulator.rules.machineChanged();
+            simulator.invariants.machineChanged();
             job.lastStatus = JobAnswerChecker.CANCELLED;
             queryAllControllers(job);
         }
--- a/src/test/java/org/havenford/simulator/TraceCommands.java
+++ b/src/test/java/org/havenford/simulator/TraceCommands.java
@@ -27,7 +27,7 @@
      */
     static void run(ClusterSimulator simulator, String name, TraceArguments args) {
         if (!name.equals(SUBMIT)) {
-            simulator.note(args.words().isEmpty() ? name : name + " " + args.text());
+            simulator.logLine(args.words().isEmpty() ? name : name + " " + args.text());
         }
         Command command = COMMANDS.get(name);
         if (command == null) {
@@ -69,19 +69,22 @@
 
     private static void addControllerCommands(Map<String, Command> commands) {
         commands.put("crash", (simulator, args) -> {
-            simulator.rules.controllerCrashed(args.word(0));
-            simulator.nodes.get(args.word(0)).crash();
+            simulator.invariants.controllerCrashed(args.word(0));
+            simulator.controllers.get(args.word(0)).crash();
         });
         commands.put(
-                "start", (simulator, args) -> simulator.nodes.get(args.word(0)).start());
+                "start",
+                (simulator, args) -> simulator.controllers.get(args.word(0)).start());
         commands.put(
                 "upgrade",
-                (simulator, args) -> simulator.nodes.get(args.word(0)).upgrade());
+                (simulator, args) -> simulator.controllers.get(args.word(0)).upgrade());
         commands.put(
-                "freeze", (simulator, args) -> simulator.nodes.get(args.word(0)).freeze());
+                "freeze",
+                (simulator, args) -> simulator.controllers.get(args.word(0)).freeze());
         commands.put(
-                "thaw", (simulator, args) -> simulator.nodes.get(args.word(0)).thaw());
-        commands.put("tokens-renewed", (simulator, args) -> simulator.rules.checkTakeover());
+                "thaw",
+                (simulator, args) -> simulator.controllers.get(args.word(0)).thaw());
+        commands.put("tokens-renewed", (simulator, args) -> simulator.invariants.checkTakeover());
     }
 
     private static void addConnectionCommands(Map<String, Command> commands) {
@@ -213,7 +216,7 @@
         attempt.attempt = FORGED_ATTEMPT;
         attempt.status = "running";
         agent(simulator, args).tasks.put(attempt.taskId + "#" + FORGED_ATTEMPT, attempt);
-        simulator.rules.taskStarted(agent(simulator, args), attempt);
+        simulator.invariants.taskStarted(agent(simulator, args), attempt);
     }
 
     private static SimulatedAgent agent(ClusterSimulator simulator, TraceArguments args) {
@@ -237,8 +240,8 @@
      * port.
      */
     private static String address(ClusterSimulator simulator, String name) {
-        if (simulator.nodes.containsKey(name)) {
-            return simulator.nodes.get(name).settings.bind();
+        if (simulator.controllers.containsKey(name)) {
+            return simulator.controllers.get(name).settings.bind();
         }
         if (name.startsWith(HOST_PREFIX)) {
             return name + ":9000";
--- a/src/test/java/org/havenford/simulator/TraceExpectations.java
+++ b/src/test/java/org/havenford/simulator/TraceExpectations.java
@@ -66,9 +66,10 @@
             Instant done = job(simulator, args).doneTold;
             return done != null && !done.isAfter(timeArgument(args, 1));
         });
-        predicates.put("starts-at-most", (simulator, args) -> simulator.rules.starts(args.word(0)) <= args.integer(1));
-        predicates.put("starts", (simulator, args) -> simulator.rules.starts == args.integer(0));
-        predicates.put("late-starts", (simulator, args) -> simulator.rules.startsAfterCancel <= args.integer(0));
+        predicates.put(
+                "starts-at-most", (simulator, args) -> simulator.invariants.starts(args.word(0)) <= args.integer(1));
+        predicates.put("starts", (simulator, args) -> simulator.invariants.starts == args.integer(0));
+        predicates.put("late-starts", (simulator, args) -> simulator.invariants.startsAfterCancel <= args.integer(0));
     }
 
     private static void addMachinePredicates(Map<String, BiPredicate<ClusterSimulator, TraceArguments>> predicates) {
@@ -99,7 +100,7 @@
         predicates.put("log", (simulator, args) -> simulator.log.stream().anyMatch(line -> line.contains(args.text())));
         predicates.put(
                 "no-log", (simulator, args) -> simulator.log.stream().noneMatch(line -> line.contains(args.text())));
-        predicates.put("broken", (simulator, args) -> simulator.rules.violations.stream()
+        predicates.put("broken", (simulator, args) -> simulator.invariants.violations.stream()
                 .anyMatch(line -> line.contains(" " + args.word(0) + ": ")));
     }
 
@@ -109,7 +110,8 @@
         actualCounts.put("evictions", (simulator, args) -> ", evictions " + simulator.store.evictions);
         actualCounts.put("evictions-at-least", (simulator, args) -> ", evictions " + simulator.store.evictions);
         actualCounts.put("calls-at-most", (simulator, args) -> ", calls " + simulator.store.requests);
-        actualCounts.put("starts-at-most", (simulator, args) -> ", starts " + simulator.rules.starts(args.word(0)));
+        actualCounts.put(
+                "starts-at-most", (simulator, args) -> ", starts " + simulator.invariants.starts(args.word(0)));
         return actualCounts;
     }
 
--- a/src/test/java/org/havenford/simulator/TracePlayer.java
+++ b/src/test/java/org/havenford/simulator/TracePlayer.java
@@ -24,8 +24,8 @@
         TraceScenario scenario = TraceScenario.parse(lines);
         ClusterSimulator simulator = createCluster(scenario);
         scheduleSteps(scenario, simulator);
-        simulator.rules.faultsEndAt = scenario.lastFault();
-        simulator.rules.checksWaitingJobs = true;
+        simulator.invariants.faultsEndAt = scenario.lastFault();
+        simulator.invariants.checksWaitingJobs = true;
         simulator.runUntil(scenario.end());
         return new Result(simulator, violations(scenario, simulator));
     }
@@ -42,7 +42,7 @@
             PlatformSettings previousSettings = scenario.startsWithPreviousFormat()
                     ? settings(scenario, node, SimulatorSettings.DEFAULT_STORE)
                     : null;
-            simulator.addNode(settings(scenario, node, scenario.store()), previousSettings);
+            simulator.addController(settings(scenario, node, scenario.store()), previousSettings);
         }
         return simulator;
     }
@@ -63,9 +63,9 @@
 
     private static List<String> violations(TraceScenario scenario, ClusterSimulator simulator) {
         if (scenario.expectations().stream().anyMatch(TraceExpectations::requiresNoStarvation)) {
-            simulator.rules.checkFairness();
+            simulator.invariants.checkFairness();
         }
-        List<String> violations = new ArrayList<>(simulator.rules.violations);
+        List<String> violations = new ArrayList<>(simulator.invariants.violations);
         for (TraceScenario.Expectation expectation : scenario.expectations()) {
             TraceExpectations.violation(simulator, expectation).ifPresent(violations::add);
         }
--- a/src/test/java/org/havenford/simulator/WaitingInvariant.java
+++ b/src/test/java/org/havenford/simulator/WaitingInvariant.java
@@ -83,7 +83,7 @@
     }
 
     private boolean isWithinTeamLimit(SimulatedUsers.Job job, Map<String, Double> cpusByTeam) {
-        PlatformSettings.Team team = simulator.template.teams().get(job.team);
+        PlatformSettings.Team team = simulator.commonSettings.teams().get(job.team);
         return team.cpusMax() <= 0
                 || cpusByTeam.getOrDefault(job.team, 0.0) + job.cpus <= team.cpusMax() + InvariantChecker.CPU_TOLERANCE;
     }
