--- a/src/test/java/org/havenford/simulator/FairnessInvariant.java
+++ b/src/test/java/org/havenford/simulator/FairnessInvariant.java
@@ -32,7 +32,7 @@
     /** Checks all jobs that were accepted, except those that always fail or were cancelled. */
     void check() {
         for (SimulatedUsers.Job job : simulator.users.jobs.values()) {
-            if (!job.accepted || job.broken || job.cancelTold != null || job.takenAlong != null) {
+            if (!job.accepted || job.alwaysFails || job.cancelConfirmedAt != null || job.reportedCancelledAt != null) {
                 continue;
             }
             addToGroup("class " + job.jobClass, job);
@@ -50,8 +50,8 @@
     }
 
     private void checkStartDelay(SimulatedUsers.Job job) {
-        Instant latest = job.submitted.plus(MAX_START_DELAY);
-        boolean inTime = job.begun != null && !job.begun.isAfter(latest);
+        Instant latest = job.submittedAt.plus(MAX_START_DELAY);
+        boolean inTime = job.firstStartedAt != null && !job.firstStartedAt.isAfter(latest);
         if (job.prerequisites.isEmpty() && latest.isBefore(simulator.now) && !inTime) {
             checker.recordViolation(RULE, job.id + ", one of the largest jobs of its class, did not start in time");
         }
@@ -59,7 +59,7 @@
 
     /** Checks that at least half of the jobs of a group were reported as done. */
     private void checkMajorityDone(String group, List<SimulatedUsers.Job> jobs) {
-        long done = jobs.stream().filter(job -> job.doneTold != null).count();
+        long done = jobs.stream().filter(job -> job.reportedDoneAt != null).count();
         if (done * 2 < jobs.size()) {
             checker.recordViolation(RULE, group + ": " + done + " of " + jobs.size() + " jobs done");
         }
--- a/src/test/java/org/havenford/simulator/GuestWorkTest.java
+++ b/src/test/java/org/havenford/simulator/GuestWorkTest.java
@@ -45,7 +45,7 @@
     }
 
     private static double startDelaySeconds(SimulatedUsers.Job job) {
-        return Duration.between(job.submitted, job.begun).toMillis() / 1e3;
+        return Duration.between(job.submittedAt, job.firstStartedAt).toMillis() / 1e3;
     }
 
     /** Checks that urgent jobs start within seconds and that all jobs of both teams are done in the end. */
@@ -80,7 +80,7 @@
         assertEquals(List.of(), simulator.invariants.violations);
         assertTrue(waits.get(90) < 4, counts);
         assertTrue(waits.get(99) < 10, counts);
-        assertTrue(simulator.users.jobs.values().stream().allMatch(job -> job.doneTold != null), counts);
+        assertTrue(simulator.users.jobs.values().stream().allMatch(job -> job.reportedDoneAt != null), counts);
         simulator.behaviour.assertKept("guest-work");
     }
 }
--- a/src/test/java/org/havenford/simulator/InvariantChecker.java
+++ b/src/test/java/org/havenford/simulator/InvariantChecker.java
@@ -96,8 +96,8 @@
         changed = true;
         simulator.logLine(attempt.taskId + " take " + attempt.attempt + " starts on " + agent.name);
         SimulatedUsers.Job job = simulator.users.jobs.get(jobId);
-        if (job.begun == null) {
-            job.begun = simulator.now;
+        if (job.firstStartedAt == null) {
+            job.firstStartedAt = simulator.now;
         }
         checkRunsOnce(agent, attempt);
         placement.check(agent, attempt, job);
@@ -128,7 +128,7 @@
     }
 
     private void checkNotCancelled(SimulatedAgent.Attempt attempt, SimulatedUsers.Job job) {
-        if (job.cancelTold != null) {
+        if (job.cancelConfirmedAt != null) {
             startsAfterCancel++;
             simulator.logLine(attempt.taskId + " starts after its job was cancelled");
         }
@@ -139,8 +139,8 @@
 
     /** Returns whether the cancellation limit has passed since the cancellation of a job was confirmed. */
     private boolean isCancellationOverdue(SimulatedUsers.Job job) {
-        return job.cancelTold != null
-                && Duration.between(job.cancelTold, simulator.now)
+        return job.cancelConfirmedAt != null
+                && Duration.between(job.cancelConfirmedAt, simulator.now)
                                 .compareTo(simulator.commonSettings.cancellationLimit())
                         > 0;
     }
--- a/src/test/java/org/havenford/simulator/JobAnswerChecker.java
+++ b/src/test/java/org/havenford/simulator/JobAnswerChecker.java
@@ -57,7 +57,7 @@
         } else {
             checkPrerequisites(query, status);
         }
-        if (status.equals(DONE) && job.doneTold == null) {
+        if (status.equals(DONE) && job.reportedDoneAt == null) {
             recordDone(job);
         }
         if (!isFinal(job.lastStatus)) {
@@ -79,12 +79,12 @@
 
     /** Checks that a cancelled job, or one of its prerequisites, was requested to be cancelled. */
     private void checkCancellation(SimulatedUsers.Job job) {
-        if (job.cancelTold == null && !users.mayBeCancelled(job)) {
+        if (job.cancelConfirmedAt == null && !users.mayBeCancelled(job)) {
             simulator.invariants.recordViolation(
                     "went_back",
                     job.id + " is cancelled, but no cancellation of it or of a prerequisite was requested");
-        } else if (job.takenAlong == null) {
-            job.takenAlong = simulator.now;
+        } else if (job.reportedCancelledAt == null) {
+            job.reportedCancelledAt = simulator.now;
         }
     }
 
@@ -109,16 +109,17 @@
         Instant first = null;
         for (String id : job.prerequisites) {
             SimulatedUsers.Job prerequisite = users.jobs.get(id);
-            Instant at =
-                    prerequisite.cancelTold != null ? prerequisite.cancelTold : prerequisiteCancelledAt(prerequisite);
+            Instant at = prerequisite.cancelConfirmedAt != null
+                    ? prerequisite.cancelConfirmedAt
+                    : prerequisiteCancelledAt(prerequisite);
             first = first == null || (at != null && at.isBefore(first)) ? at : first;
         }
-        return first == null || job.submitted.isBefore(first) ? first : job.submitted;
+        return first == null || job.submittedAt.isBefore(first) ? first : job.submittedAt;
     }
 
     /** Records that a job was reported as done, and checks that all its tasks have completed. */
     private void recordDone(SimulatedUsers.Job job) {
-        job.doneTold = simulator.now;
+        job.reportedDoneAt = simulator.now;
         for (int task = 0; task < job.tasks; task++) {
             if (!users.finished.contains(job.id + "/" + task)) {
                 simulator.invariants.recordViolation(
--- a/src/test/java/org/havenford/simulator/LargeFleetFailoverTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetFailoverTest.java
@@ -51,7 +51,7 @@
 
         assertEquals(List.of(), simulator.invariants.violations);
         assertEquals(URGENT_TASKS, simulator.invariants.starts, "a task was started more than once");
-        assertTrue(simulator.users.jobs.get("j-1").doneTold != null);
+        assertTrue(simulator.users.jobs.get("j-1").reportedDoneAt != null);
         Stream<Instant> idleTimes = agents.stream()
                 .filter(agent -> !urgentAgents.contains(agent))
                 .map(agent -> agent.firstTokenAfter(CRASH_SECOND));
--- a/src/test/java/org/havenford/simulator/LargeFleetTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetTest.java
@@ -182,9 +182,9 @@
         assertEquals(
                 List.of(),
                 simulator.users.jobs.values().stream()
-                        .filter(job -> job.doneTold == null)
-                        .map(job ->
-                                job.id + " with " + job.tasks + " tasks of team " + job.team + ", started " + job.begun)
+                        .filter(job -> job.reportedDoneAt == null)
+                        .map(job -> job.id + " with " + job.tasks + " tasks of team " + job.team + ", started "
+                                + job.firstStartedAt)
                         .toList(),
                 () -> simulator.store.changesByKeyCategory + " " + simulator.store.conflictsByKeyCategory);
     }
@@ -203,8 +203,8 @@
     /** Returns the longest time in seconds from the submission of a job to the start of its first task. */
     private static double longestWaitSeconds(ClusterSimulator simulator) {
         return simulator.users.jobs.values().stream()
-                        .mapToLong(job ->
-                                Duration.between(job.submitted, job.begun).toMillis())
+                        .mapToLong(job -> Duration.between(job.submittedAt, job.firstStartedAt)
+                                .toMillis())
                         .max()
                         .orElse(0)
                 / 1e3;
@@ -241,11 +241,11 @@
         simulator.runUntil(300);
         assertEquals(List.of(), simulator.invariants.violations);
         assertTrue(
-                simulator.users.jobs.values().stream().allMatch(job -> job.doneTold != null),
+                simulator.users.jobs.values().stream().allMatch(job -> job.reportedDoneAt != null),
                 () -> "not all jobs are done: " + simulator.store.requests + " " + simulator.store.refused + " "
                         + simulator.store.changesByKeyCategory + " "
                         + simulator.users.jobs.values().stream()
-                                .map(job -> job.id + job.accepted + job.begun + job.doneTold)
+                                .map(job -> job.id + job.accepted + job.firstStartedAt + job.reportedDoneAt)
                                 .toList());
         simulator.behaviour.assertKept("grown/tenth-of-the-limits");
     }
@@ -275,7 +275,8 @@
         }
         simulator.runUntil(320);
         assertEquals(List.of(), simulator.invariants.violations);
-        assertTrue(simulator.users.jobs.get("j-2001").begun != null, "the largest job starts during the burst");
+        assertTrue(
+                simulator.users.jobs.get("j-2001").firstStartedAt != null, "the largest job starts during the burst");
         simulator.runUntil(900);
         simulator.invariants.checkFairness();
         assertEquals(List.of(), simulator.invariants.violations);
--- a/src/test/java/org/havenford/simulator/SimulatedTaskExecutor.java
+++ b/src/test/java/org/havenford/simulator/SimulatedTaskExecutor.java
@@ -90,8 +90,9 @@
         agent.requestHeartbeat();
         simulator.invariants.taskStarted(agent, attempt);
         // A task whose result is already stored exits almost at once.
-        Duration runTime = simulator.users.finished.contains(attempt.taskId) ? SHORT_DELAY : job.run(simulator.random);
-        boolean fails = agent.faulty || job.broken;
+        Duration runTime =
+                simulator.users.finished.contains(attempt.taskId) ? SHORT_DELAY : job.drawRunTime(simulator.random);
+        boolean fails = agent.faulty || job.alwaysFails;
         continueAfter(fails ? FAILURE_DELAY : runTime, attempt, "running", () -> {
             if (!fails) {
                 simulator.users.finished.add(attempt.taskId);
--- a/src/test/java/org/havenford/simulator/SimulatedUsers.java
+++ b/src/test/java/org/havenford/simulator/SimulatedUsers.java
@@ -52,39 +52,39 @@
         String priority = "normal";
         double dueSeconds;
         /** Whether every task of the job fails on every machine, as with an error in the submitted program. */
-        boolean broken;
+        boolean alwaysFails;
 
         boolean accepted;
         /** When the user's cancellation request was confirmed; null before that. */
-        Instant cancelTold;
+        Instant cancelConfirmedAt;
 
         String jobClass = "class";
-        Instant submitted;
+        Instant submittedAt;
         /** When the first task of the job started; null before that. */
-        Instant begun;
+        Instant firstStartedAt;
         /** When a submission or query of the job was last answered. */
         Instant lastAnsweredAt = Instant.EPOCH;
 
         /** The status in the last answer; a final status is kept. */
         String lastStatus = "";
         /** When an answer first reported the job as done. */
-        Instant doneTold;
+        Instant reportedDoneAt;
         /**
-         * When the answer to a query first reported the job as cancelled. If {@link #cancelTold} is null, it was cancelled
+         * When the answer to a query first reported the job as cancelled. If {@link #cancelConfirmedAt} is null, it was cancelled
          * with a prerequisite or its own cancellation has not been confirmed yet.
          */
-        Instant takenAlong;
+        Instant reportedCancelledAt;
 
         final List<String> prerequisites = new ArrayList<>();
 
         /** Draws the running time of a task: the expected time of the job, plus or minus up to 20%. */
-        Duration run(SplittableRandom random) {
+        Duration drawRunTime(SplittableRandom random) {
             return Duration.ofMillis((long) (runSeconds * 1000 * (0.8 + 0.4 * random.nextDouble())));
         }
 
         /** Returns whether an answer has reported the job as done or cancelled. */
         boolean isKnownToHaveEnded() {
-            return doneTold != null || cancelTold != null || takenAlong != null;
+            return reportedDoneAt != null || cancelConfirmedAt != null || reportedCancelledAt != null;
         }
 
         /** Applies an option of a {@code submit} line of a trace, see src/test/resources/traces/README.md. */
@@ -99,7 +99,7 @@
 
         private void applyFlag(String flag) {
             switch (flag) {
-                case "broken" -> broken = true;
+                case "broken" -> alwaysFails = true;
                 case "apart" -> apart = true;
                 case "together" -> together = true;
                 case "ordinary" -> spot = false;
@@ -174,7 +174,7 @@
         job.image = "img-" + (Integer.parseInt(id.substring(2)) % IMAGE_COUNT);
         job.spot = true;
         options.forEach(job::apply);
-        job.submitted = simulator.now;
+        job.submittedAt = simulator.now;
         jobs.put(id, job);
         postSubmission(job);
         return job;
@@ -366,7 +366,7 @@
     private void onCancelAnswered(Job job, String status) {
         simulator.logLine(job.id + " cancel answered " + status);
         if (status.equals(JobAnswerChecker.CANCELLED)) {
-            job.cancelTold = simulator.now;
+            job.cancelConfirmedAt = simulator.now;
             simulator.invariants.machineChanged();
             job.lastStatus = JobAnswerChecker.CANCELLED;
             queryAllControllers(job);
--- a/src/test/java/org/havenford/simulator/SubmissionBurst.java
+++ b/src/test/java/org/havenford/simulator/SubmissionBurst.java
@@ -55,6 +55,6 @@
 
     /** Returns whether all submitted jobs were reported as done. */
     static boolean allDone(LoopbackCluster loopback) {
-        return loopback.simulator.users.jobs.values().stream().allMatch(job -> job.doneTold != null);
+        return loopback.simulator.users.jobs.values().stream().allMatch(job -> job.reportedDoneAt != null);
     }
 }
--- a/src/test/java/org/havenford/simulator/TraceCommands.java
+++ b/src/test/java/org/havenford/simulator/TraceCommands.java
@@ -205,7 +205,7 @@
         commands.put("forge-zone", (simulator, args) -> simulator.store.forgeZone(args.word(0), args.word(1)));
         commands.put("forge-cancelled", (simulator, args) -> {
             simulator.users.cancelAsked.add(args.word(0));
-            simulator.users.jobs.get(args.word(0)).cancelTold = simulator.now;
+            simulator.users.jobs.get(args.word(0)).cancelConfirmedAt = simulator.now;
         });
         commands.put("forge-start", TraceCommands::forgeStart);
     }
--- a/src/test/java/org/havenford/simulator/TraceExpectations.java
+++ b/src/test/java/org/havenford/simulator/TraceExpectations.java
@@ -59,11 +59,11 @@
     }
 
     private static void addJobPredicates(Map<String, BiPredicate<ClusterSimulator, TraceArguments>> predicates) {
-        predicates.put("done", (simulator, args) -> job(simulator, args).doneTold != null);
-        predicates.put("cancelled", (simulator, args) -> job(simulator, args).cancelTold != null);
-        predicates.put("taken-along", (simulator, args) -> job(simulator, args).takenAlong != null);
+        predicates.put("done", (simulator, args) -> job(simulator, args).reportedDoneAt != null);
+        predicates.put("cancelled", (simulator, args) -> job(simulator, args).cancelConfirmedAt != null);
+        predicates.put("taken-along", (simulator, args) -> job(simulator, args).reportedCancelledAt != null);
         predicates.put("done-by", (simulator, args) -> {
-            Instant done = job(simulator, args).doneTold;
+            Instant done = job(simulator, args).reportedDoneAt;
             return done != null && !done.isAfter(timeArgument(args, 1));
         });
         predicates.put(
--- a/src/test/java/org/havenford/simulator/WaitingInvariant.java
+++ b/src/test/java/org/havenford/simulator/WaitingInvariant.java
@@ -52,12 +52,12 @@
     }
 
     private boolean isPending(SimulatedUsers.Job job) {
-        return isOpen(job) && hasUnstartedTask(job) && !(job.broken && hasStartedRecently(job));
+        return isOpen(job) && hasUnstartedTask(job) && !(job.alwaysFails && hasStartedRecently(job));
     }
 
     private boolean isOpen(SimulatedUsers.Job job) {
         return job.accepted
-                && job.doneTold == null
+                && job.reportedDoneAt == null
                 && !simulator.users.mayBeCancelled(job)
                 && job.prerequisites.stream()
                         .allMatch(dependency -> simulator.store.value("final/" + dependency) != null);
