--- a/src/test/java/org/havenford/simulator/FailoverMeasurement.java
+++ b/src/test/java/org/havenford/simulator/FailoverMeasurement.java
@@ -65,7 +65,7 @@
                 loopback.runUntil(() -> false, 5);
             }
             assertEquals(List.of(), loopback.simulator.invariants.violations);
-            tasksDone += loopback.simulator.users.finished.size();
+            tasksDone += loopback.simulator.users.completedTasks.size();
             starts += loopback.simulator.invariants.starts;
             evictions += loopback.simulator.store.evictions;
         }
--- a/src/test/java/org/havenford/simulator/HttpApiTest.java
+++ b/src/test/java/org/havenford/simulator/HttpApiTest.java
@@ -41,7 +41,7 @@
         job.runSeconds = 5;
         job.image = "img-1";
         job.spot = true;
-        return SimulatedUsers.body(job).toString();
+        return SimulatedUsers.submissionJson(job).toString();
     }
 
     @Test
--- a/src/test/java/org/havenford/simulator/JobAnswerChecker.java
+++ b/src/test/java/org/havenford/simulator/JobAnswerChecker.java
@@ -121,7 +121,7 @@
     private void recordDone(SimulatedUsers.Job job) {
         job.reportedDoneAt = simulator.now;
         for (int task = 0; task < job.tasks; task++) {
-            if (!users.finished.contains(job.id + "/" + task)) {
+            if (!users.completedTasks.contains(job.id + "/" + task)) {
                 simulator.invariants.recordViolation(
                         "not_done", job.id + "/" + task + " has not completed, though its job was reported as done");
             }
--- a/src/test/java/org/havenford/simulator/LoopbackFailoverTest.java
+++ b/src/test/java/org/havenford/simulator/LoopbackFailoverTest.java
@@ -40,11 +40,11 @@
 
             assertTrue(
                     loopback.runUntil(() -> SubmissionBurst.allDone(loopback), 3 * SubmissionBurst.TIMEOUT_SECONDS),
-                    () -> loopback.simulator.users.finished.size() + " done\n"
+                    () -> loopback.simulator.users.completedTasks.size() + " done\n"
                             + String.join("\n", loopback.simulator.log));
             loopback.runUntil(() -> false, 2);
             assertEquals(List.of(), loopback.simulator.invariants.violations);
-            assertEquals(SubmissionBurst.TASKS, loopback.simulator.users.finished.size());
+            assertEquals(SubmissionBurst.TASKS, loopback.simulator.users.completedTasks.size());
             assertEquals(
                     SubmissionBurst.TASKS, loopback.simulator.invariants.starts, "a task was started more than once");
         }
--- a/src/test/java/org/havenford/simulator/SimulatedTaskExecutor.java
+++ b/src/test/java/org/havenford/simulator/SimulatedTaskExecutor.java
@@ -90,12 +90,13 @@
         agent.requestHeartbeat();
         simulator.invariants.taskStarted(agent, attempt);
         // A task whose result is already stored exits almost at once.
-        Duration runTime =
-                simulator.users.finished.contains(attempt.taskId) ? SHORT_DELAY : job.drawRunTime(simulator.random);
+        Duration runTime = simulator.users.completedTasks.contains(attempt.taskId)
+                ? SHORT_DELAY
+                : job.drawRunTime(simulator.random);
         boolean fails = agent.faulty || job.alwaysFails;
         continueAfter(fails ? FAILURE_DELAY : runTime, attempt, "running", () -> {
             if (!fails) {
-                simulator.users.finished.add(attempt.taskId);
+                simulator.users.completedTasks.add(attempt.taskId);
             }
             exit(attempt, fails ? "error" : "done");
         });
--- a/src/test/java/org/havenford/simulator/SimulatedUsers.java
+++ b/src/test/java/org/havenford/simulator/SimulatedUsers.java
@@ -28,7 +28,10 @@
     private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
     private static final int MIN_POLL_MILLIS = 4000;
     private static final int POLL_JITTER_MILLIS = 2000;
-    /** The delays after an event at which all controllers are queried about the job, if {@link #looksClosely} is set. */
+    /**
+     * The delays after an event at which all controllers are queried about the job, if {@link #queriesAllControllers} is
+     * set.
+     */
     private static final int[] REPEATED_QUERY_DELAYS_MILLIS = {0, 3, 12, 40};
 
     private static final int IMAGE_COUNT = 3;
@@ -70,8 +73,8 @@
         /** When an answer first reported the job as done. */
         Instant reportedDoneAt;
         /**
-         * When the answer to a query first reported the job as cancelled. If {@link #cancelConfirmedAt} is null, it was cancelled
-         * with a prerequisite or its own cancellation has not been confirmed yet.
+         * When the answer to a query first reported the job as cancelled. If {@link #cancelConfirmedAt} is null, it was
+         * cancelled with a prerequisite or its own cancellation has not been confirmed yet.
          */
         Instant reportedCancelledAt;
 
@@ -124,11 +127,11 @@
     private final ClusterSimulator simulator;
     private final JobAnswerChecker answerChecker;
     /** The ids of jobs whose cancellation was requested, whatever the answer. */
-    final Set<String> cancelAsked = new HashSet<>();
+    final Set<String> cancelRequested = new HashSet<>();
 
     final Map<String, Job> jobs = new LinkedHashMap<>();
     /** The tasks that have completed successfully, as job/index. */
-    final Set<String> finished = new HashSet<>();
+    final Set<String> completedTasks = new HashSet<>();
 
     /** The factor by which users poll their jobs more often than by default. */
     int pollRateFactor = 1;
@@ -137,23 +140,23 @@
      * Whether users query and resubmit a job at all controllers within milliseconds of its acceptance, its completion or the
      * confirmation of its cancellation.
      */
-    boolean looksClosely;
+    boolean queriesAllControllers;
 
     SimulatedUsers(ClusterSimulator simulator) {
         this.simulator = simulator;
         this.answerChecker = new JobAnswerChecker(simulator, this);
     }
 
-    /** Queries and resubmits a job several times at every controller, if {@link #looksClosely} is set. */
+    /** Queries and resubmits a job several times at every controller, if {@link #queriesAllControllers} is set. */
     void queryAllControllers(Job job) {
-        if (!looksClosely) {
+        if (!queriesAllControllers) {
             return;
         }
         for (SimulatedController node : simulator.controllers.values()) {
             for (int millis : REPEATED_QUERY_DELAYS_MILLIS) {
                 simulator.after(Duration.ofMillis(millis), () -> {
-                    ask(job.id, node.settings.bind());
-                    repeat(job.id, node.settings.bind());
+                    query(job.id, node.settings.bind());
+                    resubmit(job.id, node.settings.bind());
                 });
             }
         }
@@ -181,7 +184,7 @@
     }
 
     /** Returns the submission of a job in the format of the protocol. */
-    static JsonObject body(Job job) {
+    static JsonObject submissionJson(Job job) {
         JsonObject json = new JsonObject();
         json.addProperty("nameId", job.id);
         json.addProperty("lineup", job.jobClass);
@@ -240,7 +243,7 @@
         post(
                 randomAddress(),
                 SUBMISSIONS_PATH,
-                body(job).toString(),
+                submissionJson(job).toString(),
                 reply -> onSubmissionAnswered(job, prerequisitesAccepted, reply));
     }
 
@@ -296,16 +299,16 @@
 
     /** Returns whether cancellation of the job, or of one of its direct or indirect prerequisites, was requested. */
     boolean mayBeCancelled(Job job) {
-        return cancelAsked.contains(job.id)
+        return cancelRequested.contains(job.id)
                 || job.prerequisites.stream().anyMatch(prerequisite -> mayBeCancelled(jobs.get(prerequisite)));
     }
 
     /** Queries an accepted job once, at a random controller. */
-    void ask(String id) {
-        ask(id, randomAddress());
+    void query(String id) {
+        query(id, randomAddress());
     }
 
-    private void ask(String id, String address) {
+    private void query(String id, String address) {
         Job job = jobs.get(id);
         if (job == null || !job.accepted) {
             return;
@@ -318,18 +321,18 @@
      * Submits a job again at a random controller, whatever its state. A job that has been accepted must be recognized from
      * then on, also after its end.
      */
-    void repeat(String id) {
-        repeat(id, randomAddress());
+    void resubmit(String id) {
+        resubmit(id, randomAddress());
     }
 
-    private void repeat(String id, String address) {
+    private void resubmit(String id, String address) {
         Job job = jobs.get(id);
         if (job == null) {
             return;
         }
         boolean wasAccepted = job.accepted;
         JobAnswerChecker.Query query = answerChecker.newQuery(job);
-        post(address, SUBMISSIONS_PATH, body(job).toString(), reply -> {
+        post(address, SUBMISSIONS_PATH, submissionJson(job).toString(), reply -> {
             int status = reply.status();
             if (wasAccepted && status >= 201 && status < 500 && status != 429) {
                 simulator.invariants.recordViolation(
@@ -350,7 +353,7 @@
         if (job == null) {
             return;
         }
-        cancelAsked.add(id);
+        cancelRequested.add(id);
         String address = node == null
                 ? randomAddress()
                 : simulator.controllers.get(node).settings.bind();
--- a/src/test/java/org/havenford/simulator/TraceCommands.java
+++ b/src/test/java/org/havenford/simulator/TraceCommands.java
@@ -52,10 +52,10 @@
     private static void addUserCommands(Map<String, Command> commands) {
         commands.put(SUBMIT, TraceCommands::submit);
         commands.put("cancel", (simulator, args) -> simulator.users.cancel(args.word(0), args.optionalWord(1)));
-        commands.put("ask", (simulator, args) -> simulator.users.ask(args.word(0)));
-        commands.put("repeat", (simulator, args) -> simulator.users.repeat(args.word(0)));
+        commands.put("ask", (simulator, args) -> simulator.users.query(args.word(0)));
+        commands.put("repeat", (simulator, args) -> simulator.users.resubmit(args.word(0)));
         commands.put("polls-as-often", (simulator, args) -> simulator.users.pollRateFactor = args.integer(0));
-        commands.put("close-looks", (simulator, args) -> simulator.users.looksClosely = args.isOn(0));
+        commands.put("close-looks", (simulator, args) -> simulator.users.queriesAllControllers = args.isOn(0));
     }
 
     /**
@@ -204,7 +204,7 @@
     private static void addForgeryCommands(Map<String, Command> commands) {
         commands.put("forge-zone", (simulator, args) -> simulator.store.forgeZone(args.word(0), args.word(1)));
         commands.put("forge-cancelled", (simulator, args) -> {
-            simulator.users.cancelAsked.add(args.word(0));
+            simulator.users.cancelRequested.add(args.word(0));
             simulator.users.jobs.get(args.word(0)).cancelConfirmedAt = simulator.now;
         });
         commands.put("forge-start", TraceCommands::forgeStart);
--- a/src/test/java/org/havenford/simulator/WaitingInvariant.java
+++ b/src/test/java/org/havenford/simulator/WaitingInvariant.java
@@ -70,7 +70,7 @@
     private boolean hasUnstartedTask(SimulatedUsers.Job job) {
         for (int index = 0; index < job.tasks; index++) {
             String task = job.id + "/" + index;
-            if (!simulator.users.finished.contains(task) && !isOnAnyMachine(task)) {
+            if (!simulator.users.completedTasks.contains(task) && !isOnAnyMachine(task)) {
                 return true;
             }
         }
