--- a/src/test/java/org/havenford/simulator/BehaviourDigest.java
+++ b/src/test/java/org/havenford/simulator/BehaviourDigest.java
@@ -78,7 +78,7 @@
     }
 
     /** Completes the digest and asserts that it equals the one stored under a name; fails if none is stored. */
-    void assertKept(String name) {
+    void assertMatchesStored(String name) {
         String actual = HexFormat.of().formatHex(digest.digest()).substring(0, HEX_DIGITS);
         try {
             if (messageText != null) {
--- a/src/test/java/org/havenford/simulator/TakeoverInvariant.java
+++ b/src/test/java/org/havenford/simulator/FailoverInvariant.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** Checks that the agents of a crashed controller have received a fencing token of the current view from a new owner. */
-final class TakeoverInvariant {
+final class FailoverInvariant {
     private static final String RULE = "not taken over";
     /** The upper 32 bits of a fencing token hold the epoch of the view. */
     private static final int EPOCH_SHIFT = 32;
@@ -13,7 +13,7 @@
     private final InvariantChecker checker;
     private final List<SimulatedAgent> orphanedAgents = new ArrayList<>();
 
-    TakeoverInvariant(ClusterSimulator simulator, InvariantChecker checker) {
+    FailoverInvariant(ClusterSimulator simulator, InvariantChecker checker) {
         this.simulator = simulator;
         this.checker = checker;
     }
--- a/src/test/java/org/havenford/simulator/GuestWorkTest.java
+++ b/src/test/java/org/havenford/simulator/GuestWorkTest.java
@@ -81,6 +81,6 @@
         assertTrue(waits.get(90) < 4, counts);
         assertTrue(waits.get(99) < 10, counts);
         assertTrue(simulator.users.jobs.values().stream().allMatch(job -> job.reportedDoneAt != null), counts);
-        simulator.behaviour.assertKept("guest-work");
+        simulator.behaviour.assertMatchesStored("guest-work");
     }
 }
--- a/src/test/java/org/havenford/simulator/InvariantChecker.java
+++ b/src/test/java/org/havenford/simulator/InvariantChecker.java
@@ -22,7 +22,7 @@
     private final ClusterSimulator simulator;
     private final PlacementInvariant placement;
     private final WaitingInvariant waiting;
-    private final TakeoverInvariant takeover;
+    private final FailoverInvariant takeover;
     /** The first violations, each with its time and rule. */
     final List<String> violations = new ArrayList<>();
 
@@ -50,7 +50,7 @@
         this.simulator = simulator;
         placement = new PlacementInvariant(simulator, this);
         waiting = new WaitingInvariant(simulator, this);
-        takeover = new TakeoverInvariant(simulator, this);
+        takeover = new FailoverInvariant(simulator, this);
     }
 
     /** Records a violation of a rule. */
@@ -89,7 +89,7 @@
 
     /** Records the start of a task and checks the rules on starts. */
     void taskStarted(SimulatedAgent agent, SimulatedAgent.Attempt attempt) {
-        String jobId = RunningTasks.jobOf(attempt.taskId);
+        String jobId = RunningTasks.jobIdOf(attempt.taskId);
         starts++;
         startsByJob.merge(jobId, 1, Integer::sum);
         lastStartByJob.put(jobId, simulator.now);
@@ -174,7 +174,7 @@
                 if (!RunningTasks.isRunning(agent, attempt)) {
                     continue;
                 }
-                SimulatedUsers.Job job = simulator.users.jobs.get(RunningTasks.jobOf(attempt.taskId));
+                SimulatedUsers.Job job = simulator.users.jobs.get(RunningTasks.jobIdOf(attempt.taskId));
                 cpusByTeam.merge(job.team, job.cpus, Double::sum);
                 if (isCancellationOverdue(job)) {
                     recordViolation("ran_cancelled", attempt.taskId + " is still running on " + agent.name);
--- a/src/test/java/org/havenford/simulator/LargeFleetFailoverTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetFailoverTest.java
@@ -62,6 +62,6 @@
         long idleFirst = idleTimes.filter(at -> at.isBefore(lastUrgentTime)).count();
         // Each new owner contacts its urgent agents in its first rounds, maybe after idle ones of the other owner.
         assertTrue(idleFirst < agents.size() / 4, idleFirst + " idle machines came before the last urgent one");
-        simulator.behaviour.assertKept("grown/takeover");
+        simulator.behaviour.assertMatchesStored("grown/takeover");
     }
 }
--- a/src/test/java/org/havenford/simulator/LargeFleetTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetTest.java
@@ -40,7 +40,7 @@
             simulator.addController(settings(i));
         }
         assertAllDoneWithinStoreBudget(simulator, new Workload(1000, 90, 5, 40, List.of("red", "red", "blue")));
-        simulator.behaviour.assertKept("grown/a-thousand-machines");
+        simulator.behaviour.assertMatchesStored("grown/a-thousand-machines");
     }
 
     /**
@@ -55,7 +55,7 @@
             simulator.addController(settings(i));
         }
         assertAllDoneWithinStoreBudget(simulator, new Workload(1850, 90, 5, 50, List.of("red", "red", "blue")));
-        simulator.behaviour.assertKept("grown/eighteen-hundred-machines");
+        simulator.behaviour.assertMatchesStored("grown/eighteen-hundred-machines");
     }
 
     /** Runs 1600 machines on three controllers, with higher limits of the state service and an unlimited team. */
@@ -70,7 +70,7 @@
             simulator.addController(SimulatorSettings.of(i, 3, UNLIMITED_TEAM, agents, store));
         }
         assertAllDoneWithinStoreBudget(simulator, new Workload(1600, 90, 20, 60, List.of("red")));
-        simulator.behaviour.assertKept("grown/sixteen-hundred-machines");
+        simulator.behaviour.assertMatchesStored("grown/sixteen-hundred-machines");
     }
 
     /**
@@ -92,7 +92,7 @@
         assertTrue(
                 !simulator.store.anyValueContains("live/machine/", "host-003333"),
                 "the record of the terminated machine is deleted");
-        simulator.behaviour.assertKept("grown/long-list");
+        simulator.behaviour.assertMatchesStored("grown/long-list");
     }
 
     /** Runs the largest deployment with three controllers, 4000 machines, under normal and urgent jobs. */
@@ -105,7 +105,7 @@
             simulator.addController(SimulatorSettings.of(i, 3, UNLIMITED_TEAM, agents, LARGE_STORE));
         }
         assertAllDoneWithinStoreBudget(simulator, new Workload(4000, 60, 40, 120, List.of("red")));
-        simulator.behaviour.assertKept("grown/four-thousand-machines");
+        simulator.behaviour.assertMatchesStored("grown/four-thousand-machines");
     }
 
     /**
@@ -247,7 +247,7 @@
                         + simulator.users.jobs.values().stream()
                                 .map(job -> job.id + job.accepted + job.firstStartedAt + job.reportedDoneAt)
                                 .toList());
-        simulator.behaviour.assertKept("grown/tenth-of-the-limits");
+        simulator.behaviour.assertMatchesStored("grown/tenth-of-the-limits");
     }
 
     /**
@@ -280,6 +280,6 @@
         simulator.runUntil(900);
         simulator.invariants.checkFairness();
         assertEquals(List.of(), simulator.invariants.violations);
-        simulator.behaviour.assertKept("grown/burst");
+        simulator.behaviour.assertMatchesStored("grown/burst");
     }
 }
--- a/src/test/java/org/havenford/simulator/RandomizedScenarios.java
+++ b/src/test/java/org/havenford/simulator/RandomizedScenarios.java
@@ -31,7 +31,7 @@
                 .map(seed -> DynamicTest.dynamicTest("seed " + seed, () -> {
                     TracePlayer.Result result = playAndAssertNoViolations(scenario.apply(seed));
                     if (seed >= 1 && seed <= defaultSeeds) {
-                        result.simulator().behaviour.assertKept(kind + "/" + seed);
+                        result.simulator().behaviour.assertMatchesStored(kind + "/" + seed);
                     }
                 }));
     }
--- a/src/test/java/org/havenford/simulator/RunningTasks.java
+++ b/src/test/java/org/havenford/simulator/RunningTasks.java
@@ -13,7 +13,7 @@
     }
 
     /** Returns the job id in a task id of the form {@code job/index}. */
-    static String jobOf(String taskId) {
+    static String jobIdOf(String taskId) {
         return taskId.substring(0, taskId.indexOf('/'));
     }
 
@@ -22,7 +22,7 @@
         Map<String, Integer> byZone = new TreeMap<>();
         for (SimulatedAgent agent : simulator.agents.values()) {
             for (SimulatedAgent.Attempt attempt : agent.tasks.values()) {
-                if (isRunning(agent, attempt) && jobOf(attempt.taskId).equals(job.id)) {
+                if (isRunning(agent, attempt) && jobIdOf(attempt.taskId).equals(job.id)) {
                     byZone.merge(agent.zone, 1, Integer::sum);
                 }
             }
--- a/src/test/java/org/havenford/simulator/SimulatedController.java
+++ b/src/test/java/org/havenford/simulator/SimulatedController.java
@@ -16,7 +16,7 @@
 import org.havenford.transport.HttpServer;
 import org.havenford.transport.PeerNetwork;
 
-/** A real controller in the simulation, in a process that can be started, crashed, frozen and upgraded. */
+/** A real controller in the simulation, in a process that can be started, crashed, paused and upgraded. */
 final class SimulatedController implements ClusterSimulator.Server {
     /** How long a process keeps running before it freezes; HTTP messages that it sends in this time are queued. */
     private static final Duration FREEZE_DELAY = Duration.ofMillis(300);
@@ -34,7 +34,7 @@
 
     /** The running process; null while the controller is down. */
     private ProcessInstance process;
-    /** Whether the process is suspended: incoming messages and due tasks are deferred until it thaws. */
+    /** Whether the process is suspended: incoming messages and due tasks are deferred until it resumes. */
     private boolean frozen;
     /** Whether outgoing HTTP messages are queued instead of sent; set shortly before the process is suspended. */
     private boolean queuesMessages;
@@ -80,7 +80,7 @@
         }
         process.ended = true;
         process = null;
-        simulator.peerNetwork.ended(settings.node());
+        simulator.peerNetwork.processEnded(settings.node());
         queuesMessages = false;
         frozen = false;
         queuedMessages.clear();
@@ -90,19 +90,19 @@
     }
 
     /**
-     * Suspends the process after a short delay. HTTP messages sent during the delay are queued until the process thaws, as
-     * if it had been suspended in the middle of a round.
+     * Pauses the process after a short delay. HTTP messages sent during the delay are queued until the process resumes, as
+     * if it had been paused in the middle of a round.
      */
-    void freeze() {
+    void pauseProcess() {
         queuesMessages = true;
         simulator.after(FREEZE_DELAY, () -> frozen = queuesMessages);
     }
 
     /**
      * Resumes the process: sends the queued messages, then runs the tasks that became due and handles the messages that
-     * arrived meanwhile. The clocks have advanced during the freeze.
+     * arrived meanwhile. The clocks have advanced during the pause.
      */
-    void thaw() {
+    void resumeProcess() {
         queuesMessages = false;
         frozen = false;
         List<Runnable> pending = new ArrayList<>(queuedMessages);
--- a/src/test/java/org/havenford/simulator/SimulatedPeerNetwork.java
+++ b/src/test/java/org/havenford/simulator/SimulatedPeerNetwork.java
@@ -113,7 +113,7 @@
      * Closes the connections of a process that has ended, as its operating system would. The other end does not notice if
      * a cut lies between them.
      */
-    void ended(String node) {
+    void processEnded(String node) {
         for (SimulatedConnection connection : List.copyOf(connections)) {
             for (ConnectionEnd end : connection.ends) {
                 if (end.endpoint.node.equals(node) && !connection.closed) {
--- a/src/test/java/org/havenford/simulator/StoreWatches.java
+++ b/src/test/java/org/havenford/simulator/StoreWatches.java
@@ -39,7 +39,7 @@
     /** The revision of the newest change that was dropped from the log. */
     private long compactedRevision;
     /** The maximum number of changes in the log; a watch that starts before the oldest of them is answered with 410. */
-    int keptChanges = DEFAULT_KEPT_CHANGES;
+    int maxChanges = DEFAULT_KEPT_CHANGES;
     /** Number of watches that were answered with 410. */
     int rejectedTooOld;
 
@@ -109,7 +109,7 @@
     }
 
     private void compact() {
-        while (changes.size() > keptChanges) {
+        while (changes.size() > maxChanges) {
             compactedRevision = changes.remove(0).revision;
         }
     }
--- a/src/test/java/org/havenford/simulator/TraceCommands.java
+++ b/src/test/java/org/havenford/simulator/TraceCommands.java
@@ -80,10 +80,10 @@
                 (simulator, args) -> simulator.controllers.get(args.word(0)).upgrade());
         commands.put(
                 "freeze",
-                (simulator, args) -> simulator.controllers.get(args.word(0)).freeze());
+                (simulator, args) -> simulator.controllers.get(args.word(0)).pauseProcess());
         commands.put(
                 "thaw",
-                (simulator, args) -> simulator.controllers.get(args.word(0)).thaw());
+                (simulator, args) -> simulator.controllers.get(args.word(0)).resumeProcess());
         commands.put("tokens-renewed", (simulator, args) -> simulator.invariants.checkTakeover());
     }
 
--- a/src/test/java/org/havenford/simulator/TracePlayer.java
+++ b/src/test/java/org/havenford/simulator/TracePlayer.java
@@ -32,7 +32,7 @@
 
     private static ClusterSimulator createCluster(TraceScenario scenario) {
         ClusterSimulator simulator = new ClusterSimulator(scenario.seed(), settings(scenario, 0, scenario.store()));
-        simulator.store.watches.keptChanges = scenario.keptChanges;
+        simulator.store.watches.maxChanges = scenario.keptChanges;
         simulator.withStandby = scenario.standby;
         simulator.withoutStandby.addAll(scenario.withoutStandby);
         if (scenario.machinesPerOffer > 0) {
--- a/src/test/java/org/havenford/simulator/TraceTest.java
+++ b/src/test/java/org/havenford/simulator/TraceTest.java
@@ -32,7 +32,8 @@
                     assertEquals(List.of(), result.violations(), result::log);
                     result.simulator()
                             .behaviour
-                            .assertKept("trace/" + file.getFileName().toString().replace(".trace", ""));
+                            .assertMatchesStored(
+                                    "trace/" + file.getFileName().toString().replace(".trace", ""));
                 }));
     }
 
@@ -115,7 +116,7 @@
         }
         TracePlayer.Result result = TracePlayer.play(lines);
         assertEquals(List.of(), result.violations(), result::log);
-        result.simulator().behaviour.assertKept("one-task-jobs");
+        result.simulator().behaviour.assertMatchesStored("one-task-jobs");
     }
 
     @TestFactory
--- a/src/test/java/org/havenford/simulator/WaitingInvariant.java
+++ b/src/test/java/org/havenford/simulator/WaitingInvariant.java
@@ -101,7 +101,7 @@
     private double cpusInUse(SimulatedAgent agent) {
         return agent.tasks.values().stream()
                 .filter(attempt -> !attempt.status.equals("exited"))
-                .mapToDouble(attempt -> simulator.users.jobs.get(RunningTasks.jobOf(attempt.taskId)).cpus)
+                .mapToDouble(attempt -> simulator.users.jobs.get(RunningTasks.jobIdOf(attempt.taskId)).cpus)
                 .sum();
     }
 }
