--- a/src/test/java/org/havenford/simulator/GuestWorkTest.java
+++ b/src/test/java/org/havenford/simulator/GuestWorkTest.java
@@ -35,7 +35,7 @@
     private static ClusterSimulator startCluster() {
         ClusterSimulator simulator = new ClusterSimulator(21, settings(0));
         for (int i = 0; i < NODES; i++) {
-            simulator.addNode(settings(i));
+            simulator.addController(settings(i));
         }
         simulator.store.pageSize = 500;
         for (int i = 0; i < MACHINES; i++) {
@@ -45,7 +45,7 @@
     }
 
     private static double startDelaySeconds(SimulatedUsers.Job job) {
-        return Duration.between(job.submitted, job.begun).toMillis() / 1e3;
+        return Duration.between(job.submittedAt, job.firstStartedAt).toMillis() / 1e3;
     }
 
     /** Checks that urgent jobs start within seconds and that all jobs of both teams are done in the end. */
@@ -77,10 +77,10 @@
                 + ", requests "
                 + simulator.store.requests + ", refused " + simulator.store.refused;
         System.out.println(counts);
-        assertEquals(List.of(), simulator.rules.broken);
+        assertEquals(List.of(), simulator.invariants.violations);
         assertTrue(waits.get(90) < 4, counts);
         assertTrue(waits.get(99) < 10, counts);
-        assertTrue(simulator.users.jobs.values().stream().allMatch(job -> job.doneTold != null), counts);
-        simulator.behaviour.assertKept("guest-work");
+        assertTrue(simulator.users.jobs.values().stream().allMatch(job -> job.reportedDoneAt != null), counts);
+        simulator.behaviour.assertMatchesStored("guest-work");
     }
 }
--- a/src/test/java/org/havenford/simulator/JobAnswerChecker.java
+++ b/src/test/java/org/havenford/simulator/JobAnswerChecker.java
@@ -43,10 +43,10 @@
     void check(Query query, Reply reply) {
         SimulatedUsers.Job job = query.job;
         if (reply.status() == 404) {
-            simulator.rules.broken("forgotten", job.id + " was answered with status 404");
+            simulator.invariants.recordViolation("forgotten", job.id + " was answered with status 404");
         }
         if (reply.status() != 200) {
-            simulator.rules.checkUnanswered(job);
+            simulator.invariants.checkUnanswered(job);
             return;
         }
         job.lastAnsweredAt = simulator.now;
@@ -57,7 +57,7 @@
         } else {
             checkPrerequisites(query, status);
         }
-        if (status.equals(DONE) && job.doneTold == null) {
+        if (status.equals(DONE) && job.reportedDoneAt == null) {
             recordDone(job);
         }
         if (!isFinal(job.lastStatus)) {
@@ -72,18 +72,19 @@
     /** Checks that a final status never changes. */
     private void checkFinality(Query query, String status) {
         if (isFinal(query.knownStatus) && !status.equals(query.knownStatus)) {
-            simulator.rules.broken("went_back", query.job.id + " was " + query.knownStatus + " and is " + status);
+            simulator.invariants.recordViolation(
+                    "went_back", query.job.id + " was " + query.knownStatus + " and is " + status);
         }
     }
 
     /** Checks that a cancelled job, or one of its prerequisites, was requested to be cancelled. */
     private void checkCancellation(SimulatedUsers.Job job) {
-        if (job.cancelTold == null && !users.mayBeCancelled(job)) {
-            simulator.rules.broken(
+        if (job.cancelConfirmedAt == null && !users.mayBeCancelled(job)) {
+            simulator.invariants.recordViolation(
                     "went_back",
                     job.id + " is cancelled, but no cancellation of it or of a prerequisite was requested");
-        } else if (job.takenAlong == null) {
-            job.takenAlong = simulator.now;
+        } else if (job.reportedCancelledAt == null) {
+            job.reportedCancelledAt = simulator.now;
         }
     }
 
@@ -91,8 +92,9 @@
     private void checkPrerequisites(Query query, String status) {
         Instant cancelled = prerequisiteCancelledAt(query.job);
         if (cancelled != null
-                && Duration.between(cancelled, query.askedAt).compareTo(simulator.template.cancellationLimit()) > 0) {
-            simulator.rules.broken(
+                && Duration.between(cancelled, query.askedAt).compareTo(simulator.commonSettings.cancellationLimit())
+                        > 0) {
+            simulator.invariants.recordViolation(
                     "orphaned",
                     query.job.id + " is " + status + ", though a prerequisite was cancelled at "
                             + Duration.between(Instant.EPOCH, cancelled).toMillis() / 1e3);
@@ -107,23 +109,24 @@
         Instant first = null;
         for (String id : job.prerequisites) {
             SimulatedUsers.Job prerequisite = users.jobs.get(id);
-            Instant at =
-                    prerequisite.cancelTold != null ? prerequisite.cancelTold : prerequisiteCancelledAt(prerequisite);
+            Instant at = prerequisite.cancelConfirmedAt != null
+                    ? prerequisite.cancelConfirmedAt
+                    : prerequisiteCancelledAt(prerequisite);
             first = first == null || (at != null && at.isBefore(first)) ? at : first;
         }
-        return first == null || job.submitted.isBefore(first) ? first : job.submitted;
+        return first == null || job.submittedAt.isBefore(first) ? first : job.submittedAt;
     }
 
     /** Records that a job was reported as done, and checks that all its tasks have completed. */
     private void recordDone(SimulatedUsers.Job job) {
-        job.doneTold = simulator.now;
+        job.reportedDoneAt = simulator.now;
         for (int task = 0; task < job.tasks; task++) {
-            if (!users.finished.contains(job.id + "/" + task)) {
-                simulator.rules.broken(
+            if (!users.completedTasks.contains(job.id + "/" + task)) {
+                simulator.invariants.recordViolation(
                         "not_done", job.id + "/" + task + " has not completed, though its job was reported as done");
             }
         }
-        simulator.note(job.id + " done");
+        simulator.logLine(job.id + " done");
         users.queryAllControllers(job);
     }
 }
--- a/src/test/java/org/havenford/simulator/LargeFleetTest.java
+++ b/src/test/java/org/havenford/simulator/LargeFleetTest.java
@@ -37,10 +37,10 @@
     void thousandMachinesStayWithinTheStoreLimits() {
         ClusterSimulator simulator = new ClusterSimulator(11, settings(0));
         for (int i = 0; i < NODES; i++) {
-            simulator.addNode(settings(i));
+            simulator.addController(settings(i));
         }
         assertAllDoneWithinStoreBudget(simulator, new Workload(1000, 90, 5, 40, List.of("red", "red", "blue")));
-        simulator.behaviour.assertKept("grown/a-thousand-machines");
+        simulator.behaviour.assertMatchesStored("grown/a-thousand-machines");
     }
 
     /**
@@ -52,10 +52,10 @@
         ClusterSimulator simulator = new ClusterSimulator(14, settings(0));
         simulator.cloud.zones = List.of("a", "b", "c", "d");
         for (int i = 0; i < NODES; i++) {
-            simulator.addNode(settings(i));
+            simulator.addController(settings(i));
         }
         assertAllDoneWithinStoreBudget(simulator, new Workload(1850, 90, 5, 50, List.of("red", "red", "blue")));
-        simulator.behaviour.assertKept("grown/eighteen-hundred-machines");
+        simulator.behaviour.assertMatchesStored("grown/eighteen-hundred-machines");
     }
 
     /** Runs 1600 machines on three controllers, with higher limits of the state service and an unlimited team. */
@@ -67,10 +67,10 @@
                 new ClusterSimulator(15, SimulatorSettings.of(0, 3, UNLIMITED_TEAM, agents, store));
         simulator.cloud.zones = List.of("a", "b", "c", "d");
         for (int i = 0; i < 3; i++) {
-            simulator.addNode(SimulatorSettings.of(i, 3, UNLIMITED_TEAM, agents, store));
+            simulator.addController(SimulatorSettings.of(i, 3, UNLIMITED_TEAM, agents, store));
         }
         assertAllDoneWithinStoreBudget(simulator, new Workload(1600, 90, 20, 60, List.of("red")));
-        simulator.behaviour.assertKept("grown/sixteen-hundred-machines");
+        simulator.behaviour.assertMatchesStored("grown/sixteen-hundred-machines");
     }
 
     /**
@@ -82,7 +82,7 @@
         String agents = "{\"report_s\":4,\"lease_s\":60,\"cancel_s\":90}";
         ClusterSimulator simulator =
                 new ClusterSimulator(17, SimulatorSettings.of(0, 1, UNLIMITED_TEAM, agents, LARGE_STORE));
-        simulator.addNode(SimulatorSettings.of(0, 1, UNLIMITED_TEAM, agents, LARGE_STORE));
+        simulator.addController(SimulatorSettings.of(0, 1, UNLIMITED_TEAM, agents, LARGE_STORE));
         for (int i = 0; i < 4000; i++) {
             simulator.cloud.boot("small", List.of("a", "b", "c").get(i % 3), false, Duration.ofMillis(100 + i));
         }
@@ -92,7 +92,7 @@
         assertTrue(
                 !simulator.store.anyValueContains("live/machine/", "host-003333"),
                 "the record of the terminated machine is deleted");
-        simulator.behaviour.assertKept("grown/long-list");
+        simulator.behaviour.assertMatchesStored("grown/long-list");
     }
 
     /** Runs the largest deployment with three controllers, 4000 machines, under normal and urgent jobs. */
@@ -102,10 +102,10 @@
         ClusterSimulator simulator =
                 new ClusterSimulator(16, SimulatorSettings.of(0, 3, UNLIMITED_TEAM, agents, LARGE_STORE));
         for (int i = 0; i < 3; i++) {
-            simulator.addNode(SimulatorSettings.of(i, 3, UNLIMITED_TEAM, agents, LARGE_STORE));
+            simulator.addController(SimulatorSettings.of(i, 3, UNLIMITED_TEAM, agents, LARGE_STORE));
         }
         assertAllDoneWithinStoreBudget(simulator, new Workload(4000, 60, 40, 120, List.of("red")));
-        simulator.behaviour.assertKept("grown/four-thousand-machines");
+        simulator.behaviour.assertMatchesStored("grown/four-thousand-machines");
     }
 
     /**
@@ -144,9 +144,9 @@
         StoreCounts before = StoreCounts.of(simulator);
         int tasks = submit(simulator, workload);
         simulator.runUntil(100 + workload.jobs());
-        assertEquals(List.of(), simulator.rules.broken);
+        assertEquals(List.of(), simulator.invariants.violations);
         assertAllDone(simulator);
-        assertEquals(tasks, simulator.rules.starts, () -> String.join("\n", simulator.log));
+        assertEquals(tasks, simulator.invariants.starts, () -> String.join("\n", simulator.log));
         assertWithinBudget(simulator, tasks, StoreCounts.of(simulator).since(before));
     }
 
@@ -182,9 +182,9 @@
         assertEquals(
                 List.of(),
                 simulator.users.jobs.values().stream()
-                        .filter(job -> job.doneTold == null)
-                        .map(job ->
-                                job.id + " with " + job.tasks + " tasks of team " + job.team + ", started " + job.begun)
+                        .filter(job -> job.reportedDoneAt == null)
+                        .map(job -> job.id + " with " + job.tasks + " tasks of team " + job.team + ", started "
+                                + job.firstStartedAt)
                         .toList(),
                 () -> simulator.store.changesByKeyCategory + " " + simulator.store.conflictsByKeyCategory);
     }
@@ -203,8 +203,8 @@
     /** Returns the longest time in seconds from the submission of a job to the start of its first task. */
     private static double longestWaitSeconds(ClusterSimulator simulator) {
         return simulator.users.jobs.values().stream()
-                        .mapToLong(job ->
-                                Duration.between(job.submitted, job.begun).toMillis())
+                        .mapToLong(job -> Duration.between(job.submittedAt, job.firstStartedAt)
+                                .toMillis())
                         .max()
                         .orElse(0)
                 / 1e3;
@@ -229,7 +229,7 @@
         String store = "{\"rps\":25,\"write_rps\":10,\"value_kb\":8,\"txn_ops\":12}";
         ClusterSimulator simulator = new ClusterSimulator(13, SimulatorSettings.of(0, NODES, team, agents, store));
         for (int i = 0; i < NODES; i++) {
-            simulator.addNode(SimulatorSettings.of(i, NODES, team, agents, store));
+            simulator.addController(SimulatorSettings.of(i, NODES, team, agents, store));
         }
         for (String zone : List.of("a", "b", "c")) {
             simulator.cloud.boot("large", zone, false, Duration.ofMillis(100));
@@ -239,15 +239,15 @@
             simulator.at(10 + 5 * i, () -> simulator.users.submit(id, "red", 6, 4, 8, List.of()));
         }
         simulator.runUntil(300);
-        assertEquals(List.of(), simulator.rules.broken);
+        assertEquals(List.of(), simulator.invariants.violations);
         assertTrue(
-                simulator.users.jobs.values().stream().allMatch(job -> job.doneTold != null),
+                simulator.users.jobs.values().stream().allMatch(job -> job.reportedDoneAt != null),
                 () -> "not all jobs are done: " + simulator.store.requests + " " + simulator.store.refused + " "
                         + simulator.store.changesByKeyCategory + " "
                         + simulator.users.jobs.values().stream()
-                                .map(job -> job.id + job.accepted + job.begun + job.doneTold)
+                                .map(job -> job.id + job.accepted + job.firstStartedAt + job.reportedDoneAt)
                                 .toList());
-        simulator.behaviour.assertKept("grown/tenth-of-the-limits");
+        simulator.behaviour.assertMatchesStored("grown/tenth-of-the-limits");
     }
 
     /**
@@ -258,7 +258,7 @@
     void noKindOfWorkStarvesDuringABurstOfUrgentJobs() {
         ClusterSimulator simulator = new ClusterSimulator(12, SimulatorSettings.of(0, UNLIMITED_TEAM));
         for (int i = 0; i < 3; i++) {
-            simulator.addNode(SimulatorSettings.of(i, UNLIMITED_TEAM));
+            simulator.addController(SimulatorSettings.of(i, UNLIMITED_TEAM));
         }
         for (String zone : List.of("a", "b", "c")) {
             simulator.cloud.boot("large", zone, false, Duration.ofMillis(100));
@@ -274,11 +274,12 @@
             simulator.at(10 + 20 * i, () -> simulator.users.submit(id, "red", size, 4, 15, List.of("class=cut")));
         }
         simulator.runUntil(320);
-        assertEquals(List.of(), simulator.rules.broken);
-        assertTrue(simulator.users.jobs.get("j-2001").begun != null, "the largest job starts during the burst");
+        assertEquals(List.of(), simulator.invariants.violations);
+        assertTrue(
+                simulator.users.jobs.get("j-2001").firstStartedAt != null, "the largest job starts during the burst");
         simulator.runUntil(900);
-        simulator.rules.endOfDay();
-        assertEquals(List.of(), simulator.rules.broken);
-        simulator.behaviour.assertKept("grown/burst");
+        simulator.invariants.checkFairness();
+        assertEquals(List.of(), simulator.invariants.violations);
+        simulator.behaviour.assertMatchesStored("grown/burst");
     }
 }
--- a/src/test/java/org/havenford/simulator/SimulatedPeerNetwork.java
+++ b/src/test/java/org/havenford/simulator/SimulatedPeerNetwork.java
@@ -97,12 +97,12 @@
 
     /** Returns the cut between two controllers, or null. */
     private NetworkFaults.Cut cutBetweenNodes(String node, String other) {
-        if (!simulator.nodes.containsKey(node) || !simulator.nodes.containsKey(other)) {
+        if (!simulator.controllers.containsKey(node) || !simulator.controllers.containsKey(other)) {
             return null;
         }
-        String address = simulator.nodes.get(node).settings.bind();
+        String address = simulator.controllers.get(node).settings.bind();
         return simulator.network.faults.cutBetween(
-                address, simulator.nodes.get(other).settings.bind());
+                address, simulator.controllers.get(other).settings.bind());
     }
 
     private boolean isCutOneWay(String from, String to) {
@@ -113,7 +113,7 @@
      * Closes the connections of a process that has ended, as its operating system would. The other end does not notice if
      * a cut lies between them.
      */
-    void ended(String node) {
+    void processEnded(String node) {
         for (SimulatedConnection connection : List.copyOf(connections)) {
             for (ConnectionEnd end : connection.ends) {
                 if (end.endpoint.node.equals(node) && !connection.closed) {
--- a/src/test/java/org/havenford/simulator/SimulatedTaskExecutor.java
+++ b/src/test/java/org/havenford/simulator/SimulatedTaskExecutor.java
@@ -88,13 +88,15 @@
     private void startRun(SimulatedAgent.Attempt attempt, SimulatedUsers.Job job) {
         attempt.status = "running";
         agent.requestHeartbeat();
-        simulator.rules.started(agent, attempt);
+        simulator.invariants.taskStarted(agent, attempt);
         // A task whose result is already stored exits almost at once.
-        Duration runTime = simulator.users.finished.contains(attempt.taskId) ? SHORT_DELAY : job.run(simulator.random);
-        boolean fails = agent.faulty || job.broken;
+        Duration runTime = simulator.users.completedTasks.contains(attempt.taskId)
+                ? SHORT_DELAY
+                : job.drawRunTime(simulator.random);
+        boolean fails = agent.faulty || job.alwaysFails;
         continueAfter(fails ? FAILURE_DELAY : runTime, attempt, "running", () -> {
             if (!fails) {
-                simulator.users.finished.add(attempt.taskId);
+                simulator.users.completedTasks.add(attempt.taskId);
             }
             exit(attempt, fails ? "error" : "done");
         });
@@ -121,6 +123,6 @@
         attempt.status = "exited";
         attempt.exitCause = cause;
         agent.requestHeartbeat();
-        simulator.rules.touched();
+        simulator.invariants.machineChanged();
     }
 }
--- a/src/test/java/org/havenford/simulator/SimulatedUsers.java
+++ b/src/test/java/org/havenford/simulator/SimulatedUsers.java
@@ -28,7 +28,10 @@
     private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
     private static final int MIN_POLL_MILLIS = 4000;
     private static final int POLL_JITTER_MILLIS = 2000;
-    /** The delays after an event at which all controllers are queried about the job, if {@link #looksClosely} is set. */
+    /**
+     * The delays after an event at which all controllers are queried about the job, if {@link #queriesAllControllers} is
+     * set.
+     */
     private static final int[] REPEATED_QUERY_DELAYS_MILLIS = {0, 3, 12, 40};
 
     private static final int IMAGE_COUNT = 3;
@@ -52,39 +55,39 @@
         String priority = "normal";
         double dueSeconds;
         /** Whether every task of the job fails on every machine, as with an error in the submitted program. */
-        boolean broken;
+        boolean alwaysFails;
 
         boolean accepted;
         /** When the user's cancellation request was confirmed; null before that. */
-        Instant cancelTold;
+        Instant cancelConfirmedAt;
 
         String jobClass = "class";
-        Instant submitted;
+        Instant submittedAt;
         /** When the first task of the job started; null before that. */
-        Instant begun;
+        Instant firstStartedAt;
         /** When a submission or query of the job was last answered. */
         Instant lastAnsweredAt = Instant.EPOCH;
 
         /** The status in the last answer; a final status is kept. */
         String lastStatus = "";
         /** When an answer first reported the job as done. */
-        Instant doneTold;
+        Instant reportedDoneAt;
         /**
-         * When the answer to a query first reported the job as cancelled. If {@link #cancelTold} is null, it was cancelled
-         * with a prerequisite or its own cancellation has not been confirmed yet.
+         * When the answer to a query first reported the job as cancelled. If {@link #cancelConfirmedAt} is null, it was
+         * cancelled with a prerequisite or its own cancellation has not been confirmed yet.
          */
-        Instant takenAlong;
+        Instant reportedCancelledAt;
 
         final List<String> prerequisites = new ArrayList<>();
 
         /** Draws the running time of a task: the expected time of the job, plus or minus up to 20%. */
-        Duration run(SplittableRandom random) {
+        Duration drawRunTime(SplittableRandom random) {
             return Duration.ofMillis((long) (runSeconds * 1000 * (0.8 + 0.4 * random.nextDouble())));
         }
 
         /** Returns whether an answer has reported the job as done or cancelled. */
         boolean isKnownToHaveEnded() {
-            return doneTold != null || cancelTold != null || takenAlong != null;
+            return reportedDoneAt != null || cancelConfirmedAt != null || reportedCancelledAt != null;
         }
 
         /** Applies an option of a {@code submit} line of a trace, see src/test/resources/traces/README.md. */
@@ -99,7 +102,7 @@
 
         private void applyFlag(String flag) {
             switch (flag) {
-                case "broken" -> broken = true;
+                case "broken" -> alwaysFails = true;
                 case "apart" -> apart = true;
                 case "together" -> together = true;
                 case "ordinary" -> spot = false;
@@ -124,11 +127,11 @@
     private final ClusterSimulator simulator;
     private final JobAnswerChecker answerChecker;
     /** The ids of jobs whose cancellation was requested, whatever the answer. */
-    final Set<String> cancelAsked = new HashSet<>();
+    final Set<String> cancelRequested = new HashSet<>();
 
     final Map<String, Job> jobs = new LinkedHashMap<>();
     /** The tasks that have completed successfully, as job/index. */
-    final Set<String> finished = new HashSet<>();
+    final Set<String> completedTasks = new HashSet<>();
 
     /** The factor by which users poll their jobs more often than by default. */
     int pollRateFactor = 1;
@@ -137,23 +140,23 @@
      * Whether users query and resubmit a job at all controllers within milliseconds of its acceptance, its completion or the
      * confirmation of its cancellation.
      */
-    boolean looksClosely;
+    boolean queriesAllControllers;
 
     SimulatedUsers(ClusterSimulator simulator) {
         this.simulator = simulator;
         this.answerChecker = new JobAnswerChecker(simulator, this);
     }
 
-    /** Queries and resubmits a job several times at every controller, if {@link #looksClosely} is set. */
+    /** Queries and resubmits a job several times at every controller, if {@link #queriesAllControllers} is set. */
     void queryAllControllers(Job job) {
-        if (!looksClosely) {
+        if (!queriesAllControllers) {
             return;
         }
-        for (SimulatedController node : simulator.nodes.values()) {
+        for (SimulatedController node : simulator.controllers.values()) {
             for (int millis : REPEATED_QUERY_DELAYS_MILLIS) {
                 simulator.after(Duration.ofMillis(millis), () -> {
-                    ask(job.id, node.settings.bind());
-                    repeat(job.id, node.settings.bind());
+                    query(job.id, node.settings.bind());
+                    resubmit(job.id, node.settings.bind());
                 });
             }
         }
@@ -174,14 +177,14 @@
         job.image = "img-" + (Integer.parseInt(id.substring(2)) % IMAGE_COUNT);
         job.spot = true;
         options.forEach(job::apply);
-        job.submitted = simulator.now;
+        job.submittedAt = simulator.now;
         jobs.put(id, job);
         postSubmission(job);
         return job;
     }
 
     /** Returns the submission of a job in the format of the protocol. */
-    static JsonObject body(Job job) {
+    static JsonObject submissionJson(Job job) {
         JsonObject json = new JsonObject();
         json.addProperty("nameId", job.id);
         json.addProperty("lineup", job.jobClass);
@@ -228,7 +231,7 @@
     }
 
     private String randomAddress() {
-        List<SimulatedController> controllers = List.copyOf(simulator.nodes.values());
+        List<SimulatedController> controllers = List.copyOf(simulator.controllers.values());
         return controllers
                 .get(simulator.random.nextInt(controllers.size()))
                 .settings
@@ -240,7 +243,7 @@
         post(
                 randomAddress(),
                 SUBMISSIONS_PATH,
-                body(job).toString(),
+                submissionJson(job).toString(),
                 reply -> onSubmissionAnswered(job, prerequisitesAccepted, reply));
     }
 
@@ -250,7 +253,7 @@
         if (status == 201 || status == 200) {
             onAccepted(job);
         } else if ((status == 400 || status == 422) && !prerequisiteUnknown) {
-            simulator.rules.broken("forgotten", job.id + " was rejected with status " + status);
+            simulator.invariants.recordViolation("forgotten", job.id + " was rejected with status " + status);
         } else {
             simulator.after(RETRY_DELAY, () -> postSubmission(job));
         }
@@ -259,7 +262,7 @@
     private void onAccepted(Job job) {
         boolean first = !job.accepted;
         if (first) {
-            simulator.note(job.id + " accepted");
+            simulator.logLine(job.id + " accepted");
         }
         job.accepted = true;
         job.lastAnsweredAt = simulator.now;
@@ -296,16 +299,16 @@
 
     /** Returns whether cancellation of the job, or of one of its direct or indirect prerequisites, was requested. */
     boolean mayBeCancelled(Job job) {
-        return cancelAsked.contains(job.id)
+        return cancelRequested.contains(job.id)
                 || job.prerequisites.stream().anyMatch(prerequisite -> mayBeCancelled(jobs.get(prerequisite)));
     }
 
     /** Queries an accepted job once, at a random controller. */
-    void ask(String id) {
-        ask(id, randomAddress());
+    void query(String id) {
+        query(id, randomAddress());
     }
 
-    private void ask(String id, String address) {
+    private void query(String id, String address) {
         Job job = jobs.get(id);
         if (job == null || !job.accepted) {
             return;
@@ -318,21 +321,22 @@
      * Submits a job again at a random controller, whatever its state. A job that has been accepted must be recognized from
      * then on, also after its end.
      */
-    void repeat(String id) {
-        repeat(id, randomAddress());
+    void resubmit(String id) {
+        resubmit(id, randomAddress());
     }
 
-    private void repeat(String id, String address) {
+    private void resubmit(String id, String address) {
         Job job = jobs.get(id);
         if (job == null) {
             return;
         }
         boolean wasAccepted = job.accepted;
         JobAnswerChecker.Query query = answerChecker.newQuery(job);
-        post(address, SUBMISSIONS_PATH, body(job).toString(), reply -> {
+        post(address, SUBMISSIONS_PATH, submissionJson(job).toString(), reply -> {
             int status = reply.status();
             if (wasAccepted && status >= 201 && status < 500 && status != 429) {
-                simulator.rules.broken("forgotten", id + " was resubmitted and answered with status " + status);
+                simulator.invariants.recordViolation(
+                        "forgotten", id + " was resubmitted and answered with status " + status);
             } else if (wasAccepted && status == 200) {
                 answerChecker.check(query, reply);
             }
@@ -349,10 +353,10 @@
         if (job == null) {
             return;
         }
-        cancelAsked.add(id);
+        cancelRequested.add(id);
         String address = node == null
                 ? randomAddress()
-                : simulator.nodes.get(node).settings.bind();
+                : simulator.controllers.get(node).settings.bind();
         post(address, SUBMISSIONS_PATH + "/" + id + "/abort", null, reply -> {
             if (reply.status() == 200) {
                 onCancelAnswered(job, JobAnswerChecker.statusOf(reply));
@@ -363,10 +367,10 @@
     }
 
     private void onCancelAnswered(Job job, String status) {
-        simulator.note(job.id + " cancel answered " + status);
+        simulator.logLine(job.id + " cancel answered " + status);
         if (status.equals(JobAnswerChecker.CANCELLED)) {
-            job.cancelTold = simulator.now;
-            simulator.rules.touched();
+            job.cancelConfirmedAt = simulator.now;
+            simulator.invariants.machineChanged();
             job.lastStatus = JobAnswerChecker.CANCELLED;
             queryAllControllers(job);
         }
--- a/src/test/java/org/havenford/simulator/TraceExpectations.java
+++ b/src/test/java/org/havenford/simulator/TraceExpectations.java
@@ -10,7 +10,10 @@
 
 /** The expectations that a trace can state about the end of its run, by name. */
 final class TraceExpectations {
-    /** Checked by {@link InvariantChecker#endOfDay} before all other expectations, so its predicate here is always true. */
+    /**
+     * Checked by {@link InvariantChecker#checkFairness} before all other expectations, so its predicate here is always
+     * true.
+     */
     private static final String NO_STARVATION = "served";
 
     private static final Map<String, BiPredicate<ClusterSimulator, TraceArguments>> PREDICATES = predicates();
@@ -56,16 +59,17 @@
     }
 
     private static void addJobPredicates(Map<String, BiPredicate<ClusterSimulator, TraceArguments>> predicates) {
-        predicates.put("done", (simulator, args) -> job(simulator, args).doneTold != null);
-        predicates.put("cancelled", (simulator, args) -> job(simulator, args).cancelTold != null);
-        predicates.put("taken-along", (simulator, args) -> job(simulator, args).takenAlong != null);
+        predicates.put("done", (simulator, args) -> job(simulator, args).reportedDoneAt != null);
+        predicates.put("cancelled", (simulator, args) -> job(simulator, args).cancelConfirmedAt != null);
+        predicates.put("taken-along", (simulator, args) -> job(simulator, args).reportedCancelledAt != null);
         predicates.put("done-by", (simulator, args) -> {
-            Instant done = job(simulator, args).doneTold;
+            Instant done = job(simulator, args).reportedDoneAt;
             return done != null && !done.isAfter(timeArgument(args, 1));
         });
-        predicates.put("starts-at-most", (simulator, args) -> simulator.rules.starts(args.word(0)) <= args.integer(1));
-        predicates.put("starts", (simulator, args) -> simulator.rules.starts == args.integer(0));
-        predicates.put("late-starts", (simulator, args) -> simulator.rules.startsAfterCancel <= args.integer(0));
+        predicates.put(
+                "starts-at-most", (simulator, args) -> simulator.invariants.starts(args.word(0)) <= args.integer(1));
+        predicates.put("starts", (simulator, args) -> simulator.invariants.starts == args.integer(0));
+        predicates.put("late-starts", (simulator, args) -> simulator.invariants.startsAfterCancel <= args.integer(0));
     }
 
     private static void addMachinePredicates(Map<String, BiPredicate<ClusterSimulator, TraceArguments>> predicates) {
@@ -96,7 +100,7 @@
         predicates.put("log", (simulator, args) -> simulator.log.stream().anyMatch(line -> line.contains(args.text())));
         predicates.put(
                 "no-log", (simulator, args) -> simulator.log.stream().noneMatch(line -> line.contains(args.text())));
-        predicates.put("broken", (simulator, args) -> simulator.rules.broken.stream()
+        predicates.put("broken", (simulator, args) -> simulator.invariants.violations.stream()
                 .anyMatch(line -> line.contains(" " + args.word(0) + ": ")));
     }
 
@@ -106,7 +110,8 @@
         actualCounts.put("evictions", (simulator, args) -> ", evictions " + simulator.store.evictions);
         actualCounts.put("evictions-at-least", (simulator, args) -> ", evictions " + simulator.store.evictions);
         actualCounts.put("calls-at-most", (simulator, args) -> ", calls " + simulator.store.requests);
-        actualCounts.put("starts-at-most", (simulator, args) -> ", starts " + simulator.rules.starts(args.word(0)));
+        actualCounts.put(
+                "starts-at-most", (simulator, args) -> ", starts " + simulator.invariants.starts(args.word(0)));
         return actualCounts;
     }
 
--- a/src/test/java/org/havenford/simulator/WaitingInvariant.java
+++ b/src/test/java/org/havenford/simulator/WaitingInvariant.java
@@ -36,7 +36,7 @@
             }
             Instant since = waitingSince.computeIfAbsent(job.id, id -> simulator.now);
             if (Duration.between(since, simulator.now).compareTo(MAX_WAIT) > 0) {
-                checker.broken("waited", job.id + " is waiting although a suitable machine has room");
+                checker.recordViolation("waited", job.id + " is waiting although a suitable machine has room");
                 waitingSince.remove(job.id);
             }
         }
@@ -52,12 +52,12 @@
     }
 
     private boolean isPending(SimulatedUsers.Job job) {
-        return isOpen(job) && hasUnstartedTask(job) && !(job.broken && hasStartedRecently(job));
+        return isOpen(job) && hasUnstartedTask(job) && !(job.alwaysFails && hasStartedRecently(job));
     }
 
     private boolean isOpen(SimulatedUsers.Job job) {
         return job.accepted
-                && job.doneTold == null
+                && job.reportedDoneAt == null
                 && !simulator.users.mayBeCancelled(job)
                 && job.prerequisites.stream()
                         .allMatch(dependency -> simulator.store.value("final/" + dependency) != null);
@@ -70,7 +70,7 @@
     private boolean hasUnstartedTask(SimulatedUsers.Job job) {
         for (int index = 0; index < job.tasks; index++) {
             String task = job.id + "/" + index;
-            if (!simulator.users.finished.contains(task) && !isOnAnyMachine(task)) {
+            if (!simulator.users.completedTasks.contains(task) && !isOnAnyMachine(task)) {
                 return true;
             }
         }
@@ -83,7 +83,7 @@
     }
 
     private boolean isWithinTeamLimit(SimulatedUsers.Job job, Map<String, Double> cpusByTeam) {
-        PlatformSettings.Team team = simulator.template.teams().get(job.team);
+        PlatformSettings.Team team = simulator.commonSettings.teams().get(job.team);
         return team.cpusMax() <= 0
                 || cpusByTeam.getOrDefault(job.team, 0.0) + job.cpus <= team.cpusMax() + InvariantChecker.CPU_TOLERANCE;
     }
@@ -101,7 +101,7 @@
     private double cpusInUse(SimulatedAgent agent) {
         return agent.tasks.values().stream()
                 .filter(attempt -> !attempt.status.equals("exited"))
-                .mapToDouble(attempt -> simulator.users.jobs.get(RunningTasks.jobOf(attempt.taskId)).cpus)
+                .mapToDouble(attempt -> simulator.users.jobs.get(RunningTasks.jobIdOf(attempt.taskId)).cpus)
                 .sum();
     }
 }
